--- a/cmd/springstack/validate.go
+++ b/cmd/springstack/validate.go
@@ -54,7 +54,7 @@
 			problems = append(problems, wrong.Errors...)
 			continue
 		}
-		problems = append(problems, message.Problems(resource.NameTaken(file, files))...)
+		problems = append(problems, message.Problems(resource.NameConflicts(file, files))...)
 		problems = append(problems, repeated(file, files)...)
 		files = append(files, file)
 	}
@@ -70,7 +70,7 @@
 }
 
 func missing(files []*resource.File) []message.Problem {
-	return lo.Map(resource.Missing(files), func(reference resource.MissingReference, _ int) message.Problem {
+	return lo.Map(resource.MissingReferences(files), func(reference resource.MissingReference, _ int) message.Problem {
 		problem := result.Error{
 			Code: result.FileBadReference, File: reference.File.Name, Detail: reference.String(),
 			Mend: "Add the missing piece or correct the reference.",
--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -48,7 +48,7 @@
 
 // Verdict is the answer to a call. Every refusal means that the call was not
 // started by this gate.
-type Verdict struct {
+type Decision struct {
 	State State
 	// Code is why the call is refused.
 	Code result.Code
@@ -59,7 +59,7 @@
 // Waiter is told the fate of a queued call, once. It is called while the gate
 // is locked, so it must neither block nor call the gate.
 type Waiter interface {
-	Settle(Verdict)
+	Settle(Decision)
 }
 
 // Ticket is one call at the gate. It is used for one call only.
@@ -97,7 +97,7 @@
 	return &Ticket{Call: call, waiter: waiter}
 }
 
-func (t *Ticket) settle(verdict Verdict) {
+func (t *Ticket) settle(verdict Decision) {
 	t.state = verdict.State
 	if t.waiter != nil {
 		t.waiter.Settle(verdict)
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -56,8 +56,8 @@
 	mean    movingMean
 	classes callclass.Table[classService]
 	// requests are the attempts that came, keys the operations started.
-	requests *Seen
-	keys     *Seen
+	requests *FingerprintSet
+	keys     *FingerprintSet
 	// warmth bounds the starts while the back end is cold.
 	warmth *warmup.Limiter
 
@@ -72,8 +72,8 @@
 	requestCount := cmp.Or(config.RequestCount, config.KeyCount)
 	gate := &Gate{
 		config:   config,
-		requests: NewSeen(now, requestWindow, requestCount),
-		keys:     NewSeen(now, config.KeyWindow, config.KeyCount),
+		requests: NewFingerprintSet(now, requestWindow, requestCount),
+		keys:     NewFingerprintSet(now, config.KeyWindow, config.KeyCount),
 		warmth:   warmup.New(now),
 		queue:    queue{weights: config.Weights},
 	}
@@ -110,7 +110,7 @@
 }
 
 // Free tells whether a call that comes now would get a slot at once.
-func (g *Gate) Free() bool { return g.admits(g.word.Load()) }
+func (g *Gate) HasFreeSlot() bool { return g.admits(g.word.Load()) }
 
 // admits tells whether a slot is free and nobody waits for it.
 func (g *Gate) admits(word uint64) bool {
@@ -123,10 +123,10 @@
 }
 
 // Draining tells whether the gate refuses new calls.
-func (g *Gate) Draining() bool { return g.word.Load()&refusingAny != 0 }
+func (g *Gate) RefusesCalls() bool { return g.word.Load()&refusingAny != 0 }
 
 // Refusing is the code by which the gate refuses new calls; OK while it takes them.
-func (g *Gate) Refusing() result.Code { return refusalOf(g.word.Load()) }
+func (g *Gate) RefusalCode() result.Code { return refusalOf(g.word.Load()) }
 
 // refusalOf is the code by which a gate with some word refuses calls. A back end that leaves
 // does not come back with its zone, so that goes before.
@@ -146,11 +146,11 @@
 // The id of an attempt is remembered when it comes, whatever becomes of it: one
 // that was refused as not run may have been sent elsewhere since, so a late
 // duplicate of it must not start here.
-func (g *Gate) Admit(now time.Duration, ticket *Ticket) Verdict {
+func (g *Gate) Admit(now time.Duration, ticket *Ticket) Decision {
 	if verdict := register(g.requests, now, ticket.Request); verdict.State == StateRefused {
 		return verdict
 	}
-	if code := g.Refusing(); code != result.OK {
+	if code := g.RefusalCode(); code != result.OK {
 		return refused(code, 0)
 	}
 	if ticket.Deadline <= now {
@@ -186,8 +186,8 @@
 
 // remember records the key of a call about to start. When it refuses, the call
 // must not start.
-func (g *Gate) remember(now time.Duration, ticket *Ticket) Verdict {
-	if wait := g.warmth.Start(now, ticket.class()); wait > 0 {
+func (g *Gate) remember(now time.Duration, ticket *Ticket) Decision {
+	if wait := g.warmth.TryStart(now, ticket.class()); wait > 0 {
 		return refused(result.WarmingUp, wait)
 	}
 	ticket.startedAt = now
@@ -200,9 +200,9 @@
 }
 
 // register adds a fingerprint, or refuses the call that has it.
-func register(set *Seen, now time.Duration, fingerprint Fingerprint) Verdict {
+func register(set *FingerprintSet, now time.Duration, fingerprint Fingerprint) Decision {
 	if fingerprint == 0 {
-		return Verdict{State: StateStarted}
+		return Decision{State: StateStarted}
 	}
 	switch set.Add(now, fingerprint) {
 	case Present:
@@ -210,11 +210,11 @@
 	case Full:
 		return refused(result.QueueFull, fullRetryAfter)
 	}
-	return Verdict{State: StateStarted}
+	return Decision{State: StateStarted}
 }
 
 // enqueue queues a call for which no slot was free, or refuses it.
-func (g *Gate) enqueue(now time.Duration, ticket *Ticket) Verdict {
+func (g *Gate) enqueue(now time.Duration, ticket *Ticket) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	into := g.queue.lane(ticket.Partner)
@@ -240,13 +240,13 @@
 			g.shedBehind(now, ticket)
 			g.shedLate(now, into)
 			g.shedHopeless(now)
-			return Verdict{State: StateQueued}
+			return Decision{State: StateQueued}
 		}
 	}
 }
 
 // startLocked starts a call that holds a slot, or gives the slot on.
-func (g *Gate) startLocked(now time.Duration, ticket *Ticket) Verdict {
+func (g *Gate) startLocked(now time.Duration, ticket *Ticket) Decision {
 	verdict := g.remember(now, ticket)
 	ticket.state = verdict.State
 	if verdict.State == StateRefused {
@@ -364,6 +364,6 @@
 	return true
 }
 
-func refused(code result.Code, retryAfter time.Duration) Verdict {
-	return Verdict{State: StateRefused, Code: code, RetryAfter: retryAfter}
+func refused(code result.Code, retryAfter time.Duration) Decision {
+	return Decision{State: StateRefused, Code: code, RetryAfter: retryAfter}
 }
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -17,14 +17,14 @@
 
 // record is a waiter that keeps its verdicts.
 type record struct {
-	verdicts []Verdict
+	verdicts []Decision
 }
 
-func (r *record) Settle(verdict Verdict) { r.verdicts = append(r.verdicts, verdict) }
+func (r *record) Settle(verdict Decision) { r.verdicts = append(r.verdicts, verdict) }
 
-func (r *record) last() Verdict {
+func (r *record) last() Decision {
 	if len(r.verdicts) == 0 {
-		return Verdict{}
+		return Decision{}
 	}
 	return r.verdicts[len(r.verdicts)-1]
 }
@@ -98,7 +98,7 @@
 	failing := offer(gate, 0, Call{})
 	failing.ticket.Unmeasured = true
 	gate.Done(time.Millisecond, failing.ticket, true)
-	check.Equal(gate.MeanService(), 100*time.Millisecond)
+	check.Equal(gate.MeanServiceTime(), 100*time.Millisecond)
 }
 
 // TestStallDoesNotOutlastItself: after calls that stood still for 10 s with the
@@ -113,7 +113,7 @@
 	offer(gate, 10*time.Second, Call{})
 	offer(gate, 10*time.Second, Call{})
 	check.Equal(offer(gate, 10*time.Second, Call{}).state, StateQueued)
-	check.True(gate.MeanService() < 30*time.Millisecond)
+	check.True(gate.MeanServiceTime() < 30*time.Millisecond)
 }
 
 func TestDuplicatesAreRefusedWithinTheWindow(t *testing.T) {
@@ -270,9 +270,9 @@
 	})
 }
 
-type channelWaiter chan Verdict
+type channelWaiter chan Decision
 
-func (c channelWaiter) Settle(verdict Verdict) { c <- verdict }
+func (c channelWaiter) Settle(verdict Decision) { c <- verdict }
 
 // TestGateUnderThreads has many goroutines contend; the account of running
 // calls is kept by atomics beside the gate.
@@ -319,7 +319,7 @@
 // TestSeenAddsOnceAcrossRotations races equal fingerprints over generations.
 func TestSeenAddsOnceAcrossRotations(t *testing.T) {
 	check := is.New(t)
-	seen := NewSeen(0, 1, 1<<6)
+	seen := NewFingerprintSet(0, 1, 1<<6)
 	for round := range 2000 {
 		var added atomic.Int64
 		var group sync.WaitGroup
@@ -337,7 +337,7 @@
 
 func TestSeenForgetsNothingEarly(t *testing.T) {
 	check := is.New(t)
-	seen := NewSeen(0, time.Minute, 2)
+	seen := NewFingerprintSet(0, time.Minute, 2)
 	check.Equal(seen.Add(0, 1), Added)
 	check.Equal(seen.Add(0, 2), Added)
 	check.Equal(seen.Add(0, 3), Full) // no room is made by forgetting
@@ -349,7 +349,7 @@
 
 func TestSeenGrowsWithUse(t *testing.T) {
 	check := is.New(t)
-	seen := NewSeen(0, time.Minute, 10_000)
+	seen := NewFingerprintSet(0, time.Minute, 10_000)
 	for number := range 10_000 {
 		check.Equal(seen.Add(time.Duration(number)*time.Millisecond, Fingerprint(number)), Added)
 	}
--- a/internal/core/admission/isolation_test.go
+++ b/internal/core/admission/isolation_test.go
@@ -10,7 +10,7 @@
 // fullGate is a gate of three slots, all of them taken, and the tickets that hold them.
 func fullGate() (*Gate, []*Ticket) {
 	gate := New(0, Config{Slots: 3, QueueLength: 16, QueueWait: time.Minute, KeyWindow: time.Minute, KeyCount: 16})
-	gate.LimitCold(0, 0, false)
+	gate.SetColdLimit(0, 0, false)
 	var started []*Ticket
 	for range 3 {
 		ticket := NewTicket(Call{Deadline: time.Hour}, nil)
@@ -46,7 +46,7 @@
 	gate.Tick(0)
 	check.Equal(len(waiting.settled), 0)
 	gate.Done(0, started[0], true)
-	check.Equal(waiting.settled, []Verdict{{State: StateStarted}})
+	check.Equal(waiting.settled, []Decision{{State: StateStarted}})
 	check.Equal(gate.Load(), Load{Running: 1, Slots: 3})
 	check.Equal(gate.Admit(0, NewTicket(Call{Deadline: time.Hour}, nil)).State, StateStarted)
 }
--- a/internal/core/admission/longest_test.go
+++ b/internal/core/admission/longest_test.go
@@ -11,7 +11,7 @@
 func answeredTimes(gate *Gate, took time.Duration, count int) time.Duration {
 	for range count {
 		gate.observe(&Call{}, took)
-		gate.NoteAnswer(&Call{}, took)
+		gate.RecordServiceTime(&Call{}, took)
 	}
 	return gate.ServiceTimes(&Call{}).Longest
 }
--- a/internal/core/admission/mean.go
+++ b/internal/core/admission/mean.go
@@ -40,7 +40,7 @@
 
 // classOf returns what is known of the calls of a class, which is nothing at first.
 func (g *Gate) classOf(call *Call) *classService {
-	return g.classes.Of(call.Class)
+	return g.classes.Get(call.Class)
 }
 
 // observe folds the service time of a call into the means.
@@ -56,12 +56,12 @@
 // serviceOf is how long a call is expected to run: as others of its class do, or
 // else as all do.
 func (g *Gate) serviceOf(call *Call) time.Duration {
-	return cmp.Or(g.classOf(call).mean.value(), g.MeanService())
+	return cmp.Or(g.classOf(call).mean.value(), g.MeanServiceTime())
 }
 
 // LongServiceOf is how long a call may well run: somewhat longer than others of its
 // class in the mean; 0 when that is not known.
-func (g *Gate) LongServiceOf(call *Call) time.Duration {
+func (g *Gate) LongServiceTime(call *Call) time.Duration {
 	return g.serviceOf(call) + g.classOf(call).deviation.value()
 }
 
@@ -89,7 +89,7 @@
 const longestWeight = 1.0 / 128
 
 // NoteAnswer takes the time from the sending of a call to the back end's answer.
-func (g *Gate) NoteAnswer(call *Call, took time.Duration) {
+func (g *Gate) RecordServiceTime(call *Call, took time.Duration) {
 	one := g.classOf(call)
 	one.seen.Add(1)
 	one.answered.observe(took)
@@ -141,4 +141,4 @@
 }
 
 // MeanService is the moving mean of service time; 0 until one is known.
-func (g *Gate) MeanService() time.Duration { return g.mean.value() }
+func (g *Gate) MeanServiceTime() time.Duration { return g.mean.value() }
--- a/internal/core/admission/occupied.go
+++ b/internal/core/admission/occupied.go
@@ -32,7 +32,7 @@
 
 // LeaveBehind says that an earlier start of the daemon may have left calls at the back end,
 // which are over by a time: by its own word it holds so many; a negative number is not told.
-func (g *Gate) LeaveBehind(now, until time.Duration, told int) {
+func (g *Gate) ExpectOrphanedCalls(now, until time.Duration, told int) {
 	if until <= now {
 		return
 	}
@@ -47,14 +47,14 @@
 
 // Answered takes an answer of the back end. Each one lets one call more run than before: what
 // the back end has answered, it had room for. So the calls double in a service time.
-func (g *Gate) Answered(now time.Duration) {
+func (g *Gate) RecordAnswer(now time.Duration) {
 	if count := g.leftBehind.count.Load(); count > 0 {
 		g.leaveAtMost(now, min(count, g.slots.Load()-1)-1)
 	}
 }
 
 // Holds takes a back end's word that it holds so many calls more than the gate's.
-func (g *Gate) Holds(now time.Duration, more int) { g.leaveAtMost(now, int64(max(more, 0))) }
+func (g *Gate) CapOrphanedCalls(now time.Duration, more int) { g.leaveAtMost(now, int64(max(more, 0))) }
 
 // Tick looks whether what was left behind is over, and starts a call that came to wait in the
 // very moment in which slots were freed.
@@ -66,7 +66,7 @@
 }
 
 // Forget says that nothing runs beside the gate's calls: the back end has started anew.
-func (g *Gate) Forget(now time.Duration) { g.leaveAtMost(now, 0) }
+func (g *Gate) ClearOrphanedCalls(now time.Duration) { g.leaveAtMost(now, 0) }
 
 // leaveAtMost lowers the count of what was left behind and starts what waited for it.
 func (g *Gate) leaveAtMost(now time.Duration, most int64) {
@@ -84,7 +84,7 @@
 
 // Probe takes a slot for a question to the back end itself, until what it returns is called
 // with the time: like a call, it waits for a slot there.
-func (g *Gate) Probe() (ended func(now time.Duration)) {
+func (g *Gate) AcquireProbeSlot() (ended func(now time.Duration)) {
 	g.probes.Add(1)
 	return func(now time.Duration) {
 		g.probes.Add(-1)
--- a/internal/core/admission/occupied_test.go
+++ b/internal/core/admission/occupied_test.go
@@ -11,16 +11,16 @@
 // all taken until a time.
 func occupiedGate(until time.Duration) *Gate {
 	gate := New(0, Config{Slots: 4, QueueLength: 16, QueueWait: time.Minute, KeyWindow: time.Minute, KeyCount: 16})
-	gate.LimitCold(0, 0, false)
-	gate.LeaveBehind(0, until, 4)
+	gate.SetColdLimit(0, 0, false)
+	gate.ExpectOrphanedCalls(0, until, 4)
 	return gate
 }
 
 // verdicts keeps what is settled.
-type verdicts struct{ settled []Verdict }
+type verdicts struct{ settled []Decision }
 
 // Settle keeps a verdict.
-func (v *verdicts) Settle(verdict Verdict) { v.settled = append(v.settled, verdict) }
+func (v *verdicts) Settle(verdict Decision) { v.settled = append(v.settled, verdict) }
 
 // startAll lets calls come until one has to wait, and returns those that started and what the
 // waiting one is told.
@@ -59,7 +59,7 @@
 		for _, one := range started {
 			gate.Done(0, one, true)
 		}
-		gate.Answered(0)
+		gate.RecordAnswer(0)
 	}
 }
 
@@ -67,7 +67,7 @@
 	check := is.New(t)
 	gate := occupiedGate(time.Minute)
 	_, waiting := startAll(gate, 0)
-	gate.Holds(0, 1)
+	gate.CapOrphanedCalls(0, 1)
 	check.Equal(len(waiting.settled), 1)
 	check.Equal(gate.Load().Running, 3) // two calls, and one that was left behind
 }
@@ -76,8 +76,8 @@
 func TestTheBackEndsWordTakesNoSlots(t *testing.T) {
 	check := is.New(t)
 	gate := occupiedGate(time.Minute)
-	gate.Holds(0, 0)
-	gate.Holds(0, 4)
+	gate.CapOrphanedCalls(0, 0)
+	gate.CapOrphanedCalls(0, 4)
 	check.Equal(gate.Load().Running, 0)
 }
 
@@ -94,7 +94,7 @@
 func TestANewStartOfTheBackEndHoldsNothing(t *testing.T) {
 	check := is.New(t)
 	gate := occupiedGate(time.Second)
-	gate.Forget(0)
+	gate.ClearOrphanedCalls(0)
 	started, _ := startAll(gate, 0)
 	check.Equal(len(started), 4)
 }
@@ -106,14 +106,14 @@
 		check.Equal(leastOf(slots), want)
 	}
 	gate := New(0, Config{Slots: 18})
-	gate.LeaveBehind(0, time.Second, -1)
+	gate.ExpectOrphanedCalls(0, time.Second, -1)
 	check.Equal(gate.limit(), int64(5))
 }
 
 func TestAProbeTakesASlotWhileItIsUnderWay(t *testing.T) {
 	check := is.New(t)
 	gate := occupiedGate(0)
-	ended := gate.Probe()
+	ended := gate.AcquireProbeSlot()
 	started, waiting := startAll(gate, 0)
 	check.Equal(len(started), 3)
 	ended(0)
@@ -131,11 +131,11 @@
 	soon := &verdicts{}
 	check.Equal(gate.Admit(0, NewTicket(Call{Deadline: time.Second}, soon)).State, StateQueued)
 	for _, one := range started {
-		gate.Hangs(0, one)
+		gate.MarkHung(0, one)
 	}
 	check.Equal(len(soon.settled), 1)
 	gate.Done(0, started[0], true)
 	check.Equal(gate.hung.Load(), int64(3))
-	gate.Hangs(0, started[0])
+	gate.MarkHung(0, started[0])
 	check.Equal(gate.hung.Load(), int64(3))
 }
--- a/internal/core/admission/seen.go
+++ b/internal/core/admission/seen.go
@@ -123,15 +123,15 @@
 // without locks. They are added to one generation, which is retired when it is
 // full or as old as the window, and dropped a window after that. Nothing is
 // forgotten early: when the limit is reached, Add answers Full.
-type Seen struct {
+type FingerprintSet struct {
 	window time.Duration
 	limit  int
 	epoch  atomic.Pointer[epoch]
 }
 
 // NewSeen returns an empty set that remembers at most limit fingerprints.
-func NewSeen(now, window time.Duration, limit int) *Seen {
-	seen := &Seen{window: window, limit: max(limit, 1)}
+func NewFingerprintSet(now, window time.Duration, limit int) *FingerprintSet {
+	seen := &FingerprintSet{window: window, limit: max(limit, 1)}
 	first := newGeneration(min(firstCapacity, seen.limit), now)
 	seen.epoch.Store(&epoch{current: first})
 	return seen
@@ -139,7 +139,7 @@
 
 // Add remembers a fingerprint unless it is there. Of several concurrent calls
 // with one fingerprint at most one gets Added.
-func (s *Seen) Add(now time.Duration, fingerprint Fingerprint) AddResult {
+func (s *FingerprintSet) Add(now time.Duration, fingerprint Fingerprint) AddResult {
 	value := fingerprint.normal()
 	for {
 		held := s.rotate(now)
@@ -166,14 +166,14 @@
 }
 
 // Has tells whether a fingerprint is remembered.
-func (s *Seen) Has(fingerprint Fingerprint) bool {
+func (s *FingerprintSet) Contains(fingerprint Fingerprint) bool {
 	value := fingerprint.normal()
 	held := s.epoch.Load()
 	return held.current.find(value) != nil || held.find(value)
 }
 
 // Remove forgets a fingerprint whose call is certain not to have run.
-func (s *Seen) Remove(fingerprint Fingerprint) {
+func (s *FingerprintSet) Remove(fingerprint Fingerprint) {
 	value := fingerprint.normal()
 	held := s.epoch.Load()
 	held.current.remove(value)
@@ -190,7 +190,7 @@
 
 // rotate retires the current generation when it is full or has covered the
 // window, and drops those that were retired a window ago.
-func (s *Seen) rotate(now time.Duration) *epoch {
+func (s *FingerprintSet) rotate(now time.Duration) *epoch {
 	for {
 		held := s.epoch.Load()
 		full := int(held.current.count.Load()) >= held.current.capacity
@@ -209,7 +209,7 @@
 
 // successor is the epoch after one, or nil when nothing would change. At the
 // limit its current generation has no room at all, and older ones go on aging.
-func (s *Seen) successor(held *epoch, now time.Duration) *epoch {
+func (s *FingerprintSet) successor(held *epoch, now time.Duration) *epoch {
 	next := &epoch{}
 	taken := 0
 	if held.current.capacity > 0 {
--- a/internal/core/admission/target.go
+++ b/internal/core/admission/target.go
@@ -29,12 +29,12 @@
 // targetVerdict refuses a call that is expected to wait for a time and then to miss its
 // target. One that would miss it though it hardly waits is not refused: elsewhere it may
 // do no better.
-func (g *Gate) targetVerdict(now time.Duration, ticket *Ticket, wait time.Duration) Verdict {
+func (g *Gate) targetVerdict(now time.Duration, ticket *Ticket, wait time.Duration) Decision {
 	service := g.serviceOf(&ticket.Call)
 	wait = time.Duration(float64(wait) * g.delayOf(&ticket.Call))
 	late := g.lateness(ticket, now+wait)
 	if late <= 0 || wait <= service/brief {
-		return Verdict{State: StateQueued}
+		return Decision{State: StateQueued}
 	}
 	return refused(result.QueueFull, max(late, service/retryParts))
 }
@@ -66,8 +66,8 @@
 // go on.
 func (g *Gate) lateness(ticket *Ticket, start time.Duration) time.Duration {
 	service := g.serviceOf(&ticket.Call)
-	if ticket.Target <= 0 || ticket.Patient || float64(service) < shortShare*float64(g.MeanService()) {
+	if ticket.Target <= 0 || ticket.Patient || float64(service) < shortShare*float64(g.MeanServiceTime()) {
 		return 0
 	}
-	return max(start+g.LongServiceOf(&ticket.Call)-ticket.Target, 0)
+	return max(start+g.LongServiceTime(&ticket.Call)-ticket.Target, 0)
 }
--- a/internal/core/admission/waiting.go
+++ b/internal/core/admission/waiting.go
@@ -7,9 +7,9 @@
 )
 
 // mayWait refuses a call that would wait too long, or makes room for it.
-func (g *Gate) mayWait(now time.Duration, ticket *Ticket, into *lane) Verdict {
+func (g *Gate) mayWait(now time.Duration, ticket *Ticket, into *lane) Decision {
 	if g.config.NoEstimate {
-		return Verdict{State: StateQueued}
+		return Decision{State: StateQueued}
 	}
 	wait := g.expectedWait(into, into.aheadOf(ticket))
 	left := ticket.Deadline - now
@@ -26,15 +26,15 @@
 		return refused(result.QueueFull, wait)
 	}
 	if g.queue.length < g.config.QueueLength {
-		return Verdict{State: StateQueued}
+		return Decision{State: StateQueued}
 	}
 	if lower := into.last(ticket.class()); lower != nil {
 		g.evict(lower, refused(result.Shed, wait))
-		return Verdict{State: StateQueued}
+		return Decision{State: StateQueued}
 	}
 	if over := g.queue.overShare(into, g.config.QueueLength); over != nil {
 		g.evict(over.last(classCount), refused(result.ShareExceeded, wait))
-		return Verdict{State: StateQueued}
+		return Decision{State: StateQueued}
 	}
 	return refused(result.QueueFull, wait)
 }
@@ -92,7 +92,7 @@
 
 // Hangs says that a started call was found to hang: its slot changes hands late, so what waits
 // waits longer, and what can't start in time is refused at once.
-func (g *Gate) Hangs(now time.Duration, ticket *Ticket) {
+func (g *Gate) MarkHung(now time.Duration, ticket *Ticket) {
 	if !ticket.hung.CompareAndSwap(0, hungNow) {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 // evict refuses a waiting call.
-func (g *Gate) evict(ticket *Ticket, verdict Verdict) {
+func (g *Gate) evict(ticket *Ticket, verdict Decision) {
 	g.queue.remove(ticket)
 	g.unqueue()
 	ticket.settle(verdict)
@@ -130,7 +130,7 @@
 func (g *Gate) meanRunning() time.Duration {
 	running := int64(g.word.Load() & runningMask)
 	if running == 0 {
-		return g.MeanService()
+		return g.MeanServiceTime()
 	}
 	return time.Duration(max(g.runningWork.Load(), 0) / running)
 }
--- a/internal/core/admission/warmth_test.go
+++ b/internal/core/admission/warmth_test.go
@@ -19,8 +19,8 @@
 // coldGate is a gate whose back end is cold and bears a number of starts in a second.
 func coldGate(slots, limit int) *Gate {
 	gate := New(0, testConfig(slots))
-	gate.LimitCold(0, limit, false)
-	gate.SetCold(0, time.Hour)
+	gate.SetColdLimit(0, limit, false)
+	gate.SetColdUntil(0, time.Hour)
 	return gate
 }
 
@@ -52,12 +52,12 @@
 func TestCallsQueuedAtABackEndThatTurnsColdAreRefused(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
-	gate.LimitCold(0, 6, false)
-	gate.SetCold(0, 0)
+	gate.SetColdLimit(0, 6, false)
+	gate.SetColdUntil(0, 0)
 	first := offer(gate, coldAt, Call{})
 	second := offer(gate, coldAt, Call{})
 	check.Equal(second.state, StateQueued)
-	gate.SetCold(coldAt, time.Hour)
+	gate.SetColdUntil(coldAt, time.Hour)
 	gate.Done(coldAt, first.ticket, true)
 	check.Equal(second.waiter.last().Code, result.WarmingUp)
 }
@@ -76,8 +76,8 @@
 	check := is.New(t)
 	gate := coldGate(6, twoAtOnce)
 	first := offer(gate, coldAt, Call{})
-	check.True(gate.StartAgain(coldAt, first.ticket))
-	check.True(!gate.StartAgain(coldAt, first.ticket))
+	check.True(gate.TryResend(coldAt, first.ticket))
+	check.True(!gate.TryResend(coldAt, first.ticket))
 	check.Equal(offer(gate, coldAt, Call{}).code, result.WarmingUp)
 }
 
@@ -86,7 +86,7 @@
 	gate := coldGate(6, 1)
 	offer(gate, coldAt, Call{})
 	again := Call{Request: 7, Deadline: time.Hour}
-	_, refused := gate.RefuseCold(coldAt, NewTicket(again, nil))
+	_, refused := gate.RefuseIfCold(coldAt, NewTicket(again, nil))
 	check.True(refused)
 	check.Equal(offer(gate, 2*coldAt, again).code, result.AlreadyStarted)
 }
@@ -94,7 +94,7 @@
 func TestAWarmGateRefusesNothingAsCold(t *testing.T) {
 	check := is.New(t)
 	gate := coldGate(1000, 1)
-	gate.SetCold(coldAt, 0)
+	gate.SetColdUntil(coldAt, 0)
 	for range 1000 {
 		check.Equal(offer(gate, coldAt, Call{}).state, StateStarted)
 	}
@@ -103,8 +103,8 @@
 // BenchmarkWarmGate is what a call costs at the gate of a warm back end.
 func BenchmarkWarmGate(b *testing.B) {
 	gate := New(0, Config{Slots: 1 << 16, QueueLength: 8, QueueWait: time.Second, KeyWindow: time.Minute, KeyCount: 1 << 10})
-	gate.LimitCold(0, 6, false)
-	gate.SetCold(0, 0)
+	gate.SetColdLimit(0, 6, false)
+	gate.SetColdUntil(0, 0)
 	b.ReportAllocs()
 	b.RunParallel(func(loop *testing.PB) {
 		var ticket Ticket
--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -58,7 +58,7 @@
 // Reported takes a report, and tells whether the back end must be probed before the start is
 // taken for the one that runs: the first report of a new start looks like a late one of a
 // start that has ended.
-func (t *Tracker) Reported(now time.Duration, report Report) (probe bool) {
+func (t *Tracker) HandleReport(now time.Duration, report Report) (probe bool) {
 	start := report.Start()
 	if t.hasEnded(start) {
 		return false
@@ -122,7 +122,7 @@
 	start := report.Start()
 	sameName := t.running.Instance == start.Instance
 	if report.Draining && (sameName || t.running.Instance == "") {
-		t.Left(start, 0) // no probe is needed for taking no work
+		t.HandleLeave(start, 0) // no probe is needed for taking no work
 		return false
 	}
 	if sameName {
@@ -171,7 +171,7 @@
 // before it. The answer names the instance and not the start, but starts under one name never
 // run at once: what answers is the newest that has reported, or a newer one whose report will
 // replace it.
-func (t *Tracker) Probed(now time.Duration, probe Probe) {
+func (t *Tracker) HandleProbe(now time.Duration, probe ProbeResult) {
 	at := t.candidateAt(probe.Instance)
 	if at < 0 {
 		t.learnWarmth(now, probe)
@@ -195,7 +195,7 @@
 // Where no start is known yet, it counts as the one that runs, so that peers hear of it and
 // can remind the next start of this daemon. A word that does not tell its start is that of
 // the newest one known under the name, or else of any that had begun by then.
-func (t *Tracker) Left(start protocol.BackendStart, saidAt int64) {
+func (t *Tracker) HandleLeave(start protocol.BackendStart, saidAt int64) {
 	known := t.newestOf(start.Instance)
 	unknown := start.Born == 0 && known.Instance == ""
 	switch {
@@ -210,7 +210,7 @@
 // Remembered takes what a peer remembers: an earlier start of this daemon acknowledged that a
 // start of the back end is leaving, which binds this one. Where the back end had not told when
 // it started, the peer's time is that of its word, so an earlier start may be meant.
-func (t *Tracker) Remembered(start protocol.BackendStart) {
+func (t *Tracker) RestoreLeave(start protocol.BackendStart) {
 	t.leave(endedStart{start: start, orEarlier: true})
 }
 
@@ -232,7 +232,7 @@
 
 // Unreachable is called when a call found that a start takes no connections. Its next report
 // ends that.
-func (t *Tracker) Unreachable(start protocol.BackendStart) {
+func (t *Tracker) MarkUnreachable(start protocol.BackendStart) {
 	if start == t.running {
 		t.down = true
 	}
@@ -241,15 +241,15 @@
 // Failed is called when a start has failed a call, with the count of all calls so far that
 // went well. It tells whether the back end is ejected by it. Calls that an earlier start has
 // failed say nothing of the present one.
-func (t *Tracker) Failed(now time.Duration, start protocol.BackendStart, answered uint64) bool {
+func (t *Tracker) RecordFailure(now time.Duration, start protocol.BackendStart, answered uint64) bool {
 	return start == t.running && t.outlier.failed(now, answered)
 }
 
 // Answered is called when the back end has answered a call.
-func (t *Tracker) Answered(now time.Duration) { t.heardAt = max(t.heardAt, now) }
+func (t *Tracker) RecordAnswer(now time.Duration) { t.heardAt = max(t.heardAt, now) }
 
 // Leaving tells whether the running start drains or has left.
-func (t *Tracker) Leaving() bool { return t.draining }
+func (t *Tracker) IsDraining() bool { return t.draining }
 
 // View is the state of the back end at a time, for the gate and the mesh.
 type View struct {
--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -14,8 +14,8 @@
 func started(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := NewTracker(interval)
-	is.New(t).True(tracker.Reported(0, Report{Instance: "a", Sequence: 3, Slots: 6}))
-	tracker.Probed(0, Probe{Instance: "a", Healthy: true})
+	is.New(t).True(tracker.HandleReport(0, Report{Instance: "a", Sequence: 3, Slots: 6}))
+	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
 	is.New(t).Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "a"}, Slots: 6, State: protocol.EndpointReady})
 	return tracker
 }
@@ -23,61 +23,61 @@
 func TestAnInstanceIsTakenOnlyOnceItHasAnsweredItself(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 1, Slots: 6})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 1, Slots: 6})
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
-	tracker.Probed(0, Probe{Instance: "b", Healthy: true})
+	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
-	tracker.Probed(0, Probe{})
+	tracker.HandleProbe(0, ProbeResult{})
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
-	tracker.Probed(0, Probe{Instance: "a"}) // it is leaving
+	tracker.HandleProbe(0, ProbeResult{Instance: "a"}) // it is leaving
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
-	check.True(tracker.Unconfirmed())
-	tracker.Probed(0, Probe{Instance: "a", Healthy: true})
+	check.True(tracker.HasCandidates())
+	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
 func TestDrainingOutlivesLateReports(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 5, Draining: true})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 5, Draining: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 4})
-	tracker.Reported(0, Report{Instance: "a", Sequence: 6}) // a daemon that was restarted in between may hear this
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 6}) // a daemon that was restarted in between may hear this
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
 func TestALateReportOfAnEndedInstanceIsNotANewOne(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	check.True(tracker.Reported(0, Report{Instance: "b", Sequence: 1, Slots: 4}))
-	tracker.Probed(0, Probe{Instance: "b", Healthy: true})
+	check.True(tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 4}))
+	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0), View{
 		Start: protocol.BackendStart{Instance: "b"}, Slots: 4, State: protocol.EndpointReady, EarlierCrashed: true,
 	})
-	check.True(!tracker.Reported(0, Report{Instance: "a", Sequence: 9}))
+	check.True(!tracker.HandleReport(0, Report{Instance: "a", Sequence: 9}))
 	check.Equal(tracker.View(0).Start.Instance, "b")
-	check.True(!tracker.Unconfirmed())
+	check.True(!tracker.HasCandidates())
 }
 
 func TestLeavingWithoutDrainingEndsWork(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Left(protocol.BackendStart{Instance: "b"}, 0)
+	tracker.HandleLeave(protocol.BackendStart{Instance: "b"}, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	tracker.Left(protocol.BackendStart{Instance: "a"}, 0)
+	tracker.HandleLeave(protocol.BackendStart{Instance: "a"}, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	check.True(!tracker.Reported(0, Report{Instance: "a", Sequence: 9}))
+	check.True(!tracker.HandleReport(0, Report{Instance: "a", Sequence: 9}))
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
 func TestDownEndsWithTheNextReport(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Unreachable(protocol.BackendStart{Instance: "b"})
+	tracker.MarkUnreachable(protocol.BackendStart{Instance: "b"})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	tracker.Unreachable(protocol.BackendStart{Instance: "a"})
+	tracker.MarkUnreachable(protocol.BackendStart{Instance: "a"})
 	check.Equal(tracker.View(0).State, protocol.EndpointDown)
-	tracker.Reported(interval, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: interval})
+	tracker.HandleReport(interval, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: interval})
 	check.Equal(tracker.View(interval).State, protocol.EndpointWarming)
 	check.Equal(tracker.View(2*interval).State, protocol.EndpointReady)
 }
@@ -87,14 +87,14 @@
 	tracker := started(t)
 	late := silentBeats*interval + 1
 	check.Equal(tracker.View(late).State, protocol.EndpointDown)
-	tracker.Answered(interval)
+	tracker.RecordAnswer(interval)
 	check.Equal(tracker.View(late).State, protocol.EndpointReady)
 }
 
 func TestEndedInstancesAreBounded(t *testing.T) {
 	tracker := started(t)
 	for index := range 3 * endedLimit {
-		tracker.Left(protocol.BackendStart{Instance: string(rune('A' + index))}, 0)
+		tracker.HandleLeave(protocol.BackendStart{Instance: string(rune('A' + index))}, 0)
 	}
 	is.New(t).Equal(len(tracker.ended), endedLimit)
 }
@@ -102,14 +102,14 @@
 func TestWhatPeersRememberOfALeavingInstanceStands(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(time.Second)
-	tracker.Remembered(protocol.BackendStart{Instance: "one"})
+	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	check.True(!tracker.Reported(0, Report{Instance: "one", Sequence: 9, Slots: 6})) // it denies that, in vain
+	check.True(!tracker.HandleReport(0, Report{Instance: "one", Sequence: 9, Slots: 6})) // it denies that, in vain
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	check.True(tracker.Reported(0, Report{Instance: "two", Sequence: 1, Slots: 6}))
-	tracker.Probed(0, Probe{Instance: "two", Healthy: true})
+	check.True(tracker.HandleReport(0, Report{Instance: "two", Sequence: 1, Slots: 6}))
+	tracker.HandleProbe(0, ProbeResult{Instance: "two", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	tracker.Remembered(protocol.BackendStart{Instance: "one"}) // told late: the newer instance works on
+	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"}) // told late: the newer instance works on
 	check.Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "two"}, Slots: 6, State: protocol.EndpointReady})
 }
 
@@ -120,16 +120,16 @@
 	for _, before := range []string{"", "a"} { // the daemon may have known the crashed one, or not
 		tracker := NewTracker(time.Second)
 		if before != "" {
-			tracker.Reported(0, Report{Instance: before, Sequence: 1, Slots: 6})
-			tracker.Probed(0, Probe{Instance: before, Healthy: true})
+			tracker.HandleReport(0, Report{Instance: before, Sequence: 1, Slots: 6})
+			tracker.HandleProbe(0, ProbeResult{Instance: before, Healthy: true})
 		}
-		check.True(tracker.Reported(time.Second, Report{Instance: "b", Sequence: 1, Slots: 6}))
-		tracker.Reported(2*time.Second, Report{Instance: "a", Sequence: 9, Slots: 6})
-		tracker.Probed(2*time.Second, Probe{Instance: "b", Healthy: true})
+		check.True(tracker.HandleReport(time.Second, Report{Instance: "b", Sequence: 1, Slots: 6}))
+		tracker.HandleReport(2*time.Second, Report{Instance: "a", Sequence: 9, Slots: 6})
+		tracker.HandleProbe(2*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(2*time.Second).Start.Instance, "b")
 		check.Equal(tracker.View(2*time.Second).State, protocol.EndpointReady)
-		tracker.Reported(3*time.Second, Report{Instance: "a", Sequence: 10, Slots: 6}) // later still
-		tracker.Probed(3*time.Second, Probe{Instance: "b", Healthy: true})
+		tracker.HandleReport(3*time.Second, Report{Instance: "a", Sequence: 10, Slots: 6}) // later still
+		tracker.HandleProbe(3*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(3*time.Second).Start.Instance, "b")
 	}
 }
@@ -139,8 +139,8 @@
 func TestALeaveBeforeTheFirstHeartbeatIsTold(t *testing.T) {
 	check := is.New(t)
 	leave := map[string]func(*Tracker){
-		"leave":              func(tracker *Tracker) { tracker.Left(protocol.BackendStart{Instance: "a"}, 0) },
-		"draining heartbeat": func(tracker *Tracker) { tracker.Reported(0, Report{Instance: "a", Sequence: 1, Draining: true}) },
+		"leave":              func(tracker *Tracker) { tracker.HandleLeave(protocol.BackendStart{Instance: "a"}, 0) },
+		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(0, Report{Instance: "a", Sequence: 1, Draining: true}) },
 	}
 	for name, say := range leave {
 		tracker := NewTracker(time.Second)
@@ -148,11 +148,11 @@
 		t.Log(name)
 		check.Equal(tracker.View(0).Start.Instance, "a")
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-		tracker.Reported(0, Report{Instance: "a", Sequence: 9, Slots: 6}) // it denies that
-		tracker.Probed(0, Probe{Instance: "a", Healthy: true})
+		tracker.HandleReport(0, Report{Instance: "a", Sequence: 9, Slots: 6}) // it denies that
+		tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-		tracker.Reported(0, Report{Instance: "b", Sequence: 1, Slots: 6}) // its successor
-		tracker.Probed(0, Probe{Instance: "b", Healthy: true})
+		tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6}) // its successor
+		tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	}
 }
@@ -161,7 +161,7 @@
 func TestADrainThatALaterReportOvertookCounts(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 5, Slots: 6})
-	tracker.Reported(0, Report{Instance: "a", Sequence: 4, Slots: 2, Draining: true})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 5, Slots: 6})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 2, Draining: true})
 	check.Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "a"}, Slots: 6, State: protocol.EndpointDraining})
 }
--- a/internal/core/backend/candidates.go
+++ b/internal/core/backend/candidates.go
@@ -9,7 +9,7 @@
 const candidateLimit = 4
 
 // Unconfirmed tells whether a report waits for a probe.
-func (t *Tracker) Unconfirmed() bool { return len(t.candidates) > 0 }
+func (t *Tracker) HasCandidates() bool { return len(t.candidates) > 0 }
 
 // addCandidate keeps a report unless a newer one of its instance is held. At the limit the
 // oldest candidate is forgotten.
--- a/internal/core/backend/crashed_test.go
+++ b/internal/core/backend/crashed_test.go
@@ -10,8 +10,8 @@
 func TestAStartThatLeftHasNotCrashed(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Left(startOf(100), 0)
-	tracker.Reported(0, reportOf(200, 1))
+	tracker.HandleLeave(startOf(100), 0)
+	tracker.HandleReport(0, reportOf(200, 1))
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).Start, startOf(200))
 	check.True(!tracker.View(0).EarlierCrashed)
@@ -20,7 +20,7 @@
 func TestAStartHasCrashedOnceTheNextOneAnswers(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Reported(0, reportOf(200, 1))
+	tracker.HandleReport(0, reportOf(200, 1))
 	check.True(!tracker.View(0).EarlierCrashed)
 	answers(tracker, 0)
 	check.True(tracker.View(0).EarlierCrashed)
@@ -30,9 +30,9 @@
 func TestAnUnconfirmedStartBetweenHidesNoLeave(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Left(startOf(100), 0)
-	tracker.Reported(0, reportOf(200, 1))
-	tracker.Reported(0, reportOf(300, 1))
+	tracker.HandleLeave(startOf(100), 0)
+	tracker.HandleReport(0, reportOf(200, 1))
+	tracker.HandleReport(0, reportOf(300, 1))
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).Start, startOf(300))
 	check.True(!tracker.View(0).EarlierCrashed)
--- a/internal/core/backend/order_test.go
+++ b/internal/core/backend/order_test.go
@@ -37,8 +37,8 @@
 
 // deliver gives the daemon a report, and lets the back end answer the probe that it asks for.
 func (w *world) deliver(tracker *Tracker, report Report) {
-	if tracker.Reported(w.now, report) && w.up {
-		tracker.Probed(w.now, Probe{Instance: w.instance, Healthy: true}) // its health may be false
+	if tracker.HandleReport(w.now, report) && w.up {
+		tracker.HandleProbe(w.now, ProbeResult{Instance: w.instance, Healthy: true}) // its health may be false
 	}
 	if report.Draining {
 		w.gone[report.Start()] = true
@@ -66,7 +66,7 @@
 	case 5:
 		if w.up && w.draining {
 			start := protocol.BackendStart{Instance: w.instance, Born: w.born}
-			tracker.Left(start, 0)
+			tracker.HandleLeave(start, 0)
 			w.gone[start] = true
 		}
 	default:
@@ -99,7 +99,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			made.step(t, tracker)
 			view := tracker.View(made.now)
-			if view.State.TakesWork() && made.gone[view.Start] {
+			if view.State.AcceptsCalls() && made.gone[view.Start] {
 				t.Fatalf("%s takes work after its end was acknowledged", view.Start)
 			}
 		}
@@ -120,7 +120,7 @@
 		}
 		view := tracker.View(made.now)
 		living := protocol.BackendStart{Instance: made.instance, Born: made.born}
-		if !view.State.TakesWork() || view.Start != living {
+		if !view.State.AcceptsCalls() || view.Start != living {
 			t.Fatalf("%s is %s while %s runs", view.Start, view.State, living)
 		}
 	})
--- a/internal/core/backend/outlier_test.go
+++ b/internal/core/backend/outlier_test.go
@@ -16,12 +16,12 @@
 	now := from
 	for call := 1; call <= calls; call++ {
 		now += 50 * time.Millisecond
-		tracker.Answered(now)
+		tracker.RecordAnswer(now)
 		if call%every != 0 {
 			answered++
 			continue
 		}
-		if tracker.Failed(now, protocol.BackendStart{Instance: "a"}, answered) {
+		if tracker.RecordFailure(now, protocol.BackendStart{Instance: "a"}, answered) {
 			return now, answered
 		}
 	}
@@ -37,7 +37,7 @@
 	check.Equal(tracker.View(now+ejectionUnit-1).State, protocol.EndpointDegraded)
 	check.Equal(tracker.View(now+ejectionUnit).State, protocol.EndpointReady)
 	again, _ := failing(tracker, now+ejectionUnit, answered, 100, 2)
-	tracker.Answered(again + 2*ejectionUnit)
+	tracker.RecordAnswer(again + 2*ejectionUnit)
 	check.Equal(tracker.View(again+2*ejectionUnit-1).State, protocol.EndpointDegraded) // twice as long
 	check.Equal(tracker.View(again+2*ejectionUnit).State, protocol.EndpointReady)
 }
@@ -50,7 +50,7 @@
 	check.Equal(answered, uint64(900))
 	few := started(t)
 	for call := range failureCalls - 1 {
-		check.True(!few.Failed(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few to tell
+		check.True(!few.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few to tell
 	}
 }
 
@@ -59,11 +59,11 @@
 	tracker := started(t)
 	now, answered := failing(tracker, 0, 0, 100, 1)
 	check.Equal(tracker.View(now).State, protocol.EndpointDegraded)
-	tracker.Reported(now, Report{Instance: "b", Sequence: 1, Slots: 6})
-	tracker.Probed(now, Probe{Instance: "b", Healthy: true})
+	tracker.HandleReport(now, Report{Instance: "b", Sequence: 1, Slots: 6})
+	tracker.HandleProbe(now, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(now).State, protocol.EndpointReady)
 	for range 100 {
-		check.True(!tracker.Failed(now, protocol.BackendStart{Instance: "a"}, answered))
+		check.True(!tracker.RecordFailure(now, protocol.BackendStart{Instance: "a"}, answered))
 	}
 	check.Equal(tracker.View(now).State, protocol.EndpointReady)
 }
@@ -72,6 +72,6 @@
 	check := is.New(t)
 	tracker := started(t)
 	now, _ := failing(tracker, 0, 0, 100, 1)
-	tracker.Left(protocol.BackendStart{Instance: "a"}, 0)
+	tracker.HandleLeave(protocol.BackendStart{Instance: "a"}, 0)
 	check.Equal(tracker.View(now).State, protocol.EndpointDraining)
 }
--- a/internal/core/backend/report.go
+++ b/internal/core/backend/report.go
@@ -32,7 +32,7 @@
 }
 
 // Probe is what the back end itself answered when it was asked.
-type Probe struct {
+type ProbeResult struct {
 	// Instance is the one that answered; empty when there was no answer.
 	Instance string
 	// Healthy says that the instance takes work.
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -19,14 +19,14 @@
 
 // answers has the back end answer a probe under its name.
 func answers(tracker *Tracker, now time.Duration) {
-	tracker.Probed(now, Probe{Instance: "a", Healthy: true})
+	tracker.HandleProbe(now, ProbeResult{Instance: "a", Healthy: true})
 }
 
 // runningSince returns a tracker of a back end that runs since a time.
 func runningSince(t *testing.T, born int64) *Tracker {
 	t.Helper()
 	tracker := NewTracker(interval)
-	is.New(t).True(tracker.Reported(0, reportOf(born, 7)))
+	is.New(t).True(tracker.HandleReport(0, reportOf(born, 7)))
 	answers(tracker, 0)
 	is.New(t).Equal(tracker.View(0), View{Start: startOf(born), Slots: 6, State: protocol.EndpointReady})
 	return tracker
@@ -35,22 +35,22 @@
 func TestANewerStartReplacesTheOlderOne(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	check.True(tracker.Reported(interval, reportOf(200, 1))) // its counts begin anew
+	check.True(tracker.HandleReport(interval, reportOf(200, 1))) // its counts begin anew
 	check.Equal(tracker.View(interval).Start, startOf(200))
 	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // nothing before it has answered
 	answers(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
-	check.True(!tracker.Reported(interval, reportOf(200, 2)))
+	check.True(!tracker.HandleReport(interval, reportOf(200, 2)))
 }
 
 func TestANewerStartEndsTheDrainOfTheOlderOne(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Left(startOf(100), 0)
-	check.True(tracker.Reported(interval, reportOf(200, 1)))
+	tracker.HandleLeave(startOf(100), 0)
+	check.True(tracker.HandleReport(interval, reportOf(200, 1)))
 	answers(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
-	tracker.Left(startOf(100), 0) // told twice, late
+	tracker.HandleLeave(startOf(100), 0) // told twice, late
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 }
 
@@ -58,16 +58,16 @@
 	check := is.New(t)
 	tracker := runningSince(t, 100)
 	for range failureCalls {
-		tracker.Failed(0, startOf(100), 0)
+		tracker.RecordFailure(0, startOf(100), 0)
 	}
 	check.Equal(tracker.View(0).State, protocol.EndpointDegraded)
-	tracker.Reported(0, reportOf(200, 1))
+	tracker.HandleReport(0, reportOf(200, 1))
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	for range failureCalls {
-		check.True(!tracker.Failed(0, startOf(100), 0)) // calls lost with the older one
+		check.True(!tracker.RecordFailure(0, startOf(100), 0)) // calls lost with the older one
 	}
-	tracker.Unreachable(startOf(100))
+	tracker.MarkUnreachable(startOf(100))
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
@@ -76,9 +76,9 @@
 	tracker := runningSince(t, 100)
 	cold := reportOf(100, 8)
 	cold.WarmUp = time.Minute
-	tracker.Reported(0, cold)
+	tracker.HandleReport(0, cold)
 	check.Equal(tracker.View(0).State, protocol.EndpointWarming)
-	tracker.Reported(0, reportOf(200, 1))
+	tracker.HandleReport(0, reportOf(200, 1))
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
@@ -86,13 +86,13 @@
 func TestAnOlderStartsReportsCountForNothing(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 200)
-	check.True(!tracker.Reported(0, reportOf(100, 99)))
+	check.True(!tracker.HandleReport(0, reportOf(100, 99)))
 	drained := reportOf(100, 100)
 	drained.Draining = true
-	check.True(!tracker.Reported(0, drained))
-	tracker.Left(startOf(100), 0)
+	check.True(!tracker.HandleReport(0, drained))
+	tracker.HandleLeave(startOf(100), 0)
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointReady})
-	check.True(!tracker.Unconfirmed())
+	check.True(!tracker.HasCandidates())
 }
 
 func TestANewerStartThatDrainsGetsNothingAtOnce(t *testing.T) {
@@ -100,9 +100,9 @@
 	tracker := runningSince(t, 100)
 	drained := reportOf(200, 1)
 	drained.Draining = true
-	check.True(!tracker.Reported(0, drained))
+	check.True(!tracker.HandleReport(0, drained))
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointDraining})
-	check.True(!tracker.Reported(0, reportOf(200, 2))) // it denies that
+	check.True(!tracker.HandleReport(0, reportOf(200, 2))) // it denies that
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
@@ -111,25 +111,25 @@
 func TestALeaveWithoutATimeBindsTheNewestStart(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Left(startOf(0), 5000)
+	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0), View{Start: startOf(100), Slots: 6, State: protocol.EndpointDraining})
-	check.True(!tracker.Reported(0, reportOf(100, 9)))
-	check.True(tracker.Reported(0, reportOf(200, 1)))
+	check.True(!tracker.HandleReport(0, reportOf(100, 9)))
+	check.True(tracker.HandleReport(0, reportOf(200, 1)))
 }
 
 // A daemon that knows nothing yet can't tell which start leaves: whichever had begun by then.
 func TestALeaveWithoutATimeOfAnUnknownStartBindsAllBefore(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
-	tracker.Left(startOf(0), 5000)
+	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 	for beat := range uint64(4 * persistentBeats) { // it denies that, for long
 		now := time.Duration(beat) * interval
-		check.True(!tracker.Reported(now, reportOf(4000, beat)))
+		check.True(!tracker.HandleReport(now, reportOf(4000, beat)))
 		answers(tracker, now)
 		check.Equal(tracker.View(now).State, protocol.EndpointDraining)
 	}
-	check.True(tracker.Reported(0, reportOf(6000, 1)))
+	check.True(tracker.HandleReport(0, reportOf(6000, 1)))
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
@@ -137,13 +137,13 @@
 func TestWhatPeersRememberOfAStartDoesNotBindANewerOne(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
-	tracker.Remembered(startOf(100))
+	tracker.RestoreLeave(startOf(100))
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	check.True(!tracker.Reported(0, reportOf(100, 9)))
-	check.True(!tracker.Reported(0, reportOf(50, 9)))
-	check.True(tracker.Reported(0, reportOf(200, 1)))
+	check.True(!tracker.HandleReport(0, reportOf(100, 9)))
+	check.True(!tracker.HandleReport(0, reportOf(50, 9)))
+	check.True(tracker.HandleReport(0, reportOf(200, 1)))
 	answers(tracker, 0)
-	tracker.Remembered(startOf(100)) // told late
+	tracker.RestoreLeave(startOf(100)) // told late
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointReady})
 }
 
@@ -156,14 +156,14 @@
 		taken := 0
 		for beat := 1; beat <= 2*persistentBeats && taken == 0; beat++ {
 			now := time.Duration(beat) * interval
-			if tracker.Reported(now, reportOf(200, uint64(beat))) {
+			if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
 				answers(tracker, now)
 				taken = beat
 			}
 		}
 		check.Equal(taken, persistentBeats+1)
 		check.Equal(tracker.View((persistentBeats+1)*interval).Start, startOf(200))
-		check.True(tracker.Reported(0, reportOf(201, 1))) // the next one as ever
+		check.True(tracker.HandleReport(0, reportOf(201, 1))) // the next one as ever
 	}
 }
 
@@ -172,7 +172,7 @@
 	check := is.New(t)
 	tracker := runningSince(t, 200)
 	for beat := range uint64(4 * persistentBeats) {
-		check.True(!tracker.Reported(time.Minute, reportOf(100, beat)))
+		check.True(!tracker.HandleReport(time.Minute, reportOf(100, beat)))
 	}
 }
 
@@ -182,8 +182,8 @@
 	tracker := runningSince(t, 200)
 	for beat := 1; beat <= 4*persistentBeats; beat++ {
 		now := time.Duration(beat) * interval
-		tracker.Reported(now, reportOf(200, uint64(beat+7)))
-		check.True(!tracker.Reported(now, reportOf(100, uint64(beat))))
+		tracker.HandleReport(now, reportOf(200, uint64(beat+7)))
+		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat))))
 	}
 }
 
@@ -191,8 +191,8 @@
 func TestAnInstanceWithoutATimeNeverComesBack(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 0)
-	tracker.Left(startOf(0), 5000)
-	check.True(!tracker.Reported(0, reportOf(0, 99)))
+	tracker.HandleLeave(startOf(0), 5000)
+	check.True(!tracker.HandleReport(0, reportOf(0, 99)))
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
@@ -200,9 +200,9 @@
 func TestACandidateThatDrainsIsTakenAsDraining(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Reported(0, Report{Instance: "b", Born: 1, Sequence: 1, Draining: true})
-	tracker.Reported(0, Report{Instance: "b", Born: 1, Sequence: 2})
-	tracker.Probed(0, Probe{Instance: "b", Healthy: true})
+	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1, Draining: true})
+	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 2})
+	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
@@ -210,10 +210,10 @@
 func TestAPersistentStartReplacesAnUnconfirmedAbsurdOne(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Reported(0, reportOf(1<<62, 1)) // its health was bad then
+	tracker.HandleReport(0, reportOf(1<<62, 1)) // its health was bad then
 	for beat := 1; beat <= persistentBeats+1; beat++ {
 		now := time.Duration(beat) * interval
-		if tracker.Reported(now, reportOf(200, uint64(beat))) {
+		if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
 			answers(tracker, now)
 		}
 	}
@@ -226,15 +226,15 @@
 func TestALeaveForgetsNoDrainOfAnOlderCandidate(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
-	tracker.Reported(0, Report{Instance: "b", Born: 1, Sequence: 1})
-	tracker.Probed(0, Probe{Instance: "b", Healthy: true})
+	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
+	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 	drained := reportOf(100, 1)
 	drained.Draining = true
-	tracker.Reported(0, drained)
-	tracker.Left(startOf(200), 0)
+	tracker.HandleReport(0, drained)
+	tracker.HandleLeave(startOf(200), 0)
 	for beat := 1; beat <= 2*persistentBeats; beat++ {
 		now := time.Duration(beat) * interval
-		check.True(!tracker.Reported(now, reportOf(100, uint64(beat+1))))
+		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat+1))))
 	}
 }
 
@@ -244,19 +244,19 @@
 	drained := reportOf(200, 9)
 	drained.Draining = true
 	for name, say := range map[string]func(*Tracker){
-		"leave":              func(tracker *Tracker) { tracker.Left(startOf(200), 0) },
-		"draining heartbeat": func(tracker *Tracker) { tracker.Reported(3*interval, drained) },
+		"leave":              func(tracker *Tracker) { tracker.HandleLeave(startOf(200), 0) },
+		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(3*interval, drained) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
 			tracker := runningSince(t, 300)
 			for beat := 1; beat <= 2; beat++ {
-				tracker.Reported(time.Duration(beat)*interval, reportOf(200, uint64(beat)))
+				tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat)))
 			}
 			say(tracker)
-			tracker.Answered(3 * interval)
-			check.True(!tracker.View(3 * interval).State.TakesWork())
-			tracker.Reported(3*interval, reportOf(300, 8)) // it was late only, and runs
+			tracker.RecordAnswer(3 * interval)
+			check.True(!tracker.View(3 * interval).State.AcceptsCalls())
+			tracker.HandleReport(3*interval, reportOf(300, 8)) // it was late only, and runs
 			check.Equal(tracker.View(3*interval).State, protocol.EndpointReady)
 		})
 	}
@@ -267,10 +267,10 @@
 func TestAPersistentStartIsProbedUntilItAnswers(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.Left(startOf(1<<62), 0) // another writer's word
+	tracker.HandleLeave(startOf(1<<62), 0) // another writer's word
 	probes := 0
 	for beat := 1; beat <= persistentBeats+3; beat++ {
-		if tracker.Reported(time.Duration(beat)*interval, reportOf(200, uint64(beat))) {
+		if tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat))) {
 			probes++ // its health is bad
 		}
 	}
@@ -281,8 +281,8 @@
 // set back since: the next start is late, but not locked out.
 func TestAClockSetBackAfterALeaveLocksNobodyOut(t *testing.T) {
 	for name, leave := range map[string]func(*Tracker){
-		"remembered": func(tracker *Tracker) { tracker.Remembered(startOf(5000)) },
-		"left":       func(tracker *Tracker) { tracker.Left(startOf(0), 5000) },
+		"remembered": func(tracker *Tracker) { tracker.RestoreLeave(startOf(5000)) },
+		"left":       func(tracker *Tracker) { tracker.HandleLeave(startOf(0), 5000) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
@@ -290,15 +290,15 @@
 			leave(tracker)
 			now := time.Duration(0)
 			for beat := range uint64(leavingBeats + 1) {
-				check.True(!tracker.View(now).State.TakesWork())
+				check.True(!tracker.View(now).State.AcceptsCalls())
 				now += interval
-				if tracker.Reported(now, reportOf(200, beat+1)) {
+				if tracker.HandleReport(now, reportOf(200, beat+1)) {
 					answers(tracker, now)
 				}
 			}
 			check.Equal(tracker.View(now).Start, startOf(200))
 			check.Equal(tracker.View(now).State, protocol.EndpointReady)
-			check.True(!tracker.Reported(now, reportOf(5000, 1))) // the one that left stays away
+			check.True(!tracker.HandleReport(now, reportOf(5000, 1))) // the one that left stays away
 		})
 	}
 }
@@ -312,13 +312,13 @@
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
 			tracker := NewTracker(interval)
-			tracker.Reported(0, Report{Instance: "b", Born: 1, Sequence: 1})
-			tracker.Probed(0, Probe{Instance: "b", Healthy: true})
-			tracker.Reported(0, reportOf(200, 9))
+			tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
+			tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
+			tracker.HandleReport(0, reportOf(200, 9))
 			before(tracker)
 			drained := reportOf(200, 8)
 			drained.Draining = true
-			tracker.Reported(0, drained)
+			tracker.HandleReport(0, drained)
 			answers(tracker, 0)
 			check.Equal(tracker.View(0).Start, startOf(200))
 			check.Equal(tracker.View(0).State, protocol.EndpointDraining)
@@ -333,12 +333,12 @@
 	tracker := runningSince(t, 300)
 	cold := reportOf(200, 3)
 	cold.WarmUp = time.Second
-	tracker.Reported(interval, cold) // a single one may have been held up
+	tracker.HandleReport(interval, cold) // a single one may have been held up
 	check.Equal(tracker.View(interval).ColdUntil, time.Duration(0))
 	cold.Sequence++
-	tracker.Reported(2*interval, cold)
+	tracker.HandleReport(2*interval, cold)
 	check.Equal(tracker.View(2*interval).ColdUntil, 2*interval+time.Second)
-	check.True(tracker.DoubtsWarmth(2 * interval)) // so it is probed
-	tracker.Probed(2*interval, Probe{Instance: "a", Healthy: true, TellsWarmUp: true})
+	check.True(tracker.NeedsWarmthProbe(2 * interval)) // so it is probed
+	tracker.HandleProbe(2*interval, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(tracker.View(2*interval).ColdUntil, time.Duration(0))
 }
--- a/internal/core/backend/warmth.go
+++ b/internal/core/backend/warmth.go
@@ -32,7 +32,7 @@
 
 // learnWarmth takes what a probe tells of the warm-up of the running start. One that failed,
 // or was answered by another instance, changes nothing.
-func (t *Tracker) learnWarmth(now time.Duration, probe Probe) {
+func (t *Tracker) learnWarmth(now time.Duration, probe ProbeResult) {
 	if probe.Instance == t.running.Instance && t.running.Instance != "" && !t.unconfirmed && probe.TellsWarmUp {
 		t.warmth.probed(now, probe.WarmUp)
 	}
@@ -45,14 +45,14 @@
 }
 
 // AwaitsWarmth tells whether the back end is assumed to be cold and has not answered since.
-func (t *Tracker) AwaitsWarmth(now time.Duration) bool {
+func (t *Tracker) IsAssumedCold(now time.Duration) bool {
 	return t.running.Instance != "" && now < t.warmth.assumed
 }
 
 // DoubtsWarmth tells whether the back end is to be probed again: it has not answered since it
 // was assumed to be cold, or its reports call it warm while its last answer calls it cold.
 // Without the latter one false answer would hold calls back for as long as it said.
-func (t *Tracker) DoubtsWarmth(now time.Duration) bool {
+func (t *Tracker) NeedsWarmthProbe(now time.Duration) bool {
 	contradicted := t.warmth.byReport <= now && now < t.warmth.byProbe
-	return t.AwaitsWarmth(now) || contradicted
+	return t.IsAssumedCold(now) || contradicted
 }
--- a/internal/core/backend/warmth_test.go
+++ b/internal/core/backend/warmth_test.go
@@ -17,7 +17,7 @@
 	check := is.New(t)
 	tracker := started(t)
 	check.Equal(coldUntil(tracker, 0), time.Duration(0))
-	tracker.Reported(interval, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 3 * interval})
+	tracker.HandleReport(interval, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 3 * interval})
 	check.Equal(coldUntil(tracker, interval), 4*interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointWarming)
 	check.Equal(coldUntil(tracker, 4*interval), time.Duration(0))
@@ -26,17 +26,17 @@
 func TestAHealthAnswerTellsThatTheInstanceIsCold(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Probed(0, Probe{Instance: "a", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
+	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
 	check.Equal(coldUntil(tracker, 0), 2*interval)
 }
 
 func TestTheLongerWarmUpCountsForEitherMayLie(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 3 * interval})
-	tracker.Probed(0, Probe{Instance: "a", Healthy: true, TellsWarmUp: true})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 3 * interval})
+	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), 3*interval)
-	tracker.Probed(0, Probe{Instance: "a", TellsWarmUp: true, WarmUp: 5 * interval})
+	tracker.HandleProbe(0, ProbeResult{Instance: "a", TellsWarmUp: true, WarmUp: 5 * interval})
 	check.Equal(coldUntil(tracker, 0), 5*interval)
 }
 
@@ -44,46 +44,46 @@
 	check := is.New(t)
 	tracker := started(t)
 	tracker.AssumeCold(0, 3*interval)
-	tracker.Probed(0, Probe{})
-	tracker.Probed(0, Probe{Instance: "a", Healthy: true})
-	tracker.Probed(0, Probe{Instance: "b", Healthy: true, TellsWarmUp: true})
+	tracker.HandleProbe(0, ProbeResult{})
+	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
+	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), 3*interval)
-	check.True(tracker.AwaitsWarmth(0))
+	check.True(tracker.IsAssumedCold(0))
 }
 
 func TestWhatWasAssumedEndsWhenTheInstanceSaysOtherwise(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
 	tracker.AssumeCold(0, 3*interval)
-	tracker.Probed(0, Probe{Instance: "a", Healthy: true, TellsWarmUp: true})
+	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), time.Duration(0))
-	check.True(!tracker.AwaitsWarmth(0))
+	check.True(!tracker.IsAssumedCold(0))
 }
 
 func TestAHeartbeatDoesNotEndWhatWasAssumed(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
 	tracker.AssumeCold(0, 3*interval)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 4, Slots: 6}) // it may have been held up
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6}) // it may have been held up
 	check.Equal(coldUntil(tracker, 0), 3*interval)
 }
 
 func TestAnotherInstanceHasItsOwnWarmUp(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 9 * interval})
-	tracker.Reported(0, Report{Instance: "b", Sequence: 1, Slots: 6, WarmUp: interval})
-	tracker.Probed(0, Probe{Instance: "b", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 9 * interval})
+	tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6, WarmUp: interval})
+	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
 	check.Equal(coldUntil(tracker, 0), 2*interval)
 }
 
 func TestASenselessWarmUpHoldsNothingBackForGood(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
-	tracker.Reported(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: -interval})
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: -interval})
 	check.Equal(coldUntil(tracker, 0), time.Duration(0))
-	tracker.Reported(interval, Report{Instance: "a", Sequence: 5, Slots: 6, WarmUp: math.MaxInt64})
+	tracker.HandleReport(interval, Report{Instance: "a", Sequence: 5, Slots: 6, WarmUp: math.MaxInt64})
 	check.Equal(coldUntil(tracker, interval), interval+longestCold)
-	tracker.Reported(interval, Report{Instance: "a", Sequence: 6, Slots: 6})
+	tracker.HandleReport(interval, Report{Instance: "a", Sequence: 6, Slots: 6})
 	check.Equal(coldUntil(tracker, interval), time.Duration(0))
 }
--- a/internal/core/callclass/table.go
+++ b/internal/core/callclass/table.go
@@ -9,7 +9,7 @@
 }
 
 // Of returns the value of a class. A number that is no class counts as another one.
-func (t *Table[Value]) Of(class Class) *Value {
+func (t *Table[Value]) Get(class Class) *Value {
 	slot := &t.slots[class%Count]
 	if held := slot.Load(); held != nil {
 		return held
--- a/internal/core/callclass/table_test.go
+++ b/internal/core/callclass/table_test.go
@@ -17,13 +17,13 @@
 		asking.Add(1)
 		go func() {
 			defer asking.Done()
-			values[index] = table.Of(7)
+			values[index] = table.Get(7)
 		}()
 	}
 	asking.Wait()
 	for _, value := range values {
 		check.True(value == values[0])
 	}
-	check.True(table.Of(8) != values[0])
-	check.True(table.Of(7+Count) == values[0]) // a number that is no class
+	check.True(table.Get(8) != values[0])
+	check.True(table.Get(7+Count) == values[0]) // a number that is no class
 }
--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -82,10 +82,10 @@
 }
 
 // Near returns the other daemons of the own zone, ranked.
-func (d *Directory) Near() []Peer { return d.zones[d.zone] }
+func (d *Directory) OwnZone() []Peer { return d.zones[d.zone] }
 
 // Far returns the daemons of all other zones in ascending order of id.
-func (d *Directory) Far() []Peer { return d.far }
+func (d *Directory) OtherZones() []Peer { return d.far }
 
 // Zones returns the names of all zones with another daemon, in order.
 func (d *Directory) Zones() []string {
--- a/internal/core/dissemination/dissemination_test.go
+++ b/internal/core/dissemination/dissemination_test.go
@@ -56,7 +56,7 @@
 		peers := meshOf(size.daemons, size.zones)
 		received := map[protocol.NodeID]int{}
 		most := 0
-		near := directoryOf(peers, 0).Near()
+		near := directoryOf(peers, 0).OwnZone()
 		steps := broadcast(near, received, &most)
 		check.Equal(len(received), len(near))
 		for _, count := range received {
@@ -111,8 +111,8 @@
 	check := is.New(t)
 	directory := directoryOf(meshOf(13, 4), 2)
 	check.Equal(len(directory.All()), 12)
-	check.Equal(len(directory.Near())+len(directory.Far()), 12)
-	check.True(directory.Far()[0].Zone != "z2")
+	check.Equal(len(directory.OwnZone())+len(directory.OtherZones()), 12)
+	check.True(directory.OtherZones()[0].Zone != "z2")
 	check.Equal(directory.Zones(), []string{"z0", "z1", "z2", "z3"})
 	found, known := directory.Find("d0005")
 	check.True(known)
--- a/internal/core/distribution/admission.go
+++ b/internal/core/distribution/admission.go
@@ -5,7 +5,7 @@
 // Admission limits the bytes of snapshots that a parent starts to send, as a
 // token bucket. After a herd restarts, children of a parent are answered in
 // turn instead of all at once.
-type Admission struct {
+type SendLimiter struct {
 	// perSecond is the refill in bytes a second, burst the size of the bucket.
 	perSecond int
 	burst     int
@@ -21,14 +21,14 @@
 )
 
 // NewAdmission returns a full bucket.
-func NewAdmission(perSecond, burst int) *Admission {
-	return &Admission{perSecond: perSecond, burst: burst, tokens: float64(burst)}
+func NewSendLimiter(perSecond, burst int) *SendLimiter {
+	return &SendLimiter{perSecond: perSecond, burst: burst, tokens: float64(burst)}
 }
 
 // Admit takes the bytes from the bucket. When they don't fit it takes nothing
 // and returns the wait after which they would. A message larger than the
 // bucket is admitted when the bucket is full.
-func (a *Admission) Admit(now time.Duration, bytes int) (wait time.Duration, admitted bool) {
+func (a *SendLimiter) Admit(now time.Duration, bytes int) (wait time.Duration, admitted bool) {
 	a.tokens = min(float64(a.burst), a.tokens+float64(a.perSecond)*(now-a.at).Seconds())
 	a.at = now
 	needed := min(float64(bytes), float64(a.burst))
--- a/internal/core/distribution/distribution_test.go
+++ b/internal/core/distribution/distribution_test.go
@@ -21,7 +21,7 @@
 }
 
 func fold(acks ...protocol.Acknowledgement) []protocol.Acknowledgement {
-	sum := distribution.NewFold()
+	sum := distribution.NewAcknowledgementAggregator()
 	for _, ack := range acks {
 		sum.Add(ack)
 	}
@@ -33,10 +33,10 @@
 func TestHoldingNeedsExactlyTheExpected(t *testing.T) {
 	is := is.New(t)
 	a, b, c := member("x", "a", 1), member("x", "b", 1), member("y", "c", 1)
-	expected := distribution.Expect("windhoek", []protocol.Member{a, b, c})
-	single := distribution.Single
-	is.Equal(expected.Holding(fold(single(a, 7), single(b, 8), single(c, 9))), protocol.Version(7))
-	is.Equal(expected.Holding(fold(fold(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // folds of folds
+	expected := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, b, c})
+	single := distribution.MemberAcknowledgement
+	is.Equal(expected.ConfirmedVersion(fold(single(a, 7), single(b, 8), single(c, 9))), protocol.Version(7))
+	is.Equal(expected.ConfirmedVersion(fold(fold(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // folds of folds
 	wrong := [][]protocol.Acknowledgement{
 		fold(single(a, 7), single(c, 9)),
 		fold(single(a, 7), single(a, 7), single(c, 9)),
@@ -46,37 +46,37 @@
 		nil,
 	}
 	for _, acks := range wrong {
-		is.Equal(expected.Holding(acks), protocol.Version(0))
+		is.Equal(expected.ConfirmedVersion(acks), protocol.Version(0))
 	}
 	dead := b
 	dead.State = protocol.MemberDead
-	without := distribution.Expect("windhoek", []protocol.Member{a, dead, c})
-	is.Equal(without.Holding(fold(single(a, 7), single(c, 9))), protocol.Version(7)) // the dead are not counted
+	without := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, dead, c})
+	is.Equal(without.ConfirmedVersion(fold(single(a, 7), single(c, 9))), protocol.Version(7)) // the dead are not counted
 }
 
 func TestFoldNamesThoseBehind(t *testing.T) {
 	is := is.New(t)
 	var acks []protocol.Acknowledgement
 	for i := range 40 {
-		acks = append(acks, distribution.Single(member("x", fmt.Sprint("m", i), 1), protocol.Version(3+i/20)))
+		acks = append(acks, distribution.MemberAcknowledgement(member("x", fmt.Sprint("m", i), 1), protocol.Version(3+i/20)))
 	}
 	list := fold(acks...)
 	is.Equal(len(list), 1)
 	is.Equal(list[0].Count, uint32(40))
 	is.Equal(list[0].Minimum, protocol.Version(3))
-	is.Equal(len(list[0].Behind), protocol.MaxNamed)
+	is.Equal(len(list[0].Behind), protocol.MaxListedNodes)
 }
 
 // TestClaimsWaitForAnotherRoot claims at once only when the keepers knew of no
 // other root.
 func TestClaimsWaitForAnotherRoot(t *testing.T) {
 	is := is.New(t)
-	claims := distribution.NewClaims(lease)
-	claims.Released(0, 4, true)
-	claims.Released(time.Second, 5, false)
-	is.Equal(claims.Highest(2*time.Second), protocol.Version(4))
-	is.Equal(claims.Highest(time.Second+lease), protocol.Version(4)) // the margin for clocks is still open
-	is.Equal(claims.Highest(time.Second+distribution.Margin(lease)), protocol.Version(5))
+	claims := distribution.NewReleaseTracker(lease)
+	claims.RecordRelease(0, 4, true)
+	claims.RecordRelease(time.Second, 5, false)
+	is.Equal(claims.DeclarableVersion(2*time.Second), protocol.Version(4))
+	is.Equal(claims.DeclarableVersion(time.Second+lease), protocol.Version(4)) // the margin for clocks is still open
+	is.Equal(claims.DeclarableVersion(time.Second+distribution.LeaseWithMargin(lease)), protocol.Version(5))
 }
 
 func keepers(write int, ids ...protocol.NodeID) protocol.KeeperSet {
@@ -94,26 +94,26 @@
 	set := keepers(3, "a", "b", "c", "d")
 	root := distribution.NewRootLease(lease)
 	answer := func(id protocol.NodeID, at time.Duration, stored protocol.Version, other bool) {
-		root.Answer(id, at, &protocol.StoreReply{Stored: stored, OtherRoot: other})
+		root.RecordReply(id, at, &protocol.StoreReply{Stored: stored, OtherRoot: other})
 	}
 	answer("a", 1*time.Second, 4, false)
-	is.Equal(root.Until(4, set), time.Duration(0)) // no read quorum yet
+	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // no read quorum yet
 	answer("b", 2*time.Second, 4, false)
-	is.Equal(root.Until(4, set), time.Second+lease) // the oldest answer of the quorum counts
-	is.True(!root.Alone(time.Second, set))          // no write quorum yet
+	is.Equal(root.GrantUntil(4, set), time.Second+lease) // the oldest answer of the quorum counts
+	is.True(!root.IsOnlyRoot(time.Second, set))          // no write quorum yet
 	answer("c", 3*time.Second, 4, false)
 	answer("d", 4*time.Second, 4, true)
-	is.Equal(root.Until(4, set), 3*time.Second+lease)
-	is.True(root.Alone(time.Second, set))
-	is.True(!root.Alone(2*time.Second, set)) // d has heard another root
+	is.Equal(root.GrantUntil(4, set), 3*time.Second+lease)
+	is.True(root.IsOnlyRoot(time.Second, set))
+	is.True(!root.IsOnlyRoot(2*time.Second, set)) // d has heard another root
 
 	answer("b", 5*time.Second, 5, false)
 	answer("c", 5*time.Second, 5, false)
 	answer("d", 5*time.Second, 5, false)
-	is.Equal(root.Until(4, set), time.Duration(0)) // a newer version is stored at a quorum
+	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // a newer version is stored at a quorum
 	answer("b", 2*time.Second, 4, false)
-	is.Equal(root.Until(4, set), time.Duration(0))                       // a late answer counts for nothing
-	is.Equal(root.Until(5, set, keepers(2, "x", "y")), time.Duration(0)) // both sets must agree
+	is.Equal(root.GrantUntil(4, set), time.Duration(0))                       // a late answer counts for nothing
+	is.Equal(root.GrantUntil(5, set, keepers(2, "x", "y")), time.Duration(0)) // both sets must agree
 }
 
 func TestTreeRolesAndParents(t *testing.T) {
@@ -127,16 +127,16 @@
 	tree := distribution.NewTree(members[5], members, 24)
 	is.Equal(len(tree.Relays("zone-0")), 2)
 	is.Equal(len(tree.Relays("zone-1")), 2)
-	is.Equal(tree.Roots()[0].ID, members[11].ID) // a reader before all others
+	is.Equal(tree.RootCandidates()[0].ID, members[11].ID) // a reader before all others
 	newcomers := 0
 	for i := range 200 {
 		newcomer := member("zone-0", fmt.Sprint("new", i), 1)
 		joined := distribution.NewTree(members[5], append(slices.Clone(members), newcomer), 24)
-		is.Equal(tree.WouldRelay(newcomer), joined.IsRelay(newcomer)) // as it is once it has joined
+		is.Equal(tree.WouldBeRelay(newcomer), joined.IsRelay(newcomer)) // as it is once it has joined
 		newcomers += lo.Ternary(joined.IsRelay(newcomer), 1, 0)
 	}
 	is.True(newcomers > 0 && newcomers < 50)
-	parents := tree.Parents()
+	parents := tree.ParentCandidates()
 	is.Equal(parents[0].Zone, "zone-1") // the own zone's relays first
 	is.Equal(parents[1].Zone, "zone-1")
 	for _, parent := range parents {
@@ -156,7 +156,7 @@
 	}
 	is.True(longest > backoff.Max/2)
 
-	admission := distribution.NewAdmission(100, 200)
+	admission := distribution.NewSendLimiter(100, 200)
 	_, admitted := admission.Admit(0, 150)
 	is.True(admitted)
 	wait, admitted := admission.Admit(0, 150)
--- a/internal/core/distribution/fold.go
+++ b/internal/core/distribution/fold.go
@@ -22,29 +22,29 @@
 
 // Fold adds up acknowledgements by zone. Its size does not grow with the
 // number of members.
-type Fold struct {
+type AcknowledgementAggregator struct {
 	zones map[zone]*protocol.Acknowledgement
 }
 
 // NewFold returns an empty fold.
-func NewFold() *Fold {
-	return &Fold{zones: map[zone]*protocol.Acknowledgement{}}
+func NewAcknowledgementAggregator() *AcknowledgementAggregator {
+	return &AcknowledgementAggregator{zones: map[zone]*protocol.Acknowledgement{}}
 }
 
 // Single returns the acknowledgement of one member that holds a version.
-func Single(member protocol.Member, held protocol.Version) protocol.Acknowledgement {
+func MemberAcknowledgement(member protocol.Member, held protocol.Version) protocol.Acknowledgement {
 	return protocol.Acknowledgement{
 		Region:    member.Region,
 		Zone:      member.Zone,
 		Minimum:   held,
 		Count:     1,
-		MemberSum: membership.Hash(member.ID, member.Incarnation),
+		MemberSum: membership.IncarnationHash(member.ID, member.Incarnation),
 		Behind:    []protocol.NodeID{member.ID},
 	}
 }
 
 // Add takes one acknowledgement into the fold.
-func (f *Fold) Add(one protocol.Acknowledgement) {
+func (f *AcknowledgementAggregator) Add(one protocol.Acknowledgement) {
 	if one.Count == 0 {
 		return
 	}
@@ -69,7 +69,7 @@
 }
 
 // List returns the fold in ascending order of region and zone.
-func (f *Fold) List() []protocol.Acknowledgement {
+func (f *AcknowledgementAggregator) List() []protocol.Acknowledgement {
 	list := make([]protocol.Acknowledgement, 0, len(f.zones))
 	for _, one := range f.zones {
 		list = append(list, *one)
@@ -82,7 +82,7 @@
 
 // Minimum returns the lowest version of all zones; false when nothing is
 // counted.
-func Minimum(list []protocol.Acknowledgement) (protocol.Version, bool) {
+func MinimumVersion(list []protocol.Acknowledgement) (protocol.Version, bool) {
 	if len(list) == 0 {
 		return 0, false
 	}
@@ -91,7 +91,7 @@
 }
 
 // Equal reports whether two lists say the same.
-func Equal(a, b []protocol.Acknowledgement) bool {
+func EqualAcknowledgements(a, b []protocol.Acknowledgement) bool {
 	return slices.EqualFunc(a, b, func(x, y protocol.Acknowledgement) bool {
 		return x.Region == y.Region && x.Zone == y.Zone && x.Minimum == y.Minimum &&
 			x.Count == y.Count && x.MemberSum == y.MemberSum && slices.Equal(x.Behind, y.Behind)
@@ -99,8 +99,8 @@
 }
 
 func bounded(names []protocol.NodeID) []protocol.NodeID {
-	if len(names) > protocol.MaxNamed {
-		return names[:protocol.MaxNamed]
+	if len(names) > protocol.MaxListedNodes {
+		return names[:protocol.MaxListedNodes]
 	}
 	return names
 }
--- a/internal/core/distribution/inforce.go
+++ b/internal/core/distribution/inforce.go
@@ -9,7 +9,7 @@
 
 // Expected is who must hold a version before it is in force: every live member
 // of a region, by zone, as a count and a sum.
-type Expected struct {
+type ExpectedMembers struct {
 	region string
 	zones  map[string]census
 }
@@ -20,15 +20,15 @@
 }
 
 // Expect counts the live members of a region.
-func Expect(region string, members []protocol.Member) Expected {
-	expected := Expected{region: region, zones: map[string]census{}}
+func NewExpectedMembers(region string, members []protocol.Member) ExpectedMembers {
+	expected := ExpectedMembers{region: region, zones: map[string]census{}}
 	for _, member := range members {
 		if member.Region != region || !membership.Live(member) {
 			continue
 		}
 		one := expected.zones[member.Zone]
 		one.count++
-		one.sum += membership.Hash(member.ID, member.Incarnation)
+		one.sum += membership.IncarnationHash(member.ID, member.Incarnation)
 		expected.zones[member.Zone] = one
 	}
 	return expected
@@ -40,7 +40,7 @@
 // said to be in force. An extra member must not be dropped quietly, for it may
 // be one that the roster does not know yet and that still serves something
 // older.
-func (e Expected) Holding(folded []protocol.Acknowledgement) protocol.Version {
+func (e ExpectedMembers) ConfirmedVersion(folded []protocol.Acknowledgement) protocol.Version {
 	covered := 0
 	for _, one := range folded {
 		if one.Region != e.region {
@@ -55,12 +55,12 @@
 	if covered != len(e.zones) {
 		return 0
 	}
-	lowest, _ := Minimum(folded)
+	lowest, _ := MinimumVersion(folded)
 	return lowest
 }
 
 // Count returns how many members a zone must have.
-func (e Expected) Count(zone string) uint32 { return e.zones[zone].count }
+func (e ExpectedMembers) Count(zone string) uint32 { return e.zones[zone].count }
 
 // releasedVersion remembers when a version was released.
 type releasedVersion struct {
@@ -84,7 +84,7 @@
 // is therefore claimed at once only when the quorum that stored it had not
 // heard another root, and otherwise after the lease and a margin for clocks
 // that run at different rates.
-type Claims struct {
+type ReleaseTracker struct {
 	lease    time.Duration
 	released []releasedVersion
 }
@@ -93,8 +93,8 @@
 const claimHistory = 16
 
 // NewClaims returns the claims of a new root.
-func NewClaims(lease time.Duration) *Claims {
-	return &Claims{lease: lease}
+func NewReleaseTracker(lease time.Duration) *ReleaseTracker {
+	return &ReleaseTracker{lease: lease}
 }
 
 // clockMargin is the share of a lease, as a divisor, by which two clocks may
@@ -102,10 +102,10 @@
 const clockMargin = 4
 
 // Margin returns a lease with the margin for clocks of different rates.
-func Margin(lease time.Duration) time.Duration { return lease + lease/clockMargin }
+func LeaseWithMargin(lease time.Duration) time.Duration { return lease + lease/clockMargin }
 
 // Released records that a version was stored at a write quorum at now.
-func (c *Claims) Released(now time.Duration, version protocol.Version, alone bool) {
+func (c *ReleaseTracker) RecordRelease(now time.Duration, version protocol.Version, alone bool) {
 	c.released = append(c.released, releasedVersion{version: version, storedAt: now, alone: alone})
 	if len(c.released) > claimHistory {
 		c.released = c.released[1:]
@@ -117,23 +117,23 @@
 // every lease at an older version has ended, those of daemons that are silent,
 // cut off or forgotten included. A lease belongs to the version that came with
 // it, and no root earns one at an older version once the newer is stored.
-func (c *Claims) Fenced(now time.Duration) protocol.Version {
+func (c *ReleaseTracker) FencedVersion(now time.Duration) protocol.Version {
 	return c.highest(func(one releasedVersion) bool { return c.fenced(one, now) })
 }
 
 // Highest returns the highest version that may be claimed at now, once it is
 // acknowledged.
-func (c *Claims) Highest(now time.Duration) protocol.Version {
+func (c *ReleaseTracker) DeclarableVersion(now time.Duration) protocol.Version {
 	return c.highest(func(one releasedVersion) bool { return one.alone || c.fenced(one, now) })
 }
 
 // fenced reports whether every lease at a version before this one has ended.
-func (c *Claims) fenced(one releasedVersion, now time.Duration) bool {
-	return now-one.storedAt >= Margin(c.lease)
+func (c *ReleaseTracker) fenced(one releasedVersion, now time.Duration) bool {
+	return now-one.storedAt >= LeaseWithMargin(c.lease)
 }
 
 // highest returns the highest released version that fits; 0 when none does.
-func (c *Claims) highest(fits func(releasedVersion) bool) protocol.Version {
+func (c *ReleaseTracker) highest(fits func(releasedVersion) bool) protocol.Version {
 	var highest protocol.Version
 	for _, one := range c.released {
 		if fits(one) {
--- a/internal/core/distribution/rootlease.go
+++ b/internal/core/distribution/rootlease.go
@@ -40,7 +40,7 @@
 
 // Answer takes a keeper's reply to a request sent at sentAt. Replies may
 // arrive crossed: the one to the newest question counts.
-func (l *RootLease) Answer(keeper protocol.NodeID, sentAt time.Duration, reply *protocol.StoreReply) {
+func (l *RootLease) RecordReply(keeper protocol.NodeID, sentAt time.Duration, reply *protocol.StoreReply) {
 	if reply == nil || reply.Code != result.OK {
 		return
 	}
@@ -53,7 +53,7 @@
 // Until returns the time until which leases may be granted at the version: the
 // sending time of the oldest answer of the newest read quorum, plus the lease;
 // 0 when there is no such quorum. All sets given must agree.
-func (l *RootLease) Until(version protocol.Version, sets ...protocol.KeeperSet) time.Duration {
+func (l *RootLease) GrantUntil(version protocol.Version, sets ...protocol.KeeperSet) time.Duration {
 	if len(sets) == 0 {
 		return 0
 	}
@@ -69,7 +69,7 @@
 // Alone reports whether a write quorum of every set has answered, to questions
 // sent at or after since, that it knows of no other root: any other root's last
 // read quorum shares a keeper with it.
-func (l *RootLease) Alone(since time.Duration, sets ...protocol.KeeperSet) bool {
+func (l *RootLease) IsOnlyRoot(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return len(sets) > 0 && lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
 		oldest, found := l.quorum(set, set.Write, func(answer keeperAnswer) bool { return answer.alone })
 		return found && oldest >= since
@@ -88,7 +88,7 @@
 }
 
 // Newest returns the highest version that any keeper of the set reported.
-func (l *RootLease) Newest(set protocol.KeeperSet) protocol.Version {
+func (l *RootLease) NewestReported(set protocol.KeeperSet) protocol.Version {
 	return lo.Max(lo.Map(set.Members, func(keeper protocol.KeeperMember, _ int) protocol.Version {
 		return l.answers[keeper.ID].stored
 	}))
--- a/internal/core/distribution/rootlease_test.go
+++ b/internal/core/distribution/rootlease_test.go
@@ -35,7 +35,7 @@
 			if rapid.Bool().Draw(t, "store") {
 				stored[keeper] = 2
 			} else {
-				root.Answer(ids[keeper], now, &protocol.StoreReply{Stored: max(1, stored[keeper])})
+				root.RecordReply(ids[keeper], now, &protocol.StoreReply{Stored: max(1, stored[keeper])})
 			}
 			holding := 0
 			for _, version := range stored {
@@ -46,7 +46,7 @@
 			if !quorum && holding >= write {
 				quorum, quorumAt = true, now
 			}
-			until := root.Until(1, set)
+			until := root.GrantUntil(1, set)
 			if quorum && until > quorumAt+lease {
 				t.Fatalf("grant for version 1 until %v, version 2 stored at %v", until, quorumAt)
 			}
--- a/internal/core/distribution/tree.go
+++ b/internal/core/distribution/tree.go
@@ -86,7 +86,7 @@
 
 // WouldRelay reports whether a member that may not have joined yet is a relay
 // of its zone, or would be once it has.
-func (t *Tree) WouldRelay(member protocol.Member) bool {
+func (t *Tree) WouldBeRelay(member protocol.Member) bool {
 	relays := t.relays[member.Zone]
 	if len(relays) == 0 || t.IsRelay(member) {
 		return true
@@ -111,12 +111,12 @@
 }
 
 // Roots returns the candidates for root, best first.
-func (t *Tree) Roots() []protocol.Member { return t.roots }
+func (t *Tree) RootCandidates() []protocol.Member { return t.roots }
 
 // Parents returns the candidates of a leaf in its order of preference: the
 // relays of its zone, those of other zones, and the candidates for root, each
 // ranked by the leaf's own hash so that leaves spread evenly.
-func (t *Tree) Parents() []protocol.Member {
+func (t *Tree) ParentCandidates() []protocol.Member {
 	purpose := "parent/" + string(t.self)
 	own := membership.Rank(purpose, t.relays[t.zone])
 	var others []protocol.Member
--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -14,7 +14,7 @@
 
 // Spill says how much load calls bear to stay near. Loads are calls by slots, so
 // that 1 is an endpoint whose slots are all taken.
-type Spill struct {
+type Spillover struct {
 	// Above is the load of the better choice in the own zone above which the
 	// next zone is looked at.
 	Above float64
@@ -25,10 +25,10 @@
 }
 
 // DefaultSpill looks at the next zone before the slots of the own are full.
-func DefaultSpill() Spill { return Spill{Above: 0.75, Zone: 0.25, Region: 1} }
+func DefaultSpillover() Spillover { return Spillover{Above: 0.75, Zone: 0.25, Region: 1} }
 
 // penalty is what an endpoint at a distance must be less loaded by.
-func (s Spill) penalty(distance int) float64 {
+func (s Spillover) penalty(distance int) float64 {
 	return [tierCount]float64{0, s.Zone, s.Region}[distance]
 }
 
@@ -147,7 +147,7 @@
 // ChooseKeyed picks by the hash of a request key, so that two sendings of one
 // operation meet at the same gate, which refuses the second. It heeds load no
 // more than ejection does. With membership changing it is a help only.
-func (s *Set) ChooseKeyed(now time.Duration, key uint64, tried Tried) *Endpoint {
+func (s *Set) ChooseByRequestKey(now time.Duration, key uint64, tried Tried) *Endpoint {
 	best := s.firstRanked(now, key, tried, heeded{})
 	if best == nil {
 		return s.Choose(now, key, tried)
@@ -158,7 +158,7 @@
 // ChooseRanked picks by the hash of what is sent, so that all callers' sides send it to the
 // same gate, whatever the load there. Other than with a request key, a gate that does not
 // answer is passed over.
-func (s *Set) ChooseRanked(now time.Duration, key uint64, tried Tried) *Endpoint {
+func (s *Set) ChooseByContentHash(now time.Duration, key uint64, tried Tried) *Endpoint {
 	best := s.firstRanked(now, key, tried, heeded{ejections: true})
 	if best == nil {
 		return s.Choose(now, key, tried)
@@ -190,7 +190,7 @@
 
 // ChooseInTurn takes the endpoints one after the other, whatever their load
 // and place. It is for comparisons only.
-func (s *Set) ChooseInTurn(now time.Duration, turn uint64, tried Tried) *Endpoint {
+func (s *Set) ChooseRoundRobin(now time.Duration, turn uint64, tried Tried) *Endpoint {
 	if s.usable == 0 {
 		return nil
 	}
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -94,7 +94,7 @@
 	// recordAt is when the present record of the daemon came.
 	recordAt atomic.Int64
 	// noStartUntil is until when the gate of a cold back end has no start for calls of each class.
-	noStartUntil [warmup.Classes]atomic.Int64
+	noStartUntil [warmup.ClassCount]atomic.Int64
 	// refusingUntil holds a refusal for load.
 	refusingUntil atomic.Int64
 	// readyAt is when the endpoint was first seen by this process.
@@ -107,7 +107,7 @@
 // The outcomes of calls.
 const (
 	// Fine: an answer of the back end.
-	Fine Outcome = iota + 1
+	Succeeded Outcome = iota + 1
 	// ServerError: an answer that the back end failed.
 	ServerError
 	// Unreachable: no connection could be made.
@@ -115,11 +115,11 @@
 	// Broken: the connection broke or the time ran out.
 	Broken
 	// Leaving: the gate takes no new work or is not that back end.
-	Leaving
+	NotAccepting
 	// Full: the gate refused the call for load.
-	Full
+	Overloaded
 	// Withdrawn: the caller hung up, which says nothing of the endpoint.
-	Withdrawn
+	Cancelled
 )
 
 // Begin counts a call sent to the endpoint; End must follow.
@@ -129,7 +129,7 @@
 func (e *Endpoint) End(now time.Duration, outcome Outcome) {
 	e.stats.outstanding.Add(-1)
 	switch outcome {
-	case Fine:
+	case Succeeded:
 		e.stats.success()
 	case ServerError:
 		if e.stats.errors.Add(1) >= errorLimit {
@@ -141,9 +141,9 @@
 		if e.stats.failures.Add(1) >= brokenLimit {
 			e.stats.eject(now)
 		}
-	case Full:
+	case Overloaded:
 		e.stats.refusingUntil.Store(int64(now + refusalLife))
-	case Leaving:
+	case NotAccepting:
 		e.stats.leavingSequence.Store(e.Sequence)
 		e.stats.leavingUntil.Store(int64(now + leavingLife))
 	}
@@ -192,7 +192,7 @@
 }
 
 // Report is a load report from the daemon beside the back end.
-type Report struct {
+type LoadReport struct {
 	// Running and Queued are the gate's own counts, at the sending.
 	Running int
 	Queued  int
@@ -206,7 +206,7 @@
 }
 
 // Learn takes a load report that came with an answer, before End of that call.
-func (e *Endpoint) Learn(now time.Duration, report Report) {
+func (e *Endpoint) ApplyLoadReport(now time.Duration, report LoadReport) {
 	counted := float64(report.Running + report.Queued)
 	others := max(0, counted-float64(e.stats.outstanding.Load()))
 	unseen := min(max(0, report.Own-counted), float64(e.Slots))
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -66,8 +66,8 @@
 	returned.Incarnation = 2
 	returned.State = protocol.MemberAlive
 	set = Build(set, home, backends, append(members, returned), 0)
-	check.Equal(set.Usable(), 2)                                // the newer incarnation counts
-	check.Equal(Build(nil, home, backends, nil, 0).Usable(), 5) // none heard of yet
+	check.Equal(set.UsableCount(), 2)                                // the newer incarnation counts
+	check.Equal(Build(nil, home, backends, nil, 0).UsableCount(), 5) // none heard of yet
 }
 
 func TestOwnCallsCountWhereNoLoadIsReported(t *testing.T) {
@@ -79,9 +79,9 @@
 		chosen := set.Choose(0, random.Uint64(), nil)
 		chosen.Begin()
 		if chosen.Backend == "b0" {
-			chosen.Learn(0, Report{Own: -1}) // reports nothing, or zero for ever
+			chosen.ApplyLoadReport(0, LoadReport{Own: -1}) // reports nothing, or zero for ever
 		} else {
-			chosen.Learn(0, Report{Running: chosen.Outstanding(), Own: -1})
+			chosen.ApplyLoadReport(0, LoadReport{Running: chosen.Outstanding(), Own: -1})
 		}
 	}
 	for _, one := range set.All {
@@ -93,10 +93,10 @@
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
-	set.All[0].Learn(0, Report{Running: 6, Queued: 3, Own: -1})
+	set.All[0].ApplyLoadReport(0, LoadReport{Running: 6, Queued: 3, Own: -1})
 	check.Equal(spread(set, 0, 100)["b0"], 0)
 	check.True(spread(set, reportLife, 100)["b0"] > 20)
-	set.All[1].Learn(reportLife, Report{Own: 1e9}) // a lie adds at most the slots
+	set.All[1].ApplyLoadReport(reportLife, LoadReport{Own: 1e9}) // a lie adds at most the slots
 	check.True(set.All[1].load(reportLife) < 1.2)
 }
 
@@ -104,8 +104,8 @@
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
-	set.All[0].Learn(0, Report{Own: -1, Service: 30 * time.Millisecond})
-	set.All[1].Learn(0, Report{Own: -1, Service: 10 * time.Millisecond})
+	set.All[0].ApplyLoadReport(0, LoadReport{Own: -1, Service: 30 * time.Millisecond})
+	set.All[1].ApplyLoadReport(0, LoadReport{Own: -1, Service: 10 * time.Millisecond})
 	random := rand.New(rand.NewPCG(9, 9))
 	for range 40 {
 		set.Choose(0, random.Uint64(), nil).Begin()
@@ -119,14 +119,14 @@
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
-	set.All[0].Learn(0, Report{Own: -1, Service: 20 * time.Millisecond})
-	set.All[1].Learn(0, Report{Own: -1, Service: 10 * time.Millisecond})
+	set.All[0].ApplyLoadReport(0, LoadReport{Own: -1, Service: 20 * time.Millisecond})
+	set.All[1].ApplyLoadReport(0, LoadReport{Own: -1, Service: 10 * time.Millisecond})
 	random := rand.New(rand.NewPCG(9, 9))
 	for range 6 {
 		set.Choose(0, random.Uint64(), nil).Begin()
 	}
 	check.Equal(set.All[1].Outstanding(), 6)
-	set.All[0].Learn(0, Report{Own: -1, Service: 10 * time.Millisecond})
+	set.All[0].ApplyLoadReport(0, LoadReport{Own: -1, Service: 10 * time.Millisecond})
 	check.Equal(spread(set, 0, 50), map[string]int{"b0": 50})
 }
 
@@ -138,7 +138,7 @@
 		set.All[1].Begin() // busy, but it takes calls
 	}
 	set.All[0].Begin()
-	set.All[0].End(0, Full)
+	set.All[0].End(0, Overloaded)
 	check.Equal(spread(set, 0, 50), map[string]int{"b1": 50})
 	check.Equal(spread(set, refusalLife, 50), map[string]int{"b0": 50})
 	check.Equal(set.Choose(0, 0, Tried{set.All[1]}).Backend, "b0") // rather than none
@@ -180,7 +180,7 @@
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
 	set.All[0].Begin()
-	set.All[0].End(0, Leaving)
+	set.All[0].End(0, NotAccepting)
 	check.Equal(spread(set, 0, 50)["b0"], 0)
 	set = Build(set, home, backends, members, 0)
 	check.Equal(spread(set, 0, 50)["b0"], 0) // the same record again changes nothing
@@ -210,7 +210,7 @@
 	check.Equal(set.Choose(0, 0, Tried{set.All[0]}).Backend, "b1")
 	rebuilt := Build(set, home, backends, members, 0)
 	check.Equal(rebuilt.Choose(0, 0, Tried{set.All[0]}).Backend, "b1")
-	check.True(!set.Others(0, set.All))
+	check.True(!set.HasUntried(0, set.All))
 	check.True(set.Choose(0, 0, set.All) != nil) // rather again than not at all
 	check.True(Build(nil, home, nil, nil, 0).Choose(0, 0, nil) == nil)
 }
@@ -224,8 +224,8 @@
 	members[3].Endpoint = protocol.EndpointDraining
 	without := Build(set, home, backends, members, 0)
 	for key := range uint64(700) {
-		before := set.ChooseKeyed(0, key*0x9e3779b97f4a7c15, nil).Backend
-		after := without.ChooseKeyed(0, key*0x9e3779b97f4a7c15, nil).Backend
+		before := set.ChooseByRequestKey(0, key*0x9e3779b97f4a7c15, nil).Backend
+		after := without.ChooseByRequestKey(0, key*0x9e3779b97f4a7c15, nil).Backend
 		seen[before] = true
 		if before != after {
 			moved++
@@ -245,7 +245,7 @@
 		for loop.Next() {
 			chosen := set.Choose(time.Second, random.Uint64(), nil)
 			chosen.Begin()
-			chosen.End(time.Second, Fine)
+			chosen.End(time.Second, Succeeded)
 		}
 	})
 }
@@ -302,12 +302,12 @@
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
 	tried := Tried{set.All[0]}
-	check.True(set.OthersTaking(0, tried))
+	check.True(set.HasUntriedWithCapacity(0, tried))
 	set.All[1].Begin()
-	set.All[1].End(0, Full)
-	check.True(!set.OthersTaking(0, tried))
-	check.True(set.Others(0, tried))
-	check.True(set.OthersTaking(refusalLife, tried))
+	set.All[1].End(0, Overloaded)
+	check.True(!set.HasUntriedWithCapacity(0, tried))
+	check.True(set.HasUntried(0, tried))
+	check.True(set.HasUntriedWithCapacity(refusalLife, tried))
 }
 
 // Endpoints whose load nobody has told of lately get calls in about the proportion of
@@ -319,7 +319,7 @@
 	speeds := []float64{0.6, 1.0, 1.4}
 	for index, one := range set.All {
 		service := time.Duration(float64(100*time.Millisecond) / speeds[index%len(speeds)])
-		one.Learn(0, Report{Running: 1, Own: -1, Service: service})
+		one.ApplyLoadReport(0, LoadReport{Running: 1, Own: -1, Service: service})
 	}
 	const calls = 60_000
 	counts := spread(set, time.Minute, calls)
--- a/internal/core/endpoint/evacuation_load_test.go
+++ b/internal/core/endpoint/evacuation_load_test.go
@@ -87,7 +87,7 @@
 			continue
 		}
 		z.done++
-		call.at.End(z.now, Fine)
+		call.at.End(z.now, Succeeded)
 		z.gates[call.at.Zone].Done(z.now, call.ticket, true)
 	}
 }
@@ -109,14 +109,14 @@
 }
 
 // Settle is called for a call that has waited.
-func (c *loadedCall) Settle(verdict admission.Verdict) {
+func (c *loadedCall) Settle(verdict admission.Decision) {
 	if verdict.State == admission.StateRefused {
 		c.zones.refusedLate++
 	}
 	c.settle(verdict)
 }
 
-func (c *loadedCall) settle(verdict admission.Verdict) {
+func (c *loadedCall) settle(verdict admission.Decision) {
 	z := c.zones
 	if verdict.State == admission.StateStarted {
 		z.started[c.at.Zone]++
@@ -124,9 +124,9 @@
 		z.running = append(z.running, c)
 		return
 	}
-	evidence := Full
+	evidence := Overloaded
 	if verdict.Code == result.ZoneEvacuated {
-		evidence = Leaving
+		evidence = NotAccepting
 	}
 	c.at.End(z.now, evidence)
 	c.send()
--- a/internal/core/endpoint/evacuation_test.go
+++ b/internal/core/endpoint/evacuation_test.go
@@ -25,10 +25,10 @@
 	isIn := func(one *Endpoint) bool { return one != nil && one.Zone == home.Zone }
 	for name, choose := range map[string]func(uint64, Tried) *Endpoint{
 		"by load": func(random uint64, tried Tried) *Endpoint { return set.Choose(0, random, tried) },
-		"keyed":   func(random uint64, tried Tried) *Endpoint { return set.ChooseKeyed(0, random, tried) },
-		"ranked":  func(random uint64, tried Tried) *Endpoint { return set.ChooseRanked(0, random, tried) },
+		"keyed":   func(random uint64, tried Tried) *Endpoint { return set.ChooseByRequestKey(0, random, tried) },
+		"ranked":  func(random uint64, tried Tried) *Endpoint { return set.ChooseByContentHash(0, random, tried) },
 		"of a version": func(random uint64, tried Tried) *Endpoint {
-			return set.Only(func(*Endpoint) bool { return true }).Choose(0, random, tried)
+			return set.Filter(func(*Endpoint) bool { return true }).Choose(0, random, tried)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 				check.True(!isIn(first))
 				check.True(!isIn(choose(random, Tried{first}))) // nor does a retry or a hedge
 			}
-			check.True(!set.Others(0, Tried{set.All[2], set.All[3]}))
+			check.True(!set.HasUntried(0, Tried{set.All[2], set.All[3]}))
 		})
 	}
 }
@@ -47,11 +47,11 @@
 func TestAServiceWithoutAnotherZoneIsEvacuated(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
-	check.True(!Build(nil, evacuating(home.Zone), backends, members, 0).Evacuated())
+	check.True(!Build(nil, evacuating(home.Zone), backends, members, 0).BlockedByEvacuation())
 	set := Build(nil, evacuating(home.Zone, "other"), backends, members, 0)
-	check.True(set.Evacuated())
+	check.True(set.BlockedByEvacuation())
 	check.Equal(set.Choose(0, 1, nil), nil)
-	check.True(!Build(nil, evacuating(home.Zone), nil, nil, 0).Evacuated()) // it has no endpoints at all
+	check.True(!Build(nil, evacuating(home.Zone), nil, nil, 0).BlockedByEvacuation()) // it has no endpoints at all
 }
 
 // An entry that has not heard of the order heeds the gate's own word.
@@ -63,7 +63,7 @@
 	check.Equal(spread(set, 0, 50), map[string]int{"b1": 50})
 	members[0].Endpoint = protocol.EndpointReady
 	members[0].Sequence++
-	check.Equal(Build(set, home, backends, members, 0).Usable(), 2)
+	check.Equal(Build(set, home, backends, members, 0).UsableCount(), 2)
 }
 
 // A gate's refusal is remembered until its next record, not longer.
@@ -73,7 +73,7 @@
 	set := Build(nil, home, backends, members, 0)
 	refusing := set.All[0]
 	refusing.Begin()
-	refusing.End(0, Leaving)
+	refusing.End(0, NotAccepting)
 	check.Equal(spread(set, time.Second, 50), map[string]int{"b1": 50})
 	members[0].Sequence++
 	set = Build(set, home, backends, members, time.Second)
@@ -86,5 +86,5 @@
 	members[0].Endpoint = protocol.EndpointDraining
 	set := Build(nil, evacuating(home.Zone), backends, members, 0)
 	check.Equal(set.All[0].State, protocol.EndpointDraining)
-	check.Equal(Build(set, home, backends, members, 0).Usable(), 1)
+	check.Equal(Build(set, home, backends, members, 0).UsableCount(), 1)
 }
--- a/internal/core/endpoint/near_test.go
+++ b/internal/core/endpoint/near_test.go
@@ -14,18 +14,18 @@
 	backends, members := fixture(sameZone(3)...)
 	members[1].Endpoint = protocol.EndpointWarming
 	set := Build(nil, home, backends, members, 0)
-	own := set.ChooseAt(0, "b0", nil)
+	own := set.ChooseOnNode(0, "b0", nil)
 	check.Equal(own.Backend, "b0")
-	check.Equal(set.ChooseAt(0, "b1", nil), nil) // warming
-	check.Equal(set.ChooseAt(0, "b9", nil), nil) // not of the service
-	check.Equal(set.ChooseAt(0, "b0", Tried{own}), nil)
+	check.Equal(set.ChooseOnNode(0, "b1", nil), nil) // warming
+	check.Equal(set.ChooseOnNode(0, "b9", nil), nil) // not of the service
+	check.Equal(set.ChooseOnNode(0, "b0", Tried{own}), nil)
 	own.Begin()
-	own.End(0, Full)
-	check.Equal(set.ChooseAt(0, "b0", nil), nil)
-	check.Equal(set.ChooseAt(refusalLife, "b0", nil), own)
+	own.End(0, Overloaded)
+	check.Equal(set.ChooseOnNode(0, "b0", nil), nil)
+	check.Equal(set.ChooseOnNode(refusalLife, "b0", nil), own)
 	own.Begin()
 	own.End(time.Second, Unreachable)
-	check.Equal(set.ChooseAt(time.Second, "b0", nil), nil)
+	check.Equal(set.ChooseOnNode(time.Second, "b0", nil), nil)
 }
 
 // A gate may say that its back end is cold before that is known by its record.
@@ -33,7 +33,7 @@
 	check := is.New(t)
 	backends, members := fixture(sameZone(1)...)
 	set := Build(nil, home, backends, members, 0)
-	set.ChooseAt(0, "b0", nil).RefusedAsCold(0, time.Second, 0)
-	check.Equal(set.ChooseAt(0, "b0", nil), nil)
-	check.True(set.ChooseAt(time.Second, "b0", nil) != nil)
+	set.ChooseOnNode(0, "b0", nil).RecordColdRefusal(0, time.Second, 0)
+	check.Equal(set.ChooseOnNode(0, "b0", nil), nil)
+	check.True(set.ChooseOnNode(time.Second, "b0", nil) != nil)
 }
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -23,7 +23,7 @@
 	// service does not say.
 	ColdRate float64
 	// Spill is when calls leave the own zone; the zero value means DefaultSpill.
-	Spill Spill
+	Spill Spillover
 	// Evacuations are the zones to be empty: their endpoints take no new calls.
 	Evacuations evacuation.Orders
 }
@@ -39,7 +39,7 @@
 	tiers [tierCount][]*Endpoint
 	// usable is the number of endpoints in tiers.
 	usable int
-	spill  Spill
+	spill  Spillover
 }
 
 // Index finds the record of the daemon beside a back end: that of its latest
@@ -88,7 +88,7 @@
 // of the member records. Counts carry over from the previous set, which may be
 // nil, for endpoints of the same incarnation; a new incarnation starts cold.
 func BuildIndexed(previous *Set, self Locality, backends []resource.Backend, index Index, now time.Duration) *Set {
-	set := &Set{spill: cmp.Or(self.Spill, DefaultSpill())}
+	set := &Set{spill: cmp.Or(self.Spill, DefaultSpillover())}
 	set.All = make([]*Endpoint, 0, len(backends))
 	known := previous.byName()
 	for _, backend := range backends {
@@ -151,7 +151,7 @@
 	made.Slots = cmp.Or(member.Slots, made.Slots)
 	made.Software = member.Software
 	made.Born = member.Born
-	return made, made.State.TakesWork()
+	return made, made.State.AcceptsCalls()
 }
 
 // stateOf is the state of a back end behind its daemon: one whose daemon leaves
@@ -222,7 +222,7 @@
 
 // Only returns the set of the endpoints that satisfy a condition, which are those of
 // this set.
-func (s *Set) Only(fits func(*Endpoint) bool) *Set {
+func (s *Set) Filter(fits func(*Endpoint) bool) *Set {
 	part := &Set{spill: s.spill}
 	for _, one := range s.All {
 		if fits(one) {
@@ -241,17 +241,17 @@
 }
 
 // Within returns the set of the endpoints in allowed regions, which are those of this set.
-func (s *Set) Within(allowed region.Allowed) *Set {
-	return s.Only(func(one *Endpoint) bool { return allowed.Has(one.Region) })
+func (s *Set) InRegions(allowed region.Allowed) *Set {
+	return s.Filter(func(one *Endpoint) bool { return allowed.Has(one.Region) })
 }
 
 // Usable is the number of endpoints that may take new work by their daemons'
 // own word.
-func (s *Set) Usable() int { return s.usable }
+func (s *Set) UsableCount() int { return s.usable }
 
 // Evacuated tells whether no endpoint may take new work, and some would if their zones were
 // not to be empty.
-func (s *Set) Evacuated() bool {
+func (s *Set) BlockedByEvacuation() bool {
 	return s.usable == 0 && slices.ContainsFunc(s.All, func(one *Endpoint) bool {
 		return one.State == protocol.EndpointEvacuated
 	})
@@ -272,13 +272,13 @@
 }
 
 // Others tells whether an endpoint is left that was not tried.
-func (s *Set) Others(now time.Duration, tried Tried) bool {
+func (s *Set) HasUntried(now time.Duration, tried Tried) bool {
 	return s.leaves(now, tried, func(*Endpoint) bool { return true })
 }
 
 // OthersTaking tells whether an endpoint is left that was not tried and has not
 // lately refused a call for load.
-func (s *Set) OthersTaking(now time.Duration, tried Tried) bool {
+func (s *Set) HasUntriedWithCapacity(now time.Duration, tried Tried) bool {
 	return s.leaves(now, tried, func(candidate *Endpoint) bool { return !candidate.refusing(now) })
 }
 
--- a/internal/core/endpoint/warmth.go
+++ b/internal/core/endpoint/warmth.go
@@ -17,16 +17,16 @@
 
 // RefusedAsCold is called when the gate has refused a call of a class because its back end is
 // cold, with the time until it has a start. It has none for calls of lower classes either.
-func (e *Endpoint) RefusedAsCold(now, wait time.Duration, class int) {
+func (e *Endpoint) RecordColdRefusal(now, wait time.Duration, class int) {
 	until := int64(now + min(max(wait, 0), leavingLife))
-	for refused := range warmup.ClassOf(class) + 1 {
+	for refused := range warmup.ClampClass(class) + 1 {
 		e.stats.noStartUntil[refused].Store(until)
 	}
 }
 
 // coldWait is how long the gate has no start for a call of a class; 0 when it may have one.
 func (e *Endpoint) coldWait(now time.Duration, class int) time.Duration {
-	return max(time.Duration(e.stats.noStartUntil[warmup.ClassOf(class)].Load())-now, 0)
+	return max(time.Duration(e.stats.noStartUntil[warmup.ClampClass(class)].Load())-now, 0)
 }
 
 // shut tells whether the gate has said that it takes no call now, or none but urgent ones.
--- a/internal/core/endpoint/warmth_test.go
+++ b/internal/core/endpoint/warmth_test.go
@@ -14,7 +14,7 @@
 // The lowest and the highest class of calls.
 const (
 	low    = 0
-	urgent = warmup.Classes - 1
+	urgent = warmup.ClassCount - 1
 )
 
 // coldSet is a set of which the first endpoints are cold, of a service that states a rate.
@@ -38,7 +38,7 @@
 	)
 	set := coldSet(10, 1, rate)
 	for _, one := range set.All {
-		one.Learn(0, Report{Running: running, Service: service, Own: -1})
+		one.ApplyLoadReport(0, LoadReport{Running: running, Service: service, Own: -1})
 	}
 	counts := spread(set, 0, calls)
 	wanted := rate / (running / service.Seconds()) // of what a warm one gets
@@ -55,7 +55,7 @@
 func TestAGateWithoutAStartIsLeftOutUntilItHasOne(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(2, 2, 4.5)
-	set.All[0].RefusedAsCold(0, time.Second, urgent)
+	set.All[0].RecordColdRefusal(0, time.Second, urgent)
 	check.Equal(spread(set, time.Second-1, 100)["b0"], 0)
 	check.True(spread(set, time.Second, 100)["b0"] > 0)
 }
@@ -64,21 +64,21 @@
 	check := is.New(t)
 	set := coldSet(3, 3, 4.5)
 	for index, one := range set.All {
-		one.RefusedAsCold(0, time.Duration(index+1)*time.Second, urgent)
+		one.RecordColdRefusal(0, time.Duration(index+1)*time.Second, urgent)
 	}
 	tried := Tried{set.All[0]}
 	check.Equal(set.Choose(0, 7, nil), nil)
 	check.Equal(set.Choose(0, 7, tried), nil)
 	check.Equal(set.ColdWait(0), time.Second)
-	check.True(!set.Others(0, tried))
+	check.True(!set.HasUntried(0, tried))
 	check.True(set.Choose(time.Second, 7, nil) == set.All[0])
 }
 
 func TestADeadEndpointIsNotAskedInPlaceOfColdOnes(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(3, 2, 4.5)
-	set.All[0].RefusedAsCold(0, time.Second, urgent)
-	set.All[1].RefusedAsCold(0, time.Second, urgent)
+	set.All[0].RecordColdRefusal(0, time.Second, urgent)
+	set.All[1].RecordColdRefusal(0, time.Second, urgent)
 	set.All[2].SetReachable(false)
 	check.Equal(set.Choose(0, 7, nil), nil)
 	check.Equal(set.ColdWait(0), time.Second)
@@ -89,7 +89,7 @@
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "next")
 	set := Build(nil, Locality{Region: home.Region, Zone: home.Zone, ColdRate: 4.5}, backends, members, 0)
-	set.All[0].RefusedAsCold(0, time.Second, urgent)
+	set.All[0].RecordColdRefusal(0, time.Second, urgent)
 	check.True(set.Choose(0, rand.Uint64(), nil) == set.All[1])
 	check.Equal(set.ColdWait(0), time.Duration(0))
 }
@@ -97,9 +97,9 @@
 func TestAnAbsurdWaitOfAGateEndsSoon(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(1, 1, 4.5)
-	set.All[0].RefusedAsCold(0, 1000*time.Hour, urgent)
+	set.All[0].RecordColdRefusal(0, 1000*time.Hour, urgent)
 	check.True(set.Choose(leavingLife, 7, nil) != nil)
-	set.All[0].RefusedAsCold(0, -time.Hour, urgent)
+	set.All[0].RecordColdRefusal(0, -time.Hour, urgent)
 	check.True(set.Choose(0, 7, nil) != nil)
 }
 
@@ -114,13 +114,13 @@
 func TestAGateThatRefusedALessUrgentCallIsAskedForAStartThatItKeeps(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(2, 2, 4.5)
-	set.All[0].RefusedAsCold(0, time.Second, urgent)
-	set.All[1].RefusedAsCold(0, time.Second, low)
+	set.All[0].RecordColdRefusal(0, time.Second, urgent)
+	set.All[1].RecordColdRefusal(0, time.Second, low)
 	check.Equal(set.Choose(0, 7, nil), nil)
 	check.True(set.ChooseCold(0, 7, nil, urgent) == set.All[1])
 	check.Equal(set.ChooseCold(0, 7, nil, low), nil)
 	check.Equal(set.ChooseCold(0, 7, Tried{set.All[1]}, urgent), nil)
-	set.All[1].RefusedAsCold(0, time.Second, urgent)
+	set.All[1].RecordColdRefusal(0, time.Second, urgent)
 	check.Equal(set.ChooseCold(0, 7, nil, urgent), nil)
 }
 
@@ -128,10 +128,10 @@
 	check := is.New(t)
 	set := coldSet(2, 2, 4.5)
 	for _, one := range set.All {
-		one.RefusedAsCold(0, time.Second, low)
+		one.RecordColdRefusal(0, time.Second, low)
 	}
 	set.All[0].SetReachable(false)
 	set.All[1].Begin()
-	set.All[1].End(0, Leaving)
+	set.All[1].End(0, NotAccepting)
 	check.Equal(set.ChooseCold(0, 7, nil, urgent), nil)
 }
--- a/internal/core/evacuation/eras_test.go
+++ b/internal/core/evacuation/eras_test.go
@@ -14,20 +14,20 @@
 func TestALostOrderBindsUntilItIsGivenUp(t *testing.T) {
 	check := is.New(t)
 	table := &Table{}
-	merge := func(now time.Duration, orders Orders) { table.Merge(now, Word{Orders: orders, Known: true}) }
+	merge := func(now time.Duration, orders Orders) { table.Merge(now, SharedOrders{Orders: orders, Known: true}) }
 	merge(0, NewOrders(position.Position{Era: 1, Revision: 900}, []string{"a", "b"}))
 	restored := NewOrders(position.Position{Era: 2, Revision: 880}, []string{"b"})
 	merge(time.Second, restored.WithLost(table.Orders()))
-	check.Equal(table.Orders().All(), []string{"a", "b"})
+	check.Equal(table.Orders().AllZones(), []string{"a", "b"})
 	check.True(table.Orders().Evacuates("a"))
 	withdrawn := NewOrders(position.Position{Era: 2, Revision: 881}, nil)
 	merge(2*time.Second, withdrawn.WithLost(table.Orders()))
-	check.Equal(table.Orders().All(), []string{"a"})
+	check.Equal(table.Orders().AllZones(), []string{"a"})
 	again := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
 	merge(3*time.Second, again.WithLost(table.Orders()))
 	check.Equal(table.Orders().Lost, []string{})
 	merge(4*time.Second, withdrawn.WithLost(table.Orders())) // a reading that was overtaken
-	check.Equal(table.Orders().All(), []string{"a"})
+	check.Equal(table.Orders().AllZones(), []string{"a"})
 }
 
 // Of two readings at one position the later one counts, in whatever order they are heard.
@@ -36,8 +36,8 @@
 	at := position.Position{Era: 2, Revision: 880}
 	held := Orders{At: at, Lost: []string{"a"}}
 	table := &Table{}
-	table.Merge(time.Minute, Word{Orders: held, Known: true, Age: 3 * time.Second})
-	check.True(table.Merge(time.Minute, Word{Orders: Orders{At: at}, Known: true, Age: time.Second}))
-	check.True(!table.Merge(time.Minute, Word{Orders: held, Known: true, Age: 2 * time.Second}))
+	table.Merge(time.Minute, SharedOrders{Orders: held, Known: true, Age: 3 * time.Second})
+	check.True(table.Merge(time.Minute, SharedOrders{Orders: Orders{At: at}, Known: true, Age: time.Second}))
+	check.True(!table.Merge(time.Minute, SharedOrders{Orders: held, Known: true, Age: 2 * time.Second}))
 	check.True(!table.Orders().Evacuates("a"))
 }
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -35,14 +35,14 @@
 func (o Orders) WithLost(known Orders) Orders {
 	lost := known.Lost
 	if known.At.Era < o.At.Era {
-		lost = known.All()
+		lost = known.AllZones()
 	}
 	o.Lost = slices.DeleteFunc(slices.Clone(lost), func(zone string) bool { return slices.Contains(o.Zones, zone) })
 	return o
 }
 
 // All are all zones to be empty, in ascending order.
-func (o Orders) All() []string {
+func (o Orders) AllZones() []string {
 	if len(o.Lost) == 0 {
 		return o.Zones
 	}
@@ -57,7 +57,7 @@
 }
 
 // Word is what a daemon tells another one of the orders.
-type Word struct {
+type SharedOrders struct {
 	Orders Orders
 	// Known is false while the daemon has neither read the orders nor heard of them.
 	Known bool
@@ -77,22 +77,22 @@
 func (t *Table) Orders() Orders { return t.orders }
 
 // Known tells whether the daemon has read the orders or heard of them.
-func (t *Table) Known() bool { return t.known }
+func (t *Table) IsKnown() bool { return t.known }
 
 // Age is how long ago the newest reading began, or how long the daemon runs if it has heard
 // of none: its clock begins at its start.
-func (t *Table) Age(now time.Duration) time.Duration { return now - t.readAt }
+func (t *Table) ReadingAge(now time.Duration) time.Duration { return now - t.readAt }
 
 // Word is what the daemon tells others now.
-func (t *Table) Word(now time.Duration) Word {
-	return Word{Orders: t.orders, Known: t.known, Age: t.Age(now)}
+func (t *Table) SharedOrders(now time.Duration) SharedOrders {
+	return SharedOrders{Orders: t.orders, Known: t.known, Age: t.ReadingAge(now)}
 }
 
 // Merge takes a reading, or the word of another daemon, and tells whether other zones are to
 // be empty since. Orders at a lower position are older and count for nothing, not even as a
 // reading; those of a later era are newer whatever their revision. Of two readings at one position
 // the later one counts: what it leaves out of an earlier era is given up.
-func (t *Table) Merge(now time.Duration, word Word) (news bool) {
+func (t *Table) Merge(now time.Duration, word SharedOrders) (news bool) {
 	if !word.Known || (t.known && word.Orders.At.Before(t.orders.At)) {
 		return false
 	}
@@ -100,7 +100,7 @@
 	if t.known && word.Orders.At == t.orders.At && readAt < t.readAt {
 		return false
 	}
-	news = !slices.Equal(word.Orders.All(), t.orders.All())
+	news = !slices.Equal(word.Orders.AllZones(), t.orders.AllZones())
 	t.readAt = max(t.readAt, readAt)
 	t.orders = word.Orders
 	t.known = true
--- a/internal/core/evacuation/evacuation_test.go
+++ b/internal/core/evacuation/evacuation_test.go
@@ -41,7 +41,7 @@
 			heard := rapid.SliceOf(rapid.SampledFrom(history)).Draw(t, "heard")
 			heard = append(heard, newest)
 			for index, orders := range rapid.Permutation(heard).Draw(t, "order") {
-				table.Merge(time.Duration(index), Word{Orders: orders, Known: true})
+				table.Merge(time.Duration(index), SharedOrders{Orders: orders, Known: true})
 			}
 			if table.Orders().At != newest.At || !slices.Equal(table.Orders().Zones, newest.Zones) {
 				t.Fatalf("knows %v, the store holds %v", table.Orders(), newest)
@@ -66,10 +66,10 @@
 			before := tables[to].Orders()
 			if rapid.Bool().Draw(t, "reads") {
 				read := rapid.SampledFrom(history).Draw(t, "read")
-				tables[to].Merge(now, Word{Orders: read, Known: true})
+				tables[to].Merge(now, SharedOrders{Orders: read, Known: true})
 			} else {
 				from := rapid.IntRange(0, len(tables)-1).Draw(t, "from")
-				tables[to].Merge(now, tables[from].Word(now))
+				tables[to].Merge(now, tables[from].SharedOrders(now))
 			}
 			after := tables[to].Orders()
 			if after.At.Before(before.At) || !slices.Equal(after.Zones, held[after.At]) {
@@ -82,26 +82,26 @@
 func TestTheBeginningHeardAfterTheEndCountsForNothing(t *testing.T) {
 	check := is.New(t)
 	var table Table
-	check.True(!table.Merge(0, Word{Orders: NewOrders(position.Position{Revision: 9}, nil), Known: true}))
-	check.True(!table.Merge(time.Second, Word{Orders: NewOrders(position.Position{Revision: 7}, []string{"a"}), Known: true}))
+	check.True(!table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 9}, nil), Known: true}))
+	check.True(!table.Merge(time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 7}, []string{"a"}), Known: true}))
 	check.True(!table.Orders().Evacuates("a"))
-	check.Equal(table.Age(time.Second), time.Second) // it is no reading either
+	check.Equal(table.ReadingAge(time.Second), time.Second) // it is no reading either
 }
 
 func TestADaemonWithoutKnowledgeTellsNothing(t *testing.T) {
 	check := is.New(t)
 	var table, fresh Table
-	table.Merge(0, Word{Orders: NewOrders(position.Position{Revision: 0}, nil), Known: true})
-	check.True(!table.Merge(time.Hour, fresh.Word(time.Hour)))
-	check.Equal(table.Age(time.Hour), time.Hour)
+	table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 0}, nil), Known: true})
+	check.True(!table.Merge(time.Hour, fresh.SharedOrders(time.Hour)))
+	check.Equal(table.ReadingAge(time.Hour), time.Hour)
 }
 
 func TestTwoZonesAreEmptiedAndTakenBackApart(t *testing.T) {
 	check := is.New(t)
 	var table Table
-	check.True(table.Merge(0, Word{Orders: NewOrders(position.Position{Revision: 5}, []string{"b", "a", "a"}), Known: true}))
+	check.True(table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 5}, []string{"b", "a", "a"}), Known: true}))
 	check.Equal(table.Orders().Zones, []string{"a", "b"})
-	check.True(table.Merge(0, Word{Orders: NewOrders(position.Position{Revision: 6}, []string{"b"}), Known: true}))
+	check.True(table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 6}, []string{"b"}), Known: true}))
 	check.True(!table.Orders().Evacuates("a"))
 	check.True(table.Orders().Evacuates("b"))
 }
@@ -109,9 +109,9 @@
 func TestTheAgeOfAReadingIsPassedOn(t *testing.T) {
 	check := is.New(t)
 	var reader, other Table
-	reader.Merge(10*time.Second, Word{Orders: NewOrders(position.Position{Revision: 3}, nil), Known: true})
-	other.Merge(40*time.Second, reader.Word(11*time.Second))
-	check.Equal(other.Age(40*time.Second), time.Second)
-	reader.Merge(12*time.Second, Word{Orders: NewOrders(position.Position{Revision: 4}, nil), Known: true, Age: -time.Hour}) // of a broken peer
-	check.Equal(reader.Age(12*time.Second), time.Duration(0))
+	reader.Merge(10*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 3}, nil), Known: true})
+	other.Merge(40*time.Second, reader.SharedOrders(11*time.Second))
+	check.Equal(other.ReadingAge(40*time.Second), time.Second)
+	reader.Merge(12*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 4}, nil), Known: true, Age: -time.Hour}) // of a broken peer
+	check.Equal(reader.ReadingAge(12*time.Second), time.Duration(0))
 }
--- a/internal/core/evacuation/timing.go
+++ b/internal/core/evacuation/timing.go
@@ -4,7 +4,7 @@
 
 // FollowerCount is how many daemons watch the orders: the first of all by rank, so that some
 // are left when others end or are refused by the store.
-const FollowerCount = 3
+const WatcherCount = 3
 
 const (
 	// relistPart is the part of the bound after which the first follower reads the orders
@@ -34,25 +34,25 @@
 }
 
 // Relist is the time between two readings of the first follower.
-func (t Timing) Relist() time.Duration { return t.Within / relistPart }
+func (t Timing) RelistInterval() time.Duration { return t.Within / relistPart }
 
 // Due is how old the newest reading known may become before a daemon of a rank reads itself;
 // random is uniform.
-func (t Timing) Due(rank int, known bool, random uint64) time.Duration {
+func (t Timing) RefreshAge(rank int, known bool, random uint64) time.Duration {
 	drawn := time.Duration(spreadPart * float64(t.Within) * float64(random>>11) / (1 << 53)) // 53 bits are a float64's fraction
 	switch {
 	case !known:
 		return t.Within/startPart + drawn
-	case rank < FollowerCount:
-		return t.Relist() + time.Duration(rank)*t.Within/staggerPart
+	case rank < WatcherCount:
+		return t.RelistInterval() + time.Duration(rank)*t.Within/staggerPart
 	}
 	return time.Duration(stalePart*float64(t.Within)) + drawn
 }
 
 // Retry is how long a daemon of a rank waits after a number of readings in a row that failed.
-func (t Timing) Retry(rank, failures int) time.Duration {
-	if rank < FollowerCount {
-		return t.Relist()
+func (t Timing) RetryDelay(rank, failures int) time.Duration {
+	if rank < WatcherCount {
+		return t.RelistInterval()
 	}
-	return min(t.Relist()<<min(max(failures-1, 0), 8), longestRetry*t.Within)
+	return min(t.RelistInterval()<<min(max(failures-1, 0), 8), longestRetry*t.Within)
 }
--- a/internal/core/evacuation/timing_test.go
+++ b/internal/core/evacuation/timing_test.go
@@ -38,7 +38,7 @@
 	fleet := &testFleet{random: rand.New(rand.NewPCG(7, 1)), timing: Timing{Within: testWithin}}
 	for rank := range count {
 		made := &testDaemon{rank: rank}
-		made.due = fleet.timing.Due(rank, false, fleet.random.Uint64())
+		made.due = fleet.timing.RefreshAge(rank, false, fleet.random.Uint64())
 		fleet.daemons = append(fleet.daemons, made)
 	}
 	return fleet
@@ -48,7 +48,7 @@
 func (f *testFleet) run(from, to time.Duration, held Orders) {
 	for now := from; now < to; now += 10 * time.Millisecond {
 		for _, one := range f.daemons {
-			if !one.dead && one.table.Age(now) >= one.due && now >= one.waitsTo {
+			if !one.dead && one.table.ReadingAge(now) >= one.due && now >= one.waitsTo {
 				f.read(now, one, held)
 			}
 		}
@@ -60,14 +60,14 @@
 	f.reads++
 	if one.refused || one.cutOff {
 		one.failures++
-		one.waitsTo = now + f.timing.Retry(one.rank, one.failures)
+		one.waitsTo = now + f.timing.RetryDelay(one.rank, one.failures)
 		return
 	}
 	one.failures = 0
 	for _, other := range f.daemons {
 		if other == one || !other.cutOff && !other.dead {
-			other.table.Merge(now, Word{Orders: held, Known: true})
-			other.due = f.timing.Due(other.rank, true, f.random.Uint64())
+			other.table.Merge(now, SharedOrders{Orders: held, Known: true})
+			other.due = f.timing.RefreshAge(other.rank, true, f.random.Uint64())
 		}
 	}
 }
@@ -87,10 +87,10 @@
 func TestASilentOrderIsKnownWithinHalfOfTheBound(t *testing.T) {
 	for name, harm := range map[string]func(*testDaemon){
 		"nobody":                          func(*testDaemon) {},
-		"followers dead":                  func(one *testDaemon) { one.dead = one.rank < FollowerCount },
-		"followers refused":               func(one *testDaemon) { one.refused = one.rank < FollowerCount },
+		"followers dead":                  func(one *testDaemon) { one.dead = one.rank < WatcherCount },
+		"followers refused":               func(one *testDaemon) { one.refused = one.rank < WatcherCount },
 		"all refused but one":             func(one *testDaemon) { one.refused = one.rank != 20 },
-		"followers cut off from the rest": func(one *testDaemon) { one.cutOff = one.rank < FollowerCount },
+		"followers cut off from the rest": func(one *testDaemon) { one.cutOff = one.rank < WatcherCount },
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
@@ -129,7 +129,7 @@
 	fleet.run(10*time.Second, 40*time.Second, NewOrders(position.Position{Revision: 3}, nil))
 	fleet.reads = 0
 	fleet.run(40*time.Second, 100*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	const followers, others = 49 * FollowerCount, 7 * (77 - FollowerCount)
+	const followers, others = 49 * WatcherCount, 7 * (77 - WatcherCount)
 	check.True(fleet.reads <= followers+others)
 }
 
@@ -144,6 +144,6 @@
 
 func ExampleTiming() {
 	timing := Timing{Within: 5 * time.Second}
-	fmt.Println(timing.Relist(), timing.Due(1, true, 0), timing.Due(9, true, 0), timing.Retry(9, 3))
+	fmt.Println(timing.RelistInterval(), timing.RefreshAge(1, true, 0), timing.RefreshAge(9, true, 0), timing.RetryDelay(9, 3))
 	// Output: 1.25s 1.5s 2s 5s
 }
--- a/internal/core/floor/floor_test.go
+++ b/internal/core/floor/floor_test.go
@@ -17,7 +17,7 @@
 	daemons  map[string]*daemon
 	releaser *Releaser
 	set      protocol.KeeperSet
-	waiting  []StoreVersion
+	waiting  []SendStoreRequest
 }
 
 // newRegion returns a region of eight keepers at version 1.
@@ -40,7 +40,7 @@
 
 func (g *region) take(outputs []Output) {
 	for _, output := range outputs {
-		g.waiting = append(g.waiting, output.(StoreVersion))
+		g.waiting = append(g.waiting, output.(SendStoreRequest))
 	}
 }
 
@@ -54,7 +54,7 @@
 			continue
 		}
 		d := g.daemons[store.Address]
-		reply := d.keeper.Store(store.Request)
+		reply := d.keeper.HandleStoreRequest(store.Request)
 		reply.From, reply.Incarnation = d.member.ID, d.incarnation
 		g.take(g.releaser.HandleReply(0, store.Token, reply))
 	}
@@ -67,9 +67,9 @@
 	d.keeper = NewKeeper(d.member.ID, "region")
 	learner := NewLearner(LearnerConfig{ID: d.member.ID, Region: "region", Seeds: from})
 	for _, output := range append(learner.Tick(0), learner.Tick(time.Minute)...) {
-		if ask, is := output.(AskFloor); is && lo.Contains(from, ask.Address) {
+		if ask, is := output.(SendFloorRequest); is && lo.Contains(from, ask.Address) {
 			other := g.daemons[ask.Address]
-			reply := other.keeper.Answer(ask.Request)
+			reply := other.keeper.HandleFloorRequest(ask.Request)
 			reply.From = other.member.ID
 			learner.HandleReply(0, ask.Token, reply)
 		}
@@ -85,7 +85,7 @@
 	g.release(2)
 	g.deliver("0", "1", "2", "3", "4")
 	g.restart("0", "5", "6", "7") // none of them has version 2
-	is.True(g.daemons["0"].keeper.Valid())
+	is.True(g.daemons["0"].keeper.IsValid())
 	is.Equal(g.daemons["0"].keeper.Stored(), protocol.Version(1))
 	g.deliver("5") // the sixth answer, but 0, 6 and 7 do not have version 2
 	is.Equal(g.releaser.Released(), protocol.Version(0))
@@ -164,7 +164,7 @@
 	}
 	for _, address := range all[:6] {
 		g.restart(address, "6", "7") // two answers are no read quorum
-		is.True(!g.daemons[address].keeper.Valid())
+		is.True(!g.daemons[address].keeper.IsValid())
 	}
 }
 
@@ -173,13 +173,13 @@
 	older, newer := keeperSet(3, "a", "b", "c"), keeperSet(9, "d", "e", "f")
 	keeper := NewKeeper("a", "region")
 	ask := &protocol.FloorRequest{Region: "region"}
-	is.Equal(keeper.Store(&protocol.StoreRequest{Version: 10, Keepers: newer}).Code, result.NotReadyYet)
-	is.Equal(keeper.Answer(ask).Code, result.NotReadyYet)
+	is.Equal(keeper.HandleStoreRequest(&protocol.StoreRequest{Version: 10, Keepers: newer}).Code, result.NotReadyYet)
+	is.Equal(keeper.HandleFloorRequest(ask).Code, result.NotReadyYet)
 	keeper.Validate(4, older)
-	is.Equal(keeper.Store(&protocol.StoreRequest{Version: 5, Keepers: older}), &protocol.StoreReply{Code: result.OK, Stored: 10})
-	is.Equal(keeper.Answer(ask), &protocol.FloorReply{Code: result.NotKeeper, Floor: 10, Keepers: newer})
-	is.Equal(keeper.Answer(&protocol.FloorRequest{Region: "other"}), &protocol.FloorReply{Code: result.NotKeeper})
-	is.Equal(keeper.Store(&protocol.StoreRequest{Version: 99, Keepers: protocol.KeeperSet{Region: "other"}}).Code, result.NotKeeper)
+	is.Equal(keeper.HandleStoreRequest(&protocol.StoreRequest{Version: 5, Keepers: older}), &protocol.StoreReply{Code: result.OK, Stored: 10})
+	is.Equal(keeper.HandleFloorRequest(ask), &protocol.FloorReply{Code: result.NotKeeper, Floor: 10, Keepers: newer})
+	is.Equal(keeper.HandleFloorRequest(&protocol.FloorRequest{Region: "other"}), &protocol.FloorReply{Code: result.NotKeeper})
+	is.Equal(keeper.HandleStoreRequest(&protocol.StoreRequest{Version: 99, Keepers: protocol.KeeperSet{Region: "other"}}).Code, result.NotKeeper)
 	is.Equal(keeper.Stored(), protocol.Version(10))
 }
 
@@ -208,7 +208,7 @@
 	for _, id := range ids {
 		set.Members = append(set.Members, protocol.KeeperMember{ID: id, ControlAddress: string(id)})
 	}
-	set.Write, set.Read = Quorums(len(ids))
+	set.Write, set.Read = QuorumSizes(len(ids))
 	return set
 }
 
@@ -253,10 +253,10 @@
 func TestQuorumsMeet(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= MaxKeepers; size++ {
-		write, read := Quorums(size)
+		write, read := QuorumSizes(size)
 		is.True(write+read > size && 2*write > size && write <= size && read >= 1)
 	}
-	write, read := Quorums(MaxKeepers + 1)
+	write, read := QuorumSizes(MaxKeepers + 1)
 	is.Equal(write+read, 0)
 }
 
--- a/internal/core/floor/keeper.go
+++ b/internal/core/floor/keeper.go
@@ -37,7 +37,7 @@
 }
 
 // Valid reports whether the keeper's answers count.
-func (k *Keeper) Valid() bool { return k.valid }
+func (k *Keeper) IsValid() bool { return k.valid }
 
 // Stored returns the highest version stored.
 func (k *Keeper) Stored() protocol.Version { return k.stored }
@@ -49,7 +49,7 @@
 // version. A keeper that is not valid remembers too, but its answer does not
 // count: a version that was released before may have been forgotten with its
 // last incarnation.
-func (k *Keeper) Store(request *protocol.StoreRequest) *protocol.StoreReply {
+func (k *Keeper) HandleStoreRequest(request *protocol.StoreRequest) *protocol.StoreReply {
 	if request.Keepers.Region != k.region {
 		return &protocol.StoreReply{Code: result.NotKeeper}
 	}
@@ -65,7 +65,7 @@
 // Answer answers a question for the floor from memory, never from the
 // platform. NotKeeper means a valid daemon that knows of no set with itself in
 // it. The caller fills in From, Peers and Incarnation.
-func (k *Keeper) Answer(request *protocol.FloorRequest) *protocol.FloorReply {
+func (k *Keeper) HandleFloorRequest(request *protocol.FloorRequest) *protocol.FloorReply {
 	if request.Region != k.region {
 		return &protocol.FloorReply{Code: result.NotKeeper}
 	}
--- a/internal/core/floor/learner.go
+++ b/internal/core/floor/learner.go
@@ -108,7 +108,7 @@
 func (l *Learner) ask(address string, freshHead bool) Output {
 	l.lastToken++
 	l.pending[l.lastToken] = true
-	return AskFloor{
+	return SendFloorRequest{
 		Token:   l.lastToken,
 		Address: address,
 		Timeout: lo.Ternary(freshHead, headTimeout, askTimeout),
@@ -220,7 +220,7 @@
 	if l.set.Revision == 0 {
 		return false
 	}
-	return HasRead(l.set, func(id protocol.NodeID) bool { return l.answers[id] })
+	return HasReadQuorum(l.set, func(id protocol.NodeID) bool { return l.answers[id] })
 }
 
 func (l *Learner) conclude(floor protocol.Version) {
--- a/internal/core/floor/model_test.go
+++ b/internal/core/floor/model_test.go
@@ -138,9 +138,9 @@
 func (m *model) carryOut(t *rapid.T, d *daemon, r *root, outputs []Output) {
 	for _, output := range outputs {
 		switch output := output.(type) {
-		case AskFloor:
+		case SendFloorRequest:
 			m.ask(t, d, output)
-		case StoreVersion:
+		case SendStoreRequest:
 			m.store(t, r, output)
 		case ReadHead:
 			d.headAt = true
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (m *model) ask(t *rapid.T, from *daemon, ask AskFloor) {
+func (m *model) ask(t *rapid.T, from *daemon, ask SendFloorRequest) {
 	learner := from.learner
 	to := m.at(ask.Address)
 	if to == nil {
@@ -165,7 +165,7 @@
 	}
 	way := route{kind: kindAsk, daemon: to.number}
 	m.send(way, func() {
-		reply := to.keeper.Answer(ask.Request)
+		reply := to.keeper.HandleFloorRequest(ask.Request)
 		reply.From = to.member.ID
 		m.send(way, func() {
 			if from.learner != learner {
@@ -177,12 +177,12 @@
 	})
 }
 
-func (m *model) store(t *rapid.T, r *root, store StoreVersion) {
+func (m *model) store(t *rapid.T, r *root, store SendStoreRequest) {
 	releaser := r.releaser
 	to := m.at(store.Address)
 	way := route{kind: kindStore, daemon: to.number}
 	m.send(way, func() {
-		reply := to.keeper.Store(store.Request)
+		reply := to.keeper.HandleStoreRequest(store.Request)
 		reply.From = to.member.ID
 		reply.Incarnation = to.incarnation
 		m.send(way, func() {
@@ -228,12 +228,12 @@
 		ignorant := func(id protocol.NodeID) bool {
 			for _, d := range m.daemons {
 				if d.member.ID == id {
-					return d.keeper.Valid() && d.keeper.Stored() < m.released && d.keeper.Set().Revision <= set.Revision
+					return d.keeper.IsValid() && d.keeper.Stored() < m.released && d.keeper.Set().Revision <= set.Revision
 				}
 			}
 			return false
 		}
-		if HasRead(set, ignorant) {
+		if HasReadQuorum(set, ignorant) {
 			t.Fatalf("version %d is released; read quorums of set %d could know nothing of it", m.released, set.Revision)
 		}
 	}
@@ -259,7 +259,7 @@
 	case action < 13:
 		m.held = map[route]bool{}
 	case action < 17:
-		if d.keeper.Valid() { // hearsay of the set in some head
+		if d.keeper.IsValid() { // hearsay of the set in some head
 			d.keeper.Validate(0, m.setAt(1+protocol.Version(m.random.IntN(len(m.heads)))))
 		}
 	case action < 30:
@@ -348,7 +348,7 @@
 		m.checkQuorums(t)
 	}
 	for _, d := range m.daemons {
-		if !d.keeper.Valid() {
+		if !d.keeper.IsValid() {
 			t.Fatalf("%s has no floor after the faults", d.member.ID)
 		}
 	}
--- a/internal/core/floor/output.go
+++ b/internal/core/floor/output.go
@@ -14,7 +14,7 @@
 
 // AskFloor asks the daemon at Address; the reply, or nil after Timeout, goes
 // to Learner.HandleReply.
-type AskFloor struct {
+type SendFloorRequest struct {
 	Token   Token
 	Address string
 	Request *protocol.FloorRequest
@@ -27,13 +27,13 @@
 
 // StoreVersion asks the keeper at Address to store; the reply, or nil after
 // Timeout, goes to Releaser.HandleReply.
-type StoreVersion struct {
+type SendStoreRequest struct {
 	Token   Token
 	Address string
 	Request *protocol.StoreRequest
 	Timeout time.Duration
 }
 
-func (AskFloor) output()     {}
-func (ReadHead) output()     {}
-func (StoreVersion) output() {}
+func (SendFloorRequest) output() {}
+func (ReadHead) output()         {}
+func (SendStoreRequest) output() {}
--- a/internal/core/floor/releaser.go
+++ b/internal/core/floor/releaser.go
@@ -150,7 +150,7 @@
 	if !known {
 		address = member.ControlAddress
 	}
-	return StoreVersion{
+	return SendStoreRequest{
 		Token:   r.lastToken,
 		Address: address,
 		Timeout: storeTimeout,
@@ -215,7 +215,7 @@
 
 // tryRound starts a confirming round if a write quorum has stored.
 func (c *release) tryRound() bool {
-	quorum := HasWrite(c.target.set, func(id protocol.NodeID) bool { _, has := c.stored[id]; return has })
+	quorum := HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { _, has := c.stored[id]; return has })
 	if !quorum {
 		return false
 	}
@@ -241,5 +241,5 @@
 }
 
 func (c *release) confirmedQuorum() bool {
-	return c.round > 0 && HasWrite(c.target.set, func(id protocol.NodeID) bool { return c.confirmed[id] })
+	return c.round > 0 && HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { return c.confirmed[id] })
 }
--- a/internal/core/floor/sets.go
+++ b/internal/core/floor/sets.go
@@ -18,7 +18,7 @@
 // Quorums returns how many keepers of a set of the size must store a version
 // before its release, and how many answers are enough to learn the floor.
 // Their sum always exceeds the size. It returns zeros for a size out of range.
-func Quorums(size int) (write, read int) {
+func QuorumSizes(size int) (write, read int) {
 	if size < 1 || size > MaxKeepers {
 		return 0, 0
 	}
@@ -28,7 +28,7 @@
 
 // Sets returns the sets whose quorums count while the given one is the newest:
 // the set itself and, until the change has settled, the one that it replaces.
-func Sets(set protocol.KeeperSet) []protocol.KeeperSet {
+func ActiveSets(set protocol.KeeperSet) []protocol.KeeperSet {
 	sets := []protocol.KeeperSet{set}
 	if set.Previous != nil {
 		sets = append(sets, *set.Previous)
@@ -38,16 +38,16 @@
 
 // HasWrite reports whether the members for which counted is true are a write
 // quorum of each of the sets that count.
-func HasWrite(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
-	return lo.EveryBy(Sets(set), func(one protocol.KeeperSet) bool {
+func HasWriteQuorum(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
+	return lo.EveryBy(ActiveSets(set), func(one protocol.KeeperSet) bool {
 		return one.Write > 0 && countMembers(one, counted) >= one.Write
 	})
 }
 
 // HasRead reports whether the members for which counted is true are a read
 // quorum of each of the sets that count.
-func HasRead(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
-	return lo.EveryBy(Sets(set), func(one protocol.KeeperSet) bool {
+func HasReadQuorum(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
+	return lo.EveryBy(ActiveSets(set), func(one protocol.KeeperSet) bool {
 		return one.Read > 0 && countMembers(one, counted) >= one.Read
 	})
 }
@@ -58,7 +58,7 @@
 
 // allMembers returns the members of all sets that count, each once.
 func allMembers(set protocol.KeeperSet) []protocol.KeeperMember {
-	members := lo.FlatMap(Sets(set), func(one protocol.KeeperSet, _ int) []protocol.KeeperMember { return one.Members })
+	members := lo.FlatMap(ActiveSets(set), func(one protocol.KeeperSet, _ int) []protocol.KeeperMember { return one.Members })
 	return lo.UniqBy(members, func(member protocol.KeeperMember) protocol.NodeID { return member.ID })
 }
 
@@ -89,7 +89,7 @@
 		return current, false
 	}
 	next := protocol.KeeperSet{Region: region, Revision: current.Revision, Members: members, Previous: current.Previous}
-	next.Write, next.Read = Quorums(len(members))
+	next.Write, next.Read = QuorumSizes(len(members))
 	if next.Previous == nil && len(current.Members) > 0 {
 		replaced := current
 		next.Previous = &replaced
--- a/internal/core/following/backoff.go
+++ b/internal/core/following/backoff.go
@@ -19,7 +19,7 @@
 
 // Pause returns the pause after a number of failures in a row, by a uniform random
 // number.
-func (b Backoff) Pause(failures int, random uint64) time.Duration {
+func (b Backoff) Delay(failures int, random uint64) time.Duration {
 	bound := b.Minimum
 	for range failures {
 		bound = min(2*bound, b.Maximum)
--- a/internal/core/following/eras_test.go
+++ b/internal/core/following/eras_test.go
@@ -25,16 +25,16 @@
 func TestALaterEraIsFollowedFromItsOwnRevisions(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(time.Minute, readingIn(1, 900, 7, "a"))
-	follower.NewEra(2)
-	check.True(follower.Lapsed(authority.Position{Era: 1, Revision: 900}))
-	actions := follower.StoreRead(time.Minute, authority.Reading{Code: result.PlatformCompacted})
+	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
+	follower.ObserveEra(2)
+	check.True(follower.IsStale(authority.Position{Era: 1, Revision: 900}))
+	actions := follower.HandleStoreRead(time.Minute, authority.Reading{Code: result.PlatformCompacted})
 	check.Equal(kinds(actions), []ActionKind{Read})
 	check.Equal(actions[0].Freshness, authority.Lagging)
-	actions = follower.StoreRead(time.Minute, readingIn(1, 890, 7, "a")) // of a replica that is behind
+	actions = follower.HandleStoreRead(time.Minute, readingIn(1, 890, 7, "a")) // of a replica that is behind
 	check.Equal(kinds(actions), []ActionKind{Read})
 	check.Equal(actions[0].Freshness, authority.Linearizable)
-	actions = follower.StoreRead(time.Minute, readingIn(2, 885, 8, "b"))
+	actions = follower.HandleStoreRead(time.Minute, readingIn(2, 885, 8, "b"))
 	check.Equal(kinds(actions), []ActionKind{Adopt, Watch})
 	check.Equal(actions[1].From, authority.Position{Era: 2, Revision: 885})
 }
@@ -43,8 +43,8 @@
 func TestAWatchAnsweredInALaterEraIsNoWholeAccount(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(time.Minute, readingIn(1, 900, 7, "a"))
-	actions := follower.StoreRead(time.Minute, readingIn(2, 905, 0, ""))
+	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
+	actions := follower.HandleStoreRead(time.Minute, readingIn(2, 905, 0, ""))
 	check.Equal(kinds(actions), []ActionKind{Read})
 }
 
@@ -53,12 +53,12 @@
 func TestALostVersionThatIsWrittenAgainOtherwiseIsTaken(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(time.Minute, readingIn(1, 900, 7, "a"))
-	check.Equal(kinds(follower.PeerAnswered(0, "p", authority.Document{Version: 7, Body: []byte("b")})), nil)
-	check.Equal(kinds(follower.StorePolled(0, readingIn(1, 901, 7, "b"))), nil) // no era has passed
-	check.Equal(kinds(follower.StorePolled(0, readingIn(2, 880, 6, "z"))), nil) // older than what is held
-	check.Equal(kinds(follower.StorePolled(0, readingIn(2, 885, 7, "b")))[0], Adopt)
-	check.Equal(kinds(follower.StorePolled(0, readingIn(2, 890, 7, "b"))), nil)
+	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
+	check.Equal(kinds(follower.HandlePeerDocument(0, "p", authority.Document{Version: 7, Body: []byte("b")})), nil)
+	check.Equal(kinds(follower.HandlePoll(0, readingIn(1, 901, 7, "b"))), nil) // no era has passed
+	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 880, 6, "z"))), nil) // older than what is held
+	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 885, 7, "b")))[0], Adopt)
+	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 890, 7, "b"))), nil)
 }
 
 // In no order of readings, eras and peers' answers is a lower version taken, or a position of an
@@ -85,17 +85,17 @@
 			switch number("event", 4) {
 			case 0:
 				era = max(era, read.At.Era)
-				take(follower.StoreRead(0, read))
+				take(follower.HandleStoreRead(0, read))
 			case 1:
 				era = max(era, read.At.Era)
-				take(follower.StorePolled(0, read))
+				take(follower.HandlePoll(0, read))
 			case 2:
 				era = max(era, read.At.Era)
-				follower.NewEra(read.At.Era)
+				follower.ObserveEra(read.At.Era)
 			case 3:
-				take(follower.StoreRead(0, authority.Reading{Code: result.PlatformCompacted}))
+				take(follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted}))
 			default:
-				take(follower.PeerAnswered(0, "p", read.Document))
+				take(follower.HandlePeerDocument(0, "p", read.Document))
 			}
 		}
 	})
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -38,14 +38,14 @@
 
 // DefaultApply is the time in which a version has to be in force everywhere where
 // nothing else is stated.
-const DefaultApply = 2 * time.Second
+const DefaultApplyTime = 2 * time.Second
 
 // DefaultConfig is ConfigFor the default time.
-func DefaultConfig() Config { return ConfigFor(DefaultApply) }
+func DefaultConfig() Config { return ConfigForApplyTime(DefaultApplyTime) }
 
 // ConfigFor returns the periods where a version has to be in force everywhere within
 // a time.
-func ConfigFor(apply time.Duration) Config {
+func ConfigForApplyTime(apply time.Duration) Config {
 	return Config{
 		Pace:      apply / paceParts,
 		WatchWait: 10 * time.Second,
@@ -64,7 +64,7 @@
 	// Watch waits for changes after Action.From.
 	Watch
 	// AskPeer asks a peer for its document.
-	AskPeer
+	FetchFromPeer
 	// Adopt puts Action.Document in force, if it can be decoded.
 	Adopt
 	// Rewatch makes the watch of Action.Turn again over a new connection, if it still waits then.
@@ -132,22 +132,22 @@
 func (f *Follower) Version() protocol.Version { return f.document.Version }
 
 // StoreAnswered tells whether the store's last answer was one.
-func (f *Follower) StoreAnswered() bool { return f.answered && f.failures == 0 }
+func (f *Follower) IsStoreAvailable() bool { return f.answered && f.failures == 0 }
 
 // Start begins with a read that may lag: watches and peers bring what it lacks.
 func (f *Follower) Start() []Action { return []Action{{Kind: Read, Freshness: authority.Lagging}} }
 
 // NewEra takes that the store has come back from an older copy. A watch from a position of an
 // earlier era tells nothing more.
-func (f *Follower) NewEra(era uint64) { f.era = max(f.era, era) }
+func (f *Follower) ObserveEra(era uint64) { f.era = max(f.era, era) }
 
 // Lapsed tells whether a position is of an era that has ended: its revision may be given out again,
 // or not be known to the store.
-func (f *Follower) Lapsed(from authority.Position) bool { return from.Era < f.era }
+func (f *Follower) IsStale(from authority.Position) bool { return from.Era < f.era }
 
 // StoreRead takes the result of Read or Watch. A watch may be answered by a replica
 // that lags behind what was read before; it goes on from the latter.
-func (f *Follower) StoreRead(now time.Duration, reading authority.Reading) []Action {
+func (f *Follower) HandleStoreRead(now time.Duration, reading authority.Reading) []Action {
 	watched := f.watching
 	f.watching = false
 	switch {
@@ -156,7 +156,7 @@
 	case reading.Code != result.OK:
 		f.failures++
 		return []Action{{Kind: Read, Freshness: authority.Lagging, After: f.backoff()}}
-	case f.Lapsed(reading.At):
+	case f.IsStale(reading.At):
 		// A replica that has not come to the era yet, or a late answer.
 		f.failures++
 		return []Action{{Kind: Read, Freshness: authority.Linearizable, After: f.backoff()}}
@@ -165,13 +165,13 @@
 	f.answered = true
 	f.era = reading.At.Era
 	actions := f.offerOfStore(now, reading, SourceStore)
-	if watched && f.Lapsed(f.position) {
+	if watched && f.IsStale(f.position) {
 		// What was written in the era before the answer is not in it.
 		return append(actions, f.readAgain())
 	}
 	pause := max(0, f.watchedAt+f.config.Pace-now)
 	f.watchedAt = now + pause
-	f.position = position.Newest(f.position, reading.At)
+	f.position = position.Max(f.position, reading.At)
 	f.turn++
 	f.watching = true
 	return append(actions, Action{Kind: Watch, From: f.position, Turn: f.turn, After: pause})
@@ -179,8 +179,8 @@
 
 // StorePolled takes the result of a read that was made besides the watch: a
 // watch may be silent about a change, a linearizable read is not.
-func (f *Follower) StorePolled(now time.Duration, reading authority.Reading) []Action {
-	if reading.Code != result.OK || f.Lapsed(reading.At) {
+func (f *Follower) HandlePoll(now time.Duration, reading authority.Reading) []Action {
+	if reading.Code != result.OK || f.IsStale(reading.At) {
 		return nil
 	}
 	f.era = reading.At.Era
@@ -188,12 +188,12 @@
 }
 
 // WatchWaits tells whether the watch of a turn has not been answered yet.
-func (f *Follower) WatchWaits(turn uint64) bool { return f.watching && f.turn == turn }
+func (f *Follower) IsWatchPending(turn uint64) bool { return f.watching && f.turn == turn }
 
 // readAgain reads what was missed of a history that is gone. Where that is one of an earlier era, so
 // it is for all daemons at the same time; a reading that may lag is enough for most then.
 func (f *Follower) readAgain() Action {
-	if f.Lapsed(f.position) {
+	if f.IsStale(f.position) {
 		return Action{Kind: Read, Freshness: authority.Lagging, After: f.jitter()}
 	}
 	return Action{Kind: Read, Freshness: authority.Linearizable}
@@ -214,7 +214,7 @@
 }
 
 // Lacks tells whether a version is newer than all that were handed out.
-func (f *Follower) Lacks(version protocol.Version) bool { return version > f.Version() }
+func (f *Follower) IsNewer(version protocol.Version) bool { return version > f.Version() }
 
 // offerOfStore takes a document that the store holds. One of a version that was lost with an
 // earlier era, and written again in this one with other content, replaces what is held.
@@ -249,26 +249,26 @@
 }
 
 // PeerVersion takes a peer's word of the version that it has in force.
-func (f *Follower) PeerVersion(now time.Duration, peer protocol.NodeID, version protocol.Version) []Action {
+func (f *Follower) HandlePeerVersion(now time.Duration, peer protocol.NodeID, version protocol.Version) []Action {
 	if version <= f.Version() || f.asking[peer] {
 		return nil
 	}
 	f.asking[peer] = true
 	grace := f.config.PeerGrace
-	if !f.StoreAnswered() {
+	if !f.IsStoreAvailable() {
 		grace = 0
 	}
 	if f.adopted {
 		grace = max(grace, f.adoptedAt+f.config.Pace-now)
 	}
-	return []Action{{Kind: AskPeer, Peer: peer, Version: version, After: grace}}
+	return []Action{{Kind: FetchFromPeer, Peer: peer, Version: version, After: grace}}
 }
 
 // PeerAnswered takes a peer's document; one without a version is none.
-func (f *Follower) PeerAnswered(now time.Duration, peer protocol.NodeID, document authority.Document) []Action {
+func (f *Follower) HandlePeerDocument(now time.Duration, peer protocol.NodeID, document authority.Document) []Action {
 	delete(f.asking, peer)
 	return f.thenRewatch(f.offer(now, document, SourcePeer))
 }
 
 // backoff is the pause after the present failure.
-func (f *Follower) backoff() time.Duration { return f.config.Retry.Pause(f.failures, f.random()) }
+func (f *Follower) backoff() time.Duration { return f.config.Retry.Delay(f.failures, f.random()) }
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -34,7 +34,7 @@
 	check := is.New(t)
 	follower := newFollower()
 	check.Equal(kinds(follower.Start()), []ActionKind{Read})
-	actions := follower.StoreRead(time.Minute, reading(7, 40))
+	actions := follower.HandleStoreRead(time.Minute, reading(7, 40))
 	check.Equal(kinds(actions), []ActionKind{Adopt, Watch})
 	check.Equal(actions[0].Document.Version, protocol.Version(7))
 	check.Equal(actions[1].From, at(40))
@@ -44,8 +44,8 @@
 func TestAStormOfVersionsCostsOneWatchAPace(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(time.Minute, reading(1, 1))
-	actions := follower.StoreRead(time.Minute+10*time.Millisecond, reading(2, 2))
+	follower.HandleStoreRead(time.Minute, reading(1, 1))
+	actions := follower.HandleStoreRead(time.Minute+10*time.Millisecond, reading(2, 2))
 	check.Equal(kinds(actions), []ActionKind{Adopt, Watch})
 	check.Equal(actions[1].After, DefaultConfig().Pace-10*time.Millisecond)
 }
@@ -53,10 +53,10 @@
 func TestAForgottenHistoryIsReadAgainAtOnce(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(0, reading(5, 5))
-	actions := follower.StoreRead(0, authority.Reading{Code: result.PlatformCompacted})
+	follower.HandleStoreRead(0, reading(5, 5))
+	actions := follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted})
 	check.Equal(kinds(actions), []ActionKind{Read})
-	check.Equal(kinds(follower.StoreRead(time.Minute, reading(3, 9))), []ActionKind{Watch}) // it lags
+	check.Equal(kinds(follower.HandleStoreRead(time.Minute, reading(3, 9))), []ActionKind{Watch}) // it lags
 	check.Equal(follower.Version(), protocol.Version(5))
 }
 
@@ -64,56 +64,56 @@
 	check := is.New(t)
 	follower := New(DefaultConfig(), func() uint64 { return 1 << 40 })
 	for range 20 {
-		actions := follower.StoreRead(0, authority.Reading{Code: result.PlatformUnavailable})
+		actions := follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformUnavailable})
 		check.Equal(kinds(actions), []ActionKind{Read})
 		check.True(actions[0].After > 0)
 		check.True(actions[0].After <= DefaultConfig().Retry.Maximum+DefaultConfig().Retry.Minimum)
-		check.True(!follower.StoreAnswered())
+		check.True(!follower.IsStoreAvailable())
 	}
 }
 
 func TestAPeerWithANewerVersionIsAskedOnce(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(0, reading(5, 5))
-	check.Equal(kinds(follower.PeerVersion(0, "p", 5)), nil)
-	check.Equal(kinds(follower.PeerVersion(0, "p", 6)), []ActionKind{AskPeer})
-	check.Equal(kinds(follower.PeerVersion(0, "p", 6)), nil)
-	check.Equal(kinds(follower.PeerAnswered(0, "p", authority.Document{Version: 6})), []ActionKind{Adopt, Rewatch})
-	check.Equal(kinds(follower.PeerVersion(0, "p", 7)), []ActionKind{AskPeer})
-	check.Equal(kinds(follower.PeerAnswered(0, "p", authority.Document{})), nil)
+	follower.HandleStoreRead(0, reading(5, 5))
+	check.Equal(kinds(follower.HandlePeerVersion(0, "p", 5)), nil)
+	check.Equal(kinds(follower.HandlePeerVersion(0, "p", 6)), []ActionKind{FetchFromPeer})
+	check.Equal(kinds(follower.HandlePeerVersion(0, "p", 6)), nil)
+	check.Equal(kinds(follower.HandlePeerDocument(0, "p", authority.Document{Version: 6})), []ActionKind{Adopt, Rewatch})
+	check.Equal(kinds(follower.HandlePeerVersion(0, "p", 7)), []ActionKind{FetchFromPeer})
+	check.Equal(kinds(follower.HandlePeerDocument(0, "p", authority.Document{})), nil)
 }
 
 func TestAPollFindsWhatTheWatchWasSilentAbout(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(0, reading(5, 5))
-	check.Equal(kinds(follower.StorePolled(0, reading(5, 9))), nil)
-	check.Equal(kinds(follower.StorePolled(0, authority.Reading{Code: result.PlatformUnavailable})), nil)
-	check.Equal(kinds(follower.StorePolled(0, reading(6, 9))), []ActionKind{Adopt, Rewatch})
-	check.True(!follower.Lacks(6))
-	check.True(follower.Lacks(7))
+	follower.HandleStoreRead(0, reading(5, 5))
+	check.Equal(kinds(follower.HandlePoll(0, reading(5, 9))), nil)
+	check.Equal(kinds(follower.HandlePoll(0, authority.Reading{Code: result.PlatformUnavailable})), nil)
+	check.Equal(kinds(follower.HandlePoll(0, reading(6, 9))), []ActionKind{Adopt, Rewatch})
+	check.True(!follower.IsNewer(6))
+	check.True(follower.IsNewer(7))
 }
 
 func TestAPeerIsAskedAtOnceOnlyWhileTheStoreFails(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	check.Equal(follower.PeerVersion(0, "p", 5)[0].After, time.Duration(0)) // nothing read yet
-	follower.StoreRead(0, reading(5, 5))
-	check.Equal(follower.PeerVersion(time.Minute, "q", 6)[0].After, DefaultConfig().PeerGrace)
-	follower.StoreRead(0, authority.Reading{Code: result.PlatformUnavailable})
-	check.Equal(follower.PeerVersion(time.Minute, "r", 6)[0].After, time.Duration(0))
+	check.Equal(follower.HandlePeerVersion(0, "p", 5)[0].After, time.Duration(0)) // nothing read yet
+	follower.HandleStoreRead(0, reading(5, 5))
+	check.Equal(follower.HandlePeerVersion(time.Minute, "q", 6)[0].After, DefaultConfig().PeerGrace)
+	follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformUnavailable})
+	check.Equal(follower.HandlePeerVersion(time.Minute, "r", 6)[0].After, time.Duration(0))
 }
 
 func TestAWatchThatLagsLowersNothing(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(0, reading(7, 40))
-	actions := follower.StoreRead(time.Minute, reading(6, 35))
+	follower.HandleStoreRead(0, reading(7, 40))
+	actions := follower.HandleStoreRead(time.Minute, reading(6, 35))
 	check.Equal(kinds(actions), []ActionKind{Watch})
 	check.Equal(actions[0].From, at(40)) // and not what it has seen again
 	check.Equal(follower.Version(), protocol.Version(7))
-	check.Equal(follower.StoreRead(2*time.Minute, reading(8, 41))[1].From, at(41))
+	check.Equal(follower.HandleStoreRead(2*time.Minute, reading(8, 41))[1].From, at(41))
 }
 
 // No order of readings and peers' answers leads to a lower version.
@@ -136,11 +136,11 @@
 			version := protocol.Version(rapid.IntRange(0, 9).Draw(t, "version"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				take(follower.StoreRead(0, reading(version, 1)))
+				take(follower.HandleStoreRead(0, reading(version, 1)))
 			case 1:
-				take(follower.PeerVersion(0, "p", version))
+				take(follower.HandlePeerVersion(0, "p", version))
 			default:
-				take(follower.PeerAnswered(0, "p", authority.Document{Version: version}))
+				take(follower.HandlePeerDocument(0, "p", authority.Document{Version: version}))
 			}
 		}
 	})
@@ -149,33 +149,33 @@
 func TestAStormOfVersionsIsTakenFromPeersAtAPace(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.StoreRead(time.Minute, reading(5, 5))
+	follower.HandleStoreRead(time.Minute, reading(5, 5))
 	soon := time.Minute + 100*time.Millisecond
-	check.Equal(follower.PeerVersion(soon, "p", 6)[0].After, DefaultConfig().Pace-100*time.Millisecond)
+	check.Equal(follower.HandlePeerVersion(soon, "p", 6)[0].After, DefaultConfig().Pace-100*time.Millisecond)
 	late := time.Minute + 2*DefaultConfig().Pace
-	check.Equal(follower.PeerVersion(late, "q", 6)[0].After, DefaultConfig().PeerGrace)
+	check.Equal(follower.HandlePeerVersion(late, "q", 6)[0].After, DefaultConfig().PeerGrace)
 }
 
 func TestThePaceLeavesMostOfTheTimeToApply(t *testing.T) {
 	check := is.New(t)
 	check.Equal(DefaultConfig().Pace, 500*time.Millisecond)
-	check.Equal(ConfigFor(3*time.Second).Pace, 750*time.Millisecond)
+	check.Equal(ConfigForApplyTime(3*time.Second).Pace, 750*time.Millisecond)
 }
 
 // A watch that does not tell of what others know is made again over a new connection, once.
 func TestAWatchThatMissesAVersionIsMadeAgain(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	first := follower.StoreRead(time.Minute, reading(5, 5))[1]
-	missed := follower.StorePolled(time.Minute, reading(6, 9))[1]
+	first := follower.HandleStoreRead(time.Minute, reading(5, 5))[1]
+	missed := follower.HandlePoll(time.Minute, reading(6, 9))[1]
 	check.Equal(missed.Kind, Rewatch)
 	check.Equal(missed.Turn, first.Turn)
 	check.Equal(missed.After, DefaultConfig().Pace)
-	check.True(follower.WatchWaits(missed.Turn))
-	second := follower.StoreRead(time.Minute, reading(6, 9))[0]
-	check.True(!follower.WatchWaits(missed.Turn)) // it has been answered
-	check.True(follower.WatchWaits(second.Turn))
-	follower.StoreRead(time.Minute, authority.Reading{Code: result.PlatformUnavailable})
-	check.True(!follower.WatchWaits(second.Turn))
-	check.Equal(kinds(follower.StorePolled(time.Minute, reading(7, 12))), []ActionKind{Adopt}) // none waits
+	check.True(follower.IsWatchPending(missed.Turn))
+	second := follower.HandleStoreRead(time.Minute, reading(6, 9))[0]
+	check.True(!follower.IsWatchPending(missed.Turn)) // it has been answered
+	check.True(follower.IsWatchPending(second.Turn))
+	follower.HandleStoreRead(time.Minute, authority.Reading{Code: result.PlatformUnavailable})
+	check.True(!follower.IsWatchPending(second.Turn))
+	check.Equal(kinds(follower.HandlePoll(time.Minute, reading(7, 12))), []ActionKind{Adopt}) // none waits
 }
--- a/internal/core/hang/balance.go
+++ b/internal/core/hang/balance.go
@@ -19,7 +19,7 @@
 
 // Balance follows how many calls fewer a back end says to hold than are under way there. It
 // may be used from several goroutines, of which none waits. The zero value knows nothing.
-type Balance struct {
+type MissingCalls struct {
 	mutex sync.Mutex
 	// since is the start of the present span; least of its reports so many were missing.
 	since   time.Duration
@@ -32,7 +32,7 @@
 
 // Note takes a back end's report that it holds a number of calls, while so many were under
 // way there. One that comes while another is taken is left out: more will come.
-func (b *Balance) Note(now time.Duration, underWay, held int) {
+func (b *MissingCalls) Record(now time.Duration, underWay, held int) {
 	if !b.mutex.TryLock() {
 		return
 	}
@@ -50,7 +50,7 @@
 }
 
 // Missing is how many are missing; false means that the back end has not told lately.
-func (b *Balance) Missing(now time.Duration) (int, bool) {
+func (b *MissingCalls) Count(now time.Duration) (int, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.lastAt == 0 || now-b.lastAt > balanceAge {
@@ -60,7 +60,7 @@
 }
 
 // Reset forgets what an earlier start of the back end has told.
-func (b *Balance) Reset() {
+func (b *MissingCalls) Reset() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.reports, b.last, b.lastAt = 0, 0, 0
--- a/internal/core/hang/hang.go
+++ b/internal/core/hang/hang.go
@@ -40,7 +40,7 @@
 // Hangs tells whether the call is taken for one that is never answered. A back end that tells
 // that it holds all calls works on this one as well, however long it takes. No call is
 // ended for it: that only costs another attempt where one is allowed.
-func (e Evidence) Hangs() bool {
+func (e Evidence) IsHung() bool {
 	if e.Seen < seenNeeded || e.Overtaken < overtakenNeeded {
 		return false
 	}
--- a/internal/core/hang/hang_test.go
+++ b/internal/core/hang/hang_test.go
@@ -17,7 +17,7 @@
 }
 
 func TestACallThatTheBackEndDoesNotHoldHangs(t *testing.T) {
-	is.New(t).True(hung().Hangs())
+	is.New(t).True(hung().IsHung())
 }
 
 // A slow run that the back end says to hold is at work, whatever its age.
@@ -25,20 +25,20 @@
 	evidence := hung()
 	evidence.Missing = 0
 	evidence.Age = time.Minute
-	is.New(t).True(!evidence.Hangs())
+	is.New(t).True(!evidence.IsHung())
 }
 
 // What is missing is first put down to the call that is longest overdue.
 func TestOnlyAsManyHangAsAreMissing(t *testing.T) {
 	evidence := hung()
 	evidence.Rank = 2
-	is.New(t).True(!evidence.Hangs())
+	is.New(t).True(!evidence.IsHung())
 }
 
 func TestACallThatIsNoOlderThanOthersOfItsClassDoesNotHang(t *testing.T) {
 	evidence := hung()
 	evidence.Age = evidence.Long
-	is.New(t).True(!evidence.Hangs())
+	is.New(t).True(!evidence.IsHung())
 }
 
 func TestAgeAloneMustBeTwiceTheLongest(t *testing.T) {
@@ -46,71 +46,71 @@
 	evidence := hung()
 	evidence.Told = false
 	evidence.Age = 2 * evidence.Longest
-	check.True(!evidence.Hangs())
+	check.True(!evidence.IsHung())
 	evidence.Age = 2*evidence.Longest + 1
-	check.True(evidence.Hangs())
+	check.True(evidence.IsHung())
 }
 
 // A back end that answers nobody pauses as a whole: no call of it is told from the others.
 func TestNothingHangsWhileTheBackEndAnswersNobody(t *testing.T) {
 	evidence := hung()
 	evidence.Overtaken = overtakenNeeded - 1
-	is.New(t).True(!evidence.Hangs())
+	is.New(t).True(!evidence.IsHung())
 }
 
 func TestAClassThatIsHardlyKnownSaysNothing(t *testing.T) {
 	evidence := hung()
 	evidence.Seen = seenNeeded - 1
-	is.New(t).True(!evidence.Hangs())
+	is.New(t).True(!evidence.IsHung())
 }
 
 func TestOnlyAnswersToLaterCallsCount(t *testing.T) {
 	check := is.New(t)
-	var answers Answers
+	var answers RecentAnswers
 	for sent := range 5 {
-		answers.Note(time.Duration(sent+1) * time.Second)
+		answers.Record(time.Duration(sent+1) * time.Second)
 	}
-	check.Equal(answers.Since(2*time.Second), 3)
+	check.Equal(answers.CountSentAfter(2*time.Second), 3)
 	for range answersKept {
-		answers.Note(9 * time.Second)
+		answers.Record(9 * time.Second)
 	}
-	check.Equal(answers.Since(2*time.Second), answersKept)
+	check.Equal(answers.CountSentAfter(2*time.Second), answersKept)
 }
 
 // Calls on their way to the back end are missing in some reports and not in all.
 func TestWhatIsMissingForAMomentIsNotMissing(t *testing.T) {
 	check := is.New(t)
-	var balance Balance
-	balance.Note(0, 5, 3)
-	balance.Note(100*time.Millisecond, 5, 5)
-	balance.Note(balanceSpan, 6, 3)
-	count, told := balance.Missing(balanceSpan)
+	var balance MissingCalls
+	balance.Record(0, 5, 3)
+	balance.Record(100*time.Millisecond, 5, 5)
+	balance.Record(balanceSpan, 6, 3)
+	count, told := balance.Count(balanceSpan)
 	check.True(told)
 	check.Equal(count, 0)
 }
 
 func TestWhatStaysMissingIsCounted(t *testing.T) {
 	check := is.New(t)
-	var balance Balance
+	var balance MissingCalls
 	for at := range balanceReports {
-		balance.Note(time.Duration(at)*balanceSpan/2, 5, 3)
+		balance.Record(time.Duration(at)*balanceSpan/2, 5, 3)
 	}
-	count, told := balance.Missing(balanceSpan)
+	count, told := balance.Count(balanceSpan)
 	check.True(told)
 	check.Equal(count, 2)
 }
 
 func TestAnOldReportTellsNothing(t *testing.T) {
 	check := is.New(t)
-	var balance Balance
-	_, told := balance.Missing(0)
+	var balance MissingCalls
+	_, told := balance.Count(0)
 	check.True(!told)
 	for at := range balanceReports {
-		balance.Note(time.Duration(at)*balanceSpan/2, 5, 3)
+		balance.Record(time.Duration(at)*balanceSpan/2, 5, 3)
 	}
-	_, told = balance.Missing(balanceSpan + balanceAge + 1)
+	_, told = balance.Count(balanceSpan + balanceAge + 1)
 	check.True(!told)
 	balance.Reset()
-	_, told = balance.Missing(balanceSpan)
+	_, told = balance.Count(balanceSpan)
 	check.True(!told)
 }
--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -197,7 +197,7 @@
 }
 
 // Lacking returns the digests that the head names and contents lack.
-func Lacking(head *Head, contents Contents) []resource.Digest {
+func MissingContents(head *Head, contents Contents) []resource.Digest {
 	return lo.Filter(head.Digests(), func(digest resource.Digest, _ int) bool {
 		return contents[digest] == nil
 	})
--- a/internal/core/ledger/codec.go
+++ b/internal/core/ledger/codec.go
@@ -16,7 +16,7 @@
 	// HeadBudget is what a change may let the head grow to.
 	HeadBudget = 768 << 10
 	// MaxHead is the largest head that Decode reads.
-	MaxHead = 1 << 20
+	MaxHeadSize = 1 << 20
 )
 
 // Encode returns the canonical encoding of a head.
@@ -84,8 +84,8 @@
 // Decode reads a head. A format or field that this build does not know is
 // UnknownFormat; a head that contradicts itself is DigestMismatch.
 func Decode(data []byte) (*Head, error) {
-	if len(data) > MaxHead {
-		return nil, result.New(result.HeadTooLarge, "the head has %d bytes; at most %d are read", len(data), MaxHead)
+	if len(data) > MaxHeadSize {
+		return nil, result.New(result.HeadTooLarge, "the head has %d bytes; at most %d are read", len(data), MaxHeadSize)
 	}
 	var header struct {
 		Format int `json:"format"`
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -43,7 +43,7 @@
 		d.head.remove(key)
 		return nil
 	}
-	if taken := resource.NameTaken(d.request.File, d.claims(key)); len(taken) > 0 {
+	if taken := resource.NameConflicts(d.request.File, d.claims(key)); len(taken) > 0 {
 		return &protocol.SubmitReply{Code: result.NameTaken, Errors: taken}
 	}
 	d.head.LastRevision++
@@ -159,7 +159,7 @@
 		}
 	}
 	added, removed := d.difference(trial)
-	return resource.MissingAfter(files, added, removed)
+	return resource.MissingReferencesAfter(files, added, removed)
 }
 
 // difference returns the contents that came in and went out since before the
@@ -205,7 +205,7 @@
 // force keeps its version, for nothing changes on any proxy.
 func (d *draft) accept(key resource.FileKey) {
 	entry, _ := d.head.File(key)
-	accepted := &Accepted{
+	accepted := &AcceptedRevision{
 		Revision: entry.Held.Revision,
 		Digest:   entry.Held.Digest,
 		Version:  d.version,
--- a/internal/core/ledger/head.go
+++ b/internal/core/ledger/head.go
@@ -56,14 +56,14 @@
 // FileEntry is one file. At least one of Accepted and Held is set; both are
 // when a replacement waits while the accepted revision stays in force.
 type FileEntry struct {
-	Partner  resource.Partner `json:"partner"`
-	Name     string           `json:"name"`
-	Accepted *Accepted        `json:"accepted,omitempty"`
-	Held     *HeldRevision    `json:"held,omitempty"`
+	Partner  resource.Partner  `json:"partner"`
+	Name     string            `json:"name"`
+	Accepted *AcceptedRevision `json:"accepted,omitempty"`
+	Held     *HeldRevision     `json:"held,omitempty"`
 }
 
 // Accepted is the accepted revision of a file.
-type Accepted struct {
+type AcceptedRevision struct {
 	Revision uint64           `json:"revision"`
 	Digest   resource.Digest  `json:"digest"`
 	Version  protocol.Version `json:"version"`
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -39,7 +39,7 @@
 	partner, name, _ := strings.Cut(key, "/")
 	request := &protocol.SubmitRequest{
 		Format:    protocol.Format,
-		Operation: ledger.NewOperation(c.now, fmt.Appendf(nil, "%08d", c.made)),
+		Operation: ledger.NewOperationID(c.now, fmt.Appendf(nil, "%08d", c.made)),
 		Partner:   resource.Partner(partner),
 		Action:    action,
 		File:      name,
@@ -245,11 +245,11 @@
 	first := c.request(protocol.ActionSubmit, "a/f", service("s"))
 	is.Equal(c.send(first).Code, result.OK)
 	is.Equal(c.withdraw("a/f").Code, result.OK)
-	c.now = c.now.Add(2 * ledger.OperationAge)
-	for i := range ledger.OperationCount + 2 {
+	c.now = c.now.Add(2 * ledger.MinOperationAge)
+	for i := range ledger.MinOperationCount + 2 {
 		c.submit(fmt.Sprintf("a/f%d", i), service(fmt.Sprintf("s%d", i)))
 	}
-	is.Equal(len(c.head.Operations), ledger.OperationCount+2) // the first two were beyond both bounds
+	is.Equal(len(c.head.Operations), ledger.MinOperationCount+2) // the first two were beyond both bounds
 	c.now = start
 	is.Equal(c.send(first).Code, result.OutcomeUnknown)
 	_, found := c.head.File(resource.FileKey{Partner: "a", Name: "f"})
@@ -293,7 +293,7 @@
 		strings.Replace(string(encoded), `"term"`, `"newer":1,"term"`, 1),
 		strings.Replace(string(encoded), `"last_revision":2`, `"last_revision":1`, 1),
 		strings.Replace(string(encoded), `"version":1,"term"`, `"version":0,"term"`, 1),
-		string(encoded) + strings.Repeat(" ", ledger.MaxHead),
+		string(encoded) + strings.Repeat(" ", ledger.MaxHeadSize),
 		string(encoded) + "{}",
 	} {
 		_, err := ledger.Decode([]byte(spoiled))
--- a/internal/core/ledger/operation.go
+++ b/internal/core/ledger/operation.go
@@ -33,11 +33,11 @@
 // Limits of operation ids.
 const (
 	// OperationAge is how long an id is kept at least.
-	OperationAge = 15 * time.Minute
+	MinOperationAge = 15 * time.Minute
 	// OperationCount is how many ids are kept at least.
-	OperationCount = 64
+	MinOperationCount = 64
 	// OperationAhead is how far an id's time may be ahead of the reader's clock.
-	OperationAhead = 5 * time.Minute
+	MaxOperationSkew = 5 * time.Minute
 	// randomDigits is the least count of random digits in an id.
 	randomDigits = 16
 	// maxOperationLength bounds an id in bytes.
@@ -48,7 +48,7 @@
 
 // NewOperation returns an operation id: the time in Unix milliseconds, a dash
 // and random in hexadecimal. random must hold at least 8 random bytes.
-func NewOperation(now time.Time, random []byte) string {
+func NewOperationID(now time.Time, random []byte) string {
 	return fmt.Sprintf("%d-%s", now.UnixMilli(), hex.EncodeToString(random))
 }
 
@@ -124,7 +124,7 @@
 		reply.Errors[0].Mend = "Look at status, then use a new operation id."
 		return reply
 	}
-	if milliseconds > now.Add(OperationAhead).UnixMilli() {
+	if milliseconds > now.Add(MaxOperationSkew).UnixMilli() {
 		reply := refuse(result.OperationReused, "the operation id's time is too far ahead of the reader's clock")
 		reply.Errors[0].Mend = "Set the clock of the machine that made the id."
 		return reply
@@ -139,7 +139,7 @@
 func (h *Head) remember(operation Operation, now time.Time) {
 	h.Operations = append(h.Operations, operation)
 	dropped := 0
-	for dropped < len(h.Operations)-OperationCount && expired(h.Operations[dropped], now) {
+	for dropped < len(h.Operations)-MinOperationCount && expired(h.Operations[dropped], now) {
 		milliseconds, err := OperationTime(h.Operations[dropped].ID)
 		if err == nil {
 			h.OperationFloor = max(h.OperationFloor, milliseconds)
@@ -152,7 +152,7 @@
 // expired reports whether an operation is beyond the age. One from the future
 // was stamped by a clock that has jumped; it must not stop all dropping.
 func expired(operation Operation, now time.Time) bool {
-	oldest := now.Add(-OperationAge).UnixMilli()
-	newest := now.Add(OperationAhead).UnixMilli()
+	oldest := now.Add(-MinOperationAge).UnixMilli()
+	newest := now.Add(MaxOperationSkew).UnixMilli()
 	return operation.At < oldest || operation.At > newest
 }
--- a/internal/core/ledger/property_test.go
+++ b/internal/core/ledger/property_test.go
@@ -78,7 +78,7 @@
 			accepted = append(accepted, c.contents[entry.Accepted.Digest])
 		}
 	}
-	if missing := resource.Missing(accepted); len(missing) > 0 {
+	if missing := resource.MissingReferences(accepted); len(missing) > 0 {
 		t.Fatalf("accepted files lack %v", missing)
 	}
 	catalogue := ledger.Catalogue(c.head, c.contents)
@@ -90,7 +90,7 @@
 			checkHeld(t, c, entry, accepted)
 		}
 	}
-	if len(c.contents) != len(c.head.Digests()) || len(ledger.Lacking(c.head, c.contents)) > 0 {
+	if len(c.contents) != len(c.head.Digests()) || len(ledger.MissingContents(c.head, c.contents)) > 0 {
 		t.Fatalf("contents do not fit the head")
 	}
 	decoded, err := ledger.Decode(ledger.Encode(c.head))
@@ -109,7 +109,7 @@
 			trial = append(trial, other)
 		}
 	}
-	if len(resource.Missing(trial)) == 0 {
+	if len(resource.MissingReferences(trial)) == 0 {
 		t.Fatalf("%s is held but lacks nothing", entry.Key())
 	}
 	if len(entry.Held.WaitsFor) == 0 {
--- a/internal/core/ledger/year_test.go
+++ b/internal/core/ledger/year_test.go
@@ -99,7 +99,7 @@
 	if _, err := ledger.Decode(encoded); err != nil {
 		y.t.Fatalf("%v", err)
 	}
-	if len(ledger.Lacking(y.head, y.contents)) > 0 || len(y.contents) > 2*yearServices {
+	if len(ledger.MissingContents(y.head, y.contents)) > 0 || len(y.contents) > 2*yearServices {
 		y.t.Fatalf("%d contents for %d files", len(y.contents), len(y.head.Files))
 	}
 }
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -34,7 +34,7 @@
 	}
 	roster := membership.NewRoster()
 	for _, step := range steps {
-		is.Equal(roster.Merge(0, step.member, membership.Above), step.taken)
+		is.Equal(roster.Merge(0, step.member, membership.SourceOutside), step.taken)
 	}
 	held, found := roster.Get("a")
 	is.True(found)
@@ -49,30 +49,30 @@
 	cursor := membership.Cursor(0)
 	for i := range 5000 {
 		id := fmt.Sprint(i * 7919 % 23)
-		source.Merge(0, record(id, 1, uint64(i), protocol.MemberAlive), membership.Below)
+		source.Merge(0, record(id, 1, uint64(i), protocol.MemberAlive), membership.SourceSubtree)
 		if i%13 != 0 {
 			continue
 		}
 		for _, member := range source.Since(cursor) {
-			follower.Merge(0, member, membership.Above)
+			follower.Merge(0, member, membership.SourceOutside)
 		}
 		cursor = source.Cursor()
 		is.Equal(follower.All(), source.All())
 	}
 	is.Equal(len(source.Since(cursor+100)), 23) // a cursor never given out asks for all
-	is.Equal(len(follower.SinceBelow(0)), 0)    // all heard from above
-	follower.ReportAgain("3")
-	is.Equal(len(follower.SinceBelow(0)), 1)
+	is.Equal(len(follower.SubtreeSince(0)), 0)  // all heard from above
+	follower.MarkUnreported("3")
+	is.Equal(len(follower.SubtreeSince(0)), 1)
 }
 
 func TestForgetKeepsTheDeadForAWhile(t *testing.T) {
 	is := is.New(t)
 	roster := membership.NewRoster()
-	roster.Merge(0, record("a", 1, 1, protocol.MemberDead), membership.Below)
-	roster.Merge(0, record("b", 1, 1, protocol.MemberAlive), membership.Below)
-	roster.Forget(membership.ForgetAfter)
+	roster.Merge(0, record("a", 1, 1, protocol.MemberDead), membership.SourceSubtree)
+	roster.Merge(0, record("b", 1, 1, protocol.MemberAlive), membership.SourceSubtree)
+	roster.RemoveExpired(membership.TombstoneRetention)
 	is.Equal(len(roster.All()), 2)
-	roster.Forget(membership.ForgetAfter + time.Second)
+	roster.RemoveExpired(membership.TombstoneRetention + time.Second)
 	is.Equal(len(roster.All()), 1)
 }
 
--- a/internal/core/membership/rank.go
+++ b/internal/core/membership/rank.go
@@ -15,7 +15,7 @@
 
 // Hash returns the hash that identifies one life of a daemon in the sums of
 // protocol.Acknowledgement.
-func Hash(id protocol.NodeID, incarnation protocol.Incarnation) uint64 {
+func IncarnationHash(id protocol.NodeID, incarnation protocol.Incarnation) uint64 {
 	text := binary.BigEndian.AppendUint64([]byte(id), uint64(incarnation))
 	return xxhash.Sum64(text)
 }
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -14,7 +14,7 @@
 
 // ForgetAfter is how long the record of a dead or left member is kept, so that
 // a late record of it is not taken for a new member.
-const ForgetAfter = time.Hour
+const TombstoneRetention = time.Hour
 
 // Source says from where a record was heard.
 type Source int
@@ -23,9 +23,9 @@
 const (
 	// Below is this daemon itself or a child, so that the parent may not know
 	// the record yet.
-	Below Source = iota + 1
+	SourceSubtree Source = iota + 1
 	// Above is the parent, or another region.
-	Above
+	SourceOutside
 )
 
 // Cursor is a position in a roster's change log. 0 is before everything.
@@ -44,17 +44,17 @@
 	// structure counts the changes that Structure speaks of.
 	structure uint64
 	// sums hold, by bucket of ids, the sum of the hashes of all records.
-	sums Sums
+	sums BucketSums
 }
 
 // Buckets is into how many parts the records are divided for Sums.
-const Buckets = 64
+const BucketCount = 64
 
 // Sums tell two rosters apart, bucket by bucket, without sending records.
-type Sums [Buckets]uint64
+type BucketSums [BucketCount]uint64
 
 // Total sums all buckets up: equal rosters have equal totals.
-func (s Sums) Total() uint64 {
+func (s BucketSums) Total() uint64 {
 	total := uint64(0)
 	for _, sum := range s {
 		total += sum
@@ -128,16 +128,16 @@
 	return xxhash.Sum64(text)
 }
 
-func bucketOf(id protocol.NodeID) int { return int(xxhash.Sum64String(string(id)) % Buckets) }
+func bucketOf(id protocol.NodeID) int { return int(xxhash.Sum64String(string(id)) % BucketCount) }
 
 // Structure grows with each change of who counts and who may be whose parent.
-func (r *Roster) Structure() uint64 { return r.structure }
+func (r *Roster) StructureRevision() uint64 { return r.structure }
 
 // Sums returns the sums of all records.
-func (r *Roster) Sums() Sums { return r.sums }
+func (r *Roster) Sums() BucketSums { return r.sums }
 
 // Differing returns the records in buckets whose sums differ from the given.
-func (r *Roster) Differing(sums Sums) []protocol.Member {
+func (r *Roster) InDifferingBuckets(sums BucketSums) []protocol.Member {
 	var members []protocol.Member
 	for _, known := range r.order {
 		bucket := bucketOf(known.member.ID)
@@ -150,7 +150,7 @@
 
 // MergeQuietly is Merge for a judgement that is not news from the member, such
 // as suspicion: ChangedAt stays what it was.
-func (r *Roster) MergeQuietly(now time.Duration, member protocol.Member, source Source) bool {
+func (r *Roster) MergeKeepingChangedAt(now time.Duration, member protocol.Member, source Source) bool {
 	heard := r.ChangedAt(member.ID)
 	if !r.Merge(now, member, source) {
 		return false
@@ -161,12 +161,12 @@
 
 // ReportAgain makes a record count as changed below, so that a new parent
 // hears it.
-func (r *Roster) ReportAgain(id protocol.NodeID) {
+func (r *Roster) MarkUnreported(id protocol.NodeID) {
 	known, found := r.entries[id]
 	if !found {
 		return
 	}
-	known.source = Below
+	known.source = SourceSubtree
 	r.logChange(known)
 }
 
@@ -248,8 +248,8 @@
 }
 
 // SinceBelow is Since for records heard from below only.
-func (r *Roster) SinceBelow(cursor Cursor) []protocol.Member {
-	return r.since(cursor, func(known *entry) bool { return known.source == Below })
+func (r *Roster) SubtreeSince(cursor Cursor) []protocol.Member {
+	return r.since(cursor, func(known *entry) bool { return known.source == SourceSubtree })
 }
 
 func (r *Roster) since(cursor Cursor, fits func(*entry) bool) []protocol.Member {
@@ -269,9 +269,9 @@
 }
 
 // Forget drops members that have been dead or left for ForgetAfter.
-func (r *Roster) Forget(now time.Duration) {
+func (r *Roster) RemoveExpired(now time.Duration) {
 	r.order = slices.DeleteFunc(r.order, func(known *entry) bool {
-		forgotten := !Live(known.member) && now-known.at > ForgetAfter
+		forgotten := !Live(known.member) && now-known.at > TombstoneRetention
 		if forgotten {
 			delete(r.entries, known.member.ID)
 			r.sums[bucketOf(known.member.ID)] -= recordHash(known.member)
--- a/internal/core/node/cluster_test.go
+++ b/internal/core/node/cluster_test.go
@@ -185,7 +185,7 @@
 				c.confirm(d)
 			}
 		})
-	case node.ExtendServing:
+	case node.ExtendServingLease:
 		d.servingUntil = one.Until
 	case node.PublishMembers:
 		d.members = one.Members
--- a/internal/core/node/downstream.go
+++ b/internal/core/node/downstream.go
@@ -20,7 +20,7 @@
 	order []protocol.NodeID
 	// acksChanged is set when the fold may have changed.
 	acksChanged bool
-	admission   *distribution.Admission
+	admission   *distribution.SendLimiter
 }
 
 // child is one daemon that fetches from this one.
@@ -69,7 +69,7 @@
 func newDownstream() downstream {
 	return downstream{
 		children:  map[protocol.NodeID]*child{},
-		admission: distribution.NewAdmission(distribution.DefaultBytesPerSecond, distribution.DefaultBurstBytes),
+		admission: distribution.NewSendLimiter(distribution.DefaultBytesPerSecond, distribution.DefaultBurstBytes),
 	}
 }
 
@@ -133,7 +133,7 @@
 	switch {
 	case request.Self.Reader || below > 1:
 		return rootPlacesSubtree * fanOut
-	case request.Scope.Relay && n.tree().WouldRelay(request.Self):
+	case request.Scope.Relay && n.tree().WouldBeRelay(request.Self):
 		return rootPlacesRelay * fanOut
 	default:
 		return rootPlacesAny * fanOut
@@ -161,7 +161,7 @@
 	}
 	added := &child{id: request.From, incarnation: request.Incarnation}
 	n.downstream.children[request.From] = added
-	n.heardMember(request.Self, membership.Below)
+	n.heardMember(request.Self, membership.SourceSubtree)
 	added.joinedAt = n.roster.Cursor()
 	return added
 }
@@ -190,15 +190,15 @@
 	if request.ParentIncarnation == n.self.Incarnation {
 		known.cursor = request.MemberCursor
 	}
-	if !distribution.Equal(known.acks, request.Acknowledgements) {
+	if !distribution.EqualAcknowledgements(known.acks, request.Acknowledgements) {
 		known.acks = request.Acknowledgements
 		n.downstream.acksChanged = true
 	}
 	if request.Self.ID == request.From {
-		n.heardMember(request.Self, membership.Below)
+		n.heardMember(request.Self, membership.SourceSubtree)
 	}
 	for _, member := range request.Members {
-		n.heardMember(member, membership.Below)
+		n.heardMember(member, membership.SourceSubtree)
 	}
 }
 
@@ -221,9 +221,9 @@
 // be counted elsewhere, so that no version is called in force while it may
 // serve an older one.
 func (n *Node) acknowledgements() []protocol.Acknowledgement {
-	fold := distribution.NewFold()
+	fold := distribution.NewAcknowledgementAggregator()
 	if membership.Live(n.self) {
-		fold.Add(distribution.Single(n.self, n.held()))
+		fold.Add(distribution.MemberAcknowledgement(n.self, n.held()))
 	}
 	for _, id := range n.downstream.order {
 		known := n.downstream.children[id]
@@ -323,8 +323,8 @@
 // membersFor returns the records that a child lacks: those that changed since
 // its cursor, or, without one, those in which its roster differs.
 func (n *Node) membersFor(known *child) []protocol.Member {
-	if known.cursor == 0 && len(known.sums) == membership.Buckets {
-		return n.roster.Differing(membership.Sums(known.sums))
+	if known.cursor == 0 && len(known.sums) == membership.BucketCount {
+		return n.roster.InDifferingBuckets(membership.BucketSums(known.sums))
 	}
 	return n.roster.Since(known.cursor)
 }
--- a/internal/core/node/greeting.go
+++ b/internal/core/node/greeting.go
@@ -11,7 +11,7 @@
 // is not counted: it serves nothing yet, and it may never join.
 func (n *Node) heardPeer(peer protocol.Member) {
 	if peer.Parent != "" || peer.Root || !membership.Live(peer) {
-		n.heardMember(peer, membership.Above)
+		n.heardMember(peer, membership.SourceOutside)
 	}
 }
 
@@ -73,7 +73,7 @@
 		}
 		return
 	}
-	n.heardMember(peer, membership.Below)
+	n.heardMember(peer, membership.SourceSubtree)
 	if n.isBetterRoot(peer) {
 		n.stepDown(peer)
 	}
@@ -83,14 +83,14 @@
 // daemon's tree leads to it.
 func (n *Node) heardRoot(member protocol.Member) {
 	if member.Root && member.ID != n.self.ID && member.Region == n.config.Region {
-		n.heardMember(member, membership.Below)
+		n.heardMember(member, membership.SourceSubtree)
 	}
 }
 
 // isBetterRoot reports whether a root comes before this daemon in the order of
 // candidates.
 func (n *Node) isBetterRoot(other protocol.Member) bool {
-	for _, candidate := range n.tree().Roots() {
+	for _, candidate := range n.tree().RootCandidates() {
 		switch candidate.ID {
 		case n.self.ID:
 			return false
--- a/internal/core/node/holding.go
+++ b/internal/core/node/holding.go
@@ -91,7 +91,7 @@
 	selected := n.holding.store.Select(n.config.Scope)
 	current := n.holding.current
 	if current != nil && current.Digest == snapshot.DigestOf(selected) {
-		n.stage(current.AtVersion(newest.Version))
+		n.stage(current.WithVersion(newest.Version))
 		return
 	}
 	built, err := snapshot.Rebuild(newest, newest.Version, selected)
@@ -119,7 +119,7 @@
 		return
 	}
 	n.holding.servingUntil = granted.until
-	n.emit(ExtendServing{Until: granted.until})
+	n.emit(ExtendServingLease{Until: granted.until})
 }
 
 // relaying reports whether this daemon holds everything, to be a parent: it is
--- a/internal/core/node/members.go
+++ b/internal/core/node/members.go
@@ -13,7 +13,7 @@
 func (n *Node) changeSelf(change func(self *protocol.Member)) {
 	change(&n.self)
 	n.self.Sequence++
-	n.roster.Merge(n.now, n.self, membership.Below)
+	n.roster.Merge(n.now, n.self, membership.SourceSubtree)
 }
 
 // heardMember merges a record heard from elsewhere.
@@ -128,12 +128,12 @@
 	switch {
 	case silent > n.config.Timing.DeadAfter:
 		member.State = protocol.MemberDead
-		n.roster.Merge(n.now, member, membership.Below)
+		n.roster.Merge(n.now, member, membership.SourceSubtree)
 		n.childMoved(member)
 		n.log("member_dead", LogField{Key: "member", Value: string(member.ID)})
 	case silent > n.suspectAfter() && member.State == protocol.MemberAlive && member.Parent == n.self.ID:
 		member.State = protocol.MemberSuspect
-		n.roster.MergeQuietly(n.now, member, membership.Below)
+		n.roster.MergeKeepingChangedAt(n.now, member, membership.SourceSubtree)
 		n.log("member_suspect", LogField{Key: "member", Value: string(member.ID)})
 	}
 }
@@ -210,4 +210,4 @@
 }
 
 // marginOf returns a time with the margin for clocks of different rates.
-func marginOf(lease time.Duration) time.Duration { return distribution.Margin(lease) }
+func marginOf(lease time.Duration) time.Duration { return distribution.LeaseWithMargin(lease) }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -144,7 +144,7 @@
 	n.sweepMembers()
 	n.sweepRegions()
 	n.visitors.expire(n.now)
-	n.roster.Forget(n.now)
+	n.roster.RemoveExpired(n.now)
 }
 
 // settle does what follows from any message: children that wait may have an
@@ -183,7 +183,7 @@
 	tree          *distribution.Tree
 	treeAt        time.Duration
 	treeStructure uint64
-	expected      distribution.Expected
+	expected      distribution.ExpectedMembers
 	// structure is that of expected; 0 before the first.
 	structure uint64
 }
@@ -194,21 +194,21 @@
 
 // tree returns this daemon's view of its region's tree.
 func (n *Node) tree() *distribution.Tree {
-	stale := n.view.treeStructure != n.roster.Structure() && n.now-n.view.treeAt >= treeInterval
+	stale := n.view.treeStructure != n.roster.StructureRevision() && n.now-n.view.treeAt >= treeInterval
 	if n.view.tree == nil || stale || n.now == n.startedAt {
 		n.view.tree = distribution.NewTree(n.self, n.roster.All(), n.config.Timing.FanOut)
 		n.view.treeAt = n.now
-		n.view.treeStructure = n.roster.Structure()
+		n.view.treeStructure = n.roster.StructureRevision()
 	}
 	return n.view.tree
 }
 
 // expected returns who must hold a version before it is in force; it is never
 // older than the roster.
-func (n *Node) expected() distribution.Expected {
-	if n.view.structure != n.roster.Structure() {
-		n.view.expected = distribution.Expect(n.config.Region, n.roster.All())
-		n.view.structure = n.roster.Structure()
+func (n *Node) expected() distribution.ExpectedMembers {
+	if n.view.structure != n.roster.StructureRevision() {
+		n.view.expected = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
+		n.view.structure = n.roster.StructureRevision()
 	}
 	return n.view.expected
 }
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -16,9 +16,9 @@
 // relay, leaf; it finds itself in the list where it would be root.
 func (n *Node) candidates() []protocol.Member {
 	if n.relaying() {
-		return n.tree().Roots()
+		return n.tree().RootCandidates()
 	}
-	parents := append(n.tree().Parents(), n.upstream.hinted...)
+	parents := append(n.tree().ParentCandidates(), n.upstream.hinted...)
 	return lo.UniqBy(parents, func(member protocol.Member) protocol.NodeID { return member.ID })
 }
 
@@ -170,7 +170,7 @@
 	n.planPreferred()
 	n.self.Sequence++
 	for _, id := range n.downstream.order {
-		n.roster.ReportAgain(id)
+		n.roster.MarkUnreported(id)
 	}
 }
 
--- a/internal/core/node/readerside.go
+++ b/internal/core/node/readerside.go
@@ -20,7 +20,7 @@
 	watches map[Token]reader.Token
 	// nextTicket and the maps below pair questions with their answers.
 	nextTicket reader.Ticket
-	heads      map[reader.Ticket]func(reader.HeadRead)
+	heads      map[reader.Ticket]func(reader.FreshHeadResult)
 	submits    map[reader.Ticket]func(*protocol.SubmitReply)
 	// catalogue is the newest; nil before the first.
 	catalogue *reader.CatalogueReady
@@ -53,7 +53,7 @@
 		}),
 		calls:   map[Token]reader.Token{},
 		watches: map[Token]reader.Token{},
-		heads:   map[reader.Ticket]func(reader.HeadRead){},
+		heads:   map[reader.Ticket]func(reader.FreshHeadResult){},
 		submits: map[reader.Ticket]func(*protocol.SubmitReply){},
 	}
 }
@@ -128,20 +128,20 @@
 		n.emit(StartWatch{Token: token, Prefix: one.Prefix, From: one.From})
 	case reader.StopWatch:
 		n.stopWatch(one.Token)
-	case reader.SubmitDone:
+	case reader.SubmitResult:
 		n.submitDone(one)
-	case reader.HeadRead:
+	case reader.FreshHeadResult:
 		n.headRead(one)
 	case reader.CatalogueReady:
 		n.catalogueReady(one)
-	case reader.Gained:
+	case reader.LeaseGained:
 		n.changeSelf(func(self *protocol.Member) { self.Reader = true })
 		n.log("reader_gained")
-	case reader.Lost:
+	case reader.LeaseLost:
 		n.changeSelf(func(self *protocol.Member) { self.Reader = false })
 		n.log("reader_lost")
-	case reader.Event:
-		fields := lo.Map(one.Fields, func(field reader.EventField, _ int) LogField {
+	case reader.LogEvent:
+		fields := lo.Map(one.Fields, func(field reader.LogField, _ int) LogField {
 			return LogField{Key: field.Key, Value: field.Value}
 		})
 		n.log(one.Name, fields...)
@@ -202,13 +202,13 @@
 }
 
 // freshHead reads the platform's head through the own reader.
-func (n *Node) freshHead(done func(reader.HeadRead)) {
+func (n *Node) freshHead(done func(reader.FreshHeadResult)) {
 	ticket := n.newTicket()
 	n.readerSide.heads[ticket] = done
-	n.applyReader(n.readerSide.reader.FreshHead(n.now, ticket))
+	n.applyReader(n.readerSide.reader.RequestFreshHead(n.now, ticket))
 }
 
-func (n *Node) headRead(head reader.HeadRead) {
+func (n *Node) headRead(head reader.FreshHeadResult) {
 	done, found := n.readerSide.heads[head.Ticket]
 	if !found {
 		return
@@ -224,7 +224,7 @@
 	n.applyReader(n.readerSide.reader.Submit(n.now, wallClock, ticket, request))
 }
 
-func (n *Node) submitDone(answer reader.SubmitDone) {
+func (n *Node) submitDone(answer reader.SubmitResult) {
 	done, found := n.readerSide.submits[answer.Ticket]
 	if !found {
 		return
--- a/internal/core/node/refusal.go
+++ b/internal/core/node/refusal.go
@@ -28,7 +28,7 @@
 			list = append(list, parent)
 		}
 	}
-	roots := n.tree().Roots()
+	roots := n.tree().RootCandidates()
 	list = append(list, roots[:min(len(roots), 2)]...)
 	list = append(list, n.shuffled(n.tree().Relays(zone), maxHints/2)...)
 	list = append(list, n.shuffled(n.tree().AllRelays(), maxHints)...)
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -161,7 +161,7 @@
 	}
 	for _, member := range reply.Members {
 		if member.Region != n.config.Region {
-			n.heardMember(member, membership.Above)
+			n.heardMember(member, membership.SourceOutside)
 		}
 	}
 	if reply.Code != result.OK {
@@ -198,7 +198,7 @@
 // region and with the records of its members that changed.
 func (n *Node) answerRegion(token Token, request *protocol.StatusRequest) {
 	if request.Self.Region != n.config.Region {
-		n.heardMember(request.Self, membership.Above)
+		n.heardMember(request.Self, membership.SourceOutside)
 	}
 	reply := &protocol.StatusReply{Code: result.AskAnother, Incarnation: n.self.Incarnation}
 	if !n.root.active {
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -15,7 +15,7 @@
 	active bool
 	since  time.Duration
 	lease  *distribution.RootLease
-	claims *distribution.Claims
+	claims *distribution.ReleaseTracker
 	// releaser stores versions at the keepers.
 	releaser *floor.Releaser
 	// target is the catalogue being stored; nil when there is none.
@@ -55,7 +55,7 @@
 		releaser: floor.NewReleaser(config.ID, config.Region),
 		told:     map[protocol.NodeID]toldSet{},
 		lease:    distribution.NewRootLease(config.Timing.ServingLease),
-		claims:   distribution.NewClaims(config.Timing.ServingLease),
+		claims:   distribution.NewReleaseTracker(config.Timing.ServingLease),
 	}
 }
 
@@ -77,13 +77,13 @@
 	n.root.active = true
 	n.root.since = n.now
 	n.root.lease = distribution.NewRootLease(n.config.Timing.ServingLease)
-	n.root.claims = distribution.NewClaims(n.config.Timing.ServingLease)
+	n.root.claims = distribution.NewReleaseTracker(n.config.Timing.ServingLease)
 	n.root.releaser = floor.NewReleaser(n.config.ID, n.config.Region)
 	n.root.told = map[protocol.NodeID]toldSet{}
 	n.root.target = nil
 	n.root.batch = nil
 	n.root.roundAt = n.now
-	n.root.claims.Released(n.now, n.holding.store.Version(), false)
+	n.root.claims.RecordRelease(n.now, n.holding.store.Version(), false)
 	n.upstream.joined = false
 	n.upstream.token = 0
 	n.upstream.target = protocol.Member{}
@@ -184,8 +184,8 @@
 		n.log("catalogue_refused", versionField("version", target.Version), LogField{Key: "error", Value: err.Error()})
 		return
 	}
-	alone := n.root.lease.Alone(n.root.targetAt, n.keeperSets()...)
-	n.root.claims.Released(n.now, target.Version, alone)
+	alone := n.root.lease.IsOnlyRoot(n.root.targetAt, n.keeperSets()...)
+	n.root.claims.RecordRelease(n.now, target.Version, alone)
 	n.renewRootLease()
 	n.log("version_released", versionField("version", target.Version))
 	n.adoptFromStore()
@@ -196,10 +196,10 @@
 // the fence has put beyond doubt for the others. Status still names those.
 func (n *Node) decideInForce() {
 	folded := n.acknowledgements()
-	holding := n.expected().Holding(folded)
-	claimed := min(holding, n.root.claims.Highest(n.now))
-	if heard, any := distribution.Minimum(folded); any {
-		claimed = max(claimed, min(heard, n.root.claims.Fenced(n.now)))
+	holding := n.expected().ConfirmedVersion(folded)
+	claimed := min(holding, n.root.claims.DeclarableVersion(n.now))
+	if heard, any := distribution.MinimumVersion(folded); any {
+		claimed = max(claimed, min(heard, n.root.claims.FencedVersion(n.now)))
 	}
 	if claimed > n.root.regional {
 		n.root.regional = claimed
@@ -224,7 +224,7 @@
 		return
 	}
 	n.root.greetAt = n.now + rootPreferInterval/2 + distribution.Jitter(n.random, rootPreferInterval)
-	for _, candidate := range n.tree().Roots() {
+	for _, candidate := range n.tree().RootCandidates() {
 		if candidate.ID == n.self.ID {
 			break
 		}
--- a/internal/core/node/rootkeepers.go
+++ b/internal/core/node/rootkeepers.go
@@ -22,7 +22,7 @@
 	if len(n.holding.keepers.Members) == 0 {
 		return nil
 	}
-	return floor.Sets(n.holding.keepers)
+	return floor.ActiveSets(n.holding.keepers)
 }
 
 // keeperRound asks the keepers whether anything newer was stored.
@@ -88,7 +88,7 @@
 	sentAt := n.now
 	finish := func(reply *protocol.StoreReply) {
 		if reply != nil {
-			n.root.lease.Answer(reply.From, sentAt, reply)
+			n.root.lease.RecordReply(reply.From, sentAt, reply)
 		}
 		done(reply)
 	}
@@ -108,7 +108,7 @@
 	if version == 0 {
 		return
 	}
-	until := n.root.lease.Until(version, n.keeperSets()...)
+	until := n.root.lease.GrantUntil(version, n.keeperSets()...)
 	if until <= n.holding.grantUntil {
 		return
 	}
