--- a/internal/core/node/start.go
+++ b/internal/core/node/start.go
@@ -67,7 +67,7 @@
 func (n *Node) begin() {
 	n.started = true
 	n.startedAt = n.now
-	n.roster.Merge(n.now, n.self, membership.Below)
+	n.roster.Merge(n.now, n.self, membership.SourceSubtree)
 	n.start.aloneAt = n.now
 	if len(n.config.Seeds) > 0 {
 		n.start.aloneAt += aloneBase + distribution.Jitter(n.random, aloneJitter)
@@ -120,17 +120,17 @@
 func (n *Node) carryOutFloor(outputs []floor.Output) {
 	for _, output := range outputs {
 		switch one := output.(type) {
-		case floor.AskFloor:
+		case floor.SendFloorRequest:
 			n.askFloor(one)
 		case floor.ReadHead:
 			n.readOwnHead()
-		case floor.StoreVersion:
+		case floor.SendStoreRequest:
 			n.storeVersion(one)
 		}
 	}
 }
 
-func (n *Node) askFloor(ask floor.AskFloor) {
+func (n *Node) askFloor(ask floor.SendFloorRequest) {
 	ask.Request.Self = n.self
 	n.call(ask.Address, ask.Request, ask.Timeout, func(body any) {
 		reply, _ := body.(*protocol.FloorReply)
@@ -156,7 +156,7 @@
 		return
 	}
 	n.start.headWanted = true
-	n.freshHead(func(head reader.HeadRead) {
+	n.freshHead(func(head reader.FreshHeadResult) {
 		n.start.headWanted = false
 		if !head.OK {
 			return
@@ -166,7 +166,7 @@
 	})
 }
 
-func (n *Node) storeVersion(store floor.StoreVersion) {
+func (n *Node) storeVersion(store floor.SendStoreRequest) {
 	store.Request.Incarnation = n.self.Incarnation
 	releaser := n.root.releaser
 	n.store(store.Address, store.Request, store.Timeout, func(reply *protocol.StoreReply) {
@@ -187,7 +187,7 @@
 	if !knownFormat(request.Format) {
 		return &protocol.StoreReply{Code: result.UnknownFormat, From: n.self.ID, Incarnation: n.self.Incarnation}
 	}
-	reply := n.start.keeper.Store(request)
+	reply := n.start.keeper.HandleStoreRequest(request)
 	reply.From = n.self.ID
 	reply.Incarnation = n.self.Incarnation
 	window := marginOf(n.config.Timing.ServingLease)
@@ -216,14 +216,14 @@
 		n.heardOfSelf(request.Known)
 	}
 	if !request.FreshHead || request.Region != n.config.Region && !n.readerSide.reader.IsReader() {
-		n.answerFloor(token, request, n.start.keeper.Answer(request))
+		n.answerFloor(token, request, n.start.keeper.HandleFloorRequest(request))
 		return
 	}
 	if !n.readerSide.reader.IsReader() {
-		n.answerFloor(token, request, n.start.keeper.Answer(request))
+		n.answerFloor(token, request, n.start.keeper.HandleFloorRequest(request))
 		return
 	}
-	n.freshHead(func(head reader.HeadRead) {
+	n.freshHead(func(head reader.FreshHeadResult) {
 		reply := &protocol.FloorReply{Code: result.NoReader}
 		if head.OK {
 			set, _ := keeperSetOf(head.Keepers, request.Region)
--- a/internal/core/node/status.go
+++ b/internal/core/node/status.go
@@ -22,7 +22,7 @@
 			zones[member.Zone] = one
 		}
 		one.Members++
-		if member.State == protocol.MemberSuspect && len(one.Silent) < protocol.MaxNamed {
+		if member.State == protocol.MemberSuspect && len(one.Silent) < protocol.MaxListedNodes {
 			one.Silent = append(one.Silent, member.ID)
 		}
 	}
@@ -189,7 +189,7 @@
 	if n.upstream.joined && n.upstream.target.Root {
 		targets = append(targets, n.upstream.target)
 	}
-	targets = append(targets, n.tree().Roots()...)
+	targets = append(targets, n.tree().RootCandidates()...)
 	targets = lo.UniqBy(targets, func(member protocol.Member) protocol.NodeID { return member.ID })
 	targets = lo.Reject(targets, func(member protocol.Member, _ int) bool { return member.ID == n.self.ID })
 	slices.SortStableFunc(targets, func(a, b protocol.Member) int { return lo.Ternary(a.Root == b.Root, 0, lo.Ternary(a.Root, -1, 1)) })
--- a/internal/core/node/step.go
+++ b/internal/core/node/step.go
@@ -152,7 +152,7 @@
 // ExtendServing lets the shell's data path serve until Until on the node's
 // clock. The path compares it with the clock on each call, so that a daemon
 // that was paused does not serve when it wakes.
-type ExtendServing struct{ Until time.Duration }
+type ExtendServingLease struct{ Until time.Duration }
 
 // PublishMembers gives the data path the newest member records, whole.
 type PublishMembers struct {
@@ -178,16 +178,16 @@
 	Value string
 }
 
-func (CallPeer) effect()       {}
-func (PeerAnswer) effect()     {}
-func (CallPlatform) effect()   {}
-func (StartWatch) effect()     {}
-func (StopWatch) effect()      {}
-func (SwapSnapshot) effect()   {}
-func (ExtendServing) effect()  {}
-func (PublishMembers) effect() {}
-func (OperatorAnswer) effect() {}
-func (LogEvent) effect()       {}
+func (CallPeer) effect()           {}
+func (PeerAnswer) effect()         {}
+func (CallPlatform) effect()       {}
+func (StartWatch) effect()         {}
+func (StopWatch) effect()          {}
+func (SwapSnapshot) effect()       {}
+func (ExtendServingLease) effect() {}
+func (PublishMembers) effect()     {}
+func (OperatorAnswer) effect()     {}
+func (LogEvent) effect()           {}
 
 // Config is what a node is told at its start.
 type Config struct {
--- a/internal/core/node/take.go
+++ b/internal/core/node/take.go
@@ -24,7 +24,7 @@
 	up.memberCursor = reply.MemberCursor
 	up.incarnation = reply.Incarnation
 	for _, member := range reply.Members {
-		n.heardMember(member, membership.Above)
+		n.heardMember(member, membership.SourceOutside)
 	}
 	if reply.Keepers.Revision > n.holding.keepers.Revision {
 		n.adoptKeepers(reply.Keepers)
@@ -81,7 +81,7 @@
 func (n *Node) nextSnapshot(reply *protocol.FetchReply) (*snapshot.Snapshot, error) {
 	current := n.holding.current
 	if reply.Delta == nil && current != nil {
-		return current.AtVersion(reply.Released), nil
+		return current.WithVersion(reply.Released), nil
 	}
 	if reply.Delta == nil {
 		return nil, result.New(result.DigestMismatch, "no delta although nothing is held")
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -184,7 +184,7 @@
 // that accepts the fetch merges it.
 func (n *Node) addRecords(request *protocol.FetchRequest) {
 	up := &n.upstream
-	for _, member := range n.roster.SinceBelow(up.reported) {
+	for _, member := range n.roster.SubtreeSince(up.reported) {
 		if member.ID == n.self.ID {
 			request.Self = member
 			continue
@@ -245,11 +245,11 @@
 		return false
 	}
 	acks := n.acknowledgements()
-	if distribution.Equal(acks, n.upstream.sentAcks) {
+	if distribution.EqualAcknowledgements(acks, n.upstream.sentAcks) {
 		n.downstream.acksChanged = false
 		return false
 	}
-	lowest, _ := distribution.Minimum(acks)
+	lowest, _ := distribution.MinimumVersion(acks)
 	return lowest >= n.holding.store.Version() || n.now-n.upstream.urgentAt >= ackGather
 }
 
@@ -258,7 +258,7 @@
 	if n.roster.Cursor() == up.sentCursor || n.now-up.urgentAt < memberGather {
 		return false
 	}
-	if len(n.roster.SinceBelow(up.sentCursor)) > 0 {
+	if len(n.roster.SubtreeSince(up.sentCursor)) > 0 {
 		return true
 	}
 	up.sentCursor = n.roster.Cursor()
--- a/internal/core/position/position.go
+++ b/internal/core/position/position.go
@@ -29,7 +29,7 @@
 func (p Position) IsStart() bool { return p.Revision == 0 }
 
 // Newest is the later of two positions.
-func Newest(a, b Position) Position {
+func Max(a, b Position) Position {
 	if a.Before(b) {
 		return b
 	}
--- a/internal/core/position/position_test.go
+++ b/internal/core/position/position_test.go
@@ -11,8 +11,8 @@
 	before, restored := Position{Era: 1, Revision: 900}, Position{Era: 2, Revision: 880}
 	check.True(before.Before(restored))
 	check.True(!restored.Before(before))
-	check.Equal(Newest(restored, before), restored)
-	check.Equal(Newest(before, restored), restored)
+	check.Equal(Max(restored, before), restored)
+	check.Equal(Max(before, restored), restored)
 	check.True(Position{Era: 2, Revision: 7}.Before(restored))
 	check.True(!restored.Before(restored))
 	check.True(Position{Era: 3}.IsStart())
--- a/internal/core/protocol/exchange.go
+++ b/internal/core/protocol/exchange.go
@@ -40,7 +40,7 @@
 	// Rollouts are the newest orders that the sender knows, one a service.
 	Rollouts []rollout.Record
 	// Evacuations are the zones to be empty as the sender knows them.
-	Evacuations evacuation.Word
+	Evacuations evacuation.SharedOrders
 	// Harmful are records of requests that may end the back ends that run them, as far as
 	// they are news, HarmfulSum the sum of all that the sender knows.
 	Harmful    []quarantine.Record
@@ -70,7 +70,7 @@
 	// Rollouts are the newest orders that the receiver knows, one a service.
 	Rollouts []rollout.Record
 	// Evacuations are the zones to be empty as the receiver knows them.
-	Evacuations evacuation.Word
+	Evacuations evacuation.SharedOrders
 	// Harmful are all records of harmful requests that the receiver knows, when their sum
 	// is another one than the sender's.
 	Harmful []quarantine.Record
--- a/internal/core/protocol/protocol.go
+++ b/internal/core/protocol/protocol.go
@@ -80,7 +80,7 @@
 }
 
 // TakesWork tells whether a back end in the state may get new calls.
-func (s EndpointState) TakesWork() bool {
+func (s EndpointState) AcceptsCalls() bool {
 	return s == EndpointReady || s == EndpointWarming || s == EndpointDegraded
 }
 
@@ -169,7 +169,7 @@
 }
 
 // MaxNamed bounds the lists of names in acknowledgements and status.
-const MaxNamed = 8
+const MaxListedNodes = 8
 
 // FetchRequest is the one long-poll call of distribution, from a daemon to
 // its parent. It is a heartbeat, an acknowledgement and a question at once.
--- a/internal/core/quarantine/company_test.go
+++ b/internal/core/quarantine/company_test.go
@@ -11,7 +11,7 @@
 // endOf has an instance end under some requests at once.
 func endOf(table *Table, instance string, requests ...Signature) {
 	for _, request := range requests {
-		table.Ended(0, request, instance, false)
+		table.RecordEnd(0, request, instance, false)
 	}
 }
 
@@ -79,7 +79,7 @@
 	}
 	endOf(table, "d", harmful)
 	check.Equal(beliefIn(table, 0, harmful), Held)
-	check.True(table.Cleared(0, harmful))
+	check.True(table.Clear(0, harmful))
 	check.Equal(beliefIn(table, 0, harmful), Trusted)
 	check.Equal(beliefIn(table, 0, harmless), Trusted)
 	told := NewTable(DefaultRules()) // a daemon that hears of both only now
@@ -130,7 +130,7 @@
 	table := NewTable(DefaultRules())
 	request := signatureOf("/request")
 	for _, instance := range []string{"a", "b", "c"} {
-		table.EndedUnknown(instance)
+		table.RecordUnidentified(instance)
 		endOf(table, instance, request)
 	}
 	check.Equal(beliefIn(table, 0, request), Suspected)
@@ -144,17 +144,17 @@
 	table := NewTable(DefaultRules())
 	request := signatureOf("/request")
 	isolation := func() Isolation { return table.View(0).Isolation(0, request) }
-	check.Equal(isolation(), Beside)
-	for end, expected := range []Isolation{Beside, AloneIfPossible, AloneOnly} {
+	check.Equal(isolation(), AlongsideTrusted)
+	for end, expected := range []Isolation{AlongsideTrusted, AlonePreferred, AloneRequired} {
 		endOf(table, fmt.Sprint(end), request, signatureOf(fmt.Sprint("/other ", end)))
 		check.Equal(isolation(), expected)
 		check.Equal(beliefIn(table, 0, request), Suspected)
 	}
 	endOf(table, "alone", request)
 	check.Equal(beliefIn(table, 0, request), Held)
-	check.Equal(table.View(firstHold).Isolation(firstHold, request), AloneOnly) // it may have to be held longer
-	table.Cleared(0, request)
-	check.Equal(isolation(), Beside)
+	check.Equal(table.View(firstHold).Isolation(firstHold, request), AloneRequired) // it may have to be held longer
+	table.Clear(0, request)
+	check.Equal(isolation(), AlongsideTrusted)
 }
 
 // What was at work at an end beside others is bounded, and one that was past the bound is not
@@ -167,7 +167,7 @@
 		endOf(table, "a", signatureOf(fmt.Sprint(number)))
 	}
 	endOf(table, "a", request)
-	record, found := table.Of(0, request)
+	record, found := table.Lookup(0, request)
 	check.True(found)
 	check.True(len(record.detail("a").Beside) <= companionLimit)
 	check.Equal(record.detail("a").Beside[0], Companion{})
@@ -180,14 +180,14 @@
 	table := NewTable(DefaultRules())
 	request := signatureOf("/request")
 	for _, instance := range []string{"a", "b", "c", "d"} {
-		table.EndedInTrial(0, request, instance, false, 1)
+		table.RecordEndInTrial(0, request, instance, false, 1)
 	}
 	check.Equal(table.View(0).LastTrial(request), uint32(1))
 	check.Equal(beliefIn(table, 0, request), Suspected)
-	check.Equal(table.View(0).Isolation(0, request), AloneOnly)
-	table.EndedInTrial(0, request, "e", false, 2) // alone, after the others
+	check.Equal(table.View(0).Isolation(0, request), AloneRequired)
+	table.RecordEndInTrial(0, request, "e", false, 2) // alone, after the others
 	check.Equal(beliefIn(table, 0, request), Held)
-	_, left := table.View(0).Belief(0, request)
+	_, left := table.View(0).State(0, request)
 	check.Equal(left, firstHold) // four ends of one moment hold it no longer
 }
 
@@ -197,12 +197,12 @@
 	table := NewTable(DefaultRules())
 	request, other := signatureOf("/request"), signatureOf("/other")
 	for _, instance := range []string{"a", "b"} {
-		table.EndedInTrial(0, request, instance, false, 1)
+		table.RecordEndInTrial(0, request, instance, false, 1)
 	}
-	table.EndedInTrial(0, request, "c", false, 2)
-	table.EndedInTrial(0, other, "c", false, 1)
+	table.RecordEndInTrial(0, request, "c", false, 2)
+	table.RecordEndInTrial(0, other, "c", false, 1)
 	check.Equal(beliefIn(table, 0, request), Suspected)
-	table.EndedInTrial(0, request, "d", false, 3)
+	table.RecordEndInTrial(0, request, "d", false, 3)
 	check.Equal(beliefIn(table, 0, request), Held)
 }
 
@@ -214,8 +214,8 @@
 	_, valid := table.Merge(0, Record{Signature: request, Ends: []string{"a", "b"}, Details: []EndDetail{{Instance: "a", Trial: 3}}})
 	check.True(valid)
 	check.Equal(table.View(0).LastTrial(request), uint32(4))
-	check.True(table.Ended(0, request, "c", false))
-	record, _ := table.Of(0, request)
+	check.True(table.RecordEnd(0, request, "c", false))
+	record, _ := table.Lookup(0, request)
 	check.Equal(record.trials(record.Ends), 3)
 	absurd := Record{Signature: request, Ends: []string{"a"}, Details: []EndDetail{{Instance: "a", Trial: trialLimit + 1}}}
 	_, valid = table.Merge(0, absurd)
--- a/internal/core/quarantine/explain.go
+++ b/internal/core/quarantine/explain.go
@@ -20,7 +20,7 @@
 }
 
 // belief is what follows at a time.
-func (j judgement) belief(now time.Duration) Belief {
+func (j judgement) belief(now time.Duration) State {
 	switch {
 	case now < j.heldUntil:
 		return Held
@@ -34,11 +34,11 @@
 func (j judgement) isolation() Isolation {
 	switch {
 	case j.needed == 0 || j.unexplained < j.needed-1:
-		return Beside
+		return AlongsideTrusted
 	case j.unexplained < j.needed:
-		return AloneIfPossible
+		return AlonePreferred
 	}
-	return AloneOnly
+	return AloneRequired
 }
 
 // candidate is a request that may have ended back ends, while ends are being explained.
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -6,12 +6,12 @@
 )
 
 // Belief is what a daemon believes of a request.
-type Belief int
+type State int
 
 // The beliefs.
 const (
 	// Trusted requests are sent like any other.
-	Trusted Belief = iota
+	Trusted State = iota
 	// Suspected ones run apart from each other.
 	Suspected
 	// Held ones are refused.
@@ -19,10 +19,10 @@
 )
 
 // beliefNames are the names of the beliefs in logs.
-var beliefNames = map[Belief]string{Trusted: "trusted", Suspected: "suspected", Held: "held"}
+var beliefNames = map[State]string{Trusted: "trusted", Suspected: "suspected", Held: "held"}
 
 // String names the belief.
-func (b Belief) String() string { return beliefNames[b] }
+func (b State) String() string { return beliefNames[b] }
 
 // Rules say how many ends in a row hold a request. All daemons of a mesh need the same.
 type Rules struct {
@@ -76,7 +76,7 @@
 )
 
 // LongestMemory is the age at which a record counts no more, whatever it says.
-const LongestMemory = holdLimit + holdMemory
+const MaxRecordAge = holdLimit + holdMemory
 
 // Isolation is how a request that may run is kept apart at its gate.
 type Isolation int
@@ -84,16 +84,16 @@
 // The isolations.
 const (
 	// Beside lets it run while others do that are not suspected.
-	Beside Isolation = iota
+	AlongsideTrusted Isolation = iota
 	// AloneIfPossible has it run alone, so that the next end is of it and no other, unless
 	// others keep the back end busy for too long.
-	AloneIfPossible
+	AlonePreferred
 	// AloneOnly has it run alone or not at all: it has been at enough ends to be held.
-	AloneOnly
+	AloneRequired
 )
 
 // isolationNames are the names of the isolations in logs.
-var isolationNames = map[Isolation]string{Beside: "none", AloneIfPossible: "if_possible", AloneOnly: "always"}
+var isolationNames = map[Isolation]string{AlongsideTrusted: "none", AlonePreferred: "if_possible", AloneRequired: "always"}
 
 // String names the isolation.
 func (i Isolation) String() string { return isolationNames[i] }
@@ -142,7 +142,7 @@
 
 // valid tells whether a record of a peer can be true.
 func (r Record) valid() bool {
-	if r.Signature.Head == (Hash{}) || r.Age < 0 || r.Age > LongestMemory {
+	if r.Signature.Head == (Hash{}) || r.Age < 0 || r.Age > MaxRecordAge {
 		return false
 	}
 	if len(r.Ends) == 0 || len(r.Ends) > endLimit {
@@ -193,7 +193,7 @@
 }
 
 // Beside counts the ends at which other requests were at work too.
-func (r Record) Beside() int {
+func (r Record) CountSharedEnds() int {
 	count := 0
 	for _, one := range r.Details {
 		if len(one.Beside) > 0 {
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -33,8 +33,8 @@
 // Ended notes that an instance has ended under a request, in a trial of its own; familiar says
 // that its back end had answered the request well before. It tells whether that is news. All
 // that were at work at an end are noted before any of it is told to others.
-func (t *Table) Ended(now time.Duration, signature Signature, instance string, familiar bool) bool {
-	return t.EndedInTrial(now, signature, instance, familiar, t.lastTrial(now, signature)+1)
+func (t *Table) RecordEnd(now time.Duration, signature Signature, instance string, familiar bool) bool {
+	return t.RecordEndInTrial(now, signature, instance, familiar, t.lastTrial(now, signature)+1)
 }
 
 // lastTrial is the newest trial of a request that met an end; 0 for one that is cleared.
@@ -48,7 +48,7 @@
 
 // EndedInTrial is Ended for a run that began when the trials before it were known
 // (View.LastTrial).
-func (t *Table) EndedInTrial(now time.Duration, signature Signature, instance string, familiar bool, trial uint32) bool {
+func (t *Table) RecordEndInTrial(now time.Duration, signature Signature, instance string, familiar bool, trial uint32) bool {
 	known := t.live(now, signature)
 	switch {
 	case known == nil:
@@ -69,7 +69,7 @@
 
 // EndedUnknown notes that requests that are not known were at work as an instance ended. It
 // is called before Ended for that instance.
-func (t *Table) EndedUnknown(instance string) { t.witnessed.add(instance, Companion{}) }
+func (t *Table) RecordUnidentified(instance string) { t.witnessed.add(instance, Companion{}) }
 
 // noteCompany notes which requests were at work at an end together.
 func (t *Table) noteCompany(with *entry, instance string) {
@@ -89,7 +89,7 @@
 // Cleared notes that a back end has answered a request well, or that an operator releases
 // it. It tells whether that is news. What was found harmful until then still explains its ends:
 // they are of no request that was at work beside it.
-func (t *Table) Cleared(now time.Duration, signature Signature) bool {
+func (t *Table) Clear(now time.Duration, signature Signature) bool {
 	known := t.live(now, signature)
 	if known == nil || known.record.Cleared {
 		return false
@@ -103,7 +103,7 @@
 
 // Familiar notes that a request was answered well before the first end under it. It tells
 // whether that is news.
-func (t *Table) Familiar(now time.Duration, signature Signature) bool {
+func (t *Table) MarkFamiliar(now time.Duration, signature Signature) bool {
 	known := t.live(now, signature)
 	if known == nil || known.record.Familiar {
 		return false
@@ -178,7 +178,7 @@
 		return
 	}
 	judged := t.judge(now)
-	worth := func(one *entry) Belief { return judged[one.record.Signature].belief(now) }
+	worth := func(one *entry) State { return judged[one.record.Signature].belief(now) }
 	var least *entry
 	for _, one := range t.entries {
 		if least == nil || cmp.Or(cmp.Compare(worth(one), worth(least)), cmp.Compare(one.endedAt, least.endedAt),
@@ -208,7 +208,7 @@
 func (t *Table) Records(now time.Duration) []Record {
 	var records []Record
 	for signature := range t.entries {
-		if record, found := t.Of(now, signature); found {
+		if record, found := t.Lookup(now, signature); found {
 			records = append(records, record)
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // Of is the record of a request, as it is sent now.
-func (t *Table) Of(now time.Duration, signature Signature) (Record, bool) {
+func (t *Table) Lookup(now time.Duration, signature Signature) (Record, bool) {
 	known := t.live(now, signature)
 	if known == nil {
 		return Record{}, false
@@ -303,8 +303,8 @@
 }
 
 // Count is how many requests are suspected and held now.
-func (v *View) Count(now time.Duration) map[Belief]int {
-	counts := map[Belief]int{Suspected: 0, Held: 0}
+func (v *View) Count(now time.Duration) map[State]int {
+	counts := map[State]int{Suspected: 0, Held: 0}
 	if v.Empty() {
 		return counts
 	}
@@ -317,7 +317,7 @@
 }
 
 // Belief is what to believe of a request, and for how long it is held.
-func (v *View) Belief(now time.Duration, signature Signature) (Belief, time.Duration) {
+func (v *View) State(now time.Duration, signature Signature) (State, time.Duration) {
 	if v.Empty() {
 		return Trusted, 0
 	}
@@ -337,11 +337,11 @@
 // Isolation is how a request is kept apart if it may run.
 func (v *View) Isolation(now time.Duration, signature Signature) Isolation {
 	if v.Empty() {
-		return Beside
+		return AlongsideTrusted
 	}
 	found := v.known[signature]
 	if found.belief(now) == Trusted {
-		return Beside
+		return AlongsideTrusted
 	}
 	return found.isolation()
 }
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -19,12 +19,12 @@
 // endUnder has instances end under a request.
 func endUnder(table *Table, request Signature, instances ...string) {
 	for _, instance := range instances {
-		table.Ended(0, request, instance, false)
+		table.RecordEnd(0, request, instance, false)
 	}
 }
 
-func beliefIn(table *Table, now time.Duration, signature Signature) Belief {
-	belief, _ := table.View(now).Belief(now, signature)
+func beliefIn(table *Table, now time.Duration, signature Signature) State {
+	belief, _ := table.View(now).State(now, signature)
 	return belief
 }
 
@@ -53,13 +53,13 @@
 	table := NewTable(DefaultRules())
 	harmful := signatureOf("/harmful")
 	check.Equal(beliefIn(table, 0, harmful), Trusted)
-	check.True(table.Ended(0, harmful, "a", false))
+	check.True(table.RecordEnd(0, harmful, "a", false))
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
-	check.True(!table.Ended(0, harmful, "a", false)) // the same end, told again
+	check.True(!table.RecordEnd(0, harmful, "a", false)) // the same end, told again
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
-	check.True(table.Ended(0, harmful, "b", false))
+	check.True(table.RecordEnd(0, harmful, "b", false))
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
-	check.True(table.Ended(0, harmful, "c", false))
+	check.True(table.RecordEnd(0, harmful, "c", false))
 	check.Equal(beliefIn(table, 0, harmful), Held)
 	check.Equal(beliefIn(table, 0, signatureOf("/other")), Trusted)
 }
@@ -69,10 +69,10 @@
 	table := NewTable(DefaultRules())
 	request := signatureOf("/often")
 	for end := range DefaultRules().EndsFamiliar - 1 {
-		table.Ended(0, request, fmt.Sprint(end), true)
+		table.RecordEnd(0, request, fmt.Sprint(end), true)
 		check.Equal(beliefIn(table, 0, request), Suspected)
 	}
-	table.Ended(0, request, "last", true)
+	table.RecordEnd(0, request, "last", true)
 	check.Equal(beliefIn(table, 0, request), Held)
 }
 
@@ -80,16 +80,16 @@
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request := signatureOf("/harmless")
-	check.True(!table.Cleared(0, request)) // nobody suspects it
-	table.Ended(0, request, "a", false)
-	check.True(table.Cleared(0, request))
+	check.True(!table.Clear(0, request)) // nobody suspects it
+	table.RecordEnd(0, request, "a", false)
+	check.True(table.Clear(0, request))
 	check.Equal(beliefIn(table, 0, request), Trusted)
-	table.Ended(0, request, "b", false) // a new round: it counts as answered before
-	table.Ended(0, request, "c", false)
+	table.RecordEnd(0, request, "b", false) // a new round: it counts as answered before
+	table.RecordEnd(0, request, "c", false)
 	check.Equal(beliefIn(table, 0, request), Suspected)
-	check.Equal(table.View(0).Count(0), map[Belief]int{Suspected: 1, Held: 0})
-	check.True(table.Cleared(0, request))
-	check.Equal(table.View(0).Count(0), map[Belief]int{Suspected: 0, Held: 0})
+	check.Equal(table.View(0).Count(0), map[State]int{Suspected: 1, Held: 0})
+	check.True(table.Clear(0, request))
+	check.Equal(table.View(0).Count(0), map[State]int{Suspected: 0, Held: 0})
 }
 
 func TestAHoldLapsesAndTheNextEndRenewsItForLonger(t *testing.T) {
@@ -97,13 +97,13 @@
 	table := NewTable(DefaultRules())
 	request := signatureOf("/harmful")
 	endUnder(table, request, "a", "b", "c")
-	_, left := table.View(time.Second).Belief(time.Second, request)
+	_, left := table.View(time.Second).State(time.Second, request)
 	check.Equal(left, firstHold-time.Second)
 	check.Equal(beliefIn(table, firstHold-1, request), Held)
 	now := firstHold
 	for _, held := range []time.Duration{holdTime, 2 * holdTime, 4 * holdTime} {
 		check.Equal(beliefIn(table, now, request), Suspected) // its next try runs apart
-		table.Ended(now, request, fmt.Sprint(held), false)
+		table.RecordEnd(now, request, fmt.Sprint(held), false)
 		check.Equal(beliefIn(table, now+held-1, request), Held)
 		now += held
 	}
@@ -115,7 +115,7 @@
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request := signatureOf("/harmless")
-	table.Ended(0, request, "a", false)
+	table.RecordEnd(0, request, "a", false)
 	check.Equal(beliefIn(table, suspicionTime-1, request), Suspected)
 	check.Equal(beliefIn(table, suspicionTime, request), Trusted)
 	check.True(table.Sum(0) != 0)
@@ -162,7 +162,7 @@
 	held := signatureOf("/held")
 	endUnder(table, held, "a", "b", "d")
 	for index := range 4 * tableLimit {
-		table.Ended(time.Duration(index+1), signatureOf(fmt.Sprint(index)), "e", false)
+		table.RecordEnd(time.Duration(index+1), signatureOf(fmt.Sprint(index)), "e", false)
 	}
 	check.Equal(len(table.entries), tableLimit)
 	check.Equal(beliefIn(table, 4*tableLimit, held), Held)
@@ -175,17 +175,17 @@
 	table := NewTable(DefaultRules())
 	harmful, beside, later := signatureOf("/harmful"), signatureOf("/beside"), signatureOf("/later")
 	for _, request := range []Signature{harmful, beside} {
-		table.Ended(0, request, "a", false)
+		table.RecordEnd(0, request, "a", false)
 	}
 	check.Equal(beliefIn(table, 0, beside), Suspected)
 	for _, request := range []Signature{harmful, later} {
-		table.Ended(0, request, "b", false)
+		table.RecordEnd(0, request, "b", false)
 	}
 	endUnder(table, harmful, "d")
 	check.Equal(beliefIn(table, 0, harmful), Held)
 	check.Equal(beliefIn(table, 0, beside), Trusted)
 	check.Equal(beliefIn(table, 0, later), Trusted)
-	table.Ended(0, beside, "c", false) // one end that the harmful one was not at
+	table.RecordEnd(0, beside, "c", false) // one end that the harmful one was not at
 	check.Equal(beliefIn(table, 0, beside), Suspected)
 }
 
@@ -195,8 +195,8 @@
 	check := is.New(t)
 	settle := map[string]func(*Table, Signature, Signature){
 		"an end":         func(table *Table, harmful, _ Signature) { endUnder(table, harmful, "d") },
-		"a good answer":  func(table *Table, _, harmless Signature) { table.Cleared(0, harmless) },
-		"it is familiar": func(table *Table, _, harmless Signature) { table.Familiar(0, harmless) },
+		"a good answer":  func(table *Table, _, harmless Signature) { table.Clear(0, harmless) },
+		"it is familiar": func(table *Table, _, harmless Signature) { table.MarkFamiliar(0, harmless) },
 	}
 	for name, settles := range settle {
 		table := NewTable(DefaultRules())
@@ -222,7 +222,7 @@
 		"a": {one, between}, "b": {one}, "c": {other, between}, "d": {other}, "e": {one, between}, "f": {other},
 	} {
 		for _, request := range at {
-			table.Ended(0, request, instance, false)
+			table.RecordEnd(0, request, instance, false)
 		}
 	}
 	check.Equal(beliefIn(table, 0, one), Held)
@@ -249,11 +249,11 @@
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				at.Cleared(now, request)
+				at.Clear(now, request)
 			case 1:
-				at.Familiar(now, request)
+				at.MarkFamiliar(now, request)
 			default:
-				at.Ended(now, request, instance, rapid.Bool().Draw(t, "familiar"))
+				at.RecordEnd(now, request, instance, rapid.Bool().Draw(t, "familiar"))
 			}
 			told = append(told, at.Records(now)...)
 		}
@@ -281,7 +281,7 @@
 	check := is.New(t)
 	one, other := NewTable(DefaultRules()), NewTable(DefaultRules())
 	request := signatureOf("/harmful")
-	one.Ended(0, request, "a", false)
+	one.RecordEnd(0, request, "a", false)
 	for now := time.Duration(0); now < suspicionTime-time.Second; now += time.Second {
 		for _, record := range one.Records(now) {
 			other.Merge(now+time.Second/2, record)
@@ -298,7 +298,7 @@
 	table := NewTable(DefaultRules())
 	for index := range tableLimit {
 		request := signatureOf(fmt.Sprint(index))
-		table.Ended(0, request, fmt.Sprint(index/4), false)
+		table.RecordEnd(0, request, fmt.Sprint(index/4), false)
 		if index%2 == 0 {
 			endUnder(table, request, fmt.Sprint("again ", index), fmt.Sprint("once more ", index))
 		}
--- a/internal/core/reader/attempt.go
+++ b/internal/core/reader/attempt.go
@@ -86,7 +86,7 @@
 // with all its contents is at hand.
 func (r *Reader) startAttempt() bool {
 	idle := len(r.changes.queue) == 0 && len(r.changes.keepers) == 0
-	if idle || !r.headUsable() || len(ledger.Lacking(r.head.head, r.contents.files)) > 0 {
+	if idle || !r.headUsable() || len(ledger.MissingContents(r.head.head, r.contents.files)) > 0 {
 		return false
 	}
 	r.changes.attempts++
@@ -223,9 +223,9 @@
 	}
 	r.answerAll(item, reply)
 	r.event("change_settled",
-		EventField{"operation", item.request.Operation},
-		EventField{"code", reply.Code.Name()},
-		EventField{"version", fmt.Sprint(reply.Version)})
+		LogField{"operation", item.request.Operation},
+		LogField{"code", reply.Code.Name()},
+		LogField{"version", fmt.Sprint(reply.Version)})
 }
 
 // readSent notes that a read of the head leaves now.
--- a/internal/core/reader/changes.go
+++ b/internal/core/reader/changes.go
@@ -103,7 +103,7 @@
 }
 
 func (r *Reader) answer(ticket Ticket, reply *protocol.SubmitReply) {
-	r.emit(SubmitDone{Ticket: ticket, Reply: reply})
+	r.emit(SubmitResult{Ticket: ticket, Reply: reply})
 }
 
 func (r *Reader) answerAll(item *submission, reply *protocol.SubmitReply) {
--- a/internal/core/reader/contents.go
+++ b/internal/core/reader/contents.go
@@ -41,7 +41,7 @@
 	if !r.headUsable() || announced {
 		return
 	}
-	lacking := ledger.Lacking(r.head.head, r.contents.files)
+	lacking := ledger.MissingContents(r.head.head, r.contents.files)
 	if len(lacking) == 0 {
 		r.announce()
 		return
@@ -71,7 +71,7 @@
 	file, err := decodeContent(call.digest, reply.Object.Data)
 	if err != nil {
 		r.contents.attempt.fail(r.now, r.random)
-		r.event("content_unreadable", EventField{"digest", string(call.digest)}, EventField{"error", err.Error()})
+		r.event("content_unreadable", LogField{"digest", string(call.digest)}, LogField{"error", err.Error()})
 		return
 	}
 	r.contents.attempt.succeed()
@@ -118,7 +118,7 @@
 		BatchWindow: batchWindow(previous, head, r.contents.files),
 		AcceptedAt:  head.AcceptedAt,
 	})
-	r.event("catalogue_ready", EventField{"version", fmt.Sprint(head.Version)})
+	r.event("catalogue_ready", LogField{"version", fmt.Sprint(head.Version)})
 }
 
 // batchWindow returns how long the step from one head to the next may wait for
--- a/internal/core/reader/head.go
+++ b/internal/core/reader/head.go
@@ -52,7 +52,7 @@
 // sent share it.
 func (r *Reader) awaitHead(ticket Ticket) {
 	if !r.lease.held {
-		r.emit(HeadRead{Ticket: ticket})
+		r.emit(FreshHeadResult{Ticket: ticket})
 		return
 	}
 	waiter := headWaiter{ticket: ticket, deadline: r.now + r.config.CallTimeout}
@@ -80,7 +80,7 @@
 			left = append(left, waiter)
 			continue
 		}
-		r.emit(HeadRead{Ticket: waiter.ticket})
+		r.emit(FreshHeadResult{Ticket: waiter.ticket})
 	}
 	return left
 }
@@ -152,12 +152,12 @@
 	if gone {
 		name = "head_deleted"
 	}
-	r.event(name, EventField{"object_version", fmt.Sprint(reply.Object.Version)}, EventField{"known", fmt.Sprint(max(r.floor, r.head.head.Version))})
+	r.event(name, LogField{"object_version", fmt.Sprint(reply.Object.Version)}, LogField{"known", fmt.Sprint(max(r.floor, r.head.head.Version))})
 }
 
 func (r *Reader) answerAsked() {
 	for _, waiter := range r.head.asked {
-		r.emit(HeadRead{
+		r.emit(FreshHeadResult{
 			Ticket:  waiter.ticket,
 			OK:      r.headUsable(),
 			Version: r.head.head.Version,
@@ -175,11 +175,11 @@
 	}
 	head, err := ledger.Decode(found.Data)
 	if err != nil {
-		r.event("head_unreadable", EventField{"object_version", fmt.Sprint(found.Version)}, EventField{"error", err.Error()})
+		r.event("head_unreadable", LogField{"object_version", fmt.Sprint(found.Version)}, LogField{"error", err.Error()})
 		return false
 	}
 	if head.Version < r.head.head.Version {
-		r.event("head_moved_back", EventField{"object_version", fmt.Sprint(found.Version)}, EventField{"version", fmt.Sprint(head.Version)})
+		r.event("head_moved_back", LogField{"object_version", fmt.Sprint(found.Version)}, LogField{"version", fmt.Sprint(head.Version)})
 		return false
 	}
 	r.head.known = true
@@ -204,7 +204,7 @@
 	}
 	r.head.watchAttempt.succeed()
 	if event.Kind == object.EventDelete {
-		r.event("head_deleted", EventField{"object_version", fmt.Sprint(event.Object.Version)})
+		r.event("head_deleted", LogField{"object_version", fmt.Sprint(event.Object.Version)})
 		return
 	}
 	r.adopt(event.Object)
@@ -219,7 +219,7 @@
 	r.head.watch = 0
 	r.head.wanted = true
 	r.head.watchAttempt.fail(r.now, r.random)
-	r.event("watch_ended", EventField{"code", code.Name()})
+	r.event("watch_ended", LogField{"code", code.Name()})
 }
 
 // abandonHead forgets the head with the lease. Object versions grow for ever,
@@ -229,7 +229,7 @@
 		r.emit(StopWatch{Token: r.head.watch})
 	}
 	for _, waiter := range append(r.head.asked, r.head.waiting...) {
-		r.emit(HeadRead{Ticket: waiter.ticket})
+		r.emit(FreshHeadResult{Ticket: waiter.ticket})
 	}
 	r.head = headState{version: r.head.version, head: r.head.head, missing: r.head.missing}
 }
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -226,8 +226,8 @@
 	r.lease.mustRead = false
 	r.lease.sent = nil
 	r.lease.renewAt = call.sent + r.config.LeaseDuration/renewalsPerLease
-	r.emit(Gained{Term: call.record.Term})
-	r.event("reader_lease_gained", EventField{"slot", call.slot}, EventField{"term", fmt.Sprint(call.record.Term)})
+	r.emit(LeaseGained{Term: call.record.Term})
+	r.event("reader_lease_gained", LogField{"slot", call.slot}, LogField{"term", fmt.Sprint(call.record.Term)})
 }
 
 // resign gives the lease back.
@@ -252,8 +252,8 @@
 	r.abandonHead()
 	r.contents.reset()
 	r.abandonChanges()
-	r.emit(Lost{})
-	r.event("reader_lease_lost", EventField{"slot", r.lease.slot}, EventField{"reason", reason})
+	r.emit(LeaseLost{})
+	r.event("reader_lease_lost", LogField{"slot", r.lease.slot}, LogField{"reason", reason})
 }
 
 func (l leaseRecord) encode() []byte {
--- a/internal/core/reader/model_test.go
+++ b/internal/core/reader/model_test.go
@@ -189,7 +189,7 @@
 		o.tickets++
 		o.questions = append(o.questions, question{client: c, life: c.reader, ticket: o.tickets, atLeast: w.head().Version})
 		ticket := o.tickets
-		c.input(func(now time.Duration) []Output { return c.reader.FreshHead(now, ticket) })
+		c.input(func(now time.Duration) []Output { return c.reader.RequestFreshHead(now, ticket) })
 	case action < 64:
 		o.setKeepers(c)
 	case action < 68:
--- a/internal/core/reader/output.go
+++ b/internal/core/reader/output.go
@@ -38,14 +38,14 @@
 type StopWatch struct{ Token Token }
 
 // SubmitDone answers Submit.
-type SubmitDone struct {
+type SubmitResult struct {
 	Ticket Ticket
 	Reply  *protocol.SubmitReply
 }
 
 // HeadRead answers FreshHead. With OK unset the head could not be read and
 // Version means nothing.
-type HeadRead struct {
+type FreshHeadResult struct {
 	Ticket Ticket
 	OK     bool
 	// Version is the configuration version of a head read from the platform
@@ -67,29 +67,29 @@
 }
 
 // Gained reports that the reader lease is held, with its fencing term.
-type Gained struct{ Term uint64 }
+type LeaseGained struct{ Term uint64 }
 
 // Lost reports that the reader lease is no longer held.
-type Lost struct{}
+type LeaseLost struct{}
 
 // Event asks for one log line; Name is a stable event name.
-type Event struct {
+type LogEvent struct {
 	Name   string
-	Fields []EventField
+	Fields []LogField
 }
 
 // EventField is one key and value of a log line.
-type EventField struct {
+type LogField struct {
 	Key   string
 	Value string
 }
 
-func (PlatformCall) output()   {}
-func (StartWatch) output()     {}
-func (StopWatch) output()      {}
-func (SubmitDone) output()     {}
-func (HeadRead) output()       {}
-func (CatalogueReady) output() {}
-func (Gained) output()         {}
-func (Lost) output()           {}
-func (Event) output()          {}
+func (PlatformCall) output()    {}
+func (StartWatch) output()      {}
+func (StopWatch) output()       {}
+func (SubmitResult) output()    {}
+func (FreshHeadResult) output() {}
+func (CatalogueReady) output()  {}
+func (LeaseGained) output()     {}
+func (LeaseLost) output()       {}
+func (LogEvent) output()        {}
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -191,7 +191,7 @@
 
 // FreshHead asks for the version of a head that is read after this call;
 // HeadRead with the ticket answers it.
-func (r *Reader) FreshHead(now time.Duration, ticket Ticket) []Output {
+func (r *Reader) RequestFreshHead(now time.Duration, ticket Ticket) []Output {
 	return r.step(now, func() { r.awaitHead(ticket) })
 }
 
@@ -255,8 +255,8 @@
 
 func (r *Reader) emit(output Output) { r.outputs = append(r.outputs, output) }
 
-func (r *Reader) event(name string, fields ...EventField) {
-	r.emit(Event{Name: name, Fields: fields})
+func (r *Reader) event(name string, fields ...LogField) {
+	r.emit(LogEvent{Name: name, Fields: fields})
 }
 
 // newToken returns a token that was never used before.
--- a/internal/core/reader/script_test.go
+++ b/internal/core/reader/script_test.go
@@ -71,7 +71,7 @@
 // answers returns the codes that a ticket was answered with.
 func (s *script) answers(ticket Ticket) []result.Code {
 	return lo.FilterMap(s.outputs, func(output Output, _ int) (result.Code, bool) {
-		done, is := output.(SubmitDone)
+		done, is := output.(SubmitResult)
 		if !is || done.Ticket != ticket {
 			return 0, false
 		}
@@ -170,7 +170,7 @@
 	s.submit(2, s.world.change("op000002", "plans", protocol.ActionSubmit))
 	s.now += time.Minute
 	s.outputs, s.calls = nil, nil
-	s.take(s.reader.FreshHead(s.now, 9))
+	s.take(s.reader.RequestFreshHead(s.now, 9))
 	s.is.True(!s.reader.IsReader())
 	s.is.Equal(s.answers(1), []result.Code{result.OutcomeUnknown}) // its update had been sent
 	s.is.Equal(s.answers(2), []result.Code{result.NotAccepted})
@@ -189,18 +189,18 @@
 
 func TestFreshHeadNeedsAReadSentAfterTheQuestion(t *testing.T) {
 	s := newScript(t)
-	read := func() (answers []HeadRead) {
-		return lo.FilterMap(s.outputs, func(output Output, _ int) (HeadRead, bool) {
-			answer, is := output.(HeadRead)
+	read := func() (answers []FreshHeadResult) {
+		return lo.FilterMap(s.outputs, func(output Output, _ int) (FreshHeadResult, bool) {
+			answer, is := output.(FreshHeadResult)
 			return answer, is
 		})
 	}
-	s.take(s.reader.FreshHead(s.now, 1)) // the first read is already under way
-	s.take(s.reader.FreshHead(s.now, 2))
+	s.take(s.reader.RequestFreshHead(s.now, 1)) // the first read is already under way
+	s.take(s.reader.RequestFreshHead(s.now, 2))
 	s.reply(ledger.HeadObject, notFound)
 	s.is.Equal(len(read()), 0)
 	s.head(3, ledger.Encode(ledger.NewHead()))
-	s.is.Equal(read(), []HeadRead{{Ticket: 1, OK: true}, {Ticket: 2, OK: true}})
+	s.is.Equal(read(), []FreshHeadResult{{Ticket: 1, OK: true}, {Ticket: 2, OK: true}})
 }
 
 func TestChangeThatNeedsAnotherIsNotBatchedWithIt(t *testing.T) {
--- a/internal/core/reader/world_test.go
+++ b/internal/core/reader/world_test.go
@@ -41,7 +41,7 @@
 	watches   map[Token]object.Version
 	ready     []CatalogueReady
 	done      map[Ticket]*protocol.SubmitReply
-	heads     map[Ticket]HeadRead
+	heads     map[Ticket]FreshHeadResult
 	// rate is how fast the client's clock runs; 1 is true time.
 	rate  float64
 	names map[string]int
@@ -109,7 +109,7 @@
 	c.reader = New(Config{ID: protocol.NodeID(c.name), Region: region, RandomSeed: c.world.random.Uint64()})
 	c.watches = map[Token]object.Version{}
 	c.done = map[Ticket]*protocol.SubmitReply{}
-	c.heads = map[Ticket]HeadRead{}
+	c.heads = map[Ticket]FreshHeadResult{}
 	c.names = map[string]int{}
 	c.ready = nil
 }
@@ -158,16 +158,16 @@
 	case StopWatch:
 		delete(c.watches, output.Token)
 		c.world.store.CloseWatch(c.world.now, c.name)
-	case SubmitDone:
+	case SubmitResult:
 		if c.done[output.Ticket] != nil {
 			panic("a ticket was answered twice")
 		}
 		c.done[output.Ticket] = output.Reply
-	case HeadRead:
+	case FreshHeadResult:
 		c.heads[output.Ticket] = output
 	case CatalogueReady:
 		c.ready = append(c.ready, output)
-	case Event:
+	case LogEvent:
 		c.names[output.Name]++
 	}
 }
--- a/internal/core/region/allowed.go
+++ b/internal/core/region/allowed.go
@@ -17,7 +17,7 @@
 }
 
 // Of makes it of a route's list: nil allows all regions, an empty list none.
-func Of(names []string) Allowed {
+func NewAllowed(names []string) Allowed {
 	if names == nil {
 		return Allowed{}
 	}
@@ -43,7 +43,7 @@
 }
 
 // Both allows what each of two allows: the stricter binds.
-func (a Allowed) Both(other Allowed) Allowed {
+func (a Allowed) Intersect(other Allowed) Allowed {
 	switch {
 	case !a.restricted:
 		return other
--- a/internal/core/region/allowed_test.go
+++ b/internal/core/region/allowed_test.go
@@ -8,21 +8,21 @@
 
 func TestWithoutAListAllRegionsAreAllowed(t *testing.T) {
 	check := is.New(t)
-	check.True(!Of(nil).Restricted())
-	check.True(Of(nil).Has("north"))
+	check.True(!NewAllowed(nil).Restricted())
+	check.True(NewAllowed(nil).Has("north"))
 }
 
 func TestAnEmptyListAllowsNone(t *testing.T) {
 	check := is.New(t)
-	check.True(Of([]string{}).Restricted())
-	check.True(!Of([]string{}).Has("north"))
-	check.True(!Of([]string{}).Has(""))
+	check.True(NewAllowed([]string{}).Restricted())
+	check.True(!NewAllowed([]string{}).Has("north"))
+	check.True(!NewAllowed([]string{}).Has(""))
 }
 
 func TestOrderAndRepetitionMakeNoDifference(t *testing.T) {
 	check := is.New(t)
-	check.True(Of([]string{"b", "a", "b"}).Equal(Of([]string{"a", "b"})))
-	check.True(!Of([]string{}).Equal(Of(nil)))
+	check.True(NewAllowed([]string{"b", "a", "b"}).Equal(NewAllowed([]string{"a", "b"})))
+	check.True(!NewAllowed([]string{}).Equal(NewAllowed(nil)))
 }
 
 // The stricter of two versions binds, in whatever order they meet.
@@ -39,8 +39,8 @@
 	} {
 		t.Run(given.name, func(t *testing.T) {
 			check := is.New(t)
-			check.True(Of(given.one).Both(Of(given.two)).Equal(Of(given.wanted)))
-			check.True(Of(given.two).Both(Of(given.one)).Equal(Of(given.wanted)))
+			check.True(NewAllowed(given.one).Intersect(NewAllowed(given.two)).Equal(NewAllowed(given.wanted)))
+			check.True(NewAllowed(given.two).Intersect(NewAllowed(given.one)).Equal(NewAllowed(given.wanted)))
 		})
 	}
 }
--- a/internal/core/renewal/renewal.go
+++ b/internal/core/renewal/renewal.go
@@ -8,10 +8,10 @@
 
 // Pause is the least time between two renewals, so that a place whose connections die again and
 // again costs a bounded number of new ones.
-const Pause = time.Second
+const MinInterval = time.Second
 
 // Decider decides on renewals. The zero value has seen none. It is not safe for concurrent use.
-type Decider struct {
+type Scheduler struct {
 	renewed   bool
 	renewedAt time.Duration
 	// due is set while a renewal waits for its time.
@@ -20,7 +20,7 @@
 
 // Dead takes that a connection opened at a time was found dead. It tells whether the connections
 // that were opened before are to be renewed, and after what time; Renew is to be called then.
-func (d *Decider) Dead(now, opened time.Duration) (wait time.Duration, renew bool) {
+func (d *Scheduler) ReportDead(now, opened time.Duration) (wait time.Duration, renew bool) {
 	if d.due || d.renewed && opened < d.renewedAt {
 		return 0, false // a renewal covers it
 	}
@@ -28,11 +28,11 @@
 	if !d.renewed {
 		return 0, true
 	}
-	return max(0, d.renewedAt+Pause-now), true
+	return max(0, d.renewedAt+MinInterval-now), true
 }
 
 // Renew notes that connections opened before now are made anew.
-func (d *Decider) Renew(now time.Duration) {
+func (d *Scheduler) MarkRenewed(now time.Duration) {
 	d.renewed = true
 	d.renewedAt = now
 	d.due = false
--- a/internal/core/resource/parse_test.go
+++ b/internal/core/resource/parse_test.go
@@ -42,7 +42,7 @@
 func TestExamplesParseAndReferToEachOther(t *testing.T) {
 	is := is.New(t)
 	files := exampleFiles(t)
-	is.Equal(resource.Missing(files), nil)
+	is.Equal(resource.MissingReferences(files), nil)
 	for _, file := range files {
 		if file.Name != "timesheets" {
 			continue
--- a/internal/core/resource/references.go
+++ b/internal/core/resource/references.go
@@ -33,8 +33,8 @@
 // satisfy, in the order of the files: a route's services must exist and be
 // exported to its partner, its secret must be the partner's own, and a back
 // end's service must be the partner's own.
-func Missing(files []*File) []MissingReference {
-	return MissingAfter(files, files, nil)
+func MissingReferences(files []*File) []MissingReference {
+	return MissingReferencesAfter(files, files, nil)
 }
 
 // MissingAfter returns the references in files that are not satisfied after
@@ -42,7 +42,7 @@
 // added files, which are among files, and those of all others to what the
 // removed files declared. Its cost grows with the change, apart from one look
 // at each resource.
-func MissingAfter(files, added, removed []*File) []MissingReference {
+func MissingReferencesAfter(files, added, removed []*File) []MissingReference {
 	present := newIndex(files, targetsOf(added, removed))
 	lost := present.lostWith(removed)
 	fresh := lo.Keyify(added)
@@ -175,7 +175,7 @@
 
 // NameTaken returns an error for each name of candidate that one of the other
 // files of its partner declares as well.
-func NameTaken(candidate *File, others []*File) []result.Error {
+func NameConflicts(candidate *File, others []*File) []result.Error {
 	own := map[Key]bool{}
 	for key := range candidate.keys() {
 		own[key] = true
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -40,7 +40,7 @@
 // depth services, each of which is called by the one before it. Each of these adds its
 // own retries to what the last one gets, so that each may use a part. What the slack
 // allows at the first is multiplied by the calls that runs make further down.
-func ForChain(ratio, slack float64, depth, daemons int, window time.Duration) Limits {
+func LimitsForChain(ratio, slack float64, depth, daemons int, window time.Duration) Limits {
 	services := float64(max(depth, 1))
 	return Limits{
 		Ratio:  ratio * safety / services,
@@ -82,29 +82,29 @@
 }
 
 // NewBudget returns a budget of the default limits.
-func NewBudget() *Budget { return NewBudgetWithin(DefaultLimits()) }
+func NewBudget() *Budget { return NewBudgetWithLimits(DefaultLimits()) }
 
 // NewBudgetWithin returns a budget of the limits; without a window that of the
 // default limits is taken.
-func NewBudgetWithin(limits Limits) *Budget {
+func NewBudgetWithLimits(limits Limits) *Budget {
 	budget := &Budget{
 		ratio:  int64(limits.Ratio * unit),
 		window: cmp.Or(limits.Window, DefaultLimits().Window),
 	}
-	budget.SetPart(limits.Part)
+	budget.SetMinimumRetries(limits.Part)
 	return budget
 }
 
 // SetPart changes what is allowed whatever the calls are, as the number of daemons
 // that share the whole changes.
-func (b *Budget) SetPart(part float64) { b.part.Store(int64(part * unit)) }
+func (b *Budget) SetMinimumRetries(part float64) { b.part.Store(int64(part * unit)) }
 
 // Deposit records a call that has run, or may have. One that back ends only turned
 // away allows no retries: it makes no calls itself, so that what it allowed would be
 // too much for the services that those which do run call.
 func (b *Budget) Deposit(now time.Duration, class callclass.Class) {
 	b.service.calls.add(now, b.window, unit)
-	b.classes.Of(class).calls.add(now, b.window, unit)
+	b.classes.Get(class).calls.add(now, b.window, unit)
 }
 
 // Withdraw takes the cost of a retry, in retries, and answers false when there is
@@ -132,7 +132,7 @@
 
 // accountsOf are the accounts that a retry of a class is charged to.
 func (b *Budget) accountsOf(class callclass.Class) [2]*account {
-	return [...]*account{&b.service, b.classes.Of(class)}
+	return [...]*account{&b.service, b.classes.Get(class)}
 }
 
 // withdraw takes the cost of a retry where a share of what is allowed is left after it.
@@ -171,7 +171,7 @@
 }
 
 // Left is how many retries of urgent calls of a class are allowed now.
-func (b *Budget) Left(now time.Duration, class callclass.Class) float64 {
-	left := min(b.left(now, &b.service, 0), b.left(now, b.classes.Of(class), 0))
+func (b *Budget) Remaining(now time.Duration, class callclass.Class) float64 {
+	left := min(b.left(now, &b.service, 0), b.left(now, b.classes.Get(class), 0))
 	return float64(max(left, 0)) / unit
 }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -22,7 +22,7 @@
 
 // partOf is the budget of one daemon among many.
 func partOf(daemons int) Limits {
-	return ForChain(allowedRatio, allowedSlack, 2, daemons, testWindow)
+	return LimitsForChain(allowedRatio, allowedSlack, 2, daemons, testWindow)
 }
 
 // A call that is not urgent can be sent again by a daemon among any number, once
@@ -31,7 +31,7 @@
 	for _, daemons := range meshSizes {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			check := is.New(t)
-			budget := NewBudgetWithin(partOf(daemons))
+			budget := NewBudgetWithLimits(partOf(daemons))
 			now := time.Duration(0)
 			for range 40 { // four seconds of ten calls
 				now += 100 * time.Millisecond
@@ -45,7 +45,7 @@
 // What calls have earned does not outlive the window.
 func TestEarningsLapse(t *testing.T) {
 	check := is.New(t)
-	budget := NewBudgetWithin(Limits{Ratio: 0.5, Window: testWindow})
+	budget := NewBudgetWithLimits(Limits{Ratio: 0.5, Window: testWindow})
 	for range 20 {
 		budget.Deposit(time.Second, 0)
 	}
@@ -97,7 +97,7 @@
 		daemons := rapid.SampledFrom(meshSizes).Draw(t, "daemons")
 		run := &meshRun{}
 		for range daemons {
-			run.budgets = append(run.budgets, NewBudgetWithin(partOf(daemons)))
+			run.budgets = append(run.budgets, NewBudgetWithLimits(partOf(daemons)))
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			calls := rapid.IntRange(0, 200).Draw(t, "calls")
@@ -119,14 +119,14 @@
 // not need.
 func TestCallsOnTrialLeaveRetriesToOthers(t *testing.T) {
 	check := is.New(t)
-	budget := NewBudgetWithin(Limits{Part: 8, Window: testWindow})
+	budget := NewBudgetWithLimits(Limits{Part: 8, Window: testWindow})
 	policy := Policy{Repeatable: true, Attempts: 3, Deadline: time.Hour}
 	var trials []*Call
 	for range 4 {
 		trials = append(trials, NewCall(policy, budget))
-		check.True(trials[len(trials)-1].PayForTrial(time.Second))
+		check.True(trials[len(trials)-1].ReserveTrialRetry(time.Second))
 	}
-	check.True(!NewCall(policy, budget).PayForTrial(time.Second))
+	check.True(!NewCall(policy, budget).ReserveTrialRetry(time.Second))
 	for range 4 {
 		check.True(budget.Withdraw(time.Second, 0, 1, true))
 	}
@@ -134,8 +134,8 @@
 	failed := Outcome{Kind: Broken, Replayable: true, Others: true}
 	check.Equal(trials[0].Next(2*time.Second, failed).Action, Send) // paid for
 	for _, trial := range trials {
-		trial.Settle()
-		trial.Settle() // once is enough
+		trial.ReleaseTrialRetry()
+		trial.ReleaseTrialRetry() // once is enough
 	}
 	for range 3 { // the fourth was used
 		check.True(budget.Withdraw(3*time.Second, 0, 1, true))
@@ -147,11 +147,11 @@
 // attempt is not.
 func TestWhichCallsMayBePutOnTrial(t *testing.T) {
 	check := is.New(t)
-	empty := NewBudgetWithin(Limits{Window: testWindow})
-	check.True(NewCall(Policy{Attempts: 3}, empty).PayForTrial(0))
-	plenty := NewBudgetWithin(Limits{Part: 8, Window: testWindow})
-	check.True(NewCall(Policy{Repeatable: true, Attempts: 2}, plenty).PayForTrial(0))
-	check.True(!NewCall(Policy{Repeatable: true, Attempts: 1}, plenty).PayForTrial(0))
-	check.True(!NewCall(Policy{Repeatable: true, Attempts: 3, NoRetry: true}, plenty).PayForTrial(0))
-	check.True(!NewCall(Policy{Repeatable: true, Attempts: 3}, empty).PayForTrial(0))
+	empty := NewBudgetWithLimits(Limits{Window: testWindow})
+	check.True(NewCall(Policy{Attempts: 3}, empty).ReserveTrialRetry(0))
+	plenty := NewBudgetWithLimits(Limits{Part: 8, Window: testWindow})
+	check.True(NewCall(Policy{Repeatable: true, Attempts: 2}, plenty).ReserveTrialRetry(0))
+	check.True(!NewCall(Policy{Repeatable: true, Attempts: 1}, plenty).ReserveTrialRetry(0))
+	check.True(!NewCall(Policy{Repeatable: true, Attempts: 3, NoRetry: true}, plenty).ReserveTrialRetry(0))
+	check.True(!NewCall(Policy{Repeatable: true, Attempts: 3}, empty).ReserveTrialRetry(0))
 }
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -112,7 +112,7 @@
 // trial, and tells whether it may be sent there: what such a version fails is no fault of
 // its caller's, so a call that may be repeated is put on trial only if it will be. A call
 // that may not be repeated has no second attempt to pay for. Settle must follow.
-func (c *Call) PayForTrial(now time.Duration) bool {
+func (c *Call) ReserveTrialRetry(now time.Duration) bool {
 	if !c.policy.Repeatable {
 		return true
 	}
@@ -125,7 +125,7 @@
 
 // Settle gives back what was paid for a second attempt that was not needed. It is called
 // when the call has ended.
-func (c *Call) Settle() {
+func (c *Call) ReleaseTrialRetry() {
 	if c.onTrial && c.prepaid {
 		c.prepaid = false
 		c.budget.Refund(c.trialPaidAt, c.policy.Class)
@@ -133,8 +133,8 @@
 }
 
 // BudgetLeft is how many retries the budget has left, as text for logs.
-func (c *Call) BudgetLeft(now time.Duration) string {
-	return strconv.FormatFloat(c.budget.Left(now, c.policy.Class), 'f', 1, 64)
+func (c *Call) BudgetRemaining(now time.Duration) string {
+	return strconv.FormatFloat(c.budget.Remaining(now, c.policy.Class), 'f', 1, 64)
 }
 
 // First returns the mark for the first attempt.
@@ -180,7 +180,7 @@
 // Prepay pays for another attempt while the present one still runs, and tells
 // whether there will be one if the present one is broken off now with an outcome.
 // Without that promise, breaking it off would only lose its answer.
-func (c *Call) Prepay(now time.Duration, outcome Outcome) bool {
+func (c *Call) ReserveRetry(now time.Duration, outcome Outcome) bool {
 	if c.prepaid {
 		return true
 	}
@@ -228,7 +228,7 @@
 
 // Disprove takes back the doubt about an attempt that Next was told may have run, and tells
 // whether the outcome with which it has ended since is proof that it did not.
-func (c *Call) Disprove(outcome Outcome) bool {
+func (c *Call) ResolveUncertainAttempt(outcome Outcome) bool {
 	if !didNotRun(outcome) || c.inDoubt == 0 {
 		return false
 	}
@@ -239,7 +239,7 @@
 
 // Final is the final refusal once all attempts have ended: as it was decided or, if the
 // last doubt was taken back since, that of the attempt which was in doubt.
-func (c *Call) Final(decided Step) Step {
+func (c *Call) FinalStep(decided Step) Step {
 	if decided.Action != Refuse || decided.Ran == result.RanNo || c.inDoubt > 0 {
 		return decided
 	}
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -82,19 +82,19 @@
 	call := newCall(Policy{Repeatable: true})
 	check.Equal(call.Next(0, lost).Action, Send)
 	decided := call.Next(0, draining)
-	check.True(!call.Disprove(lost))
-	check.True(!call.Disprove(unknown))
-	check.Equal(call.Final(decided), decided) // no proof
-	check.True(call.Disprove(refusal))
-	check.Equal(call.Final(decided), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
-	check.True(!call.Disprove(refusal)) // once
+	check.True(!call.ResolveUncertainAttempt(lost))
+	check.True(!call.ResolveUncertainAttempt(unknown))
+	check.Equal(call.FinalStep(decided), decided) // no proof
+	check.True(call.ResolveUncertainAttempt(refusal))
+	check.Equal(call.FinalStep(decided), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
+	check.True(!call.ResolveUncertainAttempt(refusal)) // once
 
 	twice := newCall(Policy{Repeatable: true})
 	check.Equal(twice.Next(0, lost).Action, Send)
 	check.Equal(twice.Next(0, lost).Action, Send)
 	decided = twice.Next(0, draining)
-	check.True(twice.Disprove(refusal))
-	check.Equal(twice.Final(decided), decided) // the other one may have run
+	check.True(twice.ResolveUncertainAttempt(refusal))
+	check.Equal(twice.FinalStep(decided), decided) // the other one may have run
 }
 
 func TestMarkStopsRetriesButNotRelocation(t *testing.T) {
@@ -141,7 +141,7 @@
 		mayHaveRun := false
 		for attempt := 1; ; attempt++ {
 			outcome := Outcome{
-				Kind:       Kind(rapid.IntRange(int(Answered), int(NoEndpoint)).Draw(t, "kind")),
+				Kind:       OutcomeKind(rapid.IntRange(int(Answered), int(NoEndpoint)).Draw(t, "kind")),
 				Code:       rapid.SampledFrom([]result.Code{result.Draining, result.QueueFull, result.AlreadyStarted, result.WarmingUp}).Draw(t, "code"),
 				Replayable: rapid.Bool().Draw(t, "replayable"),
 				Others:     rapid.Bool().Draw(t, "others"),
@@ -214,7 +214,7 @@
 
 func TestAGatesRefusalCostsNoBudgetUnlessTheBackEndSawIt(t *testing.T) {
 	check := is.New(t)
-	budget := NewBudgetWithin(Limits{Ratio: 0, Part: 1})
+	budget := NewBudgetWithLimits(Limits{Ratio: 0, Part: 1})
 	policy := Policy{RetryFailures: true, Attempts: 3, Deadline: 100}
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true, Others: true}
 	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send)
@@ -225,8 +225,8 @@
 
 func TestABudgetShrinksWithItsShare(t *testing.T) {
 	check := is.New(t)
-	budget := NewBudgetWithin(Limits{Ratio: 0.5, Part: 4})
-	budget.SetPart(1)
+	budget := NewBudgetWithLimits(Limits{Ratio: 0.5, Part: 4})
+	budget.SetMinimumRetries(1)
 	check.Equal(withdrawn(budget, 0, true), 1)
 	for range 10 {
 		budget.Deposit(0, 0)
@@ -238,20 +238,20 @@
 	check := is.New(t)
 	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
 	policy := Policy{Repeatable: true, RetryFailures: true, Attempts: 3, Deadline: 100, Margin: 10}
-	budget := NewBudgetWithin(Limits{Part: 1})
+	budget := NewBudgetWithLimits(Limits{Part: 1})
 	first, second := NewCall(policy, budget), NewCall(policy, budget)
-	check.True(first.Prepay(0, lost))
-	check.True(first.Prepay(0, lost)) // paid for once
-	check.True(!second.Prepay(0, lost))
+	check.True(first.ReserveRetry(0, lost))
+	check.True(first.ReserveRetry(0, lost)) // paid for once
+	check.True(!second.ReserveRetry(0, lost))
 	check.Equal(first.Next(1, lost).Action, Send)
 	check.Equal(first.Next(2, lost).Action, Refuse) // what was paid for is used up
 
 	plenty := Limits{Part: 100}
 	unsafe := policy
 	unsafe.Repeatable = false
-	check.True(!NewCall(unsafe, NewBudgetWithin(plenty)).Prepay(0, lost))
-	check.True(!NewCall(policy, NewBudgetWithin(plenty)).Prepay(95, lost)) // too late
+	check.True(!NewCall(unsafe, NewBudgetWithLimits(plenty)).ReserveRetry(0, lost))
+	check.True(!NewCall(policy, NewBudgetWithLimits(plenty)).ReserveRetry(95, lost)) // too late
 	alone := lost
 	alone.Others = false
-	check.True(!NewCall(policy, NewBudgetWithin(plenty)).Prepay(0, alone))
+	check.True(!NewCall(policy, NewBudgetWithLimits(plenty)).ReserveRetry(0, alone))
 }
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -100,11 +100,11 @@
 }
 
 func newChain(depth, daemons, fanOut int, random func() float64) *chainRun {
-	limits := ForChain(allowedRatio, allowedSlack*chainSlack, depth, daemons, testWindow)
+	limits := LimitsForChain(allowedRatio, allowedSlack*chainSlack, depth, daemons, testWindow)
 	run := &chainRun{fanOut: fanOut, random: random, levels: make([]chainLevel, depth)}
 	for index := range run.levels {
 		for range daemons {
-			run.levels[index].budgets = append(run.levels[index].budgets, NewBudgetWithin(limits))
+			run.levels[index].budgets = append(run.levels[index].budgets, NewBudgetWithLimits(limits))
 		}
 	}
 	return run
--- a/internal/core/retry/outcome.go
+++ b/internal/core/retry/outcome.go
@@ -7,12 +7,12 @@
 )
 
 // Kind tells how an attempt ended.
-type Kind int
+type OutcomeKind int
 
 // The ends of an attempt.
 const (
 	// Answered: the head of the back end's answer has arrived.
-	Answered Kind = iota + 1
+	Answered OutcomeKind = iota + 1
 	// Refused: the gate answered with a code; Outcome.Ran is its word.
 	Refused
 	// NotSent: not a byte of the request was written, so it did not run.
@@ -30,7 +30,7 @@
 
 // Outcome is what became of one attempt.
 type Outcome struct {
-	Kind Kind
+	Kind OutcomeKind
 	// Code, Ran and RetryAfter are the gate's, for Refused.
 	Code       result.Code
 	Ran        result.Execution
--- a/internal/core/retry/warmth_test.go
+++ b/internal/core/retry/warmth_test.go
@@ -18,12 +18,12 @@
 func TestACallThatAColdGateRefusesGoesElsewhereWithoutBudget(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudget()
-	left := budget.Left(0, 0)
+	left := budget.Remaining(0, 0)
 	for _, policy := range []Policy{{}, {NoRetry: true}, {Repeatable: true}} {
 		policy.Attempts, policy.Deadline = 1, time.Minute
 		check.Equal(NewCall(policy, budget).Next(0, cold).Action, Send)
 	}
-	check.Equal(budget.Left(0, 0), left)
+	check.Equal(budget.Remaining(0, 0), left)
 }
 
 func TestACallAsksAFewColdGatesAtMost(t *testing.T) {
--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -67,7 +67,7 @@
 
 // ShiftAt is when all traffic of an order moves, after it was heard of: as late as calls
 // at the stable version leave time to end, for a version may turn bad at any time.
-func ShiftAt(duration time.Duration) time.Duration {
+func ShiftDelay(duration time.Duration) time.Duration {
 	late := duration - deadlineMargin - settleTime - drainLimit
 	return max(late, time.Duration(float64(duration)*canaryPart))
 }
@@ -89,11 +89,11 @@
 
 func (d *Decider) watchCanary(now time.Duration, record Record, elapsed time.Duration, seen Observation) Decision {
 	finding := d.judge(now, seen, baseShare)
-	if finding.Condemns() {
+	if finding.RequiresHalt() {
 		return Decision{Stage: StageHalted, Reason: finding.String()}
 	}
-	due := elapsed >= ShiftAt(record.Duration)
-	if due && finding.Suspects() {
+	due := elapsed >= ShiftDelay(record.Duration)
+	if due && finding.DelaysShift() {
 		return watchSuspected(record, elapsed, finding)
 	}
 	switch {
@@ -121,7 +121,7 @@
 		d.shifting = true
 		d.shiftedAt = now
 	}
-	if finding := d.judge(now, seen, baseAlone); finding.Condemns() {
+	if finding := d.judge(now, seen, baseAlone); finding.RequiresHalt() {
 		return Decision{Stage: StageHalted, Reason: finding.String()}
 	}
 	waited := now - d.shiftedAt
@@ -137,7 +137,7 @@
 
 // judge judges all answers, and the latest by themselves, and returns the stronger finding.
 func (d *Decider) judge(now time.Duration, seen Observation, base float64) Finding {
-	finding := Judge(seen.Target, seen.Stable, base)
+	finding := Evaluate(seen.Target, seen.Stable, base)
 	for _, one := range d.history {
 		if now-one.at > recentSpan {
 			continue
@@ -146,7 +146,7 @@
 		if recent.Total().Answers < fewStable {
 			recent = seen.Stable
 		}
-		return stronger(finding, Judge(seen.Target.Since(one.target), recent, base))
+		return stronger(finding, Evaluate(seen.Target.Since(one.target), recent, base))
 	}
 	return finding
 }
--- a/internal/core/rollout/decider_test.go
+++ b/internal/core/rollout/decider_test.go
@@ -194,9 +194,9 @@
 		}
 	}
 	suspected, cleared := seen(36), seen(25)
-	check.Equal((&Decider{}).Step(0, record, ShiftAt(duration), cleared).Stage, StageShift)
+	check.Equal((&Decider{}).Step(0, record, ShiftDelay(duration), cleared).Stage, StageShift)
 	decider := &Decider{}
-	check.Equal(decider.Step(0, record, ShiftAt(duration), suspected).Stage, StageCanary)
-	check.Equal(decider.Step(time.Second, record, ShiftAt(duration)+time.Second, cleared).Stage, StageShift)
+	check.Equal(decider.Step(0, record, ShiftDelay(duration), suspected).Stage, StageCanary)
+	check.Equal(decider.Step(time.Second, record, ShiftDelay(duration)+time.Second, cleared).Stage, StageShift)
 	check.Equal((&Decider{}).Step(0, record, duration-deadlineMargin-settleTime, suspected).Stage, StageHalted)
 }
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -63,7 +63,7 @@
 }
 
 // Note counts one answer.
-func (c *Counts) Note(failed bool, took time.Duration) {
+func (c *Counts) Record(failed bool, took time.Duration) {
 	c.Answers++
 	if failed {
 		c.Failures++
@@ -134,7 +134,7 @@
 
 // Note counts an answer. Timed says that how long it took speaks of the version: not
 // while the back end is cold.
-func (t *Tally) Note(class callclass.Class, failed, timed bool, took time.Duration) {
+func (t *Tally) Record(class callclass.Class, failed, timed bool, took time.Duration) {
 	if !t.counting.Load() || (!failed && !timed) {
 		return
 	}
--- a/internal/core/rollout/judge.go
+++ b/internal/core/rollout/judge.go
@@ -81,7 +81,7 @@
 // The number of bad answers is held against a binomial distribution of the share that
 // the stable version shows, with some tolerance for how little is known of it: by Chernoff's
 // bound, the chance of a share q where p is expected is at most exp(-n KL(q, p)).
-func Judge(target, stable Evidence, base float64) Finding {
+func Evaluate(target, stable Evidence, base float64) Finding {
 	return stronger(judgeBy(Failing, target, stable, base), judgeBy(Slow, target, stable, base))
 }
 
@@ -105,7 +105,7 @@
 
 // stronger is the one of two findings with more evidence.
 func stronger(one, other Finding) Finding {
-	if other.Evidence() > one.Evidence() {
+	if other.Significance() > one.Significance() {
 		return other
 	}
 	return one
@@ -134,7 +134,7 @@
 
 // Evidence is how little chance explains the bad answers, in natural logarithms; 0 where it
 // does, or where they are too few to tell.
-func (f Finding) Evidence() float64 {
+func (f Finding) Significance() float64 {
 	if f.Bad < fewBad {
 		return 0
 	}
@@ -146,11 +146,11 @@
 }
 
 // Condemns tells whether a version is given up for what was found.
-func (f Finding) Condemns() bool { return f.Evidence() > condemnedAt }
+func (f Finding) RequiresHalt() bool { return f.Significance() > condemnedAt }
 
 // Suspects tells whether what was found, though it condemns no version, is too much to send it
 // all calls.
-func (f Finding) Suspects() bool { return f.Evidence() > suspectedAt }
+func (f Finding) DelaysShift() bool { return f.Significance() > suspectedAt }
 
 // slowFrom is the class of latency from which an answer counts as slow.
 func slowFrom(stable Counts) int {
--- a/internal/core/rollout/judge_test.go
+++ b/internal/core/rollout/judge_test.go
@@ -58,7 +58,7 @@
 		if count%20 != 0 {
 			continue
 		}
-		if Judge(ofTarget, ofStable, baseShare).Condemns() {
+		if Evaluate(ofTarget, ofStable, baseShare).RequiresHalt() {
 			return count
 		}
 	}
@@ -128,14 +128,14 @@
 func TestATallyCountsWhileItIsTold(t *testing.T) {
 	check := is.New(t)
 	tally := &Tally{}
-	tally.Note(1, true, true, time.Second)
+	tally.Record(1, true, true, time.Second)
 	check.Equal(tally.Evidence().Total().Answers, uint32(0))
 	tally.Start()
-	tally.Note(1, false, true, 10*time.Millisecond)
-	tally.Note(1, true, false, 0)
-	tally.Note(2, false, false, time.Second) // cold: says nothing
+	tally.Record(1, false, true, 10*time.Millisecond)
+	tally.Record(1, true, false, 0)
+	tally.Record(2, false, false, time.Second) // cold: says nothing
 	for class := range callclass.Class(3 * classLimit) {
-		tally.Note(class, false, true, time.Millisecond) // more classes than are counted apart
+		tally.Record(class, false, true, time.Millisecond) // more classes than are counted apart
 	}
 	evidence := tally.Evidence()
 	check.Equal(evidence[1].Answers, uint32(3))
--- a/internal/core/rollout/record.go
+++ b/internal/core/rollout/record.go
@@ -48,7 +48,7 @@
 // Spreading tells whether every daemon should hear of the stage within moments: calls go
 // where they must not go any more until it has. Deciders tell all daemons again and again
 // meanwhile, since one that was cut off for a moment told nobody.
-func (s Stage) Spreading() bool { return s == StageShift || s == StageHalted }
+func (s Stage) IsUrgent() bool { return s == StageShift || s == StageHalted }
 
 // Final tells whether the outcome was written.
 func (s Stage) Final() bool { return s == StageRolledBack || s == StageCompleted }
@@ -129,13 +129,13 @@
 }
 
 // Of returns the record of a service.
-func (t *Table) Of(service resource.ServiceRef) (Record, bool) {
+func (t *Table) Lookup(service resource.ServiceRef) (Record, bool) {
 	held, found := t.entries[service]
 	return held.record, found
 }
 
 // InStage is how long ago the record of a service came as it is.
-func (t *Table) InStage(now time.Duration, service resource.ServiceRef) time.Duration {
+func (t *Table) TimeInStage(now time.Duration, service resource.ServiceRef) time.Duration {
 	return now - t.entries[service].changedAt
 }
 
--- a/internal/core/rollout/record_test.go
+++ b/internal/core/rollout/record_test.go
@@ -32,7 +32,7 @@
 		var last Record
 		for _, record := range records {
 			one.Merge(0, record)
-			held, _ := one.Of(testService)
+			held, _ := one.Lookup(testService)
 			check.True(held == last || held.newerThan(last))
 			last = held
 		}
--- a/internal/core/routing/restrictions_test.go
+++ b/internal/core/routing/restrictions_test.go
@@ -24,10 +24,10 @@
 	table := Compile(&snapshot.Snapshot{Routes: []resource.Route{
 		to([]string{"b", "a"}, "one"), to([]string{"a", "b"}, "one", "two"), to([]string{}, "two"), to(nil, "three"),
 	}})
-	check.True(table.Restricts())
-	check.Equal(table.RestrictionsOf(service("one")), []region.Allowed{region.Of([]string{"a", "b"})})
-	check.Equal(table.RestrictionsOf(service("two")), []region.Allowed{region.Of([]string{"a", "b"}), region.Of([]string{})})
+	check.True(table.HasRestrictions())
+	check.Equal(table.RestrictionsOf(service("one")), []region.Allowed{region.NewAllowed([]string{"a", "b"})})
+	check.Equal(table.RestrictionsOf(service("two")), []region.Allowed{region.NewAllowed([]string{"a", "b"}), region.NewAllowed([]string{})})
 	check.Equal(len(table.RestrictionsOf(service("three"))), 0)
-	check.True(!Compile(&snapshot.Snapshot{Routes: []resource.Route{to(nil, "one")}}).Restricts())
-	check.True(!(*Table)(nil).Restricts())
+	check.True(!Compile(&snapshot.Snapshot{Routes: []resource.Route{to(nil, "one")}}).HasRestrictions())
+	check.True(!(*Table)(nil).HasRestrictions())
 }
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -127,7 +127,7 @@
 		Class:    callclass.Of(&route),
 		Timeout:  TimeoutOf(&route),
 		Attempts: cmp.Or(route.RetryAttempts, DefaultAttempts),
-		Regions:  region.Of(route.AllowedRegions),
+		Regions:  region.NewAllowed(route.AllowedRegions),
 		host:     canonicalHost(route.Match.Host),
 	}
 	for _, destination := range route.Split {
@@ -176,7 +176,7 @@
 }
 
 // Restricts tells whether some route is restricted to regions.
-func (t *Table) Restricts() bool {
+func (t *Table) HasRestrictions() bool {
 	return t != nil && len(t.restrictions) > 0 // nil while no version is in force yet
 }
 
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -103,7 +103,7 @@
 
 // AtVersion returns the same content at another version. It serves a scope
 // that the versions in between did not touch.
-func (s *Snapshot) AtVersion(version protocol.Version) *Snapshot {
+func (s *Snapshot) WithVersion(version protocol.Version) *Snapshot {
 	moved := *s
 	moved.Version = version
 	return &moved
--- a/internal/core/snapshot/store.go
+++ b/internal/core/snapshot/store.go
@@ -102,7 +102,7 @@
 	if newest == nil || version <= newest.Version {
 		return
 	}
-	s.push(newest.AtVersion(version))
+	s.push(newest.WithVersion(version))
 }
 
 // dropSelections forgets the selections of versions that left the history.
--- a/internal/core/warmup/collapse_test.go
+++ b/internal/core/warmup/collapse_test.go
@@ -101,7 +101,7 @@
 		}
 		w.upstreams = append(w.upstreams, made)
 		w.restartGate(made)
-		made.gate.SetCold(0, 0)
+		made.gate.SetColdUntil(0, 0)
 	}
 	w.publish()
 	w.arrive()
@@ -125,7 +125,7 @@
 		Slots: slots, QueueLength: 256, QueueWait: 2 * time.Second, KeyWindow: time.Second, KeyCount: 1,
 	})
 	if w.bounded {
-		u.gate.LimitCold(w.now, warmup.Terms{Overage: overage, Slack: slack}.Limit(ratePerSecond), false)
+		u.gate.SetColdLimit(w.now, warmup.Tolerance{Overage: overage, Slack: slack}.Limit(ratePerSecond), false)
 	}
 }
 
@@ -183,7 +183,7 @@
 	start := target.start
 	waiting := &waiter{}
 	ticket := admission.NewTicket(admission.Call{Deadline: c.deadline, Priority: resource.PriorityNormal}, waiting)
-	waiting.settled = func(verdict admission.Verdict) {
+	waiting.settled = func(verdict admission.Decision) {
 		w.after(0, func() { w.settle(c, chosen, target, start, ticket, verdict) })
 	}
 	if verdict := target.gate.Admit(w.now, ticket); verdict.State != admission.StateQueued {
@@ -191,18 +191,18 @@
 	}
 }
 
-type waiter struct{ settled func(admission.Verdict) }
+type waiter struct{ settled func(admission.Decision) }
 
-func (w *waiter) Settle(verdict admission.Verdict) { w.settled(verdict) }
+func (w *waiter) Settle(verdict admission.Decision) { w.settled(verdict) }
 
 // settle is the gate's verdict on an attempt.
-func (w *world) settle(c *call, chosen *endpoint.Endpoint, u *upstream, start int, ticket *admission.Ticket, verdict admission.Verdict) {
+func (w *world) settle(c *call, chosen *endpoint.Endpoint, u *upstream, start int, ticket *admission.Ticket, verdict admission.Decision) {
 	if verdict.State == admission.StateRefused {
 		if verdict.Code == result.WarmingUp {
-			chosen.RefusedAsCold(w.now, verdict.RetryAfter, warmup.Classes-1)
-			chosen.End(w.now, endpoint.Withdrawn)
+			chosen.RecordColdRefusal(w.now, verdict.RetryAfter, warmup.ClassCount-1)
+			chosen.End(w.now, endpoint.Cancelled)
 		} else {
-			chosen.End(w.now, endpoint.Full)
+			chosen.End(w.now, endpoint.Overloaded)
 		}
 		w.send(c)
 		return
@@ -216,8 +216,8 @@
 		}
 		u.gate.Done(w.now, ticket, true)
 		load := u.gate.Load()
-		chosen.Learn(w.now, endpoint.Report{Running: load.Running, Queued: load.Queued, Service: u.gate.MeanService(), Own: -1})
-		chosen.End(w.now, endpoint.Fine)
+		chosen.ApplyLoadReport(w.now, endpoint.LoadReport{Running: load.Running, Queued: load.Queued, Service: u.gate.MeanServiceTime(), Own: -1})
+		chosen.End(w.now, endpoint.Succeeded)
 		w.served[c.second]++
 	})
 }
@@ -255,7 +255,7 @@
 func (w *world) turnCold(u *upstream) {
 	start := u.start
 	u.coldUntil = w.now + coldFor
-	u.gate.SetCold(w.now, u.coldUntil)
+	u.gate.SetColdUntil(w.now, u.coldUntil)
 	u.member.Endpoint = protocol.EndpointWarming
 	w.after(newsAfter, w.publish)
 	w.after(coldFor, func() {
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -30,11 +30,11 @@
 	// in so many starts, and no more than lately came.
 	keptParts = 4
 	// Classes is how many classes of calls are told apart; a higher one is more urgent.
-	Classes = 3
+	ClassCount = 3
 )
 
 // Terms say how far the calls to a cold back end may exceed the stated rate.
-type Terms struct {
+type Tolerance struct {
 	// Overage is how many times the rate may arrive in one second; below 1 it counts as 1.
 	Overage float64
 	// Slack is how many calls more may arrive in one second.
@@ -43,7 +43,7 @@
 
 // Limit is how many calls may start in a window at a back end that bears a number of calls a
 // second; 0 means any number.
-func (t Terms) Limit(perSecond float64) int {
+func (t Tolerance) Limit(perSecond float64) int {
 	if !(perSecond > 0) {
 		return 0
 	}
@@ -67,7 +67,7 @@
 	unseenAt time.Duration
 	// starts are the newest starts, oldest first.
 	starts []time.Duration
-	came   [Classes]demand
+	came   [ClassCount]demand
 }
 
 // New returns a limiter that knows nothing: the back end counts as cold until SetCold, and
@@ -90,7 +90,7 @@
 }
 
 // SetCold says until when the back end is cold.
-func (l *Limiter) SetCold(now, until time.Duration) {
+func (l *Limiter) SetColdUntil(now, until time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if now >= l.coldUntil {
@@ -110,30 +110,30 @@
 }
 
 // Bounds tells whether starts are bounded now.
-func (l *Limiter) Bounds(now time.Duration) bool { return int64(now) < l.boundUntil.Load() }
+func (l *Limiter) IsLimiting(now time.Duration) bool { return int64(now) < l.boundUntil.Load() }
 
 // Wait is how long a call of a class must wait for a start; 0 means that one is free.
 func (l *Limiter) Wait(now time.Duration, class int) time.Duration {
-	if !l.Bounds(now) {
+	if !l.IsLimiting(now) {
 		return 0
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	wait := l.wait(now, class)
 	if wait > 0 {
-		l.came[ClassOf(class)].note(now)
+		l.came[ClampClass(class)].note(now)
 	}
 	return wait
 }
 
 // Start counts a start where one is free, and else tells how long there is none.
-func (l *Limiter) Start(now time.Duration, class int) (wait time.Duration) {
-	if !l.Bounds(now) {
+func (l *Limiter) TryStart(now time.Duration, class int) (wait time.Duration) {
+	if !l.IsLimiting(now) {
 		return 0
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.came[ClassOf(class)].note(now)
+	l.came[ClampClass(class)].note(now)
 	if wait = l.wait(now, class); wait == 0 {
 		l.record(now)
 	}
@@ -174,7 +174,7 @@
 func (l *Limiter) share(now time.Duration, class int) int {
 	most := (l.limit + keptParts - 1) / keptParts
 	share := l.limit
-	for above := ClassOf(class) + 1; above < Classes; above++ {
+	for above := ClampClass(class) + 1; above < ClassCount; above++ {
 		share -= min(most, l.came[above].lately(now))
 	}
 	return max(share, 1)
@@ -183,11 +183,11 @@
 // pace is how many starts a part of a window may hold before a call of a class: one more
 // where there is a class below it, whose calls might have used up the others.
 func (l *Limiter) pace(class int) int {
-	return (l.limit+paceParts-1)/paceParts + min(ClassOf(class), 1)
+	return (l.limit+paceParts-1)/paceParts + min(ClampClass(class), 1)
 }
 
 // ClassOf is the class of a number: the nearest one where it is none.
-func ClassOf(class int) int { return min(max(class, 0), Classes-1) }
+func ClampClass(class int) int { return min(max(class, 0), ClassCount-1) }
 
 // demand counts the calls of a class that come, in spans of a window.
 type demand struct {
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -13,7 +13,7 @@
 
 const (
 	second = time.Second
-	urgent = Classes - 1
+	urgent = ClassCount - 1
 	low    = 0
 )
 
@@ -21,7 +21,7 @@
 func cold(limit int) *Limiter {
 	limiter := New(-window)
 	limiter.SetLimit(-window, limit, false)
-	limiter.SetCold(-window, time.Hour)
+	limiter.SetColdUntil(-window, time.Hour)
 	return limiter
 }
 
@@ -29,50 +29,50 @@
 	check := is.New(t)
 	limiter := New(0)
 	limiter.SetLimit(second/2, 6, false) // its configuration comes later
-	check.Equal(limiter.Start(0, urgent), window)
-	check.Equal(limiter.Start(window-1, urgent), time.Duration(1))
-	check.Equal(limiter.Start(window, urgent), time.Duration(0))
+	check.Equal(limiter.TryStart(0, urgent), window)
+	check.Equal(limiter.TryStart(window-1, urgent), time.Duration(1))
+	check.Equal(limiter.TryStart(window, urgent), time.Duration(0))
 }
 
 func TestABackEndOfUnknownStateIsCold(t *testing.T) {
 	check := is.New(t)
 	limiter := New(-window)
 	limiter.SetLimit(-window, 1, false)
-	limiter.Start(0, urgent)
-	check.True(limiter.Start(time.Millisecond, urgent) > 0)
+	limiter.TryStart(0, urgent)
+	check.True(limiter.TryStart(time.Millisecond, urgent) > 0)
 }
 
 func TestAWarmBackEndAndOneWithoutARateAreNotBounded(t *testing.T) {
 	check := is.New(t)
 	warm := cold(1)
-	warm.SetCold(0, 0)
+	warm.SetColdUntil(0, 0)
 	unstated := New(0)
 	for range 100 {
-		check.Equal(warm.Start(0, low), time.Duration(0))
-		check.Equal(unstated.Start(0, low), time.Duration(0))
+		check.Equal(warm.TryStart(0, low), time.Duration(0))
+		check.Equal(unstated.TryStart(0, low), time.Duration(0))
 	}
 }
 
 func TestStartsAtAWarmBackEndCountWhenItTurnsCold(t *testing.T) {
 	check := is.New(t)
 	limiter := cold(6)
-	limiter.SetCold(0, 0)
-	limiter.Start(second, urgent)
-	limiter.SetCold(second, time.Hour)
-	check.Equal(limiter.Start(second, urgent), window)
+	limiter.SetColdUntil(0, 0)
+	limiter.TryStart(second, urgent)
+	limiter.SetColdUntil(second, time.Hour)
+	check.Equal(limiter.TryStart(second, urgent), window)
 }
 
 func TestANewerWordOfAColdBackEndCostsNoStart(t *testing.T) {
 	check := is.New(t)
 	limiter := cold(6)
-	limiter.SetCold(0, 2*second)
-	check.Equal(limiter.Start(0, urgent), time.Duration(0))
+	limiter.SetColdUntil(0, 2*second)
+	check.Equal(limiter.TryStart(0, urgent), time.Duration(0))
 }
 
 // startsIn counts the starts of calls of a class that come all the time in a window.
 func startsIn(limiter *Limiter, class int) (starts int) {
 	for now := time.Duration(0); now < window; now += time.Millisecond {
-		if limiter.Start(now, class) == 0 {
+		if limiter.TryStart(now, class) == 0 {
 			starts++
 		}
 	}
@@ -82,24 +82,24 @@
 func TestTheMostUrgentCallGetsTheLastStart(t *testing.T) {
 	check := is.New(t)
 	limiter := cold(8)
-	limiter.Start(0, urgent)
+	limiter.TryStart(0, urgent)
 	lows := 0
 	for now := time.Duration(0); now < window-1; now += time.Millisecond {
-		if limiter.Start(now, low) == 0 {
+		if limiter.TryStart(now, low) == 0 {
 			lows++
 		}
 	}
 	check.Equal(lows, 6) // of 8, one is used and one is kept, as many as came
-	check.Equal(limiter.Start(window-1, urgent), time.Duration(0))
+	check.Equal(limiter.TryStart(window-1, urgent), time.Duration(0))
 }
 
 func TestTheMostUrgentCallGetsTheLastStartOfAPartOfAWindow(t *testing.T) {
 	check := is.New(t)
 	limiter := cold(8)
-	limiter.Start(-window/2, urgent)
-	for limiter.Start(0, low) == 0 {
+	limiter.TryStart(-window/2, urgent)
+	for limiter.TryStart(0, low) == 0 {
 	}
-	check.Equal(limiter.Start(0, urgent), time.Duration(0))
+	check.Equal(limiter.TryStart(0, urgent), time.Duration(0))
 }
 
 func TestWithoutUrgentCallsNothingIsKeptForThem(t *testing.T) {
@@ -109,9 +109,9 @@
 func TestStartsAreSpreadOverTheWindow(t *testing.T) {
 	check := is.New(t)
 	limiter := cold(8)
-	check.Equal(limiter.Start(0, low), time.Duration(0))
-	check.Equal(limiter.Start(0, low), time.Duration(0))
-	check.Equal(limiter.Start(0, low), window/paceParts)
+	check.Equal(limiter.TryStart(0, low), time.Duration(0))
+	check.Equal(limiter.TryStart(0, low), time.Duration(0))
+	check.Equal(limiter.TryStart(0, low), window/paceParts)
 }
 
 // TestCallsThatAreWrittenLateExceedNoSecondOfTheRule has a busy machine write each call up to
@@ -119,7 +119,7 @@
 // rate with overage.
 func TestCallsThatAreWrittenLateExceedNoSecondOfTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Overage: 1.5, Slack: 8}
+		terms := Tolerance{Overage: 1.5, Slack: 8}
 		const rate = 4.5
 		allowed := int(rate*terms.Overage + terms.Slack)
 		limiter := cold(terms.Limit(rate))
@@ -128,7 +128,7 @@
 		for range 200 {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "milliseconds")) * time.Millisecond
 			for range rapid.IntRange(0, 6).Draw(t, "calls") {
-				if limiter.Start(now, rapid.IntRange(low, urgent).Draw(t, "class")) == 0 {
+				if limiter.TryStart(now, rapid.IntRange(low, urgent).Draw(t, "class")) == 0 {
 					late := rapid.IntRange(0, int(window/paceParts/time.Millisecond)).Draw(t, "late")
 					arrivals = append(arrivals, now+time.Duration(late)*time.Millisecond)
 				}
@@ -151,35 +151,35 @@
 func TestTheWaitEndsWhenAStartIsFree(t *testing.T) {
 	check := is.New(t)
 	limiter := cold(2)
-	limiter.Start(0, low)
-	limiter.Start(second/2, low)
+	limiter.TryStart(0, low)
+	limiter.TryStart(second/2, low)
 	wait := limiter.Wait(second/2, low)
 	check.True(limiter.Wait(second/2+wait-1, low) > 0)
-	check.Equal(limiter.Start(second/2+wait, low), time.Duration(0))
+	check.Equal(limiter.TryStart(second/2+wait, low), time.Duration(0))
 }
 
 func TestAnAbsurdRateBoundsAsTightlyAsItMay(t *testing.T) {
 	check := is.New(t)
-	terms := Terms{Overage: 1.5, Slack: 8}
+	terms := Tolerance{Overage: 1.5, Slack: 8}
 	for stated, limit := range map[float64]int{
 		4.5: 10, 0.2: 4, 0: 0, -3: 0, math.Inf(-1): 0, math.Inf(1): startLimit, math.MaxFloat64: startLimit,
 	} {
 		check.Equal(terms.Limit(stated), limit)
 	}
 	check.Equal(terms.Limit(math.NaN()), 0)
-	check.Equal(Terms{Overage: math.NaN()}.Limit(3), startLimit)
-	check.Equal(Terms{}.Limit(4.5), 4)
-	check.Equal(Terms{}.Limit(0.2), 1)
-	check.Equal(Terms{Slack: -9}.Limit(4.5), 4)
-	check.Equal(Terms{Slack: math.NaN()}.Limit(4.5), startLimit)
+	check.Equal(Tolerance{Overage: math.NaN()}.Limit(3), startLimit)
+	check.Equal(Tolerance{}.Limit(4.5), 4)
+	check.Equal(Tolerance{}.Limit(0.2), 1)
+	check.Equal(Tolerance{Slack: -9}.Limit(4.5), 4)
+	check.Equal(Tolerance{Slack: math.NaN()}.Limit(4.5), startLimit)
 }
 
 func TestStartsBeforeARateWasStatedCount(t *testing.T) {
 	check := is.New(t)
 	limiter := New(-window)
-	limiter.Start(0, urgent)
+	limiter.TryStart(0, urgent)
 	limiter.SetLimit(0, 6, true)
-	check.Equal(limiter.Start(0, urgent), window)
+	check.Equal(limiter.TryStart(0, urgent), window)
 }
 
 // begun is a start, with the limit in force then.
@@ -209,16 +209,16 @@
 				limit = rapid.IntRange(0, 12).Draw(t, "limit")
 				limiter.SetLimit(now, limit, true)
 			case 2:
-				limiter.SetCold(now, 0)
+				limiter.SetColdUntil(now, 0)
 			case 3:
-				limiter.SetCold(now, now+time.Duration(rapid.IntRange(1, 5).Draw(t, "seconds"))*second)
+				limiter.SetColdUntil(now, now+time.Duration(rapid.IntRange(1, 5).Draw(t, "seconds"))*second)
 			default:
 				for range rapid.IntRange(1, 8).Draw(t, "calls") {
-					if limiter.Start(now, rapid.IntRange(low, urgent).Draw(t, "class")) > 0 {
+					if limiter.TryStart(now, rapid.IntRange(low, urgent).Draw(t, "class")) > 0 {
 						continue
 					}
 					starts = append(starts, begun{at: now, limit: limit})
-					if count, most := lately(starts, now); limiter.Bounds(now) && count > most {
+					if count, most := lately(starts, now); limiter.IsLimiting(now) && count > most {
 						t.Fatalf("%d starts in the second to %s, at most %d", count, now, most)
 					}
 				}
--- a/internal/daemon/effects.go
+++ b/internal/daemon/effects.go
@@ -26,7 +26,7 @@
 		s.stopWatch(typed.Token)
 	case node.SwapSnapshot:
 		return s.swap(typed)
-	case node.ExtendServing:
+	case node.ExtendServingLease:
 		s.state.extend(typed.Until)
 		s.path.ExtendServing(typed.Until)
 	case node.PublishMembers:
--- a/internal/hosted/backendside.go
+++ b/internal/hosted/backendside.go
@@ -93,7 +93,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.clock()
-	if b.tracker.Reported(now, report) || b.tracker.DoubtsWarmth(now) {
+	if b.tracker.HandleReport(now, report) || b.tracker.NeedsWarmthProbe(now) {
 		b.probeSoon()
 	}
 	b.show()
@@ -103,7 +103,7 @@
 func (b *backendSide) Leave(start protocol.BackendStart) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.tracker.Left(start, time.Now().UnixMilli())
+	b.tracker.HandleLeave(start, time.Now().UnixMilli())
 	b.events.event("backend_left", field("instance", start.Instance), bornField(start.Born))
 	b.show()
 }
@@ -121,7 +121,7 @@
 func (b *backendSide) unreachable(start protocol.BackendStart) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.tracker.Unreachable(start)
+	b.tracker.MarkUnreachable(start)
 	b.show()
 }
 
@@ -130,7 +130,7 @@
 func (b *backendSide) failed(start protocol.BackendStart, answered uint64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.tracker.Failed(b.clock(), start, answered) {
+	if b.tracker.RecordFailure(b.clock(), start, answered) {
 		b.show()
 	}
 }
@@ -143,7 +143,7 @@
 		defer b.running.Done()
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
-		b.tracker.Remembered(start)
+		b.tracker.RestoreLeave(start)
 		b.events.event("backend_remembered", field("instance", start.Instance), bornField(start.Born), field("state", "draining"))
 		b.show()
 	}()
@@ -160,14 +160,14 @@
 func (b *backendSide) leaving() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.tracker.Leaving()
+	return b.tracker.IsDraining()
 }
 
 // show tells the gate and the mesh the present view where it differs from the last one, and the
 // gate first until when the back end is cold; the lock is held.
 func (b *backendSide) show() {
 	view := b.view()
-	if b.emptied && view.State.TakesWork() {
+	if b.emptied && view.State.AcceptsCalls() {
 		view = b.takeBack(view)
 	}
 	if view.Start.Instance == "" {
@@ -179,7 +179,7 @@
 		return
 	}
 	b.shown = view
-	if !b.stopping || !view.State.TakesWork() {
+	if !b.stopping || !view.State.AcceptsCalls() {
 		b.gate(proxy.BackendReport{
 			Start: view.Start, Slots: view.Slots, Software: view.Software, State: view.State,
 			EarlierCrashed: view.EarlierCrashed,
@@ -196,7 +196,7 @@
 		return view
 	}
 	b.emptied = true
-	if view.State.TakesWork() {
+	if view.State.AcceptsCalls() {
 		view.State = protocol.EndpointEvacuated
 	}
 	return view
--- a/internal/hosted/broadcasting.go
+++ b/internal/hosted/broadcasting.go
@@ -64,7 +64,7 @@
 	return protocol.ExchangeRequest{
 		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.known(),
 		Push: true, Members: records, Rollouts: m.rollouts.records(m.clock()), HarmfulSum: m.harmful.HarmfulSum(),
-		Evacuations: m.evacuations.Word(m.clock()),
+		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
 }
 
@@ -151,7 +151,7 @@
 		}
 	}
 	if len(records) > 0 {
-		m.sendBranches(m.peers().Near(), m.pushRequest(records))
+		m.sendBranches(m.peers().OwnZone(), m.pushRequest(records))
 	}
 }
 
--- a/internal/hosted/comparing.go
+++ b/internal/hosted/comparing.go
@@ -31,7 +31,7 @@
 func (m *mesh) nextTargets(round int) []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near, far := m.peers().Near(), m.peers().Far()
+	near, far := m.peers().OwnZone(), m.peers().OtherZones()
 	var targets []dissemination.Peer
 	if len(near) > 0 {
 		targets = append(targets, near[m.turn%len(near)])
@@ -55,7 +55,7 @@
 	if reply == nil {
 		return
 	}
-	if len(reply.Sums) != membership.Buckets {
+	if len(reply.Sums) != membership.BucketCount {
 		m.noteJoined(target) // both know the same
 		return
 	}
@@ -63,7 +63,7 @@
 	request = m.request()
 	sums := m.roster.Sums()
 	request.Sums = sums[:]
-	request.Members = m.roster.Differing(membership.Sums(reply.Sums))
+	request.Members = m.roster.InDifferingBuckets(membership.BucketSums(reply.Sums))
 	m.mutex.Unlock()
 	if reply = m.call(target, request); reply != nil {
 		m.takeCompared(target.Zone, reply.Members)
@@ -88,7 +88,7 @@
 func (m *mesh) noteJoined(from dissemination.Peer) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if from.Zone == m.self.Zone || len(m.peers().Near()) == 0 {
+	if from.Zone == m.self.Zone || len(m.peers().OwnZone()) == 0 {
 		m.join()
 	}
 }
@@ -98,6 +98,6 @@
 	return &protocol.ExchangeRequest{
 		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.known(),
 		Total: m.roster.Sums().Total(), Rollouts: m.rollouts.records(m.clock()), HarmfulSum: m.harmful.HarmfulSum(),
-		Evacuations: m.evacuations.Word(m.clock()),
+		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
 }
--- a/internal/hosted/configuration.go
+++ b/internal/hosted/configuration.go
@@ -123,14 +123,14 @@
 func (c *configuration) newEra(era uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.follower.NewEra(era)
+	c.follower.ObserveEra(era)
 }
 
 // heardOf takes a peer's word of the version that it has in force.
 func (c *configuration) heardOf(peer protocol.NodeID, version protocol.Version) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.carryOut(c.follower.PeerVersion(c.clock(), peer, version))
+	c.carryOut(c.follower.HandlePeerVersion(c.clock(), peer, version))
 }
 
 // carryOut does what the follower has decided; the lock is held. Reads and
@@ -158,11 +158,11 @@
 		c.rewatch(action.Turn)
 		return
 	}
-	if action.Kind == following.AskPeer {
+	if action.Kind == following.FetchFromPeer {
 		document := c.askIfLacking(action)
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.carryOut(c.follower.PeerAnswered(c.clock(), action.Peer, document))
+		c.carryOut(c.follower.HandlePeerDocument(c.clock(), action.Peer, document))
 		return
 	}
 	reading := c.read(action)
@@ -172,13 +172,13 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.noteStore(reading)
-	c.carryOut(c.follower.StoreRead(c.clock(), reading))
+	c.carryOut(c.follower.HandleStoreRead(c.clock(), reading))
 }
 
 // rewatch makes a watch again over a new connection, unless it has been answered.
 func (c *configuration) rewatch(turn uint64) {
 	c.mutex.Lock()
-	waits, waited := c.follower.WatchWaits(turn), c.clock()-c.watchedAt
+	waits, waited := c.follower.IsWatchPending(turn), c.clock()-c.watchedAt
 	c.mutex.Unlock()
 	if waits {
 		c.connections.watchMissed(waited)
@@ -189,7 +189,7 @@
 // elsewhere meanwhile.
 func (c *configuration) askIfLacking(action following.Action) authority.Document {
 	c.mutex.Lock()
-	lacking := c.follower.Lacks(action.Version)
+	lacking := c.follower.IsNewer(action.Version)
 	c.mutex.Unlock()
 	if !lacking {
 		return authority.Document{}
@@ -208,7 +208,7 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.carryOut(c.follower.StorePolled(c.clock(), reading))
+	c.carryOut(c.follower.HandlePoll(c.clock(), reading))
 	return reading.Code == result.OK
 }
 
--- a/internal/hosted/connections.go
+++ b/internal/hosted/connections.go
@@ -44,7 +44,7 @@
 	renewStore func()
 
 	mutex   sync.Mutex
-	decider renewal.Decider
+	decider renewal.Scheduler
 	// epoch ends with the next renewal, by endEpoch.
 	epoch    context.Context
 	endEpoch func()
@@ -65,7 +65,7 @@
 	defer c.mutex.Unlock()
 	now := c.clock()
 	c.events.event("connection_dead", field("to", place), field("age_ms", milliseconds(now-opened)))
-	wait, renew := c.decider.Dead(now, opened)
+	wait, renew := c.decider.ReportDead(now, opened)
 	if !renew || c.context.Err() != nil {
 		return
 	}
@@ -81,7 +81,7 @@
 	c.renew()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.decider.Renew(c.clock())
+	c.decider.MarkRenewed(c.clock())
 	c.nextEpoch()
 	c.events.event("connections_renewed")
 }
--- a/internal/hosted/daemon.go
+++ b/internal/hosted/daemon.go
@@ -120,7 +120,7 @@
 		OnHarmful:            d.tellHarmful,
 		OnHeld:               d.keepHeld,
 		RoundTrip:            d.roundTrips.Timeout,
-		WarmUp:               warmup.Terms(d.settings.WarmUp),
+		WarmUp:               warmup.Tolerance(d.settings.WarmUp),
 		Log:                  d.logPath,
 		Trace:                d.requests,
 		Freshness:            func() []proxy.EventField { return d.configuration.freshness() },
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -24,7 +24,7 @@
 // peers returns the other daemons known; the lock is held.
 func (m *mesh) peers() *dissemination.Directory {
 	now := m.clock()
-	structure := m.roster.Structure()
+	structure := m.roster.StructureRevision()
 	if m.index.directory == nil || m.index.structure != structure || now-m.index.madeAt > directoryLife {
 		m.index = peerIndex{
 			directory: dissemination.NewDirectory(m.self.ID, m.self.Zone, m.listPeers(now)),
--- a/internal/hosted/evacuationreader.go
+++ b/internal/hosted/evacuationreader.go
@@ -39,7 +39,7 @@
 		made.timing.Within = 0
 	}
 	made.follower = &orderFollower{
-		mesh: mesh, purpose: evacuationPurpose, count: evacuation.FollowerCount, list: made.list, watch: made.watch,
+		mesh: mesh, purpose: evacuationPurpose, count: evacuation.WatcherCount, list: made.list, watch: made.watch,
 		known: func() bool { return false }, // whoever is due reads before there are followers
 	}
 	mesh.evacuationTiming = made.timing
@@ -67,7 +67,7 @@
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.evacuations.Known() || m.clock() >= min(r.timing.Within, longestOrderWait)
+	return m.evacuations.IsKnown() || m.clock() >= min(r.timing.Within, longestOrderWait)
 }
 
 // keepFresh reads the orders whenever the newest reading known is too old, and asks a peer
@@ -83,7 +83,7 @@
 			continue
 		}
 		r.askPeer()
-		if !pause.For(r.mesh.context, r.timing.Retry(r.follower.rank(), failures)) {
+		if !pause.For(r.mesh.context, r.timing.RetryDelay(r.follower.rank(), failures)) {
 			return
 		}
 	}
@@ -120,8 +120,8 @@
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	due := r.timing.Due(m.rankFor(evacuationPurpose), m.evacuations.Known(), random)
-	return due - m.evacuations.Age(m.clock())
+	due := r.timing.RefreshAge(m.rankFor(evacuationPurpose), m.evacuations.IsKnown(), random)
+	return due - m.evacuations.ReadingAge(m.clock())
 }
 
 // askPeer compares with a peer drawn at random: the store may answer others.
@@ -149,7 +149,7 @@
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.evacuations.Known() && m.evacuations.Orders().At.IsStart() && m.evacuations.Age(m.clock()) < r.timing.Within/2
+	return m.evacuations.IsKnown() && m.evacuations.Orders().At.IsStart() && m.evacuations.ReadingAge(m.clock()) < r.timing.Within/2
 }
 
 // read reads all orders, puts them in force and tells all daemons. It returns the position
@@ -168,7 +168,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	orders = r.withLost(orders)
-	m.mergeEvacuations(began, sourceStore, evacuation.Word{Orders: orders, Known: true})
+	m.mergeEvacuations(began, sourceStore, evacuation.SharedOrders{Orders: orders, Known: true})
 	m.spreadOrders()
 	return orders.At, nil
 }
--- a/internal/hosted/evacuations.go
+++ b/internal/hosted/evacuations.go
@@ -24,7 +24,7 @@
 
 // takeEvacuations takes a peer's word of orders. Its age counts from a time: that at which it
 // came, or at which it was asked for, so that no reading looks newer than it is.
-func (m *mesh) takeEvacuations(at time.Duration, source string, word evacuation.Word) {
+func (m *mesh) takeEvacuations(at time.Duration, source string, word evacuation.SharedOrders) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.mergeEvacuations(at, source, word)
@@ -32,7 +32,7 @@
 
 // mergeEvacuations takes word of orders and puts what is news in force; the lock is held.
 // Where the settings follow no orders, none is heeded.
-func (m *mesh) mergeEvacuations(at time.Duration, source string, word evacuation.Word) {
+func (m *mesh) mergeEvacuations(at time.Duration, source string, word evacuation.SharedOrders) {
 	if m.evacuationTiming.Within == 0 {
 		return
 	}
@@ -42,7 +42,7 @@
 	}
 	m.publishAll()
 	m.zoneChanged()
-	made, withdrawn := lo.Difference(word.Orders.All(), before.All())
+	made, withdrawn := lo.Difference(word.Orders.AllZones(), before.AllZones())
 	for _, zone := range made {
 		m.events.event("evacuation_heard", m.evacuationFields(zone, source)...)
 		if m.joined() && m.daemonsIn(zone) == 0 {
@@ -94,8 +94,8 @@
 func (m *mesh) evacuatedZones() (zones []evacuatedZone, age time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for _, zone := range m.evacuations.Orders().All() {
+	for _, zone := range m.evacuations.Orders().AllZones() {
 		zones = append(zones, evacuatedZone{zone: zone, daemons: m.daemonsIn(zone)})
 	}
-	return zones, m.evacuations.Age(m.clock())
+	return zones, m.evacuations.ReadingAge(m.clock())
 }
--- a/internal/hosted/evacuations_test.go
+++ b/internal/hosted/evacuations_test.go
@@ -51,8 +51,8 @@
 		tracker:  backend.NewTracker(time.Hour),
 	}
 	report := backend.Report{Instance: "i", Sequence: 1, Slots: 6}
-	made.tracker.Reported(0, report)
-	made.tracker.Probed(0, backend.Probe{Instance: "i", Healthy: true})
+	made.tracker.HandleReport(0, report)
+	made.tracker.HandleProbe(0, backend.ProbeResult{Instance: "i", Healthy: true})
 	made.zone(false)
 	return made
 }
@@ -161,11 +161,11 @@
 func TestNewsOfAnOrderIsInForceAtOnce(t *testing.T) {
 	check := is.New(t)
 	held := newEvacuationMesh()
-	held.takeEvacuations(0, "a", evacuation.Word{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
+	held.takeEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
 	check.Equal(held.published[0].Evacuations.Zones, []string{"z1"})
 	check.True(held.evacuated())
 	check.True(strings.Contains(held.log.String(), "event=evacuation_heard"))
-	held.takeEvacuations(0, "b", evacuation.Word{Orders: evacuation.NewOrders(position.Position{Revision: 6}, nil), Known: true}) // crossed
+	held.takeEvacuations(0, "b", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 6}, nil), Known: true}) // crossed
 	check.True(held.evacuated())
 	held.port.orders = evacuation.NewOrders(position.Position{Revision: 9}, nil)
 	_, err := held.reader.read()
@@ -183,7 +183,7 @@
 	held.port.orders = evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"})
 	_, err := held.reader.read()
 	check.NoErr(err)
-	want := evacuation.Word{Orders: held.port.orders, Known: true}
+	want := evacuation.SharedOrders{Orders: held.port.orders, Known: true}
 	check.Equal(held.request().Evacuations, want)
 	check.Equal(held.pushRequest(nil).Evacuations, want)
 	check.Equal(held.answerExchange(&protocol.ExchangeRequest{From: "a", Zone: "z1", Push: true}).Evacuations, want)
@@ -198,7 +198,7 @@
 	held.now = testWithin
 	check.True(held.reader.informed())
 	held.now = 0
-	held.takeEvacuations(0, "a", evacuation.Word{Known: true})
+	held.takeEvacuations(0, "a", evacuation.SharedOrders{Known: true})
 	check.True(held.reader.informed())
 }
 
@@ -219,10 +219,10 @@
 func TestAStoreThatWentBackIsNotStormed(t *testing.T) {
 	check := is.New(t)
 	held := newEvacuationMeshAmong() // nobody to ask
-	held.takeEvacuations(0, "a", evacuation.Word{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
+	held.takeEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
 	held.now = 2 * testWithin // the reading is due
 	held.port.orders = evacuation.NewOrders(position.Position{Revision: 3}, nil)
-	running, end := context.WithTimeout(context.Background(), held.reader.timing.Relist()/4)
+	running, end := context.WithTimeout(context.Background(), held.reader.timing.RelistInterval()/4)
 	defer end()
 	held.context = running
 	held.port.onList = func() {
@@ -241,7 +241,7 @@
 	held := newEvacuationMesh()
 	held.port.orders = evacuation.NewOrders(position.Position{Revision: 3}, nil)
 	held.port.onList = func() {
-		held.takeEvacuations(0, "a", evacuation.Word{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
+		held.takeEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
 	}
 	_, err := held.reader.read()
 	check.NoErr(err)
@@ -305,6 +305,6 @@
 	check := is.New(t)
 	held := newEvacuationMesh()
 	held.evacuationTiming = evacuation.Timing{}
-	held.takeEvacuations(0, "a", evacuation.Word{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
+	held.takeEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
 	check.True(!held.evacuated())
 }
--- a/internal/hosted/harmful.go
+++ b/internal/hosted/harmful.go
@@ -28,7 +28,7 @@
 	// HarmfulSum is the same on daemons that know the same.
 	HarmfulSum() uint64
 	// HarmfulBelief is what is believed of a request, ReleaseHarmful has it trusted again.
-	HarmfulBelief(quarantine.Signature) quarantine.Belief
+	HarmfulBelief(quarantine.Signature) quarantine.State
 	ReleaseHarmful(quarantine.Signature)
 }
 
--- a/internal/hosted/heldrequests.go
+++ b/internal/hosted/heldrequests.go
@@ -49,7 +49,7 @@
 		record := one.Record
 		// A clock that stands back makes an end younger than it is, and never of the future.
 		record.Age = max(time.Since(one.EndedAt), 0)
-		if record.Age > quarantine.LongestMemory {
+		if record.Age > quarantine.MaxRecordAge {
 			m.removeHeld(record.Signature)
 			continue
 		}
--- a/internal/hosted/heldrequests_test.go
+++ b/internal/hosted/heldrequests_test.go
@@ -37,11 +37,11 @@
 // believed is what a data path believes of requests.
 type believed struct {
 	harmfulRequests
-	beliefs  map[quarantine.Signature]quarantine.Belief
+	beliefs  map[quarantine.Signature]quarantine.State
 	released []quarantine.Signature
 }
 
-func (b *believed) HarmfulBelief(signature quarantine.Signature) quarantine.Belief {
+func (b *believed) HarmfulBelief(signature quarantine.Signature) quarantine.State {
 	return b.beliefs[signature]
 }
 
@@ -55,7 +55,7 @@
 	check := is.New(t)
 	held, cleared, removed, lapsed := signatureOf("held"), signatureOf("cleared"), signatureOf("removed"), signatureOf("lapsed")
 	store := heldInStore{held: true, cleared: true}
-	path := &believed{beliefs: map[quarantine.Signature]quarantine.Belief{
+	path := &believed{beliefs: map[quarantine.Signature]quarantine.State{
 		held: quarantine.Held, removed: quarantine.Suspected,
 	}}
 	mesh := &mesh{
--- a/internal/hosted/hosted_test.go
+++ b/internal/hosted/hosted_test.go
@@ -150,9 +150,9 @@
 		roundTrips: &roundtrip.Estimator{},
 		self:       protocol.Member{ID: "m", Zone: zone, Incarnation: 5, Sequence: 1, State: protocol.MemberAlive},
 	}
-	made.roster.Merge(0, made.self, membership.Below)
+	made.roster.Merge(0, made.self, membership.SourceSubtree)
 	for _, other := range others {
-		made.roster.Merge(0, other, membership.Below)
+		made.roster.Merge(0, other, membership.SourceSubtree)
 	}
 	return made
 }
@@ -207,8 +207,8 @@
 	same := held.answerExchange(&protocol.ExchangeRequest{From: "x", Total: held.roster.Sums().Total()})
 	check.Equal(len(same.Sums)+len(same.Members), 0)
 	differs := held.answerExchange(&protocol.ExchangeRequest{From: "x", Total: 1})
-	check.Equal(len(differs.Sums), membership.Buckets)
-	empty := membership.Sums{}
+	check.Equal(len(differs.Sums), membership.BucketCount)
+	empty := membership.BucketSums{}
 	whole := held.answerExchange(&protocol.ExchangeRequest{From: "x", Sums: empty[:]})
 	check.Equal(len(whole.Members), 3)
 	pushed := held.answerExchange(&protocol.ExchangeRequest{From: "x", Zone: "z1", Push: true, Total: 1, Members: []protocol.Member{member("c", "z1")}})
@@ -247,7 +247,7 @@
 		limits := daemon.retryBudget(daemons)
 		check.True(limits.Part*float64(daemons) <= 64)
 		check.True(limits.Ratio < 0.2)
-		budget := retry.NewBudgetWithin(limits)
+		budget := retry.NewBudgetWithLimits(limits)
 		for range 20 {
 			budget.Deposit(time.Second, 0)
 		}
--- a/internal/hosted/latewrites_test.go
+++ b/internal/hosted/latewrites_test.go
@@ -129,7 +129,7 @@
 func heldMesh(t *testing.T, now *time.Duration) (*mesh, lateHeldStore, *believed, quarantine.Signature) {
 	signature := signatureOf("one")
 	store := lateHeldStore{signature: true}
-	path := &believed{beliefs: map[quarantine.Signature]quarantine.Belief{signature: quarantine.Held}}
+	path := &believed{beliefs: map[quarantine.Signature]quarantine.State{signature: quarantine.Held}}
 	made := &mesh{
 		clock: func() time.Duration { return *now }, context: t.Context(), calls: &storeCalls{}, held: store, harmful: path,
 		reads: testReads(), eras: &eras{},
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -49,7 +49,7 @@
 
 // stayNear keeps calls in their zone until waiting there costs about as long as
 // running: bytes between zones are paid for.
-var stayNear = endpoint.Spill{Above: 1.5, Zone: 1, Region: 4}
+var stayNear = endpoint.Spillover{Above: 1.5, Zone: 1, Region: 4}
 
 // drainBound is when calls that still run are cut, after the start of a stop.
 func drainBound(grace time.Duration) time.Duration {
@@ -97,7 +97,7 @@
 // sum over all daemons stays within what is allowed for any number of daemons.
 func (d *Daemon) retryBudget(daemons int) retry.Limits {
 	bound := d.settings.Retries
-	return retry.ForChain(bound.Ratio, bound.Slack, bound.CallDepth, daemons, bound.Window())
+	return retry.LimitsForChain(bound.Ratio, bound.Slack, bound.CallDepth, daemons, bound.Window())
 }
 
 // closeBound is how long the servers may take to end once nothing runs.
--- a/internal/hosted/mesh.go
+++ b/internal/hosted/mesh.go
@@ -143,7 +143,7 @@
 
 func (m *mesh) start() {
 	m.mutex.Lock()
-	m.roster.Merge(m.clock(), m.self, membership.Below)
+	m.roster.Merge(m.clock(), m.self, membership.SourceSubtree)
 	m.mutex.Unlock()
 	for _, loop := range []func(){m.register, m.compareForever, m.pollForever, m.awaitJoin, m.followHeld} {
 		m.running.Add(1)
@@ -200,7 +200,7 @@
 // pushSelf raises the own record and tells peers; the lock is held.
 func (m *mesh) pushSelf() {
 	m.self.Sequence++
-	m.roster.Merge(m.clock(), m.self, membership.Below)
+	m.roster.Merge(m.clock(), m.self, membership.SourceSubtree)
 	m.publishAll()
 	m.broadcastSelf()
 }
@@ -283,7 +283,7 @@
 			continue
 		}
 		remembered, known := m.roster.Get(member.ID)
-		if !m.roster.Merge(m.clock(), member, membership.Below) {
+		if !m.roster.Merge(m.clock(), member, membership.SourceSubtree) {
 			continue
 		}
 		news = append(news, member)
--- a/internal/hosted/orderfollower.go
+++ b/internal/hosted/orderfollower.go
@@ -76,7 +76,7 @@
 		switch {
 		case err != nil:
 			failures++
-			pause.For(f.mesh.context, registryBackoff.Pause(failures, randomNumber()))
+			pause.For(f.mesh.context, registryBackoff.Delay(failures, randomNumber()))
 		case at.IsStart(): // the store knows no orders at all, so there is nothing to watch
 			pause.For(f.mesh.context, orderRelist)
 		default:
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -60,13 +60,13 @@
 	m.contact.note(contactPeer)
 	reply := &protocol.ExchangeReply{
 		Version: m.version(), Era: m.eras.known(), Rollouts: m.rollouts.records(m.clock()), Harmful: m.harmfulFor(request.HarmfulSum),
-		Evacuations: m.evacuations.Word(m.clock()),
+		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
 	sums := m.roster.Sums()
 	switch {
 	case request.Push:
 	case len(request.Sums) == len(sums):
-		reply.Members = m.roster.Differing([len(sums)]uint64(request.Sums))
+		reply.Members = m.roster.InDifferingBuckets([len(sums)]uint64(request.Sums))
 	case request.Total != sums.Total():
 		reply.Sums = sums[:]
 	}
--- a/internal/hosted/poll.go
+++ b/internal/hosted/poll.go
@@ -115,7 +115,7 @@
 func (m *mesh) substitutes() []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near := lo.Reject(m.peers().Near(), func(one dissemination.Peer, _ int) bool { return m.isLost(one.ID) })
+	near := lo.Reject(m.peers().OwnZone(), func(one dissemination.Peer, _ int) bool { return m.isLost(one.ID) })
 	slices.SortFunc(near, func(a, b dissemination.Peer) int { return cmp.Compare(a.ID, b.ID) })
 	next, _ := slices.BinarySearchFunc(near, m.self.ID, func(one dissemination.Peer, own protocol.NodeID) int {
 		return cmp.Compare(one.ID, own)
@@ -156,13 +156,13 @@
 	defer m.mutex.Unlock()
 	directory := m.peers()
 	before := 0
-	for _, one := range directory.Near() {
+	for _, one := range directory.OwnZone() {
 		if one.ID < m.self.ID && !m.isLost(one.ID) {
 			before++
 		}
 	}
 	zones := len(directory.Zones())
-	if len(directory.Near()) == 0 {
+	if len(directory.OwnZone()) == 0 {
 		zones++ // the own one
 	}
 	period := pollPeriod * time.Duration(max(zones, pollersWanted)) / pollersWanted
@@ -191,7 +191,7 @@
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
 		directory := m.peers()
-		near := directory.Near()
+		near := directory.OwnZone()
 		targets := drawn(near, announceTargets)
 		if polled || randomNumber()%uint64(len(near)+1) == 0 {
 			for _, zone := range directory.Zones() {
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -61,7 +61,7 @@
 
 // Prober asks the back end at an address itself. It answers with the instance
 // that runs there, and whether that takes work.
-type Prober func(address, path string, within time.Duration) backend.Probe
+type Prober func(address, path string, within time.Duration) backend.ProbeResult
 
 // Options are what a hosted daemon is given beside its settings.
 type Options struct {
--- a/internal/hosted/probing.go
+++ b/internal/hosted/probing.go
@@ -62,7 +62,7 @@
 
 // ask probes the back end once. The gate is told that it does, for a probe takes a slot there,
 // and how many calls the back end holds.
-func (b *backendSide) ask(path string) backend.Probe {
+func (b *backendSide) ask(path string) backend.ProbeResult {
 	if b.probes != nil {
 		defer b.probes()()
 	}
@@ -83,12 +83,12 @@
 
 // probed takes an answer to what was asked at a time, and tells whether nothing is left to
 // confirm.
-func (b *backendSide) probed(askedAt time.Duration, answer backend.Probe) bool {
+func (b *backendSide) probed(askedAt time.Duration, answer backend.ProbeResult) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	// An answer to what was asked before the back end may have become cold says nothing of that.
 	answer.TellsWarmUp = answer.TellsWarmUp && askedAt >= b.doubtedAt
-	b.tracker.Probed(b.clock(), answer)
+	b.tracker.HandleProbe(b.clock(), answer)
 	b.show()
-	return !b.tracker.Unconfirmed() && !b.tracker.AwaitsWarmth(b.clock())
+	return !b.tracker.HasCandidates() && !b.tracker.IsAssumedCold(b.clock())
 }
--- a/internal/hosted/registering.go
+++ b/internal/hosted/registering.go
@@ -134,7 +134,7 @@
 		if call() {
 			return true
 		}
-		if !pause.For(m.context, registryBackoff.Pause(failures, randomNumber())) {
+		if !pause.For(m.context, registryBackoff.Delay(failures, randomNumber())) {
 			return false
 		}
 	}
@@ -209,7 +209,7 @@
 func (m *mesh) startPeers() []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near, far := m.peers().Near(), m.peers().Far()
+	near, far := m.peers().OwnZone(), m.peers().OtherZones()
 	targets := slices.Clone(near[:min(startPeerCount, len(near))])
 	return append(targets, drawn(far, 1)...)
 }
--- a/internal/hosted/rolloutdecider.go
+++ b/internal/hosted/rolloutdecider.go
@@ -111,7 +111,7 @@
 	}
 	m := d.mesh
 	m.mutex.Lock()
-	record, found := m.rollouts.orders.Of(service)
+	record, found := m.rollouts.orders.Lookup(service)
 	elapsed := m.rollouts.orders.Elapsed(m.clock(), service)
 	target, stable := m.rolloutGates(record)
 	m.mutex.Unlock()
@@ -176,7 +176,7 @@
 // respread tells all daemons again of a stage that they should have heard of; the lock is
 // held.
 func (d *rolloutDecider) respread(known *followedOrder, record rollout.Record, now time.Duration) {
-	if !record.Stage.Spreading() || now-known.spreadAt < respreadPeriod {
+	if !record.Stage.IsUrgent() || now-known.spreadAt < respreadPeriod {
 		return
 	}
 	known.spreadAt = now
--- a/internal/hosted/rolloutdecider_test.go
+++ b/internal/hosted/rolloutdecider_test.go
@@ -104,7 +104,7 @@
 		decider.reread()
 		return
 	}
-	record, _ := decider.mesh.rollouts.orders.Of(t.store.order.Service)
+	record, _ := decider.mesh.rollouts.orders.Lookup(t.store.order.Service)
 	if record.Stage.Final() || step.stage < record.Stage {
 		return // as decide does: there is nothing to decide, or no such decision
 	}
@@ -115,7 +115,7 @@
 // daemon believes to be the outcome is.
 func (t *twoDeciders) holds() bool {
 	for _, decider := range t.deciders {
-		record, _ := decider.mesh.rollouts.orders.Of(t.store.order.Service)
+		record, _ := decider.mesh.rollouts.orders.Lookup(t.store.order.Service)
 		if record.Stage.Final() && record.Stage != t.store.outcome {
 			return false
 		}
@@ -167,7 +167,7 @@
 	decider := run.deciders[0]
 	slow := &slowStore{orderStore: run.store, writing: make(chan struct{}), let: make(chan struct{})}
 	decider.port = slow
-	record, _ := decider.mesh.rollouts.orders.Of(run.store.order.Service)
+	record, _ := decider.mesh.rollouts.orders.Lookup(run.store.order.Service)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
@@ -193,9 +193,9 @@
 	now := time.Minute
 	decider.mesh.clock = func() time.Duration { return now }
 	before := run.store.order
-	record, _ := decider.mesh.rollouts.orders.Of(before.Service)
+	record, _ := decider.mesh.rollouts.orders.Lookup(before.Service)
 	decider.write(before, record, rollout.Decision{Stage: rollout.StageCompleted})
-	record, _ = decider.mesh.rollouts.orders.Of(before.Service)
+	record, _ = decider.mesh.rollouts.orders.Lookup(before.Service)
 	check.Equal(record.Stage, rollout.StageCompleted)
 	decider.writeLost(record, 0)
 	check.Equal(run.store.order.At.Revision, before.At.Revision+1) // it stands there
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -55,7 +55,7 @@
 		m.confirmOrders()
 	}
 	for _, record := range m.rollouts.records(now) {
-		if record.Stage == rollout.StageCompleted && m.rollouts.orders.InStage(now, record.Service) > completedTime {
+		if record.Stage == rollout.StageCompleted && m.rollouts.orders.TimeInStage(now, record.Service) > completedTime {
 			delete(splits, record.Service)
 			continue
 		}
@@ -129,7 +129,7 @@
 // target version, of which the canaries come first; the lock is held.
 func (m *mesh) rolloutGates(record rollout.Record) (target, stable []rolloutGate) {
 	m.roster.Each(func(member protocol.Member) {
-		takesWork := member.Endpoint.TakesWork()
+		takesWork := member.Endpoint.AcceptsCalls()
 		if member.Service != record.Service || member.Backend == "" || member.State != protocol.MemberAlive {
 			return
 		}
--- a/internal/hosted/sightings.go
+++ b/internal/hosted/sightings.go
@@ -78,7 +78,7 @@
 
 // hasVersion tells whether a back end takes work and says what software it runs.
 func hasVersion(member *protocol.Member) bool {
-	return member.Software != "" && member.Endpoint.TakesWork()
+	return member.Software != "" && member.Endpoint.AcceptsCalls()
 }
 
 // countVersions counts the back ends of each service that take work by their version.
--- a/internal/hosted/warmth.go
+++ b/internal/hosted/warmth.go
@@ -44,7 +44,7 @@
 func (b *backendSide) doubtWarmth() {
 	b.doubtedAt = b.clock()
 	b.tracker.AssumeCold(b.doubtedAt, b.settings.warmUp())
-	if b.tracker.AwaitsWarmth(b.clock()) {
+	if b.tracker.IsAssumedCold(b.clock()) {
 		b.probeSoon()
 	}
 }
--- a/internal/hosted/warmth_test.go
+++ b/internal/hosted/warmth_test.go
@@ -45,7 +45,7 @@
 		probing:  true, // no loop runs
 	}
 	made.Heartbeat(backend.Report{Instance: "i", Sequence: 1, Slots: 6})
-	made.probed(made.now, backend.Probe{Instance: "i", Healthy: true})
+	made.probed(made.now, backend.ProbeResult{Instance: "i", Healthy: true})
 	return made
 }
 
@@ -66,7 +66,7 @@
 	made.show()
 	check.Equal(made.order, []string{"cold until 3s", "state of i"})
 	check.Equal(made.shown.State, protocol.EndpointWarming)
-	made.probed(made.now, backend.Probe{Instance: "i", Healthy: true, TellsWarmUp: true})
+	made.probed(made.now, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
 	check.Equal(made.shown.State, protocol.EndpointReady)
 }
 
@@ -75,7 +75,7 @@
 	made := newSide()
 	made.order = nil
 	made.Heartbeat(backend.Report{Instance: "j", Sequence: 1, Slots: 6, WarmUp: time.Second})
-	made.probed(made.now, backend.Probe{Instance: "j", Healthy: true})
+	made.probed(made.now, backend.ProbeResult{Instance: "j", Healthy: true})
 	check.Equal(made.order, []string{"cold until 1s", "state of j"})
 }
 
@@ -99,7 +99,7 @@
 	made.confirmWarmth()
 	check.Equal(made.cold[len(made.cold)-1], 4*time.Second)
 	made.now = 2 * time.Second
-	made.probed(made.now, backend.Probe{Instance: "i", Healthy: true, TellsWarmUp: true})
+	made.probed(made.now, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
 	check.Equal(made.cold[len(made.cold)-1], time.Duration(0))
 }
 
@@ -108,18 +108,18 @@
 	made := newSide()
 	made.now = time.Second
 	made.confirmWarmth()
-	done := made.probed(made.now-1, backend.Probe{Instance: "i", Healthy: true, TellsWarmUp: true})
+	done := made.probed(made.now-1, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
 	check.True(!done)
 	check.Equal(made.cold[len(made.cold)-1], 4*time.Second)
 }
 
 // answers has the back end answer its health path, and counts how often it was asked.
-func (s *side) answers(probe backend.Probe) (asked *int) {
+func (s *side) answers(probe backend.ProbeResult) (asked *int) {
 	asked = new(int)
 	s.probing = false
 	s.settings.joined = func() bool { return true }
 	s.settings.healthPath = func() string { return "/health" }
-	s.settings.probe = func(string, string, time.Duration) backend.Probe {
+	s.settings.probe = func(string, string, time.Duration) backend.ProbeResult {
 		*asked++
 		return probe
 	}
@@ -131,7 +131,7 @@
 	made := newSide()
 	made.now = time.Second
 	made.confirmWarmth() // nobody answers
-	made.answers(backend.Probe{Instance: "i", Healthy: true, TellsWarmUp: true})
+	made.answers(backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
 	made.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6})
 	made.running.Wait()
 	check.Equal(made.cold[len(made.cold)-1], time.Duration(0))
@@ -140,8 +140,8 @@
 func TestABackEndThatReportsOtherwiseThanItAnsweredIsAskedAgain(t *testing.T) {
 	check := is.New(t)
 	made := newSide()
-	made.probed(made.now, backend.Probe{Instance: "i", Healthy: true, TellsWarmUp: true, WarmUp: time.Hour})
-	made.answers(backend.Probe{Instance: "i", Healthy: true, TellsWarmUp: true})
+	made.probed(made.now, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true, WarmUp: time.Hour})
+	made.answers(backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
 	made.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6})
 	made.running.Wait()
 	check.Equal(made.cold[len(made.cold)-1], time.Duration(0))
@@ -150,8 +150,8 @@
 func TestABackEndThatIsColdByItsReportsIsNotAsked(t *testing.T) {
 	check := is.New(t)
 	made := newSide()
-	made.probed(made.now, backend.Probe{Instance: "i", Healthy: true, TellsWarmUp: true, WarmUp: time.Second})
-	asked := made.answers(backend.Probe{})
+	made.probed(made.now, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true, WarmUp: time.Second})
+	asked := made.answers(backend.ProbeResult{})
 	made.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6, WarmUp: time.Second / 2})
 	made.running.Wait()
 	check.Equal(*asked, 0)
--- a/internal/hosted/wiring.go
+++ b/internal/hosted/wiring.go
@@ -224,7 +224,7 @@
 		calls:   &d.storeCalls,
 		contact: d.contact,
 		reads:   m.reads, connections: m.connections, eras: m.eras,
-		follower: following.New(following.ConfigFor(d.settings.Authority.Apply()), randomNumber),
+		follower: following.New(following.ConfigForApplyTime(d.settings.Authority.Apply()), randomNumber),
 	}
 }
 
--- a/internal/lab/harmful/day.go
+++ b/internal/lab/harmful/day.go
@@ -94,7 +94,7 @@
 
 // choose picks a gate whose back end is up: any, or for a suspected request the one that
 // ranks first for it.
-func (d *day) choose(sent *work, belief quarantine.Belief) int {
+func (d *day) choose(sent *work, belief quarantine.State) int {
 	up := lo.Filter(lo.Range(gateCount), func(gate, _ int) bool {
 		return d.daemons[gate].up && !slices.Contains(sent.tried, gate)
 	})
@@ -128,11 +128,11 @@
 		at.waiting = append(at.waiting, sent)
 	case len(at.running) >= slots:
 		d.again(sent)
-	case suspected && len(at.running) > 0 && d.isolation(at, sent) != quarantine.Beside:
+	case suspected && len(at.running) > 0 && d.isolation(at, sent) != quarantine.AlongsideTrusted:
 		d.isolate(sent, gate)
 	default:
 		sent.hasTurn = suspected
-		if suspected && d.isolation(at, sent) != quarantine.Beside {
+		if suspected && d.isolation(at, sent) != quarantine.AlongsideTrusted {
 			at.alone = sent
 		}
 		d.run(sent, gate)
@@ -141,7 +141,7 @@
 
 // beliefOf is what a daemon believes of a request, which is suspected at least if a back end
 // has ended under this try.
-func (d *day) beliefOf(at *daemon, sent *work) quarantine.Belief {
+func (d *day) beliefOf(at *daemon, sent *work) quarantine.State {
 	belief := d.believes(at, sent.signature)
 	if sent.suspect {
 		belief = max(belief, quarantine.Suspected)
@@ -265,7 +265,7 @@
 func (d *day) noteHeld(sent *work) {
 	d.held[sent.signature] = true
 	for _, one := range d.daemons {
-		if _, left := one.table.View(d.Now()).Belief(d.Now(), sent.signature); left > longHold {
+		if _, left := one.table.View(d.Now()).State(d.Now(), sent.signature); left > longHold {
 			d.heldLong[sent.signature] = true
 		}
 	}
--- a/internal/lab/harmful/isolation.go
+++ b/internal/lab/harmful/isolation.go
@@ -13,7 +13,7 @@
 // isolation is how a request is kept apart at a daemon.
 func (d *day) isolation(at *daemon, sent *work) quarantine.Isolation {
 	if !d.way.Isolated {
-		return quarantine.Beside
+		return quarantine.AlongsideTrusted
 	}
 	return at.table.View(d.Now()).Isolation(d.Now(), sent.signature)
 }
@@ -27,7 +27,7 @@
 			return
 		}
 		at.alone = nil
-		if d.isolation(at, sent) == quarantine.AloneOnly {
+		if d.isolation(at, sent) == quarantine.AloneRequired {
 			d.again(sent)
 		} else {
 			sent.hasTurn = true
--- a/internal/lab/harmful/mending.go
+++ b/internal/lab/harmful/mending.go
@@ -28,7 +28,7 @@
 
 // release has an operator release a request at a daemon that holds it.
 func (d *day) release(at *daemon, signature quarantine.Signature) {
-	if d.believes(at, signature) != quarantine.Held || !at.table.Cleared(d.Now(), signature) {
+	if d.believes(at, signature) != quarantine.Held || !at.table.Clear(d.Now(), signature) {
 		return
 	}
 	d.tell(at, signature)
--- a/internal/lab/harmful/mesh.go
+++ b/internal/lab/harmful/mesh.go
@@ -65,8 +65,8 @@
 }
 
 // believes is what a daemon believes of a request.
-func (m *mesh) believes(at *daemon, signature quarantine.Signature) quarantine.Belief {
-	belief, _ := at.table.View(m.Now()).Belief(m.Now(), signature)
+func (m *mesh) believes(at *daemon, signature quarantine.Signature) quarantine.State {
+	belief, _ := at.table.View(m.Now()).State(m.Now(), signature)
 	return belief
 }
 
@@ -75,7 +75,7 @@
 
 // tell brings what a daemon knows of a request to all others.
 func (m *mesh) tell(from *daemon, signature quarantine.Signature) {
-	record, found := from.table.Of(m.Now(), signature)
+	record, found := from.table.Lookup(m.Now(), signature)
 	if !found {
 		return
 	}
@@ -95,7 +95,7 @@
 func (m *mesh) hear(at *daemon, record quarantine.Record) {
 	news, _ := at.table.Merge(m.Now(), record)
 	known := m.way.Answers && at.answered[record.Signature]
-	if news && known && at.table.Familiar(m.Now(), record.Signature) {
+	if news && known && at.table.MarkFamiliar(m.Now(), record.Signature) {
 		m.After(m.Between(0, addedSlow), func() { m.tell(at, record.Signature) })
 	}
 }
@@ -106,7 +106,7 @@
 	var news []quarantine.Signature
 	for _, signature := range signatures {
 		familiar := m.way.Answers && at.answered[signature]
-		if at.table.EndedInTrial(m.Now(), signature, instance, familiar, trials[signature]) {
+		if at.table.RecordEndInTrial(m.Now(), signature, instance, familiar, trials[signature]) {
 			news = append(news, signature)
 		}
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	at.answered[signature] = true
-	if at.table.Cleared(m.Now(), signature) {
+	if at.table.Clear(m.Now(), signature) {
 		m.tell(at, signature)
 	}
 }
--- a/internal/lab/rollouts/mesh.go
+++ b/internal/lab/rollouts/mesh.go
@@ -38,7 +38,7 @@
 
 // stage is the stage that the daemon divides calls by; 0 before it has heard.
 func (d *daemon) stage() rollout.Stage {
-	record, _ := d.table.Of(service)
+	record, _ := d.table.Lookup(service)
 	return record.Stage
 }
 
--- a/internal/lab/rollouts/serve.go
+++ b/internal/lab/rollouts/serve.go
@@ -62,11 +62,11 @@
 	if one.stale && count%readEvery == 0 {
 		r.read(now, one)
 	}
-	record, found := one.table.Of(service)
+	record, found := one.table.Lookup(service)
 	if !found || record.Stage.Final() {
 		return
 	}
-	if record.Stage.Spreading() && now-one.spreadAt >= respread {
+	if record.Stage.IsUrgent() && now-one.spreadAt >= respread {
 		one.spreadAt = now
 		r.broadcast(now, one.daemon)
 	}
--- a/internal/lab/rollouts/version.go
+++ b/internal/lab/rollouts/version.go
@@ -61,7 +61,7 @@
 	}
 	failed := random.Float64() < trouble || (touched && random.Float64() < v.Failing)
 	counts := evidence[callclass.Class(class)]
-	counts.Note(failed, took)
+	counts.Record(failed, took)
 	evidence[callclass.Class(class)] = counts
 	return failed || slow
 }
--- a/internal/operator/client/client.go
+++ b/internal/operator/client/client.go
@@ -85,7 +85,7 @@
 	random := make([]byte, randomBytes)
 	// crypto/rand.Read never fails; it ends the process instead.
 	_, _ = rand.Read(random)
-	return ledger.NewOperation(now, random)
+	return ledger.NewOperationID(now, random)
 }
 
 // Change carries out a change. It keeps one operation id over all attempts and
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -43,7 +43,7 @@
 // endpoint.
 func (a *attempt) withdraw(p *Proxy) {
 	a.exchange = hedgedExchange()
-	a.evidence = endpoint.Withdrawn
+	a.evidence = endpoint.Cancelled
 	a.end(p)
 }
 
@@ -86,7 +86,7 @@
 
 // barred tells whether the call may not be sent at all now, and the outcome of its attempt
 // then; else what is believed of its request.
-func (c *callerCall) barred(now time.Duration) (quarantine.Belief, retry.Outcome, bool) {
+func (c *callerCall) barred(now time.Duration) (quarantine.State, retry.Outcome, bool) {
 	if !c.proxy.mayServe() {
 		// The lease has run out since the call came. What was sent before stands;
 		// nothing more is sent.
@@ -189,8 +189,8 @@
 	replayable := c.body.replayable()
 	path.silence.hold(made, func() {
 		now := c.proxy.config.Clock()
-		lost := retry.Outcome{Kind: retry.Broken, Replayable: replayable, Others: set.Others(now, c.tried)}
-		if c.retries.Prepay(now, lost) {
+		lost := retry.Outcome{Kind: retry.Broken, Replayable: replayable, Others: set.HasUntried(now, c.tried)}
+		if c.retries.ReserveRetry(now, lost) {
 			once.Do(func() { close(silent) })
 		}
 	})
--- a/internal/proxy/backendbounds.go
+++ b/internal/proxy/backendbounds.go
@@ -94,7 +94,7 @@
 	now := p.config.Clock()
 	told := p.bounds.toldHeld.Load()
 	until := p.bounds.startedByClock + longest + p.limits.CancelWait
-	p.gate.LeaveBehind(now, until, int(told)-1) // the probe was not left behind
+	p.gate.ExpectOrphanedCalls(now, until, int(told)-1) // the probe was not left behind
 	p.event("calls_left_behind", textField("backend", start.Instance), bornField(*start),
 		textField("occupied", number(p.gate.Load().Running)), textField("told", strconv.FormatBool(told > 0)))
 }
@@ -105,7 +105,7 @@
 
 // BackendProbe tells the gate that the back end is asked, until what it returns is called.
 func (p *Proxy) BackendProbe() (ended func()) {
-	done := p.gate.Probe()
+	done := p.gate.AcquireProbeSlot()
 	return func() { done(p.config.Clock()) }
 }
 
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -158,7 +158,7 @@
 	if shared == nil {
 		return nil, Refusal{Code: result.NoEndpoint}, false
 	}
-	if call.regions.Restricted() && shared.poolOf(call.regions).set.Usable() == 0 {
+	if call.regions.Restricted() && shared.poolOf(call.regions).set.UsableCount() == 0 {
 		return nil, Refusal{Code: result.RegionNotAllowed}, false
 	}
 	call.serviceName = shared.name
@@ -212,7 +212,7 @@
 // run makes attempts until there is an answer or a final refusal.
 func (c *callerCall) run() {
 	defer c.dropHedged()
-	defer c.retries.Settle()
+	defer c.retries.ReleaseTrialRetry()
 	step := c.retries.First()
 	for {
 		pause.For(c.context, step.Wait)
@@ -236,7 +236,7 @@
 				c.deliver(last)
 				return
 			}
-			c.refuse(c.retries.Final(step))
+			c.refuse(c.retries.FinalStep(step))
 			return
 		}
 	}
@@ -275,7 +275,7 @@
 	if err != nil {
 		tried.evidence = endpoint.Broken
 		if c.request.Context().Err() != nil {
-			tried.evidence = endpoint.Withdrawn
+			tried.evidence = endpoint.Cancelled
 		}
 	}
 	c.traceAnswer(tried, err)
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -10,25 +10,25 @@
 )
 
 // choose picks the endpoint of the next attempt. First attempts may go to a canary.
-func (c *callerCall) choose(among *pool, belief quarantine.Belief, now time.Duration) *endpoint.Endpoint {
+func (c *callerCall) choose(among *pool, belief quarantine.State, now time.Duration) *endpoint.Endpoint {
 	set := among.set
 	if belief == quarantine.Suspected {
-		return set.ChooseRanked(now, c.suspicion.signature.Key(), c.tried)
+		return set.ChooseByContentHash(now, c.suspicion.signature.Key(), c.tried)
 	}
 	if len(c.tried) == 0 {
 		chosen := among.canary.choose(now, c.proxy.random(), c.proxy.random())
-		if chosen != nil && c.retries.PayForTrial(now) {
+		if chosen != nil && c.retries.ReserveTrialRetry(now) {
 			return chosen
 		}
 	}
 	if c.key != "" {
-		return set.ChooseKeyed(now, c.keyHash, c.tried)
+		return set.ChooseByRequestKey(now, c.keyHash, c.tried)
 	}
 	if own := c.besideMe(set, now); own != nil {
 		return own
 	}
 	if c.proxy.config.Baseline.RoundRobin {
-		return set.ChooseInTurn(now, c.proxy.turn.Add(1), c.tried)
+		return set.ChooseRoundRobin(now, c.proxy.turn.Add(1), c.tried)
 	}
 	if chosen := set.Choose(now, c.proxy.random(), c.tried); chosen != nil {
 		return chosen
@@ -45,7 +45,7 @@
 	refused := retry.Outcome{Kind: retry.Refused, Ran: result.RanNo}
 	refused.RetryAfter = set.ColdWait(now)
 	switch {
-	case set.Evacuated():
+	case set.BlockedByEvacuation():
 		refused.Code = result.ZoneEvacuated
 	case refused.RetryAfter > 0:
 		refused.Code = result.WarmingUp
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -41,7 +41,7 @@
 	Edge *Edge
 	// Spill says when calls leave the own zone; the zero value means
 	// endpoint.DefaultSpill.
-	Spill endpoint.Spill
+	Spill endpoint.Spillover
 	// RetryBudget bounds retries at each of a number of daemons that share the
 	// whole; nil means retry.DefaultLimits.
 	RetryBudget func(daemons int) retry.Limits
@@ -67,7 +67,7 @@
 	OnHeld func(quarantine.Record)
 	// WarmUp says how far the calls to a cold back end may exceed the rate that its service
 	// states.
-	WarmUp warmup.Terms
+	WarmUp warmup.Tolerance
 	// PeerTLS guards the calls to other daemons' gates; nil sends them in the
 	// clear. A gate's server is guarded by Server.Secure.
 	PeerTLS *tls.Config
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -42,7 +42,7 @@
 	BackendEnds uint64
 	// IsolatedCalls counts the calls that ran alone since their request was suspected.
 	IsolatedCalls   uint64
-	HarmfulRequests map[quarantine.Belief]int
+	HarmfulRequests map[quarantine.State]int
 	// HungCalls counts the calls that the back end was found never to answer, BackendOpen the
 	// connections to it now.
 	HungCalls   uint64
@@ -109,10 +109,10 @@
 	if p.gate != nil {
 		load := p.gate.Load()
 		counters.GateRunning = load.Running
-		counters.Cold = p.gate.Cold(p.config.Clock())
+		counters.Cold = p.gate.IsColdLimited(p.config.Clock())
 		counters.GateQueued = load.Queued
 		counters.BodiesWaiting = int(p.transfers.waiting.Load())
-		counters.GateService = p.gate.MeanService()
+		counters.GateService = p.gate.MeanServiceTime()
 		counters.BackendOpen = p.backend.open.count()
 	}
 	for code := range p.tally.refusals {
--- a/internal/proxy/division.go
+++ b/internal/proxy/division.go
@@ -48,20 +48,20 @@
 	if split.Target == "" {
 		return
 	}
-	target := s.all.Only(func(one *endpoint.Endpoint) bool { return one.Software == split.Target })
-	stable := s.all.Only(func(one *endpoint.Endpoint) bool { return one.Software != split.Target })
+	target := s.all.Filter(func(one *endpoint.Endpoint) bool { return one.Software == split.Target })
+	stable := s.all.Filter(func(one *endpoint.Endpoint) bool { return one.Software != split.Target })
 	switch split.Stage {
 	case rollout.StageHeld:
-		if stable.Usable() > 0 {
+		if stable.UsableCount() > 0 {
 			s.set = stable
 		}
 	case rollout.StageCanary:
-		if stable.Usable() > 0 {
+		if stable.UsableCount() > 0 {
 			s.set = stable
-			s.canary = newCanary(target, stable.Usable(), split.CanaryShare)
+			s.canary = newCanary(target, stable.UsableCount(), split.CanaryShare)
 		}
 	case rollout.StageShift, rollout.StageCompleted:
-		if target.Usable() > 0 {
+		if target.UsableCount() > 0 {
 			s.set = target
 		}
 	case rollout.StageHalted, rollout.StageRolledBack:
@@ -73,12 +73,12 @@
 func newCanary(target *endpoint.Set, stable int, share float64) canary {
 	ranked := slices.Clone(target.All)
 	slices.SortFunc(ranked, func(a, b *endpoint.Endpoint) int { return rollout.CompareCanaries(a.Backend, b.Backend) })
-	ranked = slices.DeleteFunc(ranked, func(one *endpoint.Endpoint) bool { return !one.State.TakesWork() })
+	ranked = slices.DeleteFunc(ranked, func(one *endpoint.Endpoint) bool { return !one.State.AcceptsCalls() })
 	count := max(1, int(share*float64(stable)))
 	chosen := ranked[:min(count, len(ranked))]
 	return canary{
 		share: share,
-		few:   target.Only(func(one *endpoint.Endpoint) bool { return slices.Contains(chosen, one) }),
+		few:   target.Filter(func(one *endpoint.Endpoint) bool { return slices.Contains(chosen, one) }),
 		every: target,
 	}
 }
@@ -86,7 +86,7 @@
 // choose picks a canary for a share of the calls, and nil for the others. Both numbers
 // are uniform random ones.
 func (c canary) choose(now time.Duration, draw, random uint64) *endpoint.Endpoint {
-	if c.few == nil || c.few.Usable() == 0 {
+	if c.few == nil || c.few.UsableCount() == 0 {
 		return nil
 	}
 	point := float64(draw>>11) / (1 << 53) // 53 bits are a float64's fraction
--- a/internal/proxy/ended.go
+++ b/internal/proxy/ended.go
@@ -95,7 +95,7 @@
 
 // settleEnd finds out whether an instance has ended.
 func (p *Proxy) settleEnd(end *backendEnd) {
-	ended := p.gate.Refusing() != result.Draining && refusesConnections(p.connectToBackend)
+	ended := p.gate.RefusalCode() != result.Draining && refusesConnections(p.connectToBackend)
 	if ended {
 		time.Sleep(endGather)
 	}
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -192,7 +192,7 @@
 	t.Helper()
 	proxy := newEndsProxy(t)
 	proxy.gate = admission.New(testClock(), admission.Config{Slots: 3, KeyWindow: time.Minute, KeyCount: 16})
-	proxy.gate.LimitCold(testClock(), 0, false)
+	proxy.gate.SetColdLimit(testClock(), 0, false)
 	return proxy
 }
 
@@ -230,9 +230,9 @@
 	proxy.gate.Done(proxy.config.Clock(), other.ticket, true)
 	check.True(<-started)
 	check.Equal(proxy.tally.isolated.Load(), uint64(1))
-	check.True(!proxy.gate.Free())
+	check.True(!proxy.gate.HasFreeSlot())
 	suspected.endIsolation() // it has its answer, or is given up while the back end hangs
-	check.True(proxy.gate.Free())
+	check.True(proxy.gate.HasFreeSlot())
 }
 
 // A request that is at enough ends to be held, but was never at work alone, is refused where a
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -72,10 +72,10 @@
 }
 
 // verdictChannel is a waiter of the gate; it holds the one verdict.
-type verdictChannel chan admission.Verdict
+type verdictChannel chan admission.Decision
 
 // Settle keeps the verdict; it never blocks, for there is only one.
-func (v verdictChannel) Settle(verdict admission.Verdict) { v <- verdict }
+func (v verdictChannel) Settle(verdict admission.Decision) { v <- verdict }
 
 // run admits the call, sends it to the back end and passes the answer on.
 func (c *gateCall) run() {
@@ -116,15 +116,15 @@
 // refusedAtOnce tells whether a call is refused before its body is taken in: told so early, it
 // costs its sender nothing, and while the back end is cold most bodies would come for nothing.
 func (c *gateCall) refusedAtOnce(now time.Duration) (Refusal, bool) {
-	if code := c.proxy.gate.Refusing(); code != result.OK {
+	if code := c.proxy.gate.RefusalCode(); code != result.OK {
 		return Refusal{Code: code}, true
 	}
-	verdict, refused := c.proxy.gate.RefuseCold(now, c.ticket)
+	verdict, refused := c.proxy.gate.RefuseIfCold(now, c.ticket)
 	return refusalBy(verdict), refused
 }
 
 // refusalBy is the refusal that a verdict makes.
-func refusalBy(verdict admission.Verdict) Refusal {
+func refusalBy(verdict admission.Decision) Refusal {
 	return Refusal{Code: verdict.Code, RetryAfter: verdict.RetryAfter}
 }
 
@@ -191,7 +191,7 @@
 }
 
 // admit waits for a slot as long as the call has time to run and its sender is there.
-func (c *gateCall) admit() admission.Verdict {
+func (c *gateCall) admit() admission.Decision {
 	gate := c.proxy.gate
 	verdict := gate.Admit(c.proxy.config.Clock(), c.ticket)
 	if verdict.State != admission.StateQueued {
@@ -210,7 +210,7 @@
 		// and sending it finds the context done before a byte is written.
 		return <-c.verdicts
 	}
-	return admission.Verdict{State: admission.StateRefused, Code: c.endCode()}
+	return admission.Decision{State: admission.StateRefused, Code: c.endCode()}
 }
 
 // endCode is the code of a call that ended while it waited.
@@ -254,9 +254,9 @@
 // loadText is the load header's value now.
 func (p *Proxy) loadText() string {
 	load := p.gate.Load()
-	service := p.gate.MeanService()
+	service := p.gate.MeanServiceTime()
 	queued := load.Queued + p.transfers.asQueued(p.config.Clock(), load.Slots, service)
-	report := endpoint.Report{Running: load.Running, Queued: queued, Service: service}
+	report := endpoint.LoadReport{Running: load.Running, Queued: queued, Service: service}
 	report.Own, report.OwnAge = p.health.ownLoad()
 	return formatLoad(report)
 }
--- a/internal/proxy/gatejudge.go
+++ b/internal/proxy/gatejudge.go
@@ -82,7 +82,7 @@
 		failed = sent.answer.StatusCode >= http.StatusInternalServerError
 	}
 	if (failed || !refused) && c.start == c.proxy.backendStart() {
-		c.proxy.answers.Note(c.ticket.Class, failed, !c.proxy.warming(), ran)
+		c.proxy.answers.Record(c.ticket.Class, failed, !c.proxy.warming(), ran)
 	}
 	switch {
 	case !failed && !refused:
--- a/internal/proxy/gatesend.go
+++ b/internal/proxy/gatesend.go
@@ -25,7 +25,7 @@
 		c.start = c.proxy.backendStart()
 		sent := c.exchange()
 		again := sent.err != nil && sent.unsent && c.body.replayable() && c.context.Err() == nil
-		if !again || try == gateTries || !c.proxy.gate.StartAgain(c.proxy.config.Clock(), c.ticket) {
+		if !again || try == gateTries || !c.proxy.gate.TryResend(c.proxy.config.Clock(), c.ticket) {
 			return sent
 		}
 		sent.close()
--- a/internal/proxy/hangs.go
+++ b/internal/proxy/hangs.go
@@ -36,8 +36,8 @@
 // hangs watches the calls under way at the back end for such as are never answered. A call
 // pays two atomic writes for it.
 type hangs struct {
-	answers hang.Answers
-	balance hang.Balance
+	answers hang.RecentAnswers
+	balance hang.MissingCalls
 	// cells hold the calls under way, count how many there are, also without a cell.
 	cells [watchedCells]atomic.Pointer[sending]
 	next  atomic.Uint32
@@ -76,19 +76,19 @@
 func (c *gateCall) noteHeld(answer *http.Response, took time.Duration) {
 	p := c.proxy
 	now := p.config.Clock()
-	p.hangs.answers.Note(c.sendings[c.sent-1].sentAt)
+	p.hangs.answers.Record(c.sendings[c.sent-1].sentAt)
 	if answer.StatusCode < http.StatusInternalServerError {
-		p.gate.NoteAnswer(&c.ticket.Call, took)
+		p.gate.RecordServiceTime(&c.ticket.Call, took)
 	}
-	p.gate.Answered(now)
+	p.gate.RecordAnswer(now)
 	if p.config.Edge == nil {
 		return
 	}
 	if held, told := HeldCalls(answer.Header.Get(p.config.Edge.Load)); told {
 		underWay := int(p.hangs.count.Load())
-		p.hangs.balance.Note(now, underWay, held)
+		p.hangs.balance.Record(now, underWay, held)
 		// The answered call itself may be among those that are held.
-		p.gate.Holds(now, held-underWay-1)
+		p.gate.CapOrphanedCalls(now, held-underWay-1)
 	}
 }
 
@@ -118,11 +118,11 @@
 
 // findHung tells of the calls that are found to hang.
 func (p *Proxy) findHung(now time.Duration) {
-	missing, told := p.hangs.balance.Missing(now)
+	missing, told := p.hangs.balance.Count(now)
 	for index, one := range p.suspects(now) {
 		one.evidence.Told, one.evidence.Missing, one.evidence.Rank = told, missing, index+1
-		if one.evidence.Hangs() && one.hangs.CompareAndSwap(false, true) {
-			p.gate.Hangs(now, one.call.ticket)
+		if one.evidence.IsHung() && one.hangs.CompareAndSwap(false, true) {
+			p.gate.MarkHung(now, one.call.ticket)
 			p.tellHung(one)
 		}
 	}
@@ -167,7 +167,7 @@
 		overdue: age.Seconds() / max(times.Mean, time.Millisecond).Seconds(),
 		evidence: hang.Evidence{
 			Age: age, Long: times.Long, Longest: times.Longest, Seen: times.Seen,
-			Overtaken: p.hangs.answers.Since(made.sentAt),
+			Overtaken: p.hangs.answers.CountSentAfter(made.sentAt),
 		},
 	}
 }
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -87,11 +87,11 @@
 	t.Cleanup(proxy.Close)
 	call := &gateCall{proxy: proxy, request: &http.Request{Header: http.Header{}}, ticket: &admission.Ticket{}}
 	for range 20 {
-		proxy.gate.NoteAnswer(&call.ticket.Call, 10*time.Millisecond)
+		proxy.gate.RecordServiceTime(&call.ticket.Call, 10*time.Millisecond)
 	}
 	proxy.hangs.enter(&sending{call: call, sentAt: now - time.Minute})
 	for range 3 {
-		proxy.hangs.answers.Note(now - time.Second)
+		proxy.hangs.answers.Record(now - time.Second)
 	}
 	return proxy, now
 }
@@ -100,7 +100,7 @@
 	check := is.New(t)
 	proxy, now := watchedCall(t)
 	for ago := range 3 {
-		proxy.hangs.balance.Note(now-time.Duration(3-ago)*time.Second/4, 1, 1)
+		proxy.hangs.balance.Record(now-time.Duration(3-ago)*time.Second/4, 1, 1)
 	}
 	proxy.findHung(now)
 	check.Equal(proxy.Counters().HungCalls, uint64(0))
@@ -122,7 +122,7 @@
 	check := is.New(t)
 	proxy, now := watchedCall(t)
 	for ago := range 3 {
-		proxy.hangs.balance.Note(now-time.Duration(3-ago)*time.Second/4, 1, 0)
+		proxy.hangs.balance.Record(now-time.Duration(3-ago)*time.Second/4, 1, 0)
 	}
 	proxy.findHung(now)
 	check.Equal(proxy.Counters().HungCalls, uint64(1))
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -110,7 +110,7 @@
 	if late.outcome.Kind == retry.Answered {
 		return late
 	}
-	c.retries.Disprove(late.outcome)
+	c.retries.ResolveUncertainAttempt(late.outcome)
 	late.end(c.proxy) // refused, not sent, or its answer broke off
 	return nil
 }
--- a/internal/proxy/judge.go
+++ b/internal/proxy/judge.go
@@ -22,7 +22,7 @@
 	made.exchange.collect(c.proxy.limits.CollectBytes)
 	now := c.proxy.config.Clock()
 	made.outcome.Replayable = c.body.replayable()
-	made.outcome.Others = set.Others(now, c.tried)
+	made.outcome.Others = set.HasUntried(now, c.tried)
 	answer := made.exchange.answer
 	switch {
 	case answer == nil:
@@ -33,14 +33,14 @@
 		made.outcome.Others = c.othersAfter(made, set, now)
 	default:
 		made.outcome.Kind = retry.Answered
-		made.evidence = endpoint.Fine
+		made.evidence = endpoint.Succeeded
 		if answer.StatusCode >= http.StatusInternalServerError {
 			made.outcome.Failed = true
 			made.evidence = endpoint.ServerError
 		}
 	}
 	if report, found := parseLoad(answer.Header.Get(headerLoad)); found {
-		made.chosen.Learn(now, report)
+		made.chosen.ApplyLoadReport(now, report)
 	}
 }
 
@@ -48,16 +48,16 @@
 // A region that the gate does not allow binds the call from then on.
 func (c *callerCall) othersAfter(made *attempt, set *endpoint.Set, now time.Duration) bool {
 	switch {
-	case made.evidence == endpoint.Full && !made.outcome.Arrived:
+	case made.evidence == endpoint.Overloaded && !made.outcome.Arrived:
 		// To ask gates that have just refused others would burden them for nothing.
-		return set.OthersTaking(now, c.tried)
+		return set.HasUntriedWithCapacity(now, c.tried)
 	case made.outcome.Code == result.RegionNotAllowed:
 		c.bindAsGate(made.exchange.answer)
-		return set.Within(c.regions).Others(now, c.tried)
+		return set.InRegions(c.regions).HasUntried(now, c.tried)
 	case made.outcome.Code == result.WarmingUp:
-		return set.Others(now, c.tried) || set.ChooseCold(now, 0, c.tried, c.class()) != nil
+		return set.HasUntried(now, c.tried) || set.ChooseCold(now, 0, c.tried, c.class()) != nil
 	}
-	return set.Others(now, c.tried)
+	return set.HasUntried(now, c.tried)
 }
 
 // judgeFailure weighs an attempt without an answer. Only the guard's proof
@@ -73,7 +73,7 @@
 		// The caller's own sending failed, so nothing can be sent again.
 		made.outcome.Kind = retry.Broken
 		made.outcome.Replayable = false
-		made.evidence = endpoint.Withdrawn
+		made.evidence = endpoint.Cancelled
 		c.detail = describeBody(c.body.problem())
 	case c.context.Err() == context.DeadlineExceeded:
 		// Under overload healthy endpoints are late as well, so this weighs less
@@ -87,10 +87,10 @@
 		c.noteAbandoned(made, reason)
 	}
 	if c.context.Err() != nil && made.exchange.unsent {
-		made.evidence = endpoint.Withdrawn
+		made.evidence = endpoint.Cancelled
 	}
 	if c.request.Context().Err() != nil {
-		made.evidence = endpoint.Withdrawn
+		made.evidence = endpoint.Cancelled
 		if context.Cause(c.context) != errDrainBound {
 			made.outcome.Kind = retry.CallerGone
 		}
@@ -101,7 +101,7 @@
 func (c *callerCall) judgeRefusal(made *attempt, answer *http.Response) {
 	made.outcome.Kind = retry.Refused
 	made.outcome.Ran = result.RanUnknown
-	made.evidence = endpoint.Fine
+	made.evidence = endpoint.Succeeded
 	code, err := strconv.Atoi(answer.Header.Get(headerCode))
 	made.outcome.Code = result.Code(code)
 	if err != nil {
@@ -124,16 +124,16 @@
 func (c *callerCall) weighRefusal(made *attempt) {
 	switch made.outcome.Code {
 	case result.Draining, result.WrongBackend, result.ZoneEvacuated:
-		made.evidence = endpoint.Leaving
+		made.evidence = endpoint.NotAccepting
 	case result.WarmingUp:
-		made.evidence = endpoint.Withdrawn
-		made.chosen.RefusedAsCold(c.proxy.config.Clock(), made.outcome.RetryAfter, c.class())
+		made.evidence = endpoint.Cancelled
+		made.chosen.RecordColdRefusal(c.proxy.config.Clock(), made.outcome.RetryAfter, c.class())
 	case result.QueueFull, result.DeadlineBeforeStart, result.Shed, result.ShareExceeded, result.Overloaded:
-		made.evidence = endpoint.Full
+		made.evidence = endpoint.Overloaded
 	case result.ConnectFailed:
 		made.evidence = endpoint.Unreachable
 	case result.BackendRefused:
-		made.evidence = endpoint.Full
+		made.evidence = endpoint.Overloaded
 		made.outcome.Arrived = true
 	case result.BrokenInFlight:
 		made.evidence = endpoint.Broken
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -12,7 +12,7 @@
 // at the gate, its mean service time in microseconds and, after a semicolon, the
 // back end's own report and its age in milliseconds, if it gives one. For
 // example "3 0 5120;2.5 140".
-func formatLoad(report endpoint.Report) string {
+func formatLoad(report endpoint.LoadReport) string {
 	var buffer [64]byte
 	text := strconv.AppendInt(buffer[:0], int64(report.Running), 10)
 	text = append(text, ' ')
@@ -32,9 +32,9 @@
 const gateFields = 3
 
 // parseLoad reads a load report; false means that there is none to learn from.
-func parseLoad(text string) (endpoint.Report, bool) {
+func parseLoad(text string) (endpoint.LoadReport, bool) {
 	gate, own, hasOwn := strings.Cut(text, ";")
-	report := endpoint.Report{Own: -1}
+	report := endpoint.LoadReport{Own: -1}
 	fields := strings.Fields(gate)
 	if len(fields) != gateFields {
 		return report, false
@@ -56,7 +56,7 @@
 }
 
 // parseOwnLoad reads the back end's part; a malformed one counts as none.
-func parseOwnLoad(report *endpoint.Report, text string) {
+func parseOwnLoad(report *endpoint.LoadReport, text string) {
 	load, age, found := strings.Cut(text, " ")
 	own, err := strconv.ParseFloat(load, 64)
 	if !found || err != nil || !(own >= 0) {
--- a/internal/proxy/load_test.go
+++ b/internal/proxy/load_test.go
@@ -11,7 +11,7 @@
 
 func TestLoadReportsComeBackAsSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sent := endpoint.Report{
+		sent := endpoint.LoadReport{
 			Running: rapid.IntRange(0, 1000).Draw(t, "running"),
 			Queued:  rapid.IntRange(0, 1000).Draw(t, "queued"),
 			Service: time.Duration(rapid.IntRange(0, 1e9).Draw(t, "us")) * time.Microsecond,
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -31,7 +31,7 @@
 	// request that comes. It must not block. Nil tells nobody.
 	tell func(urgent bool)
 	// answered are the requests that the back end beside the daemon has answered well.
-	answered *admission.Seen
+	answered *admission.FingerprintSet
 	view     atomic.Pointer[quarantine.View]
 
 	mutex sync.Mutex
@@ -47,7 +47,7 @@
 		held:     config.OnHeld,
 		log:      log,
 		table:    quarantine.NewTable(quarantine.DefaultRules()),
-		answered: admission.NewSeen(config.Clock(), answeredTime, answeredCount),
+		answered: admission.NewFingerprintSet(config.Clock(), answeredTime, answeredCount),
 		untold:   map[quarantine.Signature]bool{},
 	}
 }
@@ -77,13 +77,13 @@
 	next := h.table.View(now)
 	before := h.view.Swap(next)
 	for _, record := range h.table.Records(now) {
-		was, _ := before.Belief(now, record.Signature)
-		is, _ := next.Belief(now, record.Signature)
+		was, _ := before.State(now, record.Signature)
+		is, _ := next.State(now, record.Signature)
 		if was == is {
 			continue
 		}
 		h.log("harmful_request", textField("signature", record.Signature.String()), textField("belief", is.String()),
-			textField("ends", number(len(record.Ends))), textField("ends_beside_others", number(record.Beside())),
+			textField("ends", number(len(record.Ends))), textField("ends_beside_others", number(record.CountSharedEnds())),
 			textField("last_trial", number(int(next.LastTrial(record.Signature)))),
 			textField("isolation", next.Isolation(now, record.Signature).String()), textField("round", number(int(record.Round))),
 			textField("familiar", strconv.FormatBool(record.Familiar)))
@@ -95,7 +95,7 @@
 func (h *harmful) noteUnknownAtEnd(instance string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.table.EndedUnknown(instance)
+	h.table.RecordUnidentified(instance)
 }
 
 // noteEnded notes that an instance beside this daemon has ended under some requests, and has
@@ -108,11 +108,11 @@
 // own.
 func (h *harmful) noteEndedIn(trials map[quarantine.Signature]uint32, instance string, signatures ...quarantine.Signature) {
 	changed := h.change(signatures, func(now time.Duration, signature quarantine.Signature) bool {
-		familiar := h.answered.Has(fingerprintOf(signature))
+		familiar := h.answered.Contains(fingerprintOf(signature))
 		if trial := trials[signature]; trial > 0 {
-			return h.table.EndedInTrial(now, signature, instance, familiar, trial)
+			return h.table.RecordEndInTrial(now, signature, instance, familiar, trial)
 		}
-		return h.table.Ended(now, signature, instance, familiar)
+		return h.table.RecordEnd(now, signature, instance, familiar)
 	})
 	if h.held == nil {
 		return
@@ -125,9 +125,9 @@
 // tellHeld tells of a request if it is held now.
 func (h *harmful) tellHeld(signature quarantine.Signature) {
 	h.mutex.Lock()
-	record, found := h.table.Of(h.clock(), signature)
+	record, found := h.table.Lookup(h.clock(), signature)
 	h.mutex.Unlock()
-	belief, _ := h.view.Load().Belief(h.clock(), signature)
+	belief, _ := h.view.Load().State(h.clock(), signature)
 	if found && belief == quarantine.Held {
 		h.held(record)
 	}
@@ -144,7 +144,7 @@
 
 // clear has a request trusted again.
 func (h *harmful) clear(signature quarantine.Signature) {
-	h.change([]quarantine.Signature{signature}, h.table.Cleared)
+	h.change([]quarantine.Signature{signature}, h.table.Clear)
 }
 
 // fingerprintOf shortens a signature to what is remembered of answered requests. Two with
@@ -166,7 +166,7 @@
 		if !valid {
 			refused++
 		}
-		own := news && !record.Familiar && h.answered.Has(fingerprintOf(record.Signature)) && h.table.Familiar(now, record.Signature)
+		own := news && !record.Familiar && h.answered.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
 		changed = changed || news
 		if own || (news && pass) {
 			h.untold[record.Signature] = true
@@ -184,8 +184,8 @@
 }
 
 // HarmfulBelief is what the daemon believes of a request.
-func (p *Proxy) HarmfulBelief(signature quarantine.Signature) quarantine.Belief {
-	belief, _ := p.harmful.view.Load().Belief(p.harmful.clock(), signature)
+func (p *Proxy) HarmfulBelief(signature quarantine.Signature) quarantine.State {
+	belief, _ := p.harmful.view.Load().State(p.harmful.clock(), signature)
 	return belief
 }
 
@@ -209,7 +209,7 @@
 	defer h.mutex.Unlock()
 	var records []quarantine.Record
 	for signature := range h.untold {
-		if record, found := h.table.Of(h.clock(), signature); found {
+		if record, found := h.table.Lookup(h.clock(), signature); found {
 			records = append(records, record)
 		}
 	}
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -21,9 +21,9 @@
 // within is the part of a pool in allowed regions. A roll-out's stage for the whole service binds
 // there too: a call is refused where the regions have no back end of a version that may take it.
 func (p *pool) within(allowed region.Allowed) pool {
-	made := pool{set: p.set.Within(allowed)}
-	if p.canary.every != nil && made.set.Usable() > 0 {
-		made.canary = newCanary(p.canary.every.Within(allowed), made.set.Usable(), p.canary.share)
+	made := pool{set: p.set.InRegions(allowed)}
+	if p.canary.every != nil && made.set.UsableCount() > 0 {
+		made.canary = newCanary(p.canary.every.InRegions(allowed), made.set.UsableCount(), p.canary.share)
 	}
 	return made
 }
@@ -35,10 +35,10 @@
 	if len(lists) == 0 {
 		return
 	}
-	present := region.Of(lo.Map(s.all.All, func(one *endpoint.Endpoint, _ int) string { return one.Region }))
+	present := region.NewAllowed(lo.Map(s.all.All, func(one *endpoint.Endpoint, _ int) string { return one.Region }))
 	var made []restrictedPool
 	for _, allowed := range lists {
-		reachable := present.Both(allowed)
+		reachable := present.Intersect(allowed)
 		shared, found := lo.Find(made, func(one restrictedPool) bool { return one.allowed.Equal(reachable) })
 		if !found {
 			part := s.within(reachable)
@@ -72,11 +72,11 @@
 		return
 	}
 	c.table = current.table
-	if !current.table.Restricts() {
+	if !current.table.HasRestrictions() {
 		return
 	}
 	if route := current.find(c.request, c.place); route != nil {
-		c.regions = c.regions.Both(route.Regions)
+		c.regions = c.regions.Intersect(route.Regions)
 	}
 }
 
@@ -84,14 +84,14 @@
 // daemon that is out of touch learns of a restriction call by call.
 func (c *callerCall) bindAsGate(answer *http.Response) {
 	if values := answer.Header[headerRegions]; len(values) > 0 {
-		c.regions = c.regions.Both(parseRegions(values[0]))
+		c.regions = c.regions.Intersect(parseRegions(values[0]))
 	}
 }
 
 // checkRegion refuses a call that may not run in this gate's region by the version of the view.
 // The version of its sender may be older; what that bars its sender has kept.
 func (p *Proxy) checkRegion(current *view, request *http.Request) (Refusal, bool) {
-	if !current.table.Restricts() {
+	if !current.table.HasRestrictions() {
 		return Refusal{}, true
 	}
 	located, refusal, fine := p.locate(request)
@@ -132,5 +132,5 @@
 			names = append(names, name)
 		}
 	}
-	return region.Of(names)
+	return region.NewAllowed(names)
 }
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -247,11 +247,11 @@
 			check := is.New(t)
 			made := &service{all: regionalSet()}
 			made.divide(Split{Target: "v2", Stage: given.stage, CanaryShare: 0.5})
-			pool := made.poolOf(region.Of(given.regions))
+			pool := made.poolOf(region.NewAllowed(given.regions))
 			seen := map[string]bool{}
 			for range 200 {
 				chosen := pool.canary.choose(0, random.Uint64(), random.Uint64())
-				if chosen == nil && pool.set.Usable() > 0 {
+				if chosen == nil && pool.set.UsableCount() > 0 {
 					chosen = pool.set.Choose(0, random.Uint64(), nil)
 				}
 				if chosen != nil {
@@ -272,13 +272,13 @@
 	check := is.New(t)
 	made := &service{all: regionalSet()}
 	made.divide(Split{})
-	set := made.poolOf(region.Of([]string{"home"})).set
+	set := made.poolOf(region.NewAllowed([]string{"home"})).set
 	random := rand.New(rand.NewPCG(3, 4))
 	var tried endpoint.Tried
 	for range 3 * len(set.All) {
 		for _, chosen := range []*endpoint.Endpoint{
-			set.Choose(0, random.Uint64(), tried), set.ChooseKeyed(0, random.Uint64(), tried),
-			set.ChooseRanked(0, random.Uint64(), tried), set.ChooseInTurn(0, random.Uint64(), tried),
+			set.Choose(0, random.Uint64(), tried), set.ChooseByRequestKey(0, random.Uint64(), tried),
+			set.ChooseByContentHash(0, random.Uint64(), tried), set.ChooseRoundRobin(0, random.Uint64(), tried),
 		} {
 			check.Equal(chosen.Region, "home")
 			chosen.Begin()
@@ -317,7 +317,7 @@
 	made := &service{all: regionalSet()}
 	made.divide(Split{})
 	lists := lo.Times(3000, func(number int) region.Allowed {
-		return region.Of([]string{[]string{"home", "old"}[number%2], fmt.Sprintf("elsewhere-%d", number)})
+		return region.NewAllowed([]string{[]string{"home", "old"}[number%2], fmt.Sprintf("elsewhere-%d", number)})
 	})
 	made.restrict(lists)
 	pools := lo.Uniq(lo.Map(lists, func(allowed region.Allowed, _ int) *pool { return made.poolOf(allowed) }))
@@ -349,12 +349,12 @@
 func TestARestrictionIsReadAsItWasWritten(t *testing.T) {
 	for _, names := range [][]string{{}, {"north"}, {"north", "south"}, {"a,b", "c d", "é"}} {
 		check := is.New(t)
-		check.True(parseRegions(regionsText(region.Of(names))).Equal(region.Of(names)))
+		check.True(parseRegions(regionsText(region.NewAllowed(names))).Equal(region.NewAllowed(names)))
 	}
 }
 
 // A name that can't be read bars more, never less.
 func TestATextThatCannotBeReadAllowsNothing(t *testing.T) {
 	check := is.New(t)
-	check.True(parseRegions("%zz").Equal(region.Of([]string{})))
+	check.True(parseRegions("%zz").Equal(region.NewAllowed([]string{})))
 }
--- a/internal/proxy/reported.go
+++ b/internal/proxy/reported.go
@@ -98,7 +98,7 @@
 		p.answers.Reset()
 		p.hangs.balance.Reset()
 		p.bounds.found.Store(nil)
-		p.gate.Forget(p.config.Clock())
+		p.gate.ClearOrphanedCalls(p.config.Clock())
 	}
 	if report.EarlierCrashed && (previous == nil || !previous.EarlierCrashed || previous.Start != report.Start) {
 		p.endCrashed(report.Start)
@@ -106,7 +106,7 @@
 	if previous == nil || previous.Software != report.Software {
 		p.ends.answeredBefore.Store(p.tally.answered.Load())
 	}
-	takesWork := report.State.TakesWork()
+	takesWork := report.State.AcceptsCalls()
 	switch {
 	case report.State == protocol.EndpointEvacuated:
 		p.gate.Evacuate()
--- a/internal/proxy/reported_test.go
+++ b/internal/proxy/reported_test.go
@@ -19,7 +19,7 @@
 	report := BackendReport{Start: protocol.BackendStart{Instance: "i", Born: 100}, Slots: 2, State: protocol.EndpointReady}
 	proxy.ReportBackend(report)
 	proxy.CountAnswers(true)
-	proxy.answers.Note(callclass.Class(0), true, true, time.Second)
+	proxy.answers.Record(callclass.Class(0), true, true, time.Second)
 	proxy.ReportBackend(report)
 	counted, _ := proxy.Answers()
 	check.Equal(counted[0].Failures, uint32(1))
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -98,7 +98,7 @@
 		return false
 	}
 	shared := v.services[call.service]
-	return shared == nil || shared.set.Usable() == 0 && !shared.set.Evacuated()
+	return shared == nil || shared.set.UsableCount() == 0 && !shared.set.BlockedByEvacuation()
 }
 
 // readSmall reads a body that is not large before its call waits: the server sees that a
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -56,10 +56,10 @@
 	}
 	c.trial = view.LastTrial(signature) + 1
 	isolation := view.Isolation(c.proxy.config.Clock(), signature)
-	if isolation == quarantine.Beside || c.awaitAlone() {
+	if isolation == quarantine.AlongsideTrusted || c.awaitAlone() {
 		return Refusal{}, true
 	}
-	if isolation == quarantine.AloneOnly {
+	if isolation == quarantine.AloneRequired {
 		return Refusal{Code: result.QueueFull, RetryAfter: isolationWait}, false
 	}
 	c.proxy.gate.EndIsolation(c.proxy.config.Clock(), c.ticket)
@@ -104,7 +104,7 @@
 
 // belief is what to believe of the call, and the refusal if it is held. A call under whose
 // earlier attempt an instance has ended is suspected before the news of that has come.
-func (c *gateCall) belief() (quarantine.Belief, Refusal) {
+func (c *gateCall) belief() (quarantine.State, Refusal) {
 	least := quarantine.Trusted
 	if c.request.Header.Get(headerEnded) != "" {
 		least = quarantine.Suspected
@@ -122,8 +122,8 @@
 	return max(least, belief), refusal
 }
 
-func (p *Proxy) beliefOf(view *quarantine.View, signature quarantine.Signature) (quarantine.Belief, Refusal) {
-	belief, held := view.Belief(p.config.Clock(), signature)
+func (p *Proxy) beliefOf(view *quarantine.View, signature quarantine.Signature) (quarantine.State, Refusal) {
+	belief, held := view.State(p.config.Clock(), signature)
 	return belief, Refusal{Code: result.Quarantined, RetryAfter: held}
 }
 
@@ -149,7 +149,7 @@
 
 // belief is what to believe of the call, and the refusal if it is held. What its own attempts
 // have met counts before the news of that has come.
-func (c *callerCall) belief() (quarantine.Belief, Refusal) {
+func (c *callerCall) belief() (quarantine.State, Refusal) {
 	if c.suspicion.ends >= endsOfCall {
 		return quarantine.Held, Refusal{Code: result.Quarantined}
 	}
@@ -162,7 +162,7 @@
 
 // beliefOfAll is what the daemon believes of the call's request. Its body is looked at only
 // where something is known of its head.
-func (c *callerCall) beliefOfAll() (quarantine.Belief, Refusal) {
+func (c *callerCall) beliefOfAll() (quarantine.State, Refusal) {
 	view := c.proxy.harmful.view.Load()
 	if view.Empty() {
 		return quarantine.Trusted, Refusal{}
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -128,7 +128,7 @@
 	}
 }
 
-var outcomeNames = map[retry.Kind]string{
+var outcomeNames = map[retry.OutcomeKind]string{
 	retry.Answered:   "failure_answered",
 	retry.Refused:    "refused_by_gate",
 	retry.NotSent:    "not_sent",
@@ -159,7 +159,7 @@
 			textField("attempts", number(len(c.tried))),
 			textField("held_ms", millis(c.timeout-(c.deadline-now))),
 			textField("left_ms", millis(c.deadline-now)),
-			textField("budget", c.retries.BudgetLeft(now)),
+			textField("budget", c.retries.BudgetRemaining(now)),
 			textField("under_way", strconv.FormatBool(c.hedged != nil)),
 			c.proxy.drainField())
 	})
@@ -245,7 +245,7 @@
 			textField("running", number(load.Running)),
 			textField("queued", number(load.Queued)),
 			textField("slots", number(load.Slots)),
-			textField("mean_ms", millis(c.proxy.gate.MeanService())),
+			textField("mean_ms", millis(c.proxy.gate.MeanServiceTime())),
 			textField("waited_ms", millis(waited)),
 			textField("ran_ms", millis(ran)),
 			textField("left_ms", millis(c.deadline-c.proxy.config.Clock())),
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -175,7 +175,7 @@
 	if c.ticket.Target <= 0 || wait <= c.proxy.transfers.meanTime() {
 		return 0
 	}
-	service := c.proxy.gate.LongServiceOf(&c.ticket.Call)
+	service := c.proxy.gate.LongServiceTime(&c.ticket.Call)
 	return max(now+wait+c.proxy.transfers.meanTime()+service-c.ticket.Target, 0)
 }
 
@@ -184,14 +184,14 @@
 // that take uploads are full before their slots are.
 func (c *callerCall) besideMe(set *endpoint.Set, now time.Duration) *endpoint.Endpoint {
 	gate := c.proxy.gate
-	if !c.body.isLarge() || gate == nil || !gate.Free() {
+	if !c.body.isLarge() || gate == nil || !gate.HasFreeSlot() {
 		return nil
 	}
-	service := gate.LongServiceOf(&admission.Call{Class: c.route.Class})
+	service := gate.LongServiceTime(&admission.Call{Class: c.route.Class})
 	if c.route.Resource.Target > 0 && now+service > c.target {
 		return nil
 	}
-	return set.ChooseAt(now, c.proxy.config.NodeID, c.tried)
+	return set.ChooseOnNode(now, c.proxy.config.NodeID, c.tried)
 }
 
 // isOwn tells whether the call comes from this daemon itself: by its id, whose last part has
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -80,9 +80,9 @@
 		if old := previous.services[reference]; old != nil {
 			oldSet = old.all
 			made.budget = old.budget
-			made.budget.SetPart(budget.Part)
+			made.budget.SetMinimumRetries(budget.Part)
 		} else {
-			made.budget = retry.NewBudgetWithin(budget)
+			made.budget = retry.NewBudgetWithLimits(budget)
 		}
 		self.ColdRate = held.Services[reference].WarmUp.PerSecond
 		made.all = endpoint.BuildIndexed(oldSet, self, backends, index, now)
--- a/internal/proxy/warmth.go
+++ b/internal/proxy/warmth.go
@@ -14,9 +14,9 @@
 	stated := held.Services[p.config.Service].WarmUp
 	// A gate of a back end that reports itself is closed until its first report.
 	opened := !p.config.Reported || p.reported.current.Load() != nil
-	p.gate.LimitCold(p.config.Clock(), p.config.WarmUp.Limit(stated.PerSecond), opened)
+	p.gate.SetColdLimit(p.config.Clock(), p.config.WarmUp.Limit(stated.PerSecond), opened)
 }
 
 // SetCold says until when, on the clock, the back end is cold. Until it is first called the
 // back end counts as cold.
-func (p *Proxy) SetCold(until time.Duration) { p.gate.SetCold(p.config.Clock(), until) }
+func (p *Proxy) SetCold(until time.Duration) { p.gate.SetColdUntil(p.config.Clock(), until) }
--- a/internal/proxy/warmth_test.go
+++ b/internal/proxy/warmth_test.go
@@ -56,7 +56,7 @@
 // hasRefused has the callers' side know that a gate has refused a call of a priority as cold.
 func (m *mesh) hasRefused(gate int, priority resource.Priority) {
 	set := m.caller.view.Load().services[testService].all
-	set.All[gate].RefusedAsCold(testClock(), time.Second, int(priority))
+	set.All[gate].RecordColdRefusal(testClock(), time.Second, int(priority))
 }
 
 // statesARateForUrgentCalls is the same service, of which all calls are urgent.
--- a/internal/sim/calls/actions.go
+++ b/internal/sim/calls/actions.go
@@ -124,7 +124,7 @@
 		return
 	}
 	slices.SortFunc(waiting, func(one, other *call) int { return strings.Compare(one.id, other.id) })
-	w.interrupt(waiting[a.A%len(waiting)], retry.CallerGone, endpoint.Withdrawn)
+	w.interrupt(waiting[a.A%len(waiting)], retry.CallerGone, endpoint.Cancelled)
 }
 
 // forgottenDrain drains a back end while no side can hear of it.
--- a/internal/sim/calls/gate.go
+++ b/internal/sim/calls/gate.go
@@ -119,12 +119,12 @@
 
 // Settle takes the fate of a queued call. The gate is locked meanwhile, so it
 // is carried out afterwards.
-func (a *attempt) Settle(verdict admission.Verdict) {
+func (a *attempt) Settle(verdict admission.Decision) {
 	a.world.timeline.After(0, func() { a.world.decide(a, verdict) })
 }
 
 // decide carries out a verdict of the gate.
-func (w *world) decide(a *attempt, verdict admission.Verdict) {
+func (w *world) decide(a *attempt, verdict admission.Decision) {
 	switch verdict.State {
 	case admission.StateRefused:
 		w.finish(a, ending{code: verdict.Code})
--- a/internal/sim/calls/restriction.go
+++ b/internal/sim/calls/restriction.go
@@ -24,7 +24,7 @@
 		return
 	}
 	drawn := restrictions[w.nextCall%len(restrictions)]
-	c.allowed = region.Of(drawn.older).Both(region.Of(drawn.newer))
+	c.allowed = region.NewAllowed(drawn.older).Intersect(region.NewAllowed(drawn.newer))
 	if drawn.wanted != nil {
 		w.oracle.CallKeptTo(c.id, drawn.wanted)
 	}
--- a/internal/sim/calls/side.go
+++ b/internal/sim/calls/side.go
@@ -105,7 +105,7 @@
 	if !c.allowed.Restricted() {
 		return c.side.set
 	}
-	return c.side.set.Within(c.allowed)
+	return c.side.set.InRegions(c.allowed)
 }
 
 // try makes one attempt of a call.
@@ -203,22 +203,22 @@
 	if a.closed {
 		return
 	}
-	a.chosen.Learn(w.now(), endpoint.Report{Running: end.running, Queued: end.queued, Own: -1})
+	a.chosen.ApplyLoadReport(w.now(), endpoint.LoadReport{Running: end.running, Queued: end.queued, Own: -1})
 	if !end.answered {
 		w.refusedBy(a, end.code)
 		return
 	}
 	a.received = end
-	w.attemptEnded(a, endpoint.Fine, retry.Outcome{Kind: retry.Answered})
+	w.attemptEnded(a, endpoint.Succeeded, retry.Outcome{Kind: retry.Answered})
 }
 
 // refusedBy takes a gate's refusal.
 func (w *world) refusedBy(a *attempt, code result.Code) {
 	entry, _ := result.Lookup(code)
-	evidence := endpoint.Fine
+	evidence := endpoint.Succeeded
 	switch code {
 	case result.Draining, result.WrongBackend:
-		evidence = endpoint.Leaving
+		evidence = endpoint.NotAccepting
 	case result.BrokenInFlight, result.DeadlineInFlight:
 		evidence = endpoint.Broken
 	case result.ConnectFailed:
@@ -238,7 +238,7 @@
 		w.hangUp(a)
 	}
 	outcome.Replayable = true
-	outcome.Others = a.call.endpoints().Others(w.now(), a.call.tried)
+	outcome.Others = a.call.endpoints().HasUntried(w.now(), a.call.tried)
 	w.next(a.call, outcome)
 }
 
@@ -292,7 +292,7 @@
 func (w *world) expire(c *call) { w.interrupt(c, retry.Expired, endpoint.Broken) }
 
 // interrupt ends a call under way: at its deadline or as its caller hangs up.
-func (w *world) interrupt(c *call, kind retry.Kind, evidence endpoint.Outcome) {
+func (w *world) interrupt(c *call, kind retry.OutcomeKind, evidence endpoint.Outcome) {
 	if c.ended {
 		return
 	}
@@ -303,12 +303,12 @@
 	case a.sent:
 		w.attemptEnded(a, evidence, retry.Outcome{Kind: kind})
 	default:
-		w.attemptEnded(a, endpoint.Withdrawn, retry.Outcome{Kind: retry.NotSent})
+		w.attemptEnded(a, endpoint.Cancelled, retry.Outcome{Kind: retry.NotSent})
 	}
 }
 
 // waitingKind is the end of a call that is between two attempts.
-func waitingKind(kind retry.Kind) retry.Kind {
+func waitingKind(kind retry.OutcomeKind) retry.OutcomeKind {
 	if kind == retry.Expired {
 		return retry.NotSent
 	}
--- a/internal/sim/mutant/calls.go
+++ b/internal/sim/mutant/calls.go
@@ -32,7 +32,7 @@
 		New: "	return true\n"},
 	{Name: "start_duplicates", Breaks: oracle.AtMostOnce, Simulation: Calls, File: "admission/gate.go",
 		Old: "	case Present:\n		return refused(result.AlreadyStarted, 0)",
-		New: "	case Present:\n		return Verdict{State: StateStarted}"},
+		New: "	case Present:\n		return Decision{State: StateStarted}"},
 	{Name: "forget_attempts", Breaks: oracle.AtMostOnce, Simulation: Calls, File: "admission/gate.go",
 		Old: "	if verdict := register(g.requests, now, ticket.Request); verdict",
 		New: "	if verdict := register(g.requests, now, 0); verdict"},
--- a/internal/sim/mutant/configuration.go
+++ b/internal/sim/mutant/configuration.go
@@ -5,7 +5,7 @@
 // configurationMutants are faults in how configuration is accepted and spread.
 var configurationMutants = []Mutant{
 	{Name: "floor_from_one_answer", Breaks: oracle.NoOlderVersion, Simulation: Mesh, File: "floor/learner.go",
-		Old: "	return HasRead(l.set, func(id protocol.NodeID) bool { return l.answers[id] })",
+		Old: "	return HasReadQuorum(l.set, func(id protocol.NodeID) bool { return l.answers[id] })",
 		New: "	return len(l.answers) > 0"},
 	{Name: "keeper_forgets", Breaks: oracle.NoOlderVersion, Simulation: Mesh, File: "floor/keeper.go",
 		Old: "	reply := &protocol.StoreReply{Code: result.OK, Stored: k.stored}",
@@ -14,7 +14,7 @@
 		Old: "	l.floor = floor\n",
 		New: "	l.floor = 0\n"},
 	{Name: "release_unstored", Breaks: oracle.NoOlderVersion, Simulation: Mesh, File: "floor/releaser.go",
-		Old: "	return c.round > 0 && HasWrite(c.target.set, func(id protocol.NodeID) bool { return c.confirmed[id] })",
+		Old: "	return c.round > 0 && HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { return c.confirmed[id] })",
 		New: "	return len(c.stored) > 0"},
 
 	{Name: "build_loses_secrets", Breaks: oracle.NoDangling, Simulation: Mesh, File: "snapshot/snapshot.go",
@@ -27,8 +27,8 @@
 		Old: "			wanted[secretKey(route)] = true",
 		New: "			wanted[secretKey(route)] = false"},
 	{Name: "accept_dangling", Breaks: oracle.NoDangling, Simulation: Mesh, File: "ledger/draft.go",
-		Old: "	return resource.MissingAfter(files, added, removed)",
-		New: "	return resource.MissingAfter(files, added, removed)[:0]"},
+		Old: "	return resource.MissingReferencesAfter(files, added, removed)",
+		New: "	return resource.MissingReferencesAfter(files, added, removed)[:0]"},
 
 	{Name: "take_bad_file", Breaks: oracle.WholeOrNothing, Simulation: Mesh, File: "resource/parse.go",
 		Old: "	if len(collected.problems) > 0 {",
@@ -54,7 +54,7 @@
 		New: "	if known := FindOperation(head, change.Request); known != nil && known.Code == result.Held {"},
 
 	{Name: "claim_what_is_released", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "node/root.go",
-		Old: "	claimed := min(holding, n.root.claims.Highest(n.now))",
+		Old: "	claimed := min(holding, n.root.claims.DeclarableVersion(n.now))",
 		New: "	claimed := max(holding, n.holding.store.Version())"},
 	{Name: "claim_for_all_regions", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "node/regions.go",
 		Old: "		lowest = min(lowest, peer.inForce)",
--- a/internal/sim/world/effects.go
+++ b/internal/sim/world/effects.go
@@ -27,7 +27,7 @@
 			w.platform.stopWatch(p)
 		case node.SwapSnapshot:
 			w.swap(p, asked)
-		case node.ExtendServing:
+		case node.ExtendServingLease:
 			p.servingUntil = asked.Until
 			w.observeServing(p.slot)
 		case node.PublishMembers:
