--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -1,8 +1,8 @@
-// Package admission decides at the gate which calls the back end beside a
-// daemon may run: one for each slot, the others queued within their deadlines
-// with fair shares between partners, and the rest refused at once. A gate may
-// be used from several goroutines; it starts none, reads no clock, and takes
-// a lock only when calls wait.
+// Package admission controls which calls the local back end of a daemon runs:
+// one per slot. Further calls are queued within their deadlines, with slot time
+// shared fairly between partners, and the rest are refused at once. A Gate is safe
+// for concurrent use; it starts no goroutines, reads no clock, and needs no lock to
+// start and end calls while none is queued.
 package admission
 
 import (
@@ -14,28 +14,28 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Call is what the gate knows of a call that wants to start.
+// Call describes a call to the gate.
 type Call struct {
-	// Class tells calls of like routes apart, whose service times are learned.
+	// Class is the class of the call's route; service times are measured per class.
 	Class    callclass.Class
 	Partner  resource.Partner
 	Priority resource.Priority
-	// Deadline is on the gate's clock; a call that can't start and end by then
-	// is refused.
+	// Deadline is a time on the gate's clock. A call that can't start and end by
+	// then is refused.
 	Deadline time.Duration
-	// Target is until when an answer is of full use, on the gate's clock; 0 when
-	// that is not stated.
+	// Target is the time on the gate's clock by which the answer should arrive to
+	// be of full use; 0 if the route states no target.
 	Target time.Duration
-	// Patient calls are not refused for their target: to send them elsewhere is
-	// dearer than that they end late.
+	// Patient exempts the call from refusals for a missed Target, because sending
+	// it elsewhere costs more than a late answer.
 	Patient bool
-	// Request identifies the attempt; 0 means that it has no id.
+	// Request is the hash of the attempt's id; 0 if it has none.
 	Request Fingerprint
-	// Key identifies the operation; 0 means that it has no key.
+	// Key is the hash of the operation's idempotency key; 0 if it has none.
 	Key Fingerprint
 }
 
-// State is where a ticket stands.
+// State is the state of a ticket.
 type State int
 
 // The states of a ticket. Started and Refused are final.
@@ -46,43 +46,45 @@
 	StateRefused
 )
 
-// Verdict is the answer to a call. Every refusal means that the call was not
-// started by this gate.
+// Decision is the gate's decision on a call. A refused call has not been started
+// by this gate.
 type Decision struct {
 	State State
-	// Code is why the call is refused.
+	// Code is the reason of a refusal.
 	Code result.Code
-	// RetryAfter is when sending it again may help; 0 when not known.
+	// RetryAfter is the time after which a retry may succeed; 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Waiter is told the fate of a queued call, once. It is called while the gate
-// is locked, so it must neither block nor call the gate.
+// Waiter receives the final decision on a queued call, unless Cancel withdraws the
+// call first. Settle is called once and while the gate is locked, so it must neither
+// block nor call the gate.
 type Waiter interface {
 	Settle(Decision)
 }
 
-// Ticket is one call at the gate. It is used for one call only.
+// Ticket tracks one call through the gate. It must not be reused.
 type Ticket struct {
 	Call
-	// Unmeasured keeps the call out of the mean service time. The owner sets it
-	// before Done, for calls that fail at once would make a back end look fast.
+	// Unmeasured excludes the call from the mean service time. The owner sets it
+	// before Done for failed calls: immediate failures would make a back end look
+	// fast.
 	Unmeasured bool
 
 	waiter Waiter
-	// state is guarded by the gate's lock once the ticket was queued.
+	// state is guarded by the gate's lock once the ticket has been queued.
 	state State
-	// ended is set by Done; only the owner of the call touches it.
+	// ended is set by Done; only the owner of the call accesses it.
 	ended bool
-	// hung says whether the call was found to hang; see Hangs.
+	// hung is one of hungNow and hungNoMore, or 0; see MarkHung.
 	hung      atomic.Int32
 	startedAt time.Duration
-	// expected is how long the call was expected to run when it came.
+	// expected is the service time expected when the call was queued or started.
 	expected time.Duration
-	// startBy orders the waiting calls of a class: the earliest goes first.
+	// startBy orders queued calls of equal priority: the earliest starts first.
 	startBy time.Duration
-	// queuedAt is when the call was queued, expectedWait what it was then expected
-	// to wait.
+	// queuedAt is the time at which the call was queued, expectedWait the queueing
+	// time that was estimated then.
 	queuedAt     time.Duration
 	expectedWait time.Duration
 	charged      float64
@@ -91,8 +93,8 @@
 	previous     *Ticket
 }
 
-// NewTicket returns the ticket of a call. The waiter may be nil when the
-// caller never queues, as in a gate without queue.
+// NewTicket returns a ticket for a call. The waiter may be nil if the gate
+// never queues the call, for example if it has no queue.
 func NewTicket(call Call, waiter Waiter) *Ticket {
 	return &Ticket{Call: call, waiter: waiter}
 }
@@ -104,7 +106,7 @@
 	}
 }
 
-// class is the index of a priority's list in a lane.
+// class returns the index of the call's priority in a partner's queue.
 func (t *Ticket) class() int {
 	return int(min(max(t.Priority, resource.PriorityLow), resource.PriorityHigh))
 }
--- a/internal/core/admission/config.go
+++ b/internal/core/admission/config.go
@@ -6,30 +6,31 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// PartnerWeight is the relative share of a partner.
+// PartnerWeight is a partner's relative share of the slot time.
 type PartnerWeight struct {
 	Partner resource.Partner
 	Weight  float64
 }
 
-// Config bounds a gate.
+// Config holds the settings of a gate.
 type Config struct {
-	// Slots is how many calls run at once.
+	// Slots is the maximum number of calls that run at once.
 	Slots int
-	// QueueLength bounds the calls that wait.
+	// QueueLength is the maximum number of queued calls.
 	QueueLength int
-	// QueueWait bounds the expected wait of a call that is queued.
+	// QueueWait is the longest expected wait with which a call is queued.
 	QueueWait time.Duration
-	// KeyWindow and KeyCount bound the memory of started keys.
+	// KeyWindow is the time for which keys of started operations are remembered,
+	// KeyCount the maximum number of them.
 	KeyWindow time.Duration
 	KeyCount  int
-	// RequestWindow and RequestCount bound the memory of the ids of attempts;
-	// those of the keys are used when they are 0.
+	// RequestWindow and RequestCount are the same for the ids of attempts; the
+	// values for keys apply if they are 0.
 	RequestWindow time.Duration
 	RequestCount  int
-	// Weights are the partners' shares; 1 for those not listed.
+	// Weights lists the partners' shares; a partner that is not listed has weight 1.
 	Weights []PartnerWeight
-	// NoEstimate refuses no call for its expected wait, and lets deadlines pass
-	// in the queue. It is for comparisons only.
+	// NoEstimate disables refusals by expected wait, so that deadlines may expire
+	// in the queue. It serves as the baseline in comparisons only.
 	NoEstimate bool
 }
--- a/internal/core/admission/control.go
+++ b/internal/core/admission/control.go
@@ -4,15 +4,15 @@
 	"time"
 )
 
-// Drain refuses all waiting calls at once and every later one until Resume;
-// those that run end by themselves.
+// Drain refuses all queued calls at once and every new call until Resume.
+// Running calls are not interrupted.
 func (g *Gate) Drain() { g.refuseAll(drainingBit) }
 
-// Close refuses calls as Drain does, but Resume does not undo it.
+// Close refuses calls like Drain, but permanently: Resume does not undo it.
 func (g *Gate) Close() { g.refuseAll(closedBit) }
 
-// Evacuate refuses calls as Drain does, but for the reason that the zone is to be empty. It
-// ends a drain: the gate has one reason at a time.
+// Evacuate refuses calls like Drain, but with the code for an evacuated zone. It
+// replaces a drain, so that only one of the two reasons applies at a time.
 func (g *Gate) Evacuate() {
 	g.refuseAll(evacuatedBit)
 	g.word.And(^uint64(drainingBit))
@@ -28,13 +28,13 @@
 	}
 }
 
-// Resume takes calls again after Drain or Evacuate, but not after Close.
+// Resume accepts calls again after Drain or Evacuate, but not after Close.
 func (g *Gate) Resume() {
 	g.word.And(^uint64(drainingBit | evacuatedBit))
 }
 
-// SetSlots changes how many calls run at once. Fewer slots end no call; more
-// of them start waiting calls at once.
+// SetSlots changes the maximum number of calls that run at once. Lowering it
+// interrupts no running call; raising it starts queued calls at once.
 func (g *Gate) SetSlots(now time.Duration, slots int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -42,7 +42,7 @@
 	g.startFree(now)
 }
 
-// startFree starts waiting calls while slots are free; the lock is held.
+// startFree starts queued calls while slots are free. The caller holds the lock.
 func (g *Gate) startFree(now time.Duration) {
 	for g.queue.length > 0 && g.hasRoom(g.word.Load()) {
 		g.word.Add(1)
--- a/internal/core/admission/evacuate_test.go
+++ b/internal/core/admission/evacuate_test.go
@@ -20,7 +20,7 @@
 	check.Equal(offer(gate, 0, Call{}).code, result.ZoneEvacuated)
 	check.Equal(gate.Load().Running, 1)
 	gate.Done(time.Second, running.ticket, true)
-	check.Equal(offer(gate, time.Second, Call{}).code, result.ZoneEvacuated) // a free slot changes nothing
+	check.Equal(offer(gate, time.Second, Call{}).code, result.ZoneEvacuated) // even with a free slot
 	gate.Resume()
 	check.Equal(offer(gate, time.Second, Call{}).state, StateStarted)
 }
@@ -31,7 +31,7 @@
 	gate.Evacuate()
 	gate.Drain()
 	check.Equal(offer(gate, 0, Call{}).code, result.Draining)
-	gate.Evacuate() // another instance has come meanwhile
+	gate.Evacuate() // of a new instance of the back end
 	check.Equal(offer(gate, 0, Call{}).code, result.ZoneEvacuated)
 	gate.Close()
 	gate.Resume()
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -11,8 +11,9 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The word of a gate packs what must change together: the draining, closed and
-// evacuated bits, that of an isolated call, the calls queued and the calls running.
+// Layout of Gate.word, which packs the state that must change atomically: the
+// number of running calls in the low 24 bits, the number of queued calls in the
+// next 24, and the flags below in the top bits.
 const (
 	runningBits = 24
 	runningMask = 1<<runningBits - 1
@@ -26,39 +27,42 @@
 	refusingAny  = drainingBit | closedBit | evacuatedBit
 )
 
-// waitShare is the most of a call's remaining time that it may be expected to
-// wait. A call that starts with hardly any time left is likely to be cut off
-// while it runs, and its outcome to be unknown.
+// waitShare is the largest fraction of a call's remaining time that it is
+// expected to spend in the queue. A call that starts with little time left is
+// likely to reach its deadline while it runs, which leaves its outcome unknown.
 const waitShare = 0.6
 
-// fullRetryAfter is the wait told to a call that meets a full memory of keys.
+// fullRetryAfter is the RetryAfter of calls that are refused because a set of
+// fingerprints is full.
 const fullRetryAfter = 5 * time.Second
 
-// Gate admits calls to one back end.
+// Gate controls admission to one back end.
 type Gate struct {
 	config Config
-	// word holds the bits above, queued and running. Running never exceeds the slots
-	// by a start: a start adds one by compare-and-swap only below the slots, or
-	// inherits the slot of a call that ends. Queued changes under mutex only.
+	// word is the packed state; its layout is defined above. A start never raises
+	// the running count above the slots: it increments the count by compare-and-swap
+	// only while a slot is free, or inherits the slot of a call that ends. The queued
+	// count changes only under mutex.
 	word atomic.Uint64
-	// hung are the running calls that were found to hang.
+	// hung is the number of running calls marked by MarkHung.
 	hung atomic.Int64
-	// runningWork is how long the running calls were expected to run, in nanoseconds.
+	// runningWork is the sum of the expected service times of the running calls, in
+	// nanoseconds.
 	runningWork atomic.Int64
-	// slots may be changed while calls run.
+	// slots is the maximum number of running calls; see SetSlots.
 	slots atomic.Int64
-	// leftBehind and probes take slots of the back end beside the calls of the gate; see
-	// occupied.go.
+	// leftBehind and probes count slots of the back end that are in use but not by
+	// calls of this gate; see occupied.go.
 	leftBehind leftBehind
 	probes     atomic.Int64
-	// mean is the mean service time of all calls, classes those of each class that
-	// has come.
+	// mean is the mean service time of all calls, classes holds the statistics of
+	// each call class.
 	mean    movingMean
 	classes callclass.Table[classService]
-	// requests are the attempts that came, keys the operations started.
+	// requests holds the ids of received attempts, keys those of started operations.
 	requests *FingerprintSet
 	keys     *FingerprintSet
-	// warmth bounds the starts while the back end is cold.
+	// warmth limits the starts while the back end is cold.
 	warmth *warmup.Limiter
 
 	mutex    sync.Mutex
@@ -66,7 +70,7 @@
 	isolated isolation
 }
 
-// New returns a gate that takes calls.
+// New returns a gate that accepts calls.
 func New(now time.Duration, config Config) *Gate {
 	requestWindow := cmp.Or(config.RequestWindow, config.KeyWindow)
 	requestCount := cmp.Or(config.RequestCount, config.KeyCount)
@@ -81,16 +85,16 @@
 	return gate
 }
 
-// Load is what runs and waits at a gate.
+// Load is the number of slots in use and calls queued at a gate.
 type Load struct {
-	// Running are the slots taken, also by what runs there beside the gate's own calls. An
-	// isolated call takes all of them.
+	// Running is the number of slots in use, including those used by probes and by
+	// calls from an earlier run of the daemon. An isolated call uses all slots.
 	Running int
 	Queued  int
 	Slots   int
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (g *Gate) Load() Load {
 	word := g.word.Load()
 	return Load{
@@ -100,7 +104,7 @@
 	}
 }
 
-// taken is how many slots are taken: all of them by an isolated call.
+// taken returns the number of slots in use; an isolated call uses all of them.
 func (g *Gate) taken(word uint64) int {
 	running := int(word&runningMask) + int(g.occupied())
 	if word&isolatedBit != 0 {
@@ -109,27 +113,28 @@
 	return running
 }
 
-// Free tells whether a call that comes now would get a slot at once.
+// HasFreeSlot reports whether a new call would get a slot without queueing.
 func (g *Gate) HasFreeSlot() bool { return g.admits(g.word.Load()) }
 
-// admits tells whether a slot is free and nobody waits for it.
+// admits reports whether a slot is free and no call is queued for it.
 func (g *Gate) admits(word uint64) bool {
 	return word&(refusingAny|queuedMask) == 0 && g.hasRoom(word)
 }
 
-// hasRoom tells whether one more call may run: not beside an isolated one.
+// hasRoom reports whether one more call may run. While a call is isolated, none may.
 func (g *Gate) hasRoom(word uint64) bool {
 	return word&isolatedBit == 0 && int64(word&runningMask) < g.limit()
 }
 
-// Draining tells whether the gate refuses new calls.
+// RefusesCalls reports whether the gate refuses all new calls.
 func (g *Gate) RefusesCalls() bool { return g.word.Load()&refusingAny != 0 }
 
-// Refusing is the code by which the gate refuses new calls; OK while it takes them.
+// RefusalCode returns the code with which the gate refuses all new calls, or OK
+// while it accepts calls.
 func (g *Gate) RefusalCode() result.Code { return refusalOf(g.word.Load()) }
 
-// refusalOf is the code by which a gate with some word refuses calls. A back end that leaves
-// does not come back with its zone, so that goes before.
+// refusalOf returns the refusal code for a packed state. Draining takes precedence
+// over evacuation: a back end that leaves does not return when its zone does.
 func refusalOf(word uint64) result.Code {
 	switch {
 	case word&(drainingBit|closedBit) != 0:
@@ -143,9 +148,8 @@
 // Admit starts, queues or refuses a call. A started call must be ended by
 // Done; a queued one is settled later, or withdrawn by Cancel.
 //
-// The id of an attempt is remembered when it comes, whatever becomes of it: one
-// that was refused as not run may have been sent elsewhere since, so a late
-// duplicate of it must not start here.
+// The attempt's id is recorded even if the call is refused: the sender may since
+// have sent a refused call elsewhere, so a late duplicate must not start here.
 func (g *Gate) Admit(now time.Duration, ticket *Ticket) Decision {
 	if verdict := register(g.requests, now, ticket.Request); verdict.State == StateRefused {
 		return verdict
@@ -171,7 +175,7 @@
 	return verdict
 }
 
-// acquire takes a free slot when nobody waits for it.
+// acquire takes a free slot unless calls are queued for it.
 func (g *Gate) acquire() bool {
 	for {
 		word := g.word.Load()
@@ -184,8 +188,8 @@
 	}
 }
 
-// remember records the key of a call about to start. When it refuses, the call
-// must not start.
+// remember records the start of a call: in the cold limiter, the set of keys and
+// the expected work. If it returns a refusal, the call must not start.
 func (g *Gate) remember(now time.Duration, ticket *Ticket) Decision {
 	if wait := g.warmth.TryStart(now, ticket.class()); wait > 0 {
 		return refused(result.WarmingUp, wait)
@@ -199,7 +203,8 @@
 	return verdict
 }
 
-// register adds a fingerprint, or refuses the call that has it.
+// register adds a fingerprint to a set, or returns a refusal if the set contains it
+// or is full.
 func register(set *FingerprintSet, now time.Duration, fingerprint Fingerprint) Decision {
 	if fingerprint == 0 {
 		return Decision{State: StateStarted}
@@ -213,7 +218,8 @@
 	return Decision{State: StateStarted}
 }
 
-// enqueue queues a call for which no slot was free, or refuses it.
+// enqueue queues or refuses a call for which no slot was free, or starts it if one
+// has become free since.
 func (g *Gate) enqueue(now time.Duration, ticket *Ticket) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -230,11 +236,11 @@
 		case word&refusingAny != 0:
 			return refused(refusalOf(word), 0)
 		case free && g.word.CompareAndSwap(word, word+1):
-			// The slot was freed since Admit looked; with nobody waiting that
-			// needed no lock.
+			// A slot was freed after the check in Admit. Freeing it needed no lock,
+			// because no call was queued.
 			return g.startLocked(now, ticket)
 		case !free && g.word.CompareAndSwap(word, word+queuedUnit):
-			// From here on every end of a call sees that somebody waits.
+			// From here on, each call that ends sees the queued call.
 			ticket.state = StateQueued
 			g.queue.push(ticket, into)
 			g.shedBehind(now, ticket)
@@ -245,7 +251,8 @@
 	}
 }
 
-// startLocked starts a call that holds a slot, or gives the slot on.
+// startLocked starts a call that holds a slot, or hands the slot over if the start
+// is refused. The caller holds the lock.
 func (g *Gate) startLocked(now time.Duration, ticket *Ticket) Decision {
 	verdict := g.remember(now, ticket)
 	ticket.state = verdict.State
@@ -255,10 +262,10 @@
 	return verdict
 }
 
-// Done ends a started call and gives its slot to the call that goes next. Ran
-// is false only when the call certainly did not reach the back end; its key is
-// then forgotten, so that the operation may be sent again. It must be called once for
-// each started call; further calls do nothing.
+// Done ends a started call and hands its slot over to the next queued call. Ran must
+// be false only if the call certainly did not reach the back end; its key is then
+// removed, so that the operation may be sent again. Done must be called for each
+// started call; repeated calls have no effect.
 func (g *Gate) Done(now time.Duration, ticket *Ticket, ran bool) {
 	if ticket.ended {
 		return
@@ -277,8 +284,8 @@
 	g.release(now, ticket, now-ticket.startedAt)
 }
 
-// release gives back a slot that was held for some time: without the lock when
-// nobody waits.
+// release returns a slot that a call has held for a time. It takes the lock only if
+// calls are queued or a call is isolated.
 func (g *Gate) release(now time.Duration, ticket *Ticket, held time.Duration) {
 	for {
 		word := g.word.Load()
@@ -301,12 +308,13 @@
 	g.shedHopeless(now)
 }
 
-// handOver gives a held slot to the next call that can still start, or frees
-// it; the lock is held.
+// handOver gives a held slot to the next queued call that can still start, or
+// frees it. The caller holds the lock.
 func (g *Gate) handOver(now time.Duration) {
 	for {
-		// With fewer slots than before, or others that are occupied, the slot ends with the call.
-		excess := !g.hasRoom(g.word.Load() - 1) // without the call that holds the slot
+		// The slot is not reused if the limit has been lowered since, or if other
+		// slots have been occupied.
+		excess := !g.hasRoom(g.word.Load() - 1) // not counting the call that holds the slot
 		var ticket *Ticket
 		if !excess {
 			ticket = g.queue.pop()
@@ -322,7 +330,8 @@
 	}
 }
 
-// startWaiting settles a call taken from the queue and tells whether it runs.
+// startWaiting starts or refuses a call taken from the queue and reports whether it
+// was started.
 func (g *Gate) startWaiting(now time.Duration, ticket *Ticket) bool {
 	service := g.serviceOf(&ticket.Call)
 	if !g.config.NoEstimate && now+service > ticket.Deadline {
@@ -330,7 +339,7 @@
 		return false
 	}
 	if !g.config.NoEstimate && g.queue.length > 0 && g.lateness(ticket, now) > 0 {
-		// Its answer would be late, and make others late.
+		// It would miss its target and delay the calls behind it.
 		ticket.settle(refused(result.QueueFull, service/retryParts))
 		return false
 	}
@@ -343,15 +352,15 @@
 	return verdict.State == StateStarted
 }
 
-// LatestStart is until when a waiting call can still end in time. After that its owner
-// should withdraw it and tell its sender at once that it did not run, while there is
-// time to send it elsewhere.
+// LatestStart returns the latest time at which a queued call can start and still end
+// by its deadline. After that its owner should withdraw it and answer its sender at
+// once that it did not run, while there is time to send it elsewhere.
 func (g *Gate) LatestStart(ticket *Ticket) time.Duration {
 	return ticket.Deadline - g.serviceOf(&ticket.Call)
 }
 
-// Cancel withdraws a waiting call. It answers false when the call is not
-// waiting any more: it was settled, and if started it must be ended by Done.
+// Cancel withdraws a queued call. It returns false if the call has been settled
+// already; if it was started, it must be ended by Done.
 func (g *Gate) Cancel(ticket *Ticket) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -15,7 +15,7 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// record is a waiter that keeps its verdicts.
+// record is a Waiter that records its decisions.
 type record struct {
 	verdicts []Decision
 }
@@ -33,7 +33,8 @@
 	return Config{Slots: slots, QueueLength: 8, QueueWait: time.Second, KeyWindow: time.Minute, KeyCount: 1 << 10}
 }
 
-// offered is a call at the gate with its waiter.
+// offered is a call that was offered to a gate, with its waiter and the gate's
+// immediate decision.
 type offered struct {
 	ticket *Ticket
 	waiter *record
@@ -51,7 +52,7 @@
 	return &offered{ticket: ticket, waiter: waiter, state: verdict.State, code: verdict.Code}
 }
 
-// teach gives a gate a mean service time.
+// teach sets the mean service time of a new gate by running one call.
 func teach(gate *Gate, now, service time.Duration) {
 	first := offer(gate, now, Call{})
 	gate.Done(now+service, first.ticket, true)
@@ -66,7 +67,7 @@
 	check.Equal(first.state, StateStarted)
 	check.Equal(second.state, StateQueued)
 	gate.Done(time.Millisecond, first.ticket, true)
-	check.Equal(third.waiter.last().State, StateStarted) // higher priority first
+	check.Equal(third.waiter.last().State, StateStarted) // higher priority goes first
 	check.Equal(len(second.waiter.verdicts), 0)
 	gate.Done(time.Millisecond, first.ticket, true) // a second Done frees nothing
 	check.Equal(gate.Load(), Load{Running: 1, Queued: 1, Slots: 1})
@@ -101,8 +102,8 @@
 	check.Equal(gate.MeanServiceTime(), 100*time.Millisecond)
 }
 
-// TestStallDoesNotOutlastItself: after calls that stood still for 10 s with the
-// machine, a short queue is not refused.
+// Guards against refusals after a machine stall: the two calls that a 10 s stall made
+// long must not raise the mean so far that a short queue is refused afterwards.
 func TestStallDoesNotOutlastItself(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(2))
@@ -130,8 +131,8 @@
 	check.Equal(offer(gate, time.Minute, Call{Key: 5}).state, StateStarted)
 }
 
-// TestRefusedAttemptNeverStartsLater: the caller's side may have sent the call
-// elsewhere since it was told that it did not run.
+// Guards against a second run of a call: its sender may have sent the refused call
+// elsewhere, so a late duplicate of the attempt must not start.
 func TestRefusedAttemptNeverStartsLater(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
@@ -214,11 +215,11 @@
 		}
 	}
 	share := float64(used["short"]) / float64(used["long"]+used["short"])
-	check.True(share > 0.4 && share < 0.6) // half of the time, not of the calls
+	check.True(share > 0.4 && share < 0.6) // half of the slot time, not of the calls
 }
 
-// TestGateModel draws steps and compares the gate with a plain account of who
-// holds a slot: never more than the slots, none leaked, none given twice.
+// TestGateModel runs random operations and compares the gate with a simple model of
+// the running calls: slots are never exceeded, leaked or assigned twice.
 func TestGateModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(1, 3).Draw(t, "slots")
@@ -274,8 +275,8 @@
 
 func (c channelWaiter) Settle(verdict Decision) { c <- verdict }
 
-// TestGateUnderThreads has many goroutines contend; the account of running
-// calls is kept by atomics beside the gate.
+// TestGateUnderThreads lets many goroutines compete for slots and counts the running
+// calls independently of the gate.
 func TestGateUnderThreads(t *testing.T) {
 	const slots = 3
 	config := testConfig(slots)
@@ -316,7 +317,8 @@
 	check.True(started.Load() > 0)
 }
 
-// TestSeenAddsOnceAcrossRotations races equal fingerprints over generations.
+// Guards against duplicates when concurrent additions of one fingerprint race with the
+// rotation of generations.
 func TestSeenAddsOnceAcrossRotations(t *testing.T) {
 	check := is.New(t)
 	seen := NewFingerprintSet(0, 1, 1<<6)
@@ -340,7 +342,7 @@
 	seen := NewFingerprintSet(0, time.Minute, 2)
 	check.Equal(seen.Add(0, 1), Added)
 	check.Equal(seen.Add(0, 2), Added)
-	check.Equal(seen.Add(0, 3), Full) // no room is made by forgetting
+	check.Equal(seen.Add(0, 3), Full) // nothing is dropped to make room
 	check.Equal(seen.Add(time.Minute-1, 1), Present)
 	check.Equal(seen.Add(time.Minute-1, 3), Full)
 	check.Equal(seen.Add(time.Minute, 3), Added)
@@ -373,8 +375,8 @@
 	})
 }
 
-// A waiting call that higher ones will keep from starting in time is refused
-// when that is to be expected, not at its deadline.
+// A queued call that calls of higher priority will delay past its deadline is refused
+// as soon as that is expected, not at its deadline.
 func TestCallsThatHigherOnesStarveAreRefusedAhead(t *testing.T) {
 	check := is.New(t)
 	config := testConfig(1)
@@ -389,7 +391,7 @@
 	for range 6 {
 		check.Equal(offer(gate, now, Call{Priority: resource.PriorityHigh}).state, StateQueued)
 	}
-	check.Equal(len(low.waiter.verdicts), 0) // seven of 100 ms and its own leave time
+	check.Equal(len(low.waiter.verdicts), 0) // seven calls of 100 ms and its own fit into 1 s
 	for range 3 {
 		offer(gate, now, Call{Priority: resource.PriorityHigh})
 	}
@@ -398,7 +400,7 @@
 	gate.Done(now, running.ticket, true)
 }
 
-// TestAWaitingCallHasALatestStart: its deadline less the time that its class takes.
+// The latest start is the deadline minus the expected service time.
 func TestAWaitingCallHasALatestStart(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
--- a/internal/core/admission/isolation.go
+++ b/internal/core/admission/isolation.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// isolation is the running call that is to run alone.
+// isolation holds the isolated call: the running call beside which no other may start.
 type isolation struct {
 	ticket *Ticket
-	// alone is closed when nothing else runs.
+	// alone is closed once no other call runs.
 	alone chan struct{}
 }
 
-// Isolate keeps other calls from starting until a started call ends or EndIsolation is called. What
-// it returns is closed once no other call runs, and nil where another one is isolated.
+// Isolate prevents other calls from starting until the given started call ends or EndIsolation
+// is called. The returned channel is closed once no other call runs; it is nil if another call
+// is isolated already.
 func (g *Gate) Isolate(ticket *Ticket) <-chan struct{} {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -23,7 +24,8 @@
 	return g.isolated.alone
 }
 
-// EndIsolation lets other calls start beside a call, if it is the isolated one.
+// EndIsolation ends the isolation of a call and starts queued calls; it has no effect if the
+// call is not isolated.
 func (g *Gate) EndIsolation(now time.Duration, ticket *Ticket) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -32,7 +34,8 @@
 	}
 }
 
-// liftIsolation ends the isolation of a call, if it has one; the lock is held.
+// liftIsolation ends the isolation of a call and reports whether it was isolated. The caller
+// holds the lock.
 func (g *Gate) liftIsolation(ticket *Ticket) bool {
 	if g.isolated.ticket != ticket {
 		return false
@@ -42,7 +45,8 @@
 	return true
 }
 
-// noteAlone tells an isolated call that nothing else runs any more; the lock is held.
+// noteAlone closes the channel of the isolated call if no other call runs. The caller holds the
+// lock.
 func (g *Gate) noteAlone() {
 	if g.isolated.ticket == nil || g.word.Load()&runningMask > 1 {
 		return
--- a/internal/core/admission/isolation_test.go
+++ b/internal/core/admission/isolation_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// fullGate is a gate of three slots, all of them taken, and the tickets that hold them.
+// fullGate returns a gate with three slots, all in use, and the tickets that hold them.
 func fullGate() (*Gate, []*Ticket) {
 	gate := New(0, Config{Slots: 3, QueueLength: 16, QueueWait: time.Minute, KeyWindow: time.Minute, KeyCount: 16})
 	gate.SetColdLimit(0, 0, false)
@@ -29,17 +29,18 @@
 	}
 }
 
-// An isolated call is told once all others have ended, and no other one starts until it ends.
+// The channel of an isolated call is closed once all other calls have ended, and no other call
+// starts until the isolated one ends.
 func TestAnIsolatedCallRunsAlone(t *testing.T) {
 	check := is.New(t)
 	gate, started := fullGate()
 	alone := gate.Isolate(started[0])
-	check.Equal(gate.Isolate(started[1]), nil) // one at a time
+	check.Equal(gate.Isolate(started[1]), nil) // only one call can be isolated
 	waiting := &verdicts{}
 	check.Equal(gate.Admit(0, NewTicket(Call{Deadline: time.Hour}, waiting)).State, StateQueued)
 	gate.Done(0, started[1], true)
 	check.True(!isClosed(alone))
-	check.Equal(gate.Load(), Load{Running: 3, Queued: 1, Slots: 3}) // it takes all slots
+	check.Equal(gate.Load(), Load{Running: 3, Queued: 1, Slots: 3}) // an isolated call uses all slots
 	gate.Done(0, started[2], true)
 	check.True(isClosed(alone))
 	check.Equal(len(waiting.settled), 0)
@@ -51,7 +52,7 @@
 	check.Equal(gate.Admit(0, NewTicket(Call{Deadline: time.Hour}, nil)).State, StateStarted)
 }
 
-// A call that is alone already does not wait.
+// If no other call runs, isolation takes effect at once.
 func TestACallThatIsAloneIsIsolatedAtOnce(t *testing.T) {
 	check := is.New(t)
 	gate, started := fullGate()
@@ -60,7 +61,7 @@
 	check.True(isClosed(gate.Isolate(started[0])))
 }
 
-// When an isolation is given up, what waited takes all free slots.
+// When an isolation ends before its call does, queued calls start in all free slots.
 func TestCallsStartWhenAnIsolationIsGivenUp(t *testing.T) {
 	check := is.New(t)
 	gate, started := fullGate()
@@ -70,7 +71,7 @@
 	for index := range waiting {
 		gate.Admit(0, NewTicket(Call{Deadline: time.Hour}, &waiting[index]))
 	}
-	gate.EndIsolation(0, started[2]) // it is not isolated
+	gate.EndIsolation(0, started[2]) // no effect: this call is not isolated
 	check.Equal(len(waiting[0].settled), 0)
 	gate.EndIsolation(0, started[0])
 	check.True(!isClosed(alone))
--- a/internal/core/admission/longest_test.go
+++ b/internal/core/admission/longest_test.go
@@ -7,7 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// answeredTimes lets answers of one class come that took so long each.
+// answeredTimes records a number of answers after the same service time and returns the
+// resulting Longest.
 func answeredTimes(gate *Gate, took time.Duration, count int) time.Duration {
 	for range count {
 		gate.observe(&Call{}, took)
--- a/internal/core/admission/mean.go
+++ b/internal/core/admission/mean.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// meanWeight is the weight of a new value in the moving mean of service time.
+// meanWeight is the weight of a new value in an exponential moving mean.
 const meanWeight = 1.0 / 16
 
-// outlierFactor bounds a new value, in means. A stall of the whole machine
-// makes all running calls look long at once; taken as they are, they would have
-// the gate refuse what waits for many times longer than the stall lasted.
+// outlierFactor limits a new value to this multiple of the mean. A stall of the
+// whole machine makes all running calls look long at once; without the limit the
+// gate would go on refusing queued calls for many times the duration of the stall.
 const outlierFactor = 4
 
-// movingMean is the moving mean of durations, as float64 bits of seconds; 0 until
-// one is known.
+// movingMean is an exponential moving mean of durations. It holds the float64 bits
+// of the mean in seconds, 0 until the first value.
 type movingMean struct {
 	bits atomic.Uint64
 }
 
-// observe folds a duration into the mean. An update lost to a concurrent one does no
-// harm.
+// observe adds a duration to the mean. If two updates race, one is lost, which the
+// mean tolerates.
 func (m *movingMean) observe(took time.Duration) {
 	old := m.bits.Load()
 	mean := math.Float64frombits(old)
@@ -38,12 +38,12 @@
 	return time.Duration(math.Float64frombits(m.bits.Load()) * float64(time.Second))
 }
 
-// classOf returns what is known of the calls of a class, which is nothing at first.
+// classOf returns the statistics of a call's class, which are empty at first.
 func (g *Gate) classOf(call *Call) *classService {
 	return g.classes.Get(call.Class)
 }
 
-// observe folds the service time of a call into the means.
+// observe adds the service time of a call to the means of all calls and of its class.
 func (g *Gate) observe(call *Call, took time.Duration) {
 	g.mean.observe(took)
 	one := g.classOf(call)
@@ -53,30 +53,31 @@
 	one.mean.observe(took)
 }
 
-// serviceOf is how long a call is expected to run: as others of its class do, or
-// else as all do.
+// serviceOf returns the expected service time of a call: the mean of its class, or
+// the mean of all calls if the class has none yet.
 func (g *Gate) serviceOf(call *Call) time.Duration {
 	return cmp.Or(g.classOf(call).mean.value(), g.MeanServiceTime())
 }
 
-// LongServiceOf is how long a call may well run: somewhat longer than others of its
-// class in the mean; 0 when that is not known.
+// LongServiceTime returns a cautious estimate of a call's service time, the expected
+// service time plus the mean deviation of its class; 0 if unknown.
 func (g *Gate) LongServiceTime(call *Call) time.Duration {
 	return g.serviceOf(call) + g.classOf(call).deviation.value()
 }
 
-// delayLimit bounds by how much a wait is believed to exceed what the queue alone
-// makes expect.
+// delayLimit is the largest ratio of actual to expected waits that is taken into
+// account.
 const delayLimit = 4
 
-// delayOf is by how much calls of a class wait longer than the calls ahead of them
-// alone make expect: others come later and go first. At least 1.
+// delayOf returns the mean ratio of actual to expected waits of a class, from 1 to
+// delayLimit. Calls wait longer than the queue ahead of them suggests when later
+// arrivals overtake them.
 func (g *Gate) delayOf(call *Call) float64 {
 	return min(max(g.classOf(call).delay.value().Seconds(), 1), delayLimit)
 }
 
-// observeDelay learns how long a call has waited or will have, against what was
-// expected when it came.
+// observeDelay records the ratio of a call's actual (or newly estimated) wait to the
+// wait that was expected when it was queued.
 func (g *Gate) observeDelay(ticket *Ticket, waited time.Duration) {
 	if ticket.expectedWait > 0 {
 		ratio := min(float64(waited)/float64(ticket.expectedWait), delayLimit)
@@ -84,11 +85,11 @@
 	}
 }
 
-// longestWeight is how much of its distance to the mean the longest service time loses with
-// each answer: a run that was longer than all others is forgotten after some hundred.
+// longestWeight is the fraction of its distance to the mean by which the longest service time
+// decays with each answer, so that a single outlier loses its effect after a few hundred answers.
 const longestWeight = 1.0 / 128
 
-// NoteAnswer takes the time from the sending of a call to the back end's answer.
+// RecordServiceTime records the time from sending a call to the back end's answer.
 func (g *Gate) RecordServiceTime(call *Call, took time.Duration) {
 	one := g.classOf(call)
 	one.seen.Add(1)
@@ -100,21 +101,21 @@
 	one.longest.CompareAndSwap(old, max(faded, int64(took)))
 }
 
-// longDeviations is by how many mean deviations a long service time exceeds the mean: of runs
-// whose times spread as widely as their mean one in ten or so is longer.
+// longDeviations is the number of mean deviations by which ServiceTimes.Long exceeds the mean. If
+// the deviation is as large as the mean, about one call in ten takes longer than that.
 const longDeviations = 2
 
-// ServiceTimes are what is known of the service times of a class, by answered calls alone.
+// ServiceTimes summarises the service times of the answered calls of one class.
 type ServiceTimes struct {
 	Mean time.Duration
-	// Long is what few calls take, Longest the longest lately.
+	// Long is a duration that few calls exceed; Longest is the recent maximum.
 	Long    time.Duration
 	Longest time.Duration
-	// Seen is how many answers tell that.
+	// Seen is the number of answers on which these values are based.
 	Seen int
 }
 
-// ServiceTimes are those of a call's class.
+// ServiceTimes returns the service times of a call's class.
 func (g *Gate) ServiceTimes(call *Call) ServiceTimes {
 	one := g.classOf(call)
 	mean := one.answered.value()
@@ -124,21 +125,22 @@
 	}
 }
 
-// classService are the service times of one class of calls.
+// classService holds the service time statistics of one class of calls.
 type classService struct {
+	// mean is the mean service time of all calls of the class.
 	mean movingMean
-	// answered and spread are the mean and the mean deviation of answered calls alone: to
-	// those that hang, the slots that they take would be service time.
+	// answered and spread are the mean and the mean deviation of answered calls only. Hung
+	// calls are left out: the time for which they hold a slot is not service time.
 	answered movingMean
 	spread   movingMean
-	// longest is the longest of them lately, in nanoseconds, of seen in all.
+	// longest is the decaying maximum of the answered calls in nanoseconds, seen their number.
 	longest atomic.Int64
 	seen    atomic.Int64
-	// deviation is the mean distance from the mean.
+	// deviation is the mean deviation from mean.
 	deviation movingMean
-	// delay is the mean of waits by expected waits, in seconds.
+	// delay is the mean ratio of actual to expected waits, stored as seconds.
 	delay movingMean
 }
 
-// MeanService is the moving mean of service time; 0 until one is known.
+// MeanServiceTime returns the moving mean of the service times of all calls; 0 if unknown.
 func (g *Gate) MeanServiceTime() time.Duration { return g.mean.value() }
--- a/internal/core/admission/occupied.go
+++ b/internal/core/admission/occupied.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// leftBehind are calls that an earlier start of the daemon sent and that may still run at the
-// back end: a daemon that is killed ends none of them, and only most back ends drop a call
-// whose connection closes.
+// leftBehind counts orphaned calls: calls that an earlier run of the daemon sent and that the
+// back end may still be running. A daemon that is killed cancels none of them, and not all back
+// ends abort a call when its connection closes.
 type leftBehind struct {
 	count atomic.Int64
-	// until is when the last one is over, in nanoseconds of the gate's clock.
+	// until is the time in nanoseconds of the gate's clock by which all of them have ended.
 	until atomic.Int64
 }
 
-// leastPart is the part of the slots that is used while nothing but time tells how much was left
-// behind: back ends queue a few calls, and most have dropped what came on closed connections.
+// leastPart is the divisor of the slots that gives those in use while the number of orphaned
+// calls is unknown. Using a quarter of them is safe enough: back ends can queue a few calls, and
+// most have aborted the calls whose connections closed.
 const leastPart = 4
 
-// limit is how many calls may run now: the slots that nothing else takes. One may always run,
-// for its answer tells most of what the back end holds.
+// limit returns the number of calls that may run now: the slots that are not occupied otherwise,
+// but at least 1, because its answer shows how many calls the back end holds.
 func (g *Gate) limit() int64 {
 	return max(g.slots.Load()-g.occupied(), 1)
 }
 
-// leastOf is how many of some slots are used whatever was left behind.
+// leastOf returns the number of slots that are used while the number of orphaned calls is unknown.
 func leastOf(slots int64) int64 { return (slots + leastPart - 1) / leastPart }
 
-// occupied is how many slots are taken by what the gate has not started.
+// occupied returns the number of slots in use by probes and orphaned calls.
 func (g *Gate) occupied() int64 { return g.leftBehind.count.Load() + g.probes.Load() }
 
-// LeaveBehind says that an earlier start of the daemon may have left calls at the back end,
-// which are over by a time: by its own word it holds so many; a negative number is not told.
+// ExpectOrphanedCalls reserves slots for calls of an earlier run of the daemon that the back end
+// may still be running. They end by the given time. The count is the one that the back end has
+// reported; a negative count means that it has reported none.
 func (g *Gate) ExpectOrphanedCalls(now, until time.Duration, told int) {
 	if until <= now {
 		return
@@ -45,19 +47,21 @@
 	g.leftBehind.count.Store(count)
 }
 
-// Answered takes an answer of the back end. Each one lets one call more run than before: what
-// the back end has answered, it had room for. So the calls double in a service time.
+// RecordAnswer records that the back end has answered a call, and releases one slot reserved for
+// orphaned calls: the answer proves that the back end had capacity for that call. The number of
+// calls that may run thus doubles within one service time.
 func (g *Gate) RecordAnswer(now time.Duration) {
 	if count := g.leftBehind.count.Load(); count > 0 {
 		g.leaveAtMost(now, min(count, g.slots.Load()-1)-1)
 	}
 }
 
-// Holds takes a back end's word that it holds so many calls more than the gate's.
+// CapOrphanedCalls lowers the number of expected orphaned calls to the number of calls that the
+// back end reports to hold beyond those of the gate. It never raises it.
 func (g *Gate) CapOrphanedCalls(now time.Duration, more int) { g.leaveAtMost(now, int64(max(more, 0))) }
 
-// Tick looks whether what was left behind is over, and starts a call that came to wait in the
-// very moment in which slots were freed.
+// Tick releases the slots reserved for orphaned calls once the time for these has passed. It also
+// starts calls that were queued at the same moment in which slots became free.
 func (g *Gate) Tick(now time.Duration) {
 	if int64(now) >= g.leftBehind.until.Load() {
 		g.leaveAtMost(now, 0)
@@ -65,10 +69,12 @@
 	g.startWaitingCalls(now)
 }
 
-// Forget says that nothing runs beside the gate's calls: the back end has started anew.
+// ClearOrphanedCalls releases all slots reserved for orphaned calls, after a restart of the back
+// end has ended them.
 func (g *Gate) ClearOrphanedCalls(now time.Duration) { g.leaveAtMost(now, 0) }
 
-// leaveAtMost lowers the count of what was left behind and starts what waited for it.
+// leaveAtMost lowers the number of orphaned calls to an upper bound and starts queued calls in
+// the slots that this frees.
 func (g *Gate) leaveAtMost(now time.Duration, most int64) {
 	for {
 		count := g.leftBehind.count.Load()
@@ -82,8 +88,8 @@
 	g.startWaitingCalls(now)
 }
 
-// Probe takes a slot for a question to the back end itself, until what it returns is called
-// with the time: like a call, it waits for a slot there.
+// AcquireProbeSlot occupies a slot for a probe of the back end, which needs a slot there like any
+// call. The returned function releases the slot; its argument is the time.
 func (g *Gate) AcquireProbeSlot() (ended func(now time.Duration)) {
 	g.probes.Add(1)
 	return func(now time.Duration) {
@@ -92,6 +98,8 @@
 	}
 }
 
+// startWaitingCalls starts queued calls while slots are free. It takes the lock only if calls
+// are queued.
 func (g *Gate) startWaitingCalls(now time.Duration) {
 	if g.word.Load()&queuedMask == 0 {
 		return
--- a/internal/core/admission/occupied_test.go
+++ b/internal/core/admission/occupied_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// occupiedGate is a gate of four slots of which an earlier start of the daemon may have left
-// all taken until a time.
+// occupiedGate returns a gate with four slots, all of them expected to be occupied by orphaned
+// calls until the given time.
 func occupiedGate(until time.Duration) *Gate {
 	gate := New(0, Config{Slots: 4, QueueLength: 16, QueueWait: time.Minute, KeyWindow: time.Minute, KeyCount: 16})
 	gate.SetColdLimit(0, 0, false)
@@ -16,14 +16,14 @@
 	return gate
 }
 
-// verdicts keeps what is settled.
+// verdicts is a Waiter that records its decisions.
 type verdicts struct{ settled []Decision }
 
-// Settle keeps a verdict.
+// Settle records a decision.
 func (v *verdicts) Settle(verdict Decision) { v.settled = append(v.settled, verdict) }
 
-// startAll lets calls come until one has to wait, and returns those that started and what the
-// waiting one is told.
+// startAll offers calls until one is queued, and returns the tickets of those that were started
+// and the waiter of the queued one.
 func startAll(gate *Gate, now time.Duration) (started []*Ticket, waiting *verdicts) {
 	for {
 		waiting = &verdicts{}
@@ -39,10 +39,10 @@
 	check := is.New(t)
 	gate := occupiedGate(time.Second)
 	started, _ := startAll(gate, 0)
-	check.Equal(len(started), 1) // one asks what the back end holds
+	check.Equal(len(started), 1) // its answer shows how many calls the back end holds
 }
 
-// Entries see a gate whose slots are taken as full.
+// Callers must see a gate whose slots are occupied by orphaned calls as full.
 func TestOccupiedSlotsAreLoad(t *testing.T) {
 	check := is.New(t)
 	check.Equal(occupiedGate(time.Second).Load(), Load{Running: 4, Slots: 4})
@@ -54,7 +54,7 @@
 	for answers := range 4 {
 		started, _ := startAll(gate, 0)
 		check.Equal(len(started), answers+1)
-		gate.Drain() // refuses the one that waits
+		gate.Drain() // refuses the queued call
 		gate.Resume()
 		for _, one := range started {
 			gate.Done(0, one, true)
@@ -69,10 +69,10 @@
 	_, waiting := startAll(gate, 0)
 	gate.CapOrphanedCalls(0, 1)
 	check.Equal(len(waiting.settled), 1)
-	check.Equal(gate.Load().Running, 3) // two calls, and one that was left behind
+	check.Equal(gate.Load().Running, 3) // two calls of the gate and one orphaned call
 }
 
-// A report that names more than was assumed speaks of something else.
+// A report of more calls than expected must not raise the number of orphaned calls.
 func TestTheBackEndsWordTakesNoSlots(t *testing.T) {
 	check := is.New(t)
 	gate := occupiedGate(time.Minute)
@@ -99,7 +99,8 @@
 	check.Equal(len(started), 4)
 }
 
-// Where the back end tells nothing, most calls of closed connections are likely to be gone.
+// If the back end has reported no count, most calls on closed connections are assumed to have
+// ended.
 func TestAQuarterOfTheSlotsIsUsedWhereNothingIsTold(t *testing.T) {
 	check := is.New(t)
 	for slots, want := range map[int64]int64{1: 1, 4: 1, 5: 2, 18: 5} {
@@ -120,13 +121,14 @@
 	check.Equal(len(waiting.settled), 1)
 }
 
-// Nothing is told to wait for a slot that a call holds which is never answered.
+// Guards against calls that wait until their deadlines for slots of hung calls: they are refused
+// once the calls are marked as hung.
 func TestCallsDoNotWaitForSlotsThatHang(t *testing.T) {
 	check := is.New(t)
 	gate := occupiedGate(0)
 	gate.observe(&Call{}, 100*time.Millisecond)
 	started, _ := startAll(gate, 0)
-	gate.Drain() // refuses the one that waits, which has an hour
+	gate.Drain() // refuses the queued call, whose deadline is an hour away
 	gate.Resume()
 	soon := &verdicts{}
 	check.Equal(gate.Admit(0, NewTicket(Call{Deadline: time.Second}, soon)).State, StateQueued)
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -11,19 +11,19 @@
 // classCount is the number of priorities.
 const classCount = int(resource.PriorityHigh) + 1
 
-// laneLimit bounds the partners remembered while none of their calls wait.
+// laneLimit is the number of partners' queues from which on empty ones are dropped.
 const laneLimit = 64
 
-// list is a doubly linked list of tickets, in the order in which they must start.
+// list is a doubly linked list of tickets, ordered by Ticket.startBy.
 type list struct {
 	head   *Ticket
 	tail   *Ticket
 	length int
-	// work is how long its tickets are expected to run, in all.
+	// work is the sum of the tickets' expected service times.
 	work time.Duration
 }
 
-// push inserts a ticket behind those that must start no later than it.
+// push inserts a ticket behind all tickets with the same or an earlier startBy.
 func (l *list) push(ticket *Ticket) {
 	before := l.tail
 	for before != nil && before.startBy > ticket.startBy {
@@ -46,7 +46,7 @@
 	l.work += ticket.expected
 }
 
-// until is the work of the tickets that must start no later than a time.
+// until returns the work of the tickets whose startBy is not after the given time.
 func (l *list) until(startBy time.Duration) (work time.Duration) {
 	for ticket := l.head; ticket != nil && ticket.startBy <= startBy; ticket = ticket.next {
 		work += ticket.expected
@@ -71,18 +71,19 @@
 	l.work -= ticket.expected
 }
 
-// lane holds the waiting calls of one partner.
+// lane is the queue of one partner.
 type lane struct {
 	partner resource.Partner
 	weight  float64
-	// used is the weighted slot time given to the partner, in seconds: the
-	// virtual time of fair queuing.
-	used    float64
+	// used is the partner's virtual time as defined by fair queueing: the slot time
+	// it has received, in seconds, divided by its weight.
+	used float64
+	// classes holds one list for each priority.
 	classes [classCount]list
 	length  int
 }
 
-// ahead is the work of the waiting calls that go before a new one of the class.
+// ahead returns the work of the queued calls of at least the given priority.
 func (l *lane) ahead(class int) (work time.Duration) {
 	for above := class; above < classCount; above++ {
 		work += l.classes[above].work
@@ -90,13 +91,13 @@
 	return work
 }
 
-// aheadOf is the work of the waiting calls that go before a new one.
+// aheadOf returns the work of the queued calls that go before a new call.
 func (l *lane) aheadOf(ticket *Ticket) time.Duration {
 	class := ticket.class()
 	return l.ahead(class+1) + l.classes[class].until(ticket.startBy)
 }
 
-// first is the call of the lane that goes next.
+// first returns the call that starts next, or nil.
 func (l *lane) first() *Ticket {
 	for class := classCount - 1; class >= 0; class-- {
 		if head := l.classes[class].head; head != nil {
@@ -106,7 +107,8 @@
 	return nil
 }
 
-// last is the call of the lane that goes last, below a class.
+// last returns the last call of the lowest non-empty priority below the given one,
+// or nil.
 func (l *lane) last(below int) *Ticket {
 	for class := 0; class < below; class++ {
 		if tail := l.classes[class].tail; tail != nil {
@@ -116,19 +118,20 @@
 	return nil
 }
 
-// queue shares slots between partners by weighted fair queuing of slot time;
-// within a partner, higher priorities go first and equal ones in order.
+// queue shares slots between partners by weighted fair queueing of slot time.
+// Within a partner, higher priorities go first, and equal ones by Ticket.startBy.
 type queue struct {
 	weights []PartnerWeight
-	// lanes are sorted by partner, so that ties are settled alike everywhere.
+	// lanes is sorted by partner, so that every gate breaks ties in the same way.
 	lanes []*lane
-	// virtual is the largest virtual time at which a call was taken.
+	// virtual is the largest virtual time at which a call has been started.
 	virtual float64
 	length  int
 }
 
-// lane finds or makes the lane of a partner. Lanes without calls are dropped
-// when there are many, so their number is bounded by what waits.
+// lane returns the queue of a partner and creates it if needed. Empty queues are
+// dropped when there are many, so beyond laneLimit the number of queues is bounded by
+// the number of queued calls.
 func (q *queue) lane(partner resource.Partner) *lane {
 	index, found := q.position(partner)
 	if found {
@@ -160,7 +163,7 @@
 
 func (q *queue) push(ticket *Ticket, into *lane) {
 	if into.length == 0 {
-		// A partner that did not wait gains no credit for the past.
+		// A partner earns no credit for time in which it had no queued calls.
 		into.used = max(into.used, q.virtual)
 	}
 	ticket.lane = into
@@ -175,7 +178,7 @@
 	q.length--
 }
 
-// pop takes the call that goes next, or nil.
+// pop removes and returns the call that starts next, or nil.
 func (q *queue) pop() *Ticket {
 	var chosen *lane
 	for _, candidate := range q.lanes {
@@ -194,14 +197,15 @@
 	return ticket
 }
 
-// charge books the slot time that a started call is expected to use.
+// charge adds the slot time that a started call is expected to use to its partner's
+// virtual time.
 func (q *queue) charge(ticket *Ticket, seconds float64) {
 	q.virtual = max(q.virtual, ticket.lane.used)
 	ticket.charged = seconds
 	ticket.lane.used += seconds / ticket.lane.weight
 }
 
-// settleCharge corrects the booking once the true slot time is known.
+// settleCharge replaces the expected slot time of a call by the actual one.
 func (q *queue) settleCharge(ticket *Ticket, seconds float64) {
 	owner := ticket.lane
 	if owner == nil {
@@ -210,8 +214,8 @@
 	owner.used += (seconds - ticket.charged) / owner.weight
 }
 
-// share is the part of the slots that a lane gets while it and the others
-// that have calls waiting compete.
+// share returns the fraction of the slots that a partner gets in competition with
+// the other partners that have queued calls.
 func (q *queue) share(of *lane) float64 {
 	total := of.weight
 	for _, other := range q.lanes {
@@ -222,8 +226,8 @@
 	return of.weight / total
 }
 
-// overShare finds the lane that is furthest above its share of the queue,
-// apart from the one given, which must itself be below its share.
+// overShare returns the other partner's queue that exceeds its share of the queue
+// length most, or nil if there is none or if the given queue has reached its own share.
 func (q *queue) overShare(than *lane, limit int) *lane {
 	if float64(than.length) >= q.share(than)*float64(limit) {
 		return nil
@@ -240,7 +244,7 @@
 	return worst
 }
 
-// shareWith is the share of a lane when another one competes as well.
+// shareWith returns the share of a partner as if newcomer had queued calls too.
 func (q *queue) shareWith(of, newcomer *lane) float64 {
 	if newcomer.length > 0 {
 		return q.share(of)
--- a/internal/core/admission/seen.go
+++ b/internal/core/admission/seen.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Fingerprint is a 64-bit hash of a request id or key. Two different ids with
-// one fingerprint only lead to a refusal, never to a second start.
+// Fingerprint is a 64-bit hash of a request id or key. A hash collision can only
+// cause a refusal, never a second start.
 type Fingerprint uint64
 
-// The values of a cell that are not fingerprints.
+// Reserved values of a cell. All other values are fingerprints.
 const (
 	cellEmpty   = 0
 	cellRemoved = 1
 	firstFree   = 2
-	// reservedShift moves the fingerprints that are cell values elsewhere.
+	// reservedShift is added to fingerprints that equal a reserved value.
 	reservedShift = 1 << 63
 )
 
-// normal keeps fingerprints clear of the reserved cell values.
+// normal returns the fingerprint as a cell value that is not reserved.
 func (f Fingerprint) normal() uint64 {
 	if f < firstFree {
 		return uint64(f) + reservedShift
@@ -26,22 +26,23 @@
 	return uint64(f)
 }
 
-// AddResult tells what Seen.Add found.
+// AddResult is the result of FingerprintSet.Add.
 type AddResult int
 
-// The results of Seen.Add.
+// The results of FingerprintSet.Add.
 const (
-	// Added: the fingerprint was not there and is now.
+	// Added means that the fingerprint was absent and has been added.
 	Added AddResult = iota + 1
-	// Present: it was added before, within the window.
+	// Present means that the fingerprint was added before, within the window.
 	Present
-	// Full: it can't be remembered, so the call may not start.
+	// Full means that the set has no room for the fingerprint, so the call must not
+	// start.
 	Full
 )
 
-// generation is an open-addressed table of fingerprints, filled by
-// compare-and-swap. Cells go from empty to a fingerprint to removed and never
-// back, so a probe that meets an empty cell has seen every earlier addition.
+// generation is an open-addressed hash table of fingerprints, filled by
+// compare-and-swap. A cell changes from empty to a fingerprint to removed and never
+// back, so a lookup that reaches an empty cell has seen every earlier addition.
 type generation struct {
 	cells    []atomic.Uint64
 	capacity int
@@ -92,20 +93,21 @@
 	return Full
 }
 
-// retired is a generation that nothing is added to any more.
+// retired is a generation to which no more fingerprints are added.
 type retired struct {
 	*generation
-	// at is when it was retired; whatever it holds was added before.
+	// at is the time of retirement; all its fingerprints were added before.
 	at time.Duration
 }
 
-// epoch is the generations in use; it is replaced whole.
+// epoch is the list of generations in use. It is immutable; a rotation replaces it
+// as a whole.
 type epoch struct {
 	current *generation
 	older   []retired
 }
 
-// find tells whether an older generation holds a value.
+// find reports whether an older generation contains a value.
 func (e *epoch) find(value uint64) bool {
 	for _, old := range e.older {
 		if old.find(value) != nil {
@@ -115,21 +117,23 @@
 	return false
 }
 
-// firstCapacity is the size of the first generation; a later one is twice as
-// large as what the one before it took.
+// firstCapacity is the capacity of the first generation. Each later generation has
+// twice the capacity that its predecessor used.
 const firstCapacity = 256
 
-// Seen remembers fingerprints for at least a window, in bounded memory and
-// without locks. They are added to one generation, which is retired when it is
-// full or as old as the window, and dropped a window after that. Nothing is
-// forgotten early: when the limit is reached, Add answers Full.
+// FingerprintSet remembers fingerprints for at least a time window, in bounded memory
+// and without locks. Fingerprints are added to the current generation, which is
+// retired when it is full or has reached the age of the window, and is dropped one
+// window later. Nothing is dropped early: once the limit is reached, Add returns
+// Full.
 type FingerprintSet struct {
 	window time.Duration
-	limit  int
-	epoch  atomic.Pointer[epoch]
+	// limit is the maximum number of fingerprints in all generations.
+	limit int
+	epoch atomic.Pointer[epoch]
 }
 
-// NewSeen returns an empty set that remembers at most limit fingerprints.
+// NewFingerprintSet returns an empty set that remembers at most limit fingerprints.
 func NewFingerprintSet(now, window time.Duration, limit int) *FingerprintSet {
 	seen := &FingerprintSet{window: window, limit: max(limit, 1)}
 	first := newGeneration(min(firstCapacity, seen.limit), now)
@@ -137,8 +141,8 @@
 	return seen
 }
 
-// Add remembers a fingerprint unless it is there. Of several concurrent calls
-// with one fingerprint at most one gets Added.
+// Add adds a fingerprint unless the set contains it. Of several concurrent calls
+// with the same fingerprint, at most one returns Added.
 func (s *FingerprintSet) Add(now time.Duration, fingerprint Fingerprint) AddResult {
 	value := fingerprint.normal()
 	for {
@@ -147,17 +151,17 @@
 			return Present
 		}
 		if int(held.current.count.Load()) >= held.current.capacity {
-			// Rotate would have made room if the limit allowed it.
+			// rotate would have made room if the limit allowed it.
 			return Full
 		}
 		outcome := held.current.add(value)
 		if outcome != Added {
 			return outcome
 		}
-		// If the generations were replaced meanwhile, another call may have
-		// looked into this one before the value stood in it and added the value
-		// to the newer one. Going round again settles which of them wins: the
-		// value is added to the newer generation by one of them only.
+		// If the generations were replaced meanwhile, a concurrent Add may have
+		// searched this one before the value was stored, and added the value to
+		// the newer one. Trying again resolves the race: only one of the two calls
+		// adds the value to the newer generation.
 		if s.epoch.Load() == held {
 			return Added
 		}
@@ -165,14 +169,14 @@
 	}
 }
 
-// Has tells whether a fingerprint is remembered.
+// Contains reports whether the set contains a fingerprint.
 func (s *FingerprintSet) Contains(fingerprint Fingerprint) bool {
 	value := fingerprint.normal()
 	held := s.epoch.Load()
 	return held.current.find(value) != nil || held.find(value)
 }
 
-// Remove forgets a fingerprint whose call is certain not to have run.
+// Remove removes a fingerprint. It is meant for calls that certainly did not run.
 func (s *FingerprintSet) Remove(fingerprint Fingerprint) {
 	value := fingerprint.normal()
 	held := s.epoch.Load()
@@ -188,8 +192,9 @@
 	}
 }
 
-// rotate retires the current generation when it is full or has covered the
-// window, and drops those that were retired a window ago.
+// rotate returns the generations in use, after retiring the current one if it is
+// full or has reached the age of the window, and dropping those that were retired
+// at least one window ago.
 func (s *FingerprintSet) rotate(now time.Duration) *epoch {
 	for {
 		held := s.epoch.Load()
@@ -207,8 +212,8 @@
 	}
 }
 
-// successor is the epoch after one, or nil when nothing would change. At the
-// limit its current generation has no room at all, and older ones go on aging.
+// successor returns the epoch that follows held, or nil if nothing would change. At
+// the limit its current generation has capacity 0, while older ones continue to age.
 func (s *FingerprintSet) successor(held *epoch, now time.Duration) *epoch {
 	next := &epoch{}
 	taken := 0
--- a/internal/core/admission/target.go
+++ b/internal/core/admission/target.go
@@ -6,19 +6,20 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// retryParts divides the service time of a call that is refused for its target:
-// the least wait that is told for another attempt.
+// retryParts sets the minimum RetryAfter of calls that are refused because of their
+// target: the service time divided by it.
 const retryParts = 2
 
-// shortShare is the share of the mean service time below which a call is short.
+// shortShare is the fraction of the mean service time below which a call counts as
+// short.
 const shortShare = 0.75
 
-// brief divides the service time of a call: a wait that is no longer than that part
-// of it is not why its answer is late.
+// brief sets the longest wait that is too short to be the cause of a late answer: the
+// call's service time divided by it.
 const brief = 4
 
-// startBy is when a call must start: in time for its target, or at once when none
-// is stated.
+// startBy returns the latest time at which a call can start and be expected to meet
+// its target, or the present time if it has no target.
 func (g *Gate) startBy(now time.Duration, ticket *Ticket) time.Duration {
 	if ticket.Target <= 0 {
 		return now
@@ -26,9 +27,9 @@
 	return ticket.Target - g.serviceOf(&ticket.Call)
 }
 
-// targetVerdict refuses a call that is expected to wait for a time and then to miss its
-// target. One that would miss it though it hardly waits is not refused: elsewhere it may
-// do no better.
+// targetVerdict refuses a call that is expected to miss its target after the given wait.
+// A call that would miss its target after a negligible wait is not refused, because it
+// would probably be as late elsewhere.
 func (g *Gate) targetVerdict(now time.Duration, ticket *Ticket, wait time.Duration) Decision {
 	service := g.serviceOf(&ticket.Call)
 	wait = time.Duration(float64(wait) * g.delayOf(&ticket.Call))
@@ -39,8 +40,8 @@
 	return refused(result.QueueFull, max(late, service/retryParts))
 }
 
-// shedLate refuses the waiting calls of a lane that can't make their targets any
-// more, since others have come that go first. The lock is held.
+// shedLate refuses the queued calls of a partner that can't meet their targets any
+// more because of later arrivals that go first. The caller holds the lock.
 func (g *Gate) shedLate(now time.Duration, of *lane) {
 	if g.config.NoEstimate {
 		return
@@ -60,10 +61,9 @@
 	}
 }
 
-// lateness is by how much the answer of a call that starts at a time is expected to
-// miss its target. It is 0 for patient calls, and for calls that are shorter than
-// most: to run them costs little, and whoever makes a short call usually needs it to
-// go on.
+// lateness returns the time by which a call that starts at the given time is expected
+// to miss its target. It is 0 for patient calls, and for short calls: running them
+// costs little, and their callers usually can't proceed without them.
 func (g *Gate) lateness(ticket *Ticket, start time.Duration) time.Duration {
 	service := g.serviceOf(&ticket.Call)
 	if ticket.Target <= 0 || ticket.Patient || float64(service) < shortShare*float64(g.MeanServiceTime()) {
--- a/internal/core/admission/target_test.go
+++ b/internal/core/admission/target_test.go
@@ -11,8 +11,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// targeted is a call whose answer is wanted within a span from now; calls of one span
-// are of one class.
+// targeted returns a call whose target is the given span from now; calls with the same
+// span belong to the same class.
 func targeted(now, span time.Duration) Call {
 	return Call{Deadline: now + time.Hour, Target: now + span, Class: classOfSpan(span)}
 }
@@ -21,14 +21,14 @@
 	return callclass.Of(&resource.Route{Target: span})
 }
 
-// teachKind gives a gate the service time of calls with a target.
+// teachKind runs one call with the given target span and service time.
 func teachKind(gate *Gate, now, span, service time.Duration) {
 	first := offer(gate, now, targeted(now, span))
 	gate.Done(now+service, first.ticket, true)
 }
 
-// TestWhatCannotMakeItsTargetIsRefusedAtOnce: though its deadline is far, and with
-// the time after which another attempt may make it.
+// A call that can't meet its target is refused even if its deadline is far away, with
+// the time after which a retry may meet it.
 func TestWhatCannotMakeItsTargetIsRefusedAtOnce(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
@@ -36,16 +36,15 @@
 	teachKind(gate, 0, span, 100*time.Millisecond)
 	now := time.Second
 	check.Equal(offer(gate, now, targeted(now, span)).state, StateStarted)
-	check.Equal(offer(gate, now, targeted(now, span)).state, StateQueued) // in 100 ms
+	check.Equal(offer(gate, now, targeted(now, span)).state, StateQueued) // would end after 200 ms
 	waiter := &record{}
 	verdict := gate.Admit(now, NewTicket(targeted(now, span), waiter))
 	check.Equal(verdict.Code, result.QueueFull) // would end after 300 ms
 	check.Equal(verdict.RetryAfter, 50*time.Millisecond)
-	check.Equal(offer(gate, now, Call{}).state, StateQueued) // no target, so it may wait
+	check.Equal(offer(gate, now, Call{}).state, StateQueued) // has no target to miss
 }
 
-// TestATargetAllowsForSlowerCallsThanTheMean: where service times differ, less is
-// admitted than the mean alone would let in.
+// When service times vary, fewer calls are admitted than their mean alone would allow.
 func TestATargetAllowsForSlowerCallsThanTheMean(t *testing.T) {
 	check := is.New(t)
 	const span = 300 * time.Millisecond
@@ -63,7 +62,7 @@
 	check.Equal(offer(varied, 0, targeted(0, span)).code, result.QueueFull)
 }
 
-// TestEarliestStartGoesFirst: within a class the call that must start first does.
+// Of queued calls with equal priority, the one with the earliest latest start goes first.
 func TestEarliestStartGoesFirst(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
@@ -80,8 +79,8 @@
 	check.Equal(late.waiter.last().State, StateStarted)
 }
 
-// TestALateCallMakesRoomForOthersOnly: one that can't make its target any more when
-// its turn comes runs if nobody waits behind it.
+// A call that can no longer meet its target when a slot becomes free still runs if no
+// other call is queued.
 func TestALateCallMakesRoomForOthersOnly(t *testing.T) {
 	check := is.New(t)
 	const span = 200 * time.Millisecond
@@ -103,8 +102,7 @@
 	}
 }
 
-// TestShortCallsAreNotRefusedForTheirTarget: they cost little, and who makes them
-// fails without them.
+// Short calls cost little, and their callers usually can't proceed without them.
 func TestShortCallsAreNotRefusedForTheirTarget(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
@@ -115,11 +113,10 @@
 	}
 	offer(gate, 0, targeted(0, long))
 	check.Equal(offer(gate, 0, targeted(0, short)).state, StateQueued)
-	check.Equal(offer(gate, 0, targeted(0, short)).state, StateQueued) // late, but soon done
+	check.Equal(offer(gate, 0, targeted(0, short)).state, StateQueued) // late but short
 }
 
-// TestCallsOfLikeTargetsAreNotTakenForEachOther: a wait that is too long for the long
-// ones is none for the short ones.
+// Guards against classes with targets of similar size sharing one service time.
 func TestCallsOfLikeTargetsAreNotTakenForEachOther(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
@@ -133,8 +130,8 @@
 	check.True(gate.serviceOf(&longCall) > 770*time.Millisecond)
 }
 
-// TestWhatOthersPushBehindIsRefusedEarly: a call that waits is refused as soon as
-// later ones that go first leave it no time for its target, not when its turn comes.
+// A queued call is refused as soon as later arrivals that go first make it miss its
+// target, not only when a slot becomes free for it.
 func TestWhatOthersPushBehindIsRefusedEarly(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
@@ -154,8 +151,7 @@
 	check.True(waiting.waiter.last().RetryAfter > 0)
 }
 
-// TestWaitsAreReckonedAsTheyTurnOut: where calls wait longer than those ahead of
-// them made expect, fewer are let in.
+// When calls wait longer than the work ahead of them suggests, fewer are queued.
 func TestWaitsAreReckonedAsTheyTurnOut(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
@@ -179,15 +175,15 @@
 	for range 64 {
 		holder := offer(gate, 0, targeted(0, span))
 		late := offer(gate, 0, targeted(0, span))
-		gate.Done(200*time.Millisecond, holder.ticket, false) // twice as long as calls run
+		gate.Done(200*time.Millisecond, holder.ticket, false) // twice the mean service time
 		check.Equal(late.waiter.last().State, StateStarted)
 		gate.Done(300*time.Millisecond, late.ticket, true)
 	}
 	check.True(before > admitted())
 }
 
-// TestTheWaitIsThatOfTheWorkAhead: a few short calls ahead are no reason to refuse a call
-// that as many long ones would make late.
+// Short calls ahead must not lead to a refusal for which the same number of long calls
+// would be a reason.
 func TestTheWaitIsThatOfTheWorkAhead(t *testing.T) {
 	check := is.New(t)
 	const short, long = 200 * time.Millisecond, 1200 * time.Millisecond
--- a/internal/core/admission/waiting.go
+++ b/internal/core/admission/waiting.go
@@ -6,7 +6,9 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// mayWait refuses a call that would wait too long, or makes room for it.
+// mayWait decides whether a call may be queued. It refuses a call that would wait too
+// long. If the queue is full, it makes room by evicting a queued call of a lower priority,
+// or of a partner above its share, or else refuses the call.
 func (g *Gate) mayWait(now time.Duration, ticket *Ticket, into *lane) Decision {
 	if g.config.NoEstimate {
 		return Decision{State: StateQueued}
@@ -39,9 +41,9 @@
 	return refused(result.QueueFull, wait)
 }
 
-// shedBehind refuses the waiting calls of lower priority that the new one has
-// pushed past their deadlines or the longest wait. They get their answer now
-// instead of at their deadlines.
+// shedBehind refuses the queued calls of the same partner and lower priority whose
+// expected wait now exceeds their deadline or Config.QueueWait, because of a new call.
+// They are answered now instead of at their deadlines.
 func (g *Gate) shedBehind(now time.Duration, ticket *Ticket) {
 	for class := 0; class < ticket.class(); class++ {
 		for {
@@ -58,9 +60,9 @@
 	}
 }
 
-// shedHopeless refuses the waiting calls that higher ones keep from starting
-// until it is too late, as soon as that is to be expected: a call that is given
-// up gets its answer at once and may still go elsewhere. The lock is held.
+// shedHopeless refuses the queued calls that are not expected to end by their
+// deadlines. They are answered at once and may still be sent elsewhere. The caller
+// holds the lock.
 func (g *Gate) shedHopeless(now time.Duration) {
 	if g.config.NoEstimate {
 		return
@@ -83,15 +85,15 @@
 	}
 }
 
-// The states of Ticket.hung; 0 for a call that was not found to hang. One that has ended is not
-// found to hang any more, so that it is never counted for good.
+// The states of Ticket.hung; 0 is that of a call not marked as hung. A call that has ended can't
+// be marked any more, because it would never be subtracted from Gate.hung.
 const (
 	hungNow    = 1
 	hungNoMore = 2
 )
 
-// Hangs says that a started call was found to hang: its slot changes hands late, so what waits
-// waits longer, and what can't start in time is refused at once.
+// MarkHung marks a started call as hung. Its slot is not expected to become free soon, so the
+// expected waits rise, and queued calls that can't end by their deadlines are refused at once.
 func (g *Gate) MarkHung(now time.Duration, ticket *Ticket) {
 	if !ticket.hung.CompareAndSwap(0, hungNow) {
 		return
@@ -102,31 +104,32 @@
 	g.shedHopeless(now)
 }
 
-// evict refuses a waiting call.
+// evict removes a call from the queue and refuses it.
 func (g *Gate) evict(ticket *Ticket, verdict Decision) {
 	g.queue.remove(ticket)
 	g.unqueue()
 	ticket.settle(verdict)
 }
 
-// unqueue takes one from the queued count; the lock is held.
+// unqueue decrements the queued count. The caller holds the lock.
 func (g *Gate) unqueue() {
 	g.word.Add(^uint64(queuedUnit - 1))
 }
 
-// leastRate stands for the slots that change hands where all calls that run hang: one of them
-// ends now and then.
+// leastRate is the number of usable slots that expectedWait assumes when all running calls
+// hang, since even then one ends now and then.
 const leastRate = 0.1
 
-// expectedWait estimates when a slot is free for a call that has the work of others of
-// its lane ahead of it: the first slot is free when one of the running calls ends, and
-// what is ahead fills the slots. It is 0 until a service time is known.
+// expectedWait estimates the time until a call of a partner gets a slot, given the partner's
+// queued work ahead of it: the mean service time of a running call plus this work, divided
+// by the partner's share of the slots that are not hung. It is 0 until a service time is
+// known.
 func (g *Gate) expectedWait(of *lane, ahead time.Duration) time.Duration {
 	rate := max(float64(g.limit()-g.hung.Load()), leastRate) * g.queue.share(of)
 	return time.Duration(float64(g.meanRunning()+ahead) / rate)
 }
 
-// meanRunning is how long the running calls are expected to run in the mean.
+// meanRunning returns the mean of the expected service times of the running calls.
 func (g *Gate) meanRunning() time.Duration {
 	running := int64(g.word.Load() & runningMask)
 	if running == 0 {
--- a/internal/core/admission/warmth.go
+++ b/internal/core/admission/warmth.go
@@ -6,23 +6,26 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// LimitCold bounds the calls that start in a window (warmup.Terms.Limit) while the back end is
-// cold; 0 bounds nothing. Opened says that calls may have started before.
+// SetColdLimit sets the maximum number of calls that start within a window while the back end
+// is cold, as computed by warmup.Terms.Limit; 0 means no limit. Opened is true if calls may have
+// started before without being counted.
 func (g *Gate) SetColdLimit(now time.Duration, limit int, opened bool) {
 	g.warmth.SetLimit(now, limit, opened)
 }
 
-// SetCold says until when the back end is cold. Until it is first called the back end counts
-// as cold.
+// SetColdUntil sets the time until which the back end is cold. Before the first call of
+// SetColdUntil the back end counts as cold.
 func (g *Gate) SetColdUntil(now, until time.Duration) { g.warmth.SetColdUntil(now, until) }
 
-// ColdWait is how long a call can't start because the back end is cold; 0 when it can.
+// ColdWait returns the time for which a call can't start because the back end is cold; 0 if it
+// can start now.
 func (g *Gate) ColdWait(now time.Duration, ticket *Ticket) time.Duration {
 	return g.warmth.Wait(now, ticket.class())
 }
 
-// RefuseCold tells whether a call that has come is refused since the back end is cold, before
-// anything else is done for it. Its id is remembered then, as by Admit.
+// RefuseIfCold refuses a new call, before any other work is done for it, if it can't start
+// because the back end is cold, and reports whether it was refused. The id of a refused attempt
+// is recorded as in Admit.
 func (g *Gate) RefuseIfCold(now time.Duration, ticket *Ticket) (Decision, bool) {
 	wait := g.ColdWait(now, ticket)
 	if wait == 0 {
@@ -34,11 +37,11 @@
 	return refused(result.WarmingUp, wait), true
 }
 
-// StartAgain counts another sending of a started call, and tells whether a cold back end
-// bears it.
+// TryResend reports whether a started call may be sent to the back end again, and counts the
+// repeated sending as another start while the back end is cold.
 func (g *Gate) TryResend(now time.Duration, ticket *Ticket) bool {
 	return g.warmth.TryStart(now, ticket.class()) == 0
 }
 
-// Cold tells whether starts are bounded since the back end is cold.
+// IsColdLimited reports whether starts are limited now because the back end is cold.
 func (g *Gate) IsColdLimited(now time.Duration) bool { return g.warmth.IsLimiting(now) }
--- a/internal/core/admission/warmth_test.go
+++ b/internal/core/admission/warmth_test.go
@@ -10,13 +10,13 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// coldAt is when the first window of a cold gate has passed.
+// coldAt is a time after the first window of a cold gate, in which no call may start.
 const coldAt = 2 * time.Second
 
-// twoAtOnce is a limit that lets two calls start at the same moment.
+// twoAtOnce is a cold limit that allows two calls to start at the same moment.
 const twoAtOnce = 8
 
-// coldGate is a gate whose back end is cold and bears a number of starts in a second.
+// coldGate returns a gate whose back end is cold and whose starts per window are limited.
 func coldGate(slots, limit int) *Gate {
 	gate := New(0, testConfig(slots))
 	gate.SetColdLimit(0, limit, false)
@@ -100,7 +100,7 @@
 	}
 }
 
-// BenchmarkWarmGate is what a call costs at the gate of a warm back end.
+// BenchmarkWarmGate measures the cost of a call at the gate of a warm back end.
 func BenchmarkWarmGate(b *testing.B) {
 	gate := New(0, Config{Slots: 1 << 16, QueueLength: 8, QueueWait: time.Second, KeyWindow: time.Minute, KeyCount: 1 << 10})
 	gate.SetColdLimit(0, 6, false)
--- a/internal/core/callclass/callclass.go
+++ b/internal/core/callclass/callclass.go
@@ -1,6 +1,6 @@
-// Package callclass tells kinds of calls apart by what the operators' files say
-// of their routes, so that what is learned of one kind (how long it runs, how often
-// it is repeated) is not mixed with what is learned of another.
+// Package callclass assigns calls to classes by the settings of their routes, so that
+// statistics such as service times and retry rates are kept separately for different
+// kinds of calls.
 package callclass
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// Count is the number of classes. Whatever is kept for each class is bounded by it;
-// two of five kinds of calls fall into one class in 2 of 100 configurations, and are
-// then only treated alike.
+// Count is the number of classes, which bounds the memory for values kept per class.
+// With five kinds of calls, two of them fall into the same class in 2 % of all
+// configurations; they then only share their statistics.
 const Count = 512
 
-// Class is a number below Count. Daemons that hold the same route give it the
-// same class.
+// Class identifies a class of calls by a number below Count. All daemons assign the
+// same class to the same route.
 type Class uint16
 
-// Of returns the class of a route: routes that state the same partner, target,
-// timeout, priority and repetition are of one class, so that a route which is
-// added or renamed is expected to behave like its like.
+// Of returns the class of a route, a hash of its partner, target, timeout, priority
+// and repeatability. A route that is added or renamed thus shares the statistics of
+// the routes with the same settings.
 func Of(route *resource.Route) Class {
 	var fields [26]byte
 	binary.LittleEndian.PutUint64(fields[0:], uint64(route.Target))
@@ -35,10 +35,10 @@
 		}
 	}
 	digest := xxhash.New()
-	_, _ = digest.Write(fields[:])                   // a digest's Write never fails
-	_, _ = digest.WriteString(string(route.Partner)) // the same
+	_, _ = digest.Write(fields[:])                   // never fails
+	_, _ = digest.WriteString(string(route.Partner)) // never fails
 	return Class(digest.Sum64() % Count)
 }
 
-// Valid tells whether a number that came over the wire is a class.
+// Valid reports whether a number received from the network is a class.
 func Valid(number int) bool { return number >= 0 && number < Count }
--- a/internal/core/callclass/callclass_test.go
+++ b/internal/core/callclass/callclass_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// Kinds of calls whose targets are of one magnitude are still told apart.
+// Guards against a hash that maps routes with targets of similar size to the same class.
 func TestRoutesOfLikeTargetsAreOfDifferentClasses(t *testing.T) {
 	check := is.New(t)
 	kinds := []*resource.Route{
@@ -34,7 +34,7 @@
 	check.Equal(len(seen), len(kinds))
 }
 
-// A route that is added or renamed is of the class of its like.
+// Routes that differ only in name and match belong to the same class.
 func TestNamesDoNotMatter(t *testing.T) {
 	check := is.New(t)
 	one := route(time.Second, 2*time.Second, true)
--- a/internal/core/callclass/table.go
+++ b/internal/core/callclass/table.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Table keeps one value for each class that has come up, made empty when it is first
-// asked for. It takes no lock. The zero table is empty.
+// Table holds one value per class. A value is created as the zero value at its first
+// use. Table is safe for concurrent use without locks; the zero Table is empty.
 type Table[Value any] struct {
 	slots [Count]atomic.Pointer[Value]
 }
 
-// Of returns the value of a class. A number that is no class counts as another one.
+// Get returns the value of a class. A number that is not a class is reduced modulo Count.
 func (t *Table[Value]) Get(class Class) *Value {
 	slot := &t.slots[class%Count]
 	if held := slot.Load(); held != nil {
--- a/internal/core/callclass/table_test.go
+++ b/internal/core/callclass/table_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Whoever asks first, all get the same value of a class, and each class has its own.
+// Concurrent calls get the same value of a class, and each class has its own value.
 func TestATableHasOneValueForEachClass(t *testing.T) {
 	check := is.New(t)
 	table := &Table[int]{}
@@ -25,5 +25,5 @@
 		check.True(value == values[0])
 	}
 	check.True(table.Get(8) != values[0])
-	check.True(table.Get(7+Count) == values[0]) // a number that is no class
+	check.True(table.Get(7+Count) == values[0]) // not a class; reduced to 7
 }
--- a/internal/core/region/allowed.go
+++ b/internal/core/region/allowed.go
@@ -1,5 +1,5 @@
-// Package region holds which regions a call may run in. It reads no clock and draws no random
-// numbers.
+// Package region defines the set of regions in which calls may run. It reads no clock and draws
+// no random numbers.
 package region
 
 import (
@@ -8,15 +8,16 @@
 	"github.com/samber/lo"
 )
 
-// Allowed says in which regions calls may run and their bodies may be held. The zero value
-// allows all. It is immutable.
+// Allowed is the set of regions in which calls may run and their bodies may be stored. The zero
+// value allows all regions. Allowed is immutable.
 type Allowed struct {
 	restricted bool
-	// names are sorted and distinct.
+	// names is sorted and without duplicates.
 	names []string
 }
 
-// Of makes it of a route's list: nil allows all regions, an empty list none.
+// NewAllowed returns the set for a route's list of regions: nil allows all regions, an empty
+// list none.
 func NewAllowed(names []string) Allowed {
 	if names == nil {
 		return Allowed{}
@@ -26,23 +27,23 @@
 	return Allowed{restricted: true, names: slices.Compact(sorted)}
 }
 
-// Restricted tells whether some region may be barred.
+// Restricted reports whether only listed regions are allowed.
 func (a Allowed) Restricted() bool { return a.restricted }
 
-// Names are the regions allowed, sorted; of use only where it is restricted.
+// Names returns the allowed regions, sorted. It is meaningful only if Restricted is true.
 func (a Allowed) Names() []string { return a.names }
 
-// Has tells whether calls may run in a region.
+// Has reports whether calls may run in a region.
 func (a Allowed) Has(name string) bool {
 	return !a.restricted || slices.Contains(a.names, name)
 }
 
-// Equal tells whether both allow the same.
+// Equal reports whether both sets allow the same regions.
 func (a Allowed) Equal(other Allowed) bool {
 	return a.restricted == other.restricted && slices.Equal(a.names, other.names)
 }
 
-// Both allows what each of two allows: the stricter binds.
+// Intersect returns the set of the regions that both sets allow.
 func (a Allowed) Intersect(other Allowed) Allowed {
 	switch {
 	case !a.restricted:
--- a/internal/core/region/allowed_test.go
+++ b/internal/core/region/allowed_test.go
@@ -25,7 +25,7 @@
 	check.True(!NewAllowed([]string{}).Equal(NewAllowed(nil)))
 }
 
-// The stricter of two versions binds, in whatever order they meet.
+// The intersection does not depend on the order of the operands.
 func TestBothAllowsWhatEachAllows(t *testing.T) {
 	for _, given := range []struct {
 		name             string
--- a/internal/core/resource/canonical.go
+++ b/internal/core/resource/canonical.go
@@ -8,7 +8,7 @@
 	"github.com/juju/errors"
 )
 
-// Reasons for which a path or host is refused as ambiguous.
+// Reasons for refusing a path or host.
 const (
 	errPathStart   = errors.ConstError("a path begins with /")
 	errPathEscape  = errors.ConstError("a percent sign is not followed by two hexadecimal digits")
@@ -24,21 +24,21 @@
 
 const (
 	upperHex = "0123456789ABCDEF"
-	// pathPunctuation are the characters besides letters and digits that a
-	// segment may hold unescaped (RFC 3986, pchar).
+	// pathPunctuation lists the characters other than letters and digits that a
+	// segment may contain unescaped (RFC 3986, pchar).
 	pathPunctuation = "-._~!$&'()*+,;=:@"
 	maxHostLength   = 253
 	maxLabelLength  = 63
 )
 
-// CanonicalPath returns the one form of an escaped request path that routes
-// are matched on. Escapes of characters that need none are decoded; all other
-// escapes are written in upper case, and raw bytes that need one are escaped.
-// Whatever two readers could understand differently is refused: escaped
-// slashes, backslashes, percent signs and control characters, dot segments
-// (also with parameters, as in /..;x/), empty segments, broken escapes and
-// bytes that are not UTF-8. A trailing slash is kept and counts. It allocates
-// nothing when the path is canonical already.
+// CanonicalPath returns the canonical form of an escaped request path, on which
+// routes are matched. Unnecessary escapes are decoded; all other escapes are
+// written in upper case, and raw bytes that need one are escaped. Paths that two
+// HTTP implementations could interpret differently are refused: those with
+// escaped slashes, backslashes, percent signs or control characters, dot
+// segments (also with parameters, as in /..;x/), empty segments, broken escapes
+// or bytes that are not UTF-8. A trailing slash is significant. CanonicalPath
+// allocates nothing if the path is canonical already.
 func CanonicalPath(path string) (string, error) {
 	if path == "" || path[0] != '/' {
 		return "", errPathStart
@@ -67,7 +67,7 @@
 	return true
 }
 
-// plainBytes marks the bytes that a segment may hold unescaped.
+// plainBytes marks the bytes that a segment may contain unescaped.
 var plainBytes = func() (table [256]bool) {
 	const letters = "abcdefghijklmnopqrstuvwxyz"
 	for _, b := range []byte(letters + strings.ToUpper(letters) + "0123456789" + pathPunctuation) {
@@ -158,10 +158,10 @@
 	}
 }
 
-// CanonicalHost returns the one form of a Host header that routes are matched
-// on: lower case, without port and without the root's trailing dot. IP numbers
-// are written in their shortest form, IPv6 in brackets. Names outside ASCII
-// must come as A-labels (xn--).
+// CanonicalHost returns the canonical form of a Host header, on which routes are
+// matched: lower case, without port and without the trailing dot of the DNS root.
+// IPv6 addresses are written in brackets and in their shortest form. Non-ASCII
+// names must be given as A-labels (xn--).
 func CanonicalHost(host string) (string, error) {
 	name := withoutPort(host)
 	if name == "" {
@@ -190,7 +190,7 @@
 	return "[" + address.String() + "]", nil
 }
 
-// withoutPort cuts off a port of decimal digits, which may be empty.
+// withoutPort removes a port of zero or more decimal digits.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.HasSuffix(host, "]") {
--- a/internal/core/resource/encode.go
+++ b/internal/core/resource/encode.go
@@ -14,11 +14,11 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Format is the revision of the canonical encodings of files and resources. A
-// build refuses an encoding of another format in whole.
+// Format is the revision of the canonical encoding of files and resources.
+// Encodings of any other revision are refused.
 const Format = 1
 
-// secretWire is the only type that writes a secret's text.
+// secretWire is the only type that encodes the text of a secret.
 type secretWire struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
@@ -37,8 +37,8 @@
 }
 
 // EncodeFile returns the canonical text of a file: one JSON object whose lists
-// are sorted by name, so that two files that mean the same encode the same.
-// The text holds the values of secrets.
+// are sorted by name, so that equivalent files have the same encoding. The text
+// contains the values of secrets.
 func EncodeFile(file *File) []byte {
 	wire := fileWire{
 		Format:       Format,
@@ -53,8 +53,8 @@
 	return mustMarshal(wire)
 }
 
-// DecodeFile reads what EncodeFile wrote. It refuses an unknown format
-// (UnknownFormat) and any text that is not canonical (DigestMismatch).
+// DecodeFile decodes the output of EncodeFile. It refuses unknown formats
+// (UnknownFormat) and texts that are not canonical (DigestMismatch).
 func DecodeFile(text []byte) (*File, error) {
 	if err := checkFormat(text); err != nil {
 		return nil, err
@@ -70,8 +70,8 @@
 	return file, nil
 }
 
-// FileDigest returns the digest of a file's canonical text. It covers the
-// whole file, secrets included, and is shown to the file's own partner only.
+// FileDigest returns the digest of a file's canonical text. It covers the whole
+// file including secrets, and is shown to the file's own partner only.
 func FileDigest(file *File) Digest {
 	return DigestOf(EncodeFile(file))
 }
@@ -92,8 +92,8 @@
 	})
 }
 
-// Encode returns every resource of a file in its canonical encoding, sorted by
-// key. The payload leaves out the partner, which the key carries.
+// Encode returns the canonical encodings of all resources of a file, sorted by
+// key. The payloads omit the partner, which is part of the key.
 func Encode(file *File) []Encoded {
 	encoded := make([]Encoded, 0, len(file.Services)+len(file.Backends)+len(file.Secrets)+len(file.Routes))
 	for _, service := range file.Services {
@@ -112,8 +112,8 @@
 	return encoded
 }
 
-// SortEncoded sorts resources by key. Sorted ones, the usual case, cost one
-// look each.
+// SortEncoded sorts resources by key. Resources that are sorted already, the usual
+// case, take linear time.
 func SortEncoded(encoded []Encoded) {
 	byKey := func(a, b Encoded) int { return a.Key.Compare(b.Key) }
 	if slices.IsSortedFunc(encoded, byKey) {
@@ -122,8 +122,9 @@
 	slices.SortFunc(encoded, byKey)
 }
 
-// Decode reads one resource: a Service, Backend, Secret or Route. It refuses a
-// payload whose digest, name or canonical form differs (DigestMismatch).
+// Decode decodes one resource: a Service, Backend, Secret or Route. It refuses a
+// payload that does not match its digest or key or is not canonical
+// (DigestMismatch).
 func Decode(encoded Encoded) (Resource, error) {
 	if DigestOf(encoded.Payload) != encoded.Digest {
 		return nil, result.New(result.DigestMismatch, "the payload of %s does not have its digest", encoded.Key)
@@ -161,8 +162,8 @@
 	}
 }
 
-// decodeExact decodes a payload and requires that encoding it again gives the
-// same bytes, so that no field is skipped and no second spelling accepted.
+// decodeExact decodes a payload and requires that encoding the result gives the
+// same bytes, so that no field is dropped and no other encoding is accepted.
 func decodeExact[T any](encoded Encoded) (T, error) {
 	var value T
 	if err := unmarshalStrict(encoded.Payload, &value); err != nil {
@@ -236,7 +237,7 @@
 }
 
 // mustMarshal encodes the package's own types, for which encoding can't fail.
-// HTML characters are escaped by encoding/json in one fixed way.
+// The escaping of HTML characters by encoding/json is part of the canonical form.
 func mustMarshal(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/core/resource/fuzz_test.go
+++ b/internal/core/resource/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// FuzzParse holds the file format to: no panic, either a file or mistakes, and
-// canonical encodings that read back as the same file.
+// FuzzParse checks that Parse does not panic, that it returns either a file or
+// mistakes, and that the canonical encodings of a file decode to the same file.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("partner: p\nname: f\nservices: [{name: s, export_to: [q]}]\nsecrets:\n- name: s\n  value: |-\n    v\n"))
 	f.Add([]byte("{partner: p, name: f, routes: [{name: r, match: {path: '/%61', headers: [{name: x, value: y}]}, split: [{service: q/s, weight: 2}]}]}"))
@@ -38,7 +38,7 @@
 	})
 }
 
-// FuzzDecodeFile holds the canonical text to having one spelling only.
+// FuzzDecodeFile checks that DecodeFile accepts canonical texts only.
 func FuzzDecodeFile(f *testing.F) {
 	for _, file := range exampleFiles(f) {
 		f.Add(resource.EncodeFile(file))
@@ -51,7 +51,7 @@
 	})
 }
 
-// FuzzCanonicalPath holds canonical paths to being canonical.
+// FuzzCanonicalPath checks that CanonicalPath is idempotent.
 func FuzzCanonicalPath(f *testing.F) {
 	for _, path := range []string{"/", "/a/%2e%2E;x", "/%C3%A9", "/a%20b", "//", "/%zz"} {
 		f.Add(path)
--- a/internal/core/resource/parse.go
+++ b/internal/core/resource/parse.go
@@ -7,21 +7,22 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Limits bound what Parse reads.
+// Limits holds the limits that Parse enforces.
 type Limits struct {
-	// Bytes bounds the text.
+	// Bytes is the maximum size of the text.
 	Bytes int
-	// Depth bounds the nesting of lists and mappings.
+	// Depth is the maximum nesting depth of lists and mappings.
 	Depth int
 }
 
 // DefaultLimits returns 256 KiB and a depth of 16.
 func DefaultLimits() Limits { return Limits{Bytes: 256 << 10, Depth: 16} }
 
-// Parse reads one file in the format of docs/FILES.md. It returns either the
-// file, with its lists sorted by name, or every mistake found, in the order of
-// lines, each with file, line, field, detail and mend. Syntax errors hide
-// those that would follow. No error holds the value of a secret.
+// Parse parses one file in the format of docs/FILES.md. It returns either the
+// file, with its lists sorted by name, or all mistakes found, sorted by line and
+// each with file, line, field, detail and mend (a proposed correction). After a
+// syntax error, no further mistakes are reported. Errors never contain the value
+// of a secret.
 func Parse(fileName string, text []byte, limits Limits) (*File, []*result.Error) {
 	root, problem := readYAML(text, limits)
 	if problem != nil {
@@ -42,7 +43,7 @@
 	problems []*result.Error
 }
 
-// maxProblems bounds the list of mistakes.
+// maxProblems is the maximum number of mistakes reported for a file.
 const maxProblems = 100
 
 func (c *collector) add(problem result.Error) {
--- a/internal/core/resource/parse_test.go
+++ b/internal/core/resource/parse_test.go
@@ -77,10 +77,10 @@
 		spoiled := encoded
 		spoiled.Payload = spoil(encoded.Payload)
 		_, err := resource.Decode(spoiled)
-		is.True(err != nil) // the digest differs
+		is.True(err != nil) // the digest does not match
 		spoiled.Digest = resource.DigestOf(spoiled.Payload)
 		_, err = resource.Decode(spoiled)
-		is.True(err != nil) // the digest fits but the form does not
+		is.True(err != nil) // the digest matches, but the payload is not canonical
 	}
 	renamed := encoded
 	renamed.Key.Name = "other"
@@ -88,7 +88,8 @@
 	is.True(err != nil)
 }
 
-// TestMistakes holds each kind of mistake to its code, line and field.
+// TestMistakes checks the code, line and field that are reported for each kind of
+// mistake.
 func TestMistakes(t *testing.T) {
 	const head = "partner: kameeldoring\nname: routes\n"
 	const route = head + "routes:\n  - name: renew\n    match: {path: /r}\n    split: [{service: s}]\n"
--- a/internal/core/resource/read_file.go
+++ b/internal/core/resource/read_file.go
@@ -12,7 +12,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Bounds of what one file may say.
+// Limits for the content of one file.
 const (
 	maxResources    = 5000
 	maxExports      = 16
@@ -29,11 +29,12 @@
 	maxHeaderValue  = 1024
 )
 
-// namePattern is the form of all names: partners, files, resources, regions
+// namePattern is the syntax of all names: of partners, files, resources, regions
 // and zones.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// ValidName reports whether a text can name a partner, a file or a resource.
+// ValidName reports whether a text is a valid name of a partner, a file or a
+// resource.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
 func readFile(root value) *File {
@@ -63,8 +64,8 @@
 	return text
 }
 
-// readList reads resources of one kind, refuses names that stand twice and
-// sorts by name.
+// readList reads the resources of one kind, reports duplicate names as mistakes
+// and sorts the resources by name.
 func readList[T Resource](list value, partner Partner, read func(value, Partner) T) []T {
 	lines := map[string]int{}
 	var resources []T
@@ -127,7 +128,7 @@
 	return exports
 }
 
-// urlPath reads a path in any spelling and returns its canonical form.
+// urlPath reads a URL path and returns its canonical form.
 func (v value) urlPath() string {
 	text, isText := v.text()
 	if !isText {
@@ -154,7 +155,7 @@
 	}
 }
 
-// address reads an IP number and port.
+// address reads an IP address and port.
 func (v value) address() string {
 	text, isText := v.text()
 	if !isText {
@@ -177,8 +178,8 @@
 	}
 }
 
-// secret reads the value of a secret; it is never quoted. It must be fit for
-// an HTTP header.
+// secret reads the value of a secret, which must be valid in an HTTP header.
+// Mistakes never quote it.
 func (v value) secret() SecretValue {
 	text, isText := v.text()
 	if !isText {
@@ -191,7 +192,8 @@
 	return SecretValue(text)
 }
 
-// headerSafe reports whether text can be an HTTP header's value as it stands.
+// headerSafe reports whether text can be sent unchanged as the value of an HTTP
+// header.
 func headerSafe(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] < ' ' || text[i] > '~' {
@@ -201,7 +203,7 @@
 	return text == "" || text[0] != ' ' && text[len(text)-1] != ' '
 }
 
-// headerName reads the name of an HTTP header in its canonical spelling.
+// headerName reads the name of an HTTP header and returns its canonical form.
 func (v value) headerName() string {
 	text, isText := v.text()
 	if !isText {
--- a/internal/core/resource/read_route.go
+++ b/internal/core/resource/read_route.go
@@ -8,19 +8,20 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// maxNameLength bounds header names and methods.
+// maxNameLength is the maximum length of header names and methods.
 const maxNameLength = 64
 
-// springstackHeaderPrefix starts the headers between daemons.
+// springstackHeaderPrefix is the prefix of the headers that daemons exchange.
 const springstackHeaderPrefix = "Springstack-"
 
-// reservedHeaders frame a message or concern one hop; a file can't use them.
+// reservedHeaders lists the headers that files can't use, because they concern
+// message framing or a single hop.
 var reservedHeaders = []string{
 	"Connection", "Content-Length", "Expect", "Host", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// priorityNames are the priorities as a file writes them.
+// priorityNames maps the names of priorities in files to their values.
 var priorityNames = map[string]Priority{"low": PriorityLow, "normal": PriorityNormal, "high": PriorityHigh}
 
 func isSpringstackHeader(name string) bool { return strings.HasPrefix(name, springstackHeaderPrefix) }
@@ -166,7 +167,8 @@
 	return split
 }
 
-// serviceRef reads name, or partner/name for another partner's service.
+// serviceRef reads a service reference: name, or partner/name for another
+// partner's service.
 func (v value) serviceRef(owner Partner) ServiceRef {
 	text, isText := v.text()
 	if !isText {
@@ -203,8 +205,8 @@
 	return priority
 }
 
-// canonicalHeader returns a header name as net/http spells it, or "" if it is
-// not a token (RFC 9110).
+// canonicalHeader returns the canonical form of a header name as defined by
+// net/textproto, or "" if the name is not a token (RFC 9110).
 func canonicalHeader(name string) string {
 	const tokenPunctuation = "!#$%&'*+-.^_`|~"
 	invalid := strings.ContainsFunc(name, func(r rune) bool {
--- a/internal/core/resource/references.go
+++ b/internal/core/resource/references.go
@@ -10,18 +10,17 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// MissingReference is a reference that a set of files does not satisfy.
+// MissingReference is a reference that is not satisfied within a set of files.
 type MissingReference struct {
-	// File declares the resource From, which needs To.
+	// File is the file that declares the resource From, which refers to To.
 	File FileKey
 	From Key
 	To   Key
-	// NotExported is set when To exists but its owner does not export it to
-	// the partner of From.
+	// NotExported is true if To exists but is not exported to the partner of From.
 	NotExported bool
 }
 
-// String says in one line what is missing.
+// String returns a description in one line.
 func (m MissingReference) String() string {
 	if m.NotExported {
 		return fmt.Sprintf("%s needs %s, which is not exported to %s", m.From, m.To, m.From.Partner)
@@ -29,19 +28,19 @@
 	return fmt.Sprintf("%s needs %s", m.From, m.To)
 }
 
-// Missing returns every reference in files that the files together do not
-// satisfy, in the order of the files: a route's services must exist and be
-// exported to its partner, its secret must be the partner's own, and a back
-// end's service must be the partner's own.
+// MissingReferences returns all references in files that are not satisfied by the
+// same files, in the order of the files. The services of a route must exist and be
+// exported to the route's partner; its secret, like the service of a back end, must
+// belong to the same partner.
 func MissingReferences(files []*File) []MissingReference {
 	return MissingReferencesAfter(files, files, nil)
 }
 
-// MissingAfter returns the references in files that are not satisfied after
-// added came in and removed went out of a set in which all were: those of the
-// added files, which are among files, and those of all others to what the
-// removed files declared. Its cost grows with the change, apart from one look
-// at each resource.
+// MissingReferencesAfter returns the unsatisfied references in files after a change
+// to a set in which all references were satisfied. Added files are among files,
+// removed files are not. It checks only the references of added files and the
+// references of other files to resources that removed files declared, so apart from
+// one pass over all resources its cost depends on the size of the change.
 func MissingReferencesAfter(files, added, removed []*File) []MissingReference {
 	present := newIndex(files, targetsOf(added, removed))
 	lost := present.lostWith(removed)
@@ -64,7 +63,8 @@
 	return missing
 }
 
-// references yields what the file needs, as references not yet checked.
+// references yields all references of the file as MissingReference values that have
+// not been checked yet.
 func (f *File) references() iter.Seq[MissingReference] {
 	return func(yield func(MissingReference) bool) {
 		for i := range f.Backends {
@@ -83,7 +83,7 @@
 	}
 }
 
-// targets returns the keys of the services and the secret that a route needs.
+// targets returns the keys of the services and the secret that a route refers to.
 func (r *Route) targets() []Key {
 	targets := make([]Key, 0, len(r.Split)+1)
 	for _, destination := range r.Split {
@@ -95,14 +95,14 @@
 	return targets
 }
 
-// index finds the targets of references over a set of files. It holds only
-// those that were asked for.
+// index looks up targets of references in a set of files. It contains only the
+// targets that newIndex was called with.
 type index struct {
 	services map[Key]*Service
 	secrets  map[Key]bool
 }
 
-// targetsOf returns the keys that added files need and removed files declared.
+// targetsOf returns the keys that added files refer to and removed files declared.
 func targetsOf(added, removed []*File) map[Key]bool {
 	targets := map[Key]bool{}
 	for _, file := range added {
@@ -135,8 +135,8 @@
 	return built
 }
 
-// lostWith returns the services and secrets of removed files that are gone or,
-// for services, exported to others than before.
+// lostWith returns the keys of the services and secrets of removed files that no
+// longer exist, and of the services whose exports have changed.
 func (x index) lostWith(removed []*File) map[Key]bool {
 	lost := map[Key]bool{}
 	for _, file := range removed {
@@ -155,7 +155,8 @@
 	return lost
 }
 
-// check returns the reference, with the reason, if its target does not do.
+// check returns the reference with NotExported filled in, and reports whether it
+// is unsatisfied.
 func (x index) check(reference MissingReference) (MissingReference, bool) {
 	if reference.To.Kind == KindSecret {
 		return reference, !x.secrets[reference.To]
@@ -168,13 +169,13 @@
 	return reference, reference.NotExported
 }
 
-// UsableBy reports whether routes of the partner may lead to the service.
+// UsableBy reports whether routes of the partner may refer to the service.
 func (s Service) UsableBy(partner Partner) bool {
 	return s.Partner == partner || slices.Contains(s.ExportTo, partner)
 }
 
-// NameTaken returns an error for each name of candidate that one of the other
-// files of its partner declares as well.
+// NameConflicts returns an error for each resource of candidate whose name another
+// file of the same partner declares too.
 func NameConflicts(candidate *File, others []*File) []result.Error {
 	own := map[Key]bool{}
 	for key := range candidate.keys() {
--- a/internal/core/resource/types.go
+++ b/internal/core/resource/types.go
@@ -1,6 +1,7 @@
-// Package resource holds the typed configuration of springstack: partners'
-// files of services, routes, back ends and secrets; how they are parsed,
-// validated, related to each other and encoded. It does no input or output.
+// Package resource defines the configuration of springstack: files in which
+// partners declare services, routes, back ends and secrets. It parses, validates
+// and encodes files and checks the references between them. It does no input or
+// output.
 package resource
 
 import (
@@ -9,14 +10,14 @@
 	"time"
 )
 
-// Partner names one of the organisations that share the mesh, for example
-// kameeldoring. Names belong to the partner whose file declares them.
+// Partner is the name of one of the organisations that share the mesh, for example
+// kameeldoring. Each partner has its own name space for files and resources.
 type Partner string
 
 // Digest is the lower-case hexadecimal SHA-256 of a canonical encoding.
 type Digest string
 
-// Kind tells the four kinds of resources apart.
+// Kind is the kind of a resource.
 type Kind string
 
 // The kinds of resources.
@@ -27,7 +28,7 @@
 	KindRoute   Kind = "route"
 )
 
-// Key names one resource in the whole mesh.
+// Key identifies a resource throughout the mesh.
 type Key struct {
 	Partner Partner
 	Kind    Kind
@@ -48,10 +49,10 @@
 	)
 }
 
-// Less orders keys by partner, kind and name.
+// Less reports whether k precedes other in the order of Compare.
 func (k Key) Less(other Key) bool { return k.Compare(other) < 0 }
 
-// FileKey names one submitted file.
+// FileKey identifies a submitted file.
 type FileKey struct {
 	Partner Partner
 	Name    string
@@ -67,18 +68,19 @@
 	return cmp.Or(cmp.Compare(k.Partner, other.Partner), cmp.Compare(k.Name, other.Name))
 }
 
-// Preference is a partner's trade between convergence time and control bytes.
+// Preference is a partner's choice between fast convergence and few bytes of control
+// traffic.
 type Preference string
 
 // The preferences that a file may state.
 const (
 	// PreferConvergence distributes each change at once.
 	PreferConvergence Preference = "convergence"
-	// PreferBytes gathers changes for a batching window.
+	// PreferBytes collects changes for a batching window before distributing them.
 	PreferBytes Preference = "bytes"
 )
 
-// File is one submitted file, parsed. It is applied as a whole.
+// File is a parsed file. It is applied as a whole.
 type File struct {
 	Partner      Partner
 	Name         string
@@ -94,65 +96,70 @@
 	return FileKey{Partner: f.Partner, Name: f.Name}
 }
 
-// Distribution is the partner's distribution trade for this file.
+// Distribution holds the settings for the distribution of a file.
 type Distribution struct {
 	Prefer Preference `json:"prefer"`
-	// BatchWindow is how long a change may wait for others; at most 5 s.
+	// BatchWindow is the longest time that a change is held to be batched with
+	// others; at most 5 s.
 	BatchWindow time.Duration `json:"batch_window,omitempty"`
 }
 
-// Service is something that calls can be routed to.
+// Service is a destination of routes, served by back ends.
 type Service struct {
 	Partner Partner `json:"-"`
 	Name    string  `json:"name"`
 	// ExportTo lists the other partners that may use the service, sorted.
 	ExportTo []Partner `json:"export_to,omitempty"`
-	// HealthPath is probed on the back end; empty means no probe.
+	// HealthPath is the path of health probes on the back end; empty means no probes.
 	HealthPath string `json:"health_path,omitempty"`
-	// LoadPath is where the back end reports its load; empty means none.
+	// LoadPath is the path at which the back end reports its load; empty means none.
 	LoadPath string `json:"load_path,omitempty"`
-	// WarmUp bounds the calls to a cold back end, and MaxConnections the connections to any
-	// one, 0 for no bound. Only an external authority states them.
+	// WarmUp limits the calls to a cold back end; MaxConnections is the maximum number of
+	// connections to any back end, 0 for no limit. Both can be set by an external
+	// authority only, not in files.
 	WarmUp         WarmUp `json:"-"`
 	MaxConnections int    `json:"-"`
 }
 
-// WarmUp is what a back end of a service bears while it is cold: after its start, and
-// whenever it says that it has become cold again. The zero value bounds nothing.
+// WarmUp is the load that a service's back ends can take while they are cold: after their
+// start, and whenever they report that they have become cold again. The zero value sets no
+// limit.
 type WarmUp struct {
-	// Duration is how long a back end is cold after its start.
+	// Duration is the time for which a back end is cold after its start.
 	Duration time.Duration
-	// PerSecond is how many calls a second a cold one bears; 0 for any number.
+	// PerSecond is the maximum number of calls per second to a cold back end; 0 means no
+	// limit.
 	PerSecond float64
 }
 
 // Key returns the resource's key.
 func (s Service) Key() Key { return Key{Partner: s.Partner, Kind: KindService, Name: s.Name} }
 
-// ServiceRef points at a service of any partner.
+// ServiceRef refers to a service of any partner.
 type ServiceRef struct {
 	Partner Partner `json:"partner"`
 	Name    string  `json:"name"`
 }
 
-// Key returns the key of the service pointed at.
+// Key returns the key of the service.
 func (r ServiceRef) Key() Key { return Key{Partner: r.Partner, Kind: KindService, Name: r.Name} }
 
 // String returns partner/name.
 func (r ServiceRef) String() string { return string(r.Partner) + "/" + r.Name }
 
-// Backend is one upstream of a service. Its daemon, the one on the same
-// machine, is the only way in.
+// Backend is one upstream of a service. It is reached only through the daemon on
+// the same machine.
 type Backend struct {
 	Partner Partner `json:"-"`
 	Name    string  `json:"name"`
-	// Service is the service that it serves, of the same partner.
+	// Service is the name of the service, which belongs to the same partner.
 	Service string `json:"service"`
-	// Address is the data address of the daemon beside it, an IP and port.
+	// Address is the IP address and port at which the daemon on the same machine
+	// accepts calls.
 	Address string `json:"address"`
 	Region  string `json:"region"`
 	Zone    string `json:"zone"`
-	// Slots is how many calls it runs at once.
+	// Slots is the maximum number of calls that the back end runs at once.
 	Slots int `json:"slots"`
 }
 
@@ -162,7 +169,7 @@
 // ServiceRef returns the service that the back end belongs to.
 func (b Backend) ServiceRef() ServiceRef { return ServiceRef{Partner: b.Partner, Name: b.Service} }
 
-// Secret is a value that routes of the same partner rely on.
+// Secret is a confidential value that routes of the same partner send to back ends.
 type Secret struct {
 	Partner Partner     `json:"-"`
 	Name    string      `json:"name"`
@@ -172,24 +179,25 @@
 // Key returns the resource's key.
 func (s Secret) Key() Key { return Key{Partner: s.Partner, Kind: KindSecret, Name: s.Name} }
 
-// SecretValue is secret text. It never prints itself: logs, errors and status
-// show its digest at most. Reveal gives the text to the data path.
+// SecretValue is the text of a secret. Formatting and encoding it yields a
+// placeholder, so that logs, errors and status contain its digest at most. The data
+// path obtains the text with Reveal.
 type SecretValue string
 
-// String hides the value.
+// String returns a placeholder instead of the value.
 func (SecretValue) String() string { return "[secret]" }
 
-// GoString hides the value.
+// GoString returns a placeholder instead of the value.
 func (SecretValue) GoString() string { return "[secret]" }
 
-// MarshalText hides the value from encoders; the canonical encoding of a
-// secret goes through a type of its own.
+// MarshalText returns a placeholder instead of the value. The canonical encoding of
+// secrets uses secretWire instead.
 func (SecretValue) MarshalText() ([]byte, error) { return []byte("[secret]"), nil }
 
-// Reveal returns the text.
+// Reveal returns the text of the secret.
 func (v SecretValue) Reveal() string { return string(v) }
 
-// Priority orders calls when there is too much work; higher goes first.
+// Priority is the precedence of calls under overload; higher values go first.
 type Priority int
 
 // The priorities that a route may state.
@@ -206,72 +214,75 @@
 	Match   Match   `json:"match"`
 	// Split lists destinations; weights are relative and at least 1.
 	Split []Destination `json:"split"`
-	// Secret is put on the request to the back end; nil means none.
+	// Secret is sent in a header of the request to the back end; nil means none.
 	Secret *SecretUse `json:"secret,omitempty"`
-	// Timeout bounds the whole call; 0 means the default of 15 s.
+	// Timeout is the time limit of the whole call; 0 means the default of 15 s.
 	Timeout time.Duration `json:"timeout,omitempty"`
-	// Target is the time within which an answer is of full use; 0 when none is
-	// stated.
+	// Target is the time within which an answer is of full use; 0 means no target.
 	Target time.Duration `json:"target,omitempty"`
-	// Repeatable says that running a call twice does no harm. When the file
-	// leaves it out, GET and HEAD are repeatable and all others are not.
+	// Repeatable states whether a call may safely run twice. If it is nil, GET and
+	// HEAD are repeatable and all other methods are not.
 	Repeatable *bool `json:"repeatable,omitempty"`
-	// RetryAttempts is the most attempts of one call, the first included.
+	// RetryAttempts is the maximum number of attempts of a call, including the
+	// first; 0 means the default.
 	RetryAttempts int      `json:"retry_attempts,omitempty"`
 	Priority      Priority `json:"priority"`
-	// RequestKeyHeader names a header whose value identifies the operation, so
-	// that a gate refuses a second start within its window. Empty means none.
+	// RequestKeyHeader is the name of a header whose value identifies the operation
+	// (an idempotency key). A gate refuses to start an operation twice within its
+	// key window. Empty means none.
 	RequestKeyHeader string `json:"request_key_header,omitempty"`
-	// AllowedRegions are the regions in which calls may run and their bodies may be held;
-	// nil allows all, an empty list none. Only an external authority states them.
+	// AllowedRegions lists the regions in which calls may run and their bodies may be
+	// stored; nil allows all regions, an empty list none. It can be set by an external
+	// authority only, not in files.
 	AllowedRegions []string `json:"-"`
 }
 
 // Key returns the resource's key.
 func (r Route) Key() Key { return Key{Partner: r.Partner, Kind: KindRoute, Name: r.Name} }
 
-// Match says which calls a route takes. All conditions must hold. The most
-// specific route wins: exact path before longest prefix, then host, then more
-// methods and headers given, then name.
+// Match holds the conditions of a route, all of which a call must meet. The most
+// specific matching route wins: an exact path takes precedence over the longest
+// prefix; then routes with a host, with more methods and headers, and by name.
 type Match struct {
 	// Host is compared without case and port; empty matches every host.
 	Host string `json:"host,omitempty"`
-	// Path is matched exactly when set.
+	// Path matches the whole path if it is not empty.
 	Path string `json:"path,omitempty"`
-	// PathPrefix matches whole segments when Path is empty.
+	// PathPrefix matches whole leading segments if Path is empty.
 	PathPrefix string `json:"path_prefix,omitempty"`
 	// Methods lists methods, sorted; empty matches all.
 	Methods []string `json:"methods,omitempty"`
-	// Headers must all be present with the given value.
+	// Headers lists headers that must be present with the given values.
 	Headers []HeaderMatch `json:"headers,omitempty"`
 }
 
-// HeaderMatch requires a header to have a value.
+// HeaderMatch is the condition that a header has a given value.
 type HeaderMatch struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
-// Destination is one weighted target of a route.
+// Destination is a service to which a route sends a weighted share of its calls.
 type Destination struct {
 	Service ServiceRef `json:"service"`
 	Weight  int        `json:"weight"`
 }
 
-// SecretUse says which secret is sent in which header.
+// SecretUse states in which header a route sends a secret.
 type SecretUse struct {
+	// Name is the name of the secret.
 	Name   string `json:"name"`
 	Header string `json:"header"`
 }
 
 // Resource is any of Service, Backend, Secret and Route.
 type Resource interface {
-	// Key names the resource in the whole mesh.
+	// Key identifies the resource throughout the mesh.
 	Key() Key
 }
 
-// Encoded is one resource in its canonical encoding, as it is stored in
-// snapshots and sent between daemons. Payload is immutable and shared.
+// Encoded is a resource in its canonical encoding, as stored in snapshots and sent
+// between daemons. Payload is shared and must not be changed.
 type Encoded struct {
 	Key     Key
 	Digest  Digest
--- a/internal/core/resource/value.go
+++ b/internal/core/resource/value.go
@@ -10,8 +10,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// value is one YAML node together with its place. The zero value of node
-// stands for a field that is absent.
+// value is a YAML node with its position. The node is nil if the field is absent.
 type value struct {
 	*collector
 	node ast.Node
@@ -48,14 +47,14 @@
 	}
 }
 
-// object is a mapping with its fields taken out by name.
+// object is a mapping with its fields by name.
 type object struct {
 	value
 	fields map[string]value
 }
 
-// object reads a mapping whose keys are all among known. Unknown and repeated
-// keys are mistakes.
+// object reads a mapping. Keys that are duplicates or not among known are reported
+// as mistakes.
 func (v value) object(known ...string) object {
 	read := object{value: v, fields: map[string]value{}}
 	if !v.present() {
@@ -109,7 +108,7 @@
 	o.fields[key.Value] = field
 }
 
-// optional returns a field, absent if it is not there.
+// optional returns a field, or a value without node if the field is absent.
 func (o object) optional(name string) value {
 	field, found := o.fields[name]
 	if !found {
@@ -118,7 +117,7 @@
 	return field
 }
 
-// required returns a field; its absence is a mistake.
+// required returns a field and reports its absence as a mistake.
 func (o object) required(name string) value {
 	field := o.optional(name)
 	if !field.present() && o.present() {
@@ -187,7 +186,7 @@
 	return int(number)
 }
 
-// boolean reads true or false; nil when absent.
+// boolean reads true or false; nil means absent.
 func (v value) boolean() *bool {
 	if !v.present() {
 		return nil
@@ -226,7 +225,7 @@
 	return path + "." + name
 }
 
-// maxQuoted bounds what an error quotes of a file.
+// maxQuoted is the maximum number of bytes that an error quotes from a file.
 const maxQuoted = 64
 
 func shorten(text string) string {
--- a/internal/core/resource/yaml.go
+++ b/internal/core/resource/yaml.go
@@ -16,9 +16,9 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// readYAML returns the root of the only document in text. Size, depth and the
-// parts of YAML that are refused are checked on the tokens, before anything
-// recursive runs.
+// readYAML returns the root node of the single document in text. Size, nesting
+// depth and unsupported parts of YAML are checked on the token stream, before the
+// recursive parser runs.
 func readYAML(text []byte, limits Limits) (ast.Node, *result.Error) {
 	if problem := checkText(text, limits); problem != nil {
 		return nil, problem
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// unsupported names the parts of YAML that are refused.
+// unsupported lists the parts of YAML that are refused.
 var unsupported = map[token.Type]string{
 	token.AnchorType:     "an anchor",
 	token.AliasType:      "an alias",
@@ -114,12 +114,12 @@
 	return nil
 }
 
-// maxKeys bounds the fields of one mapping; no mapping of the format has as
-// many. The YAML parser's time grows with the square of their number.
+// maxKeys is the maximum number of fields of one mapping, more than any mapping of
+// the file format has. The YAML parser's time is quadratic in that number.
 const maxKeys = 64
 
-// shape follows the nesting from above while tokens go by: the open flow
-// brackets, and the distinct columns of block entries and keys around them.
+// shape tracks an upper bound of the nesting depth over a token stream: the open
+// flow brackets, and the distinct columns of the block entries and keys around them.
 type shape struct {
 	flow  []level
 	block []level
@@ -168,7 +168,8 @@
 	}
 }
 
-// open returns the block level at a column, after closing those inside it.
+// open returns the block level at a column, after closing the deeper levels. It
+// creates the level if needed.
 func (s *shape) open(column int) *level {
 	for len(s.block) > 0 && s.block[len(s.block)-1].column > column {
 		s.block = s.block[:len(s.block)-1]
@@ -179,8 +180,8 @@
 	return &s.block[len(s.block)-1]
 }
 
-// syntaxError takes line and message of the YAML library's error. Its text may
-// quote the file, so a quoting message is replaced.
+// syntaxError converts an error of the YAML library. Its message is replaced if it
+// quotes the file, because the quote could contain a secret.
 func syntaxError(err error) *result.Error {
 	problem := &result.Error{Code: result.FileSyntax, Line: 1, Detail: "the YAML can't be read", Mend: "Correct the syntax at the line given."}
 	var syntax *yaml.SyntaxError
--- a/internal/core/routing/restrictions_test.go
+++ b/internal/core/routing/restrictions_test.go
@@ -10,7 +10,7 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// A service is divided only by the lists of its own routes, each of them once.
+// The restrictions of a service are the region lists of its own routes without duplicates.
 func TestRestrictionsAreThoseOfAServicesRoutes(t *testing.T) {
 	check := is.New(t)
 	service := func(name string) resource.ServiceRef { return resource.ServiceRef{Partner: "k", Name: name} }
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing compiles the routes of a snapshot into a table that is
-// never changed afterwards, and finds the route and destination of a call.
-// It reads no clock and draws no random numbers; both are passed in.
+// Package routing compiles the routes of a snapshot into an immutable table and
+// finds the route and destination of a call. It reads no clock and draws no
+// random numbers; the caller passes in a random number where one is needed.
 package routing
 
 import (
@@ -16,45 +16,45 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// DefaultTimeout bounds a call whose route states no timeout.
+// DefaultTimeout is the timeout of routes that state none.
 const DefaultTimeout = 15 * time.Second
 
-// TimeoutOf is how long a call of a route may take in all.
+// TimeoutOf returns the time limit of a route's calls, including all attempts.
 func TimeoutOf(route *resource.Route) time.Duration { return cmp.Or(route.Timeout, DefaultTimeout) }
 
-// DefaultAttempts is the most attempts of a call whose route states none.
+// DefaultAttempts is the maximum number of attempts for routes that state none.
 const DefaultAttempts = 3
 
-// Query is what a call is matched by.
+// Query holds the properties of a call that routes are matched against.
 type Query struct {
 	Method string
 	// Host is the canonical host, as resource.CanonicalHost returns it.
 	Host string
 	// Path is the canonical path, as resource.CanonicalPath returns it.
 	Path string
-	// Header gives the first value of a header; nil means no headers.
+	// Header returns the first value of a header; nil means no headers.
 	Header func(name string) string
 }
 
 // Target is one weighted destination of a compiled route.
 type Target struct {
 	Service resource.ServiceRef
-	// upTo is the running total of the weights including this target.
+	// upTo is the sum of the weights of all targets up to and including this one.
 	upTo uint64
 }
 
-// Route is a route prepared for matching. It is immutable.
+// Route is a compiled route. It is immutable.
 type Route struct {
 	Resource resource.Route
-	// Class tells calls of like routes apart from others.
+	// Class is the class of the route's calls, for statistics.
 	Class callclass.Class
-	// Targets are the destinations in the file's order.
+	// Targets lists the destinations in the file's order.
 	Targets []Target
-	// Timeout bounds the whole call; never 0.
+	// Timeout is the time limit of the whole call; never 0.
 	Timeout time.Duration
-	// Attempts is the most attempts of one call; at least 1.
+	// Attempts is the maximum number of attempts of a call; at least 1.
 	Attempts int
-	// Regions are where calls may run.
+	// Regions is the set of regions in which calls may run.
 	Regions region.Allowed
 	// SecretHeader and SecretText are set on the request; empty for none.
 	SecretHeader string
@@ -64,8 +64,8 @@
 	totalWeight uint64
 }
 
-// Repeatable tells whether running a call with the method twice does no harm:
-// as the route states, or else for GET and HEAD only.
+// Repeatable reports whether a call with the method may safely run twice: as the
+// route states, or for GET and HEAD only if the route does not state it.
 func (r *Route) Repeatable(method string) bool {
 	if r.Resource.Repeatable != nil {
 		return *r.Resource.Repeatable
@@ -73,7 +73,7 @@
 	return method == "GET" || method == "HEAD"
 }
 
-// Pick chooses a destination by weight from a uniform random number.
+// Pick selects a destination by weight, using a uniform random number.
 func (r *Route) Pick(random uint64) resource.ServiceRef {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
@@ -87,24 +87,24 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Table finds routes. It is immutable and needs no lock.
+// Table is a routing table. It is immutable and thus safe for concurrent use.
 type Table struct {
-	// exact holds the routes with a path by that path, most specific first.
+	// exact maps paths to the routes that match them exactly, most specific first.
 	exact map[string][]*Route
-	// prefixes holds the routes with a prefix by that prefix, most specific
-	// first.
+	// prefixes maps path prefixes to their routes, most specific first.
 	prefixes map[string][]*Route
-	// hosts holds the routes of a verbatim table, by host; nil in others.
+	// hosts maps hosts to the routes of a verbatim table; nil in other tables.
 	hosts map[string]*hostRoutes
 	// longest is the length of the longest prefix.
 	longest int
 	size    int
-	// restrictions are those of the routes to each service, each list once.
+	// restrictions holds the distinct region restrictions of the routes to each
+	// service.
 	restrictions map[resource.ServiceRef][]region.Allowed
 }
 
-// Compile builds the table of a snapshot. Routes without destination are left
-// out; snapshot.Build has refused them already.
+// Compile builds the routing table of a snapshot. Routes without a destination
+// are skipped; snapshot.Build refuses them anyway.
 func Compile(held *snapshot.Snapshot) *Table {
 	table := &Table{exact: map[string][]*Route{}, prefixes: map[string][]*Route{}}
 	for _, route := range held.Routes {
@@ -158,7 +158,8 @@
 	t.longest = max(t.longest, len(prefix))
 }
 
-// count counts a route, and notes its regions if it is restricted to some.
+// count adds a route to the table's size and its region restriction, if any, to
+// the restrictions of its services.
 func (t *Table) count(route *Route) {
 	t.size++
 	if !route.Regions.Restricted() {
@@ -175,13 +176,13 @@
 	}
 }
 
-// Restricts tells whether some route is restricted to regions.
+// HasRestrictions reports whether any route is restricted to regions.
 func (t *Table) HasRestrictions() bool {
-	return t != nil && len(t.restrictions) > 0 // nil while no version is in force yet
+	return t != nil && len(t.restrictions) > 0 // t is nil until the first version is in force
 }
 
-// RestrictionsOf are the regions that the routes to a service are restricted to, each list
-// once; empty where all of them may run anywhere.
+// RestrictionsOf returns the distinct region restrictions of the routes to a service. It is
+// empty if none of these routes is restricted.
 func (t *Table) RestrictionsOf(service resource.ServiceRef) []region.Allowed {
 	return t.restrictions[service]
 }
@@ -189,7 +190,7 @@
 // Size returns the number of routes.
 func (t *Table) Size() int { return t.size }
 
-// Find returns the most specific route that matches, or nil.
+// Find returns the most specific route that matches a call, or nil.
 func (t *Table) Find(query Query) *Route {
 	if t.hosts != nil {
 		return t.findVerbatim(query)
@@ -238,8 +239,8 @@
 	return true
 }
 
-// moreSpecific orders routes of the same path: those with a host first, then
-// those with more methods and headers given, then by key.
+// moreSpecific orders routes with the same path: those with a host first, then
+// those that list more methods and headers, then by name and partner.
 func moreSpecific(a, b *Route) int {
 	if (a.host == "") != (b.host == "") {
 		if a.host != "" {
@@ -259,8 +260,8 @@
 	return len(match.Methods) + len(match.Headers)
 }
 
-// canonicalHost is the form that hosts of calls are compared in. A host that
-// has none is kept, and matches no call.
+// canonicalHost returns the canonical form of a route's host. An invalid host is
+// returned unchanged and matches no call.
 func canonicalHost(host string) string {
 	if host == "" {
 		return ""
--- a/internal/core/routing/table_test.go
+++ b/internal/core/routing/table_test.go
@@ -31,14 +31,14 @@
 	}})
 	cases := []struct{ method, host, path, beta, want string }{
 		{"GET", "any", "/", "", "all"},
-		{"GET", "any", "/planshop", "", "all"}, // whole segments only
+		{"GET", "any", "/planshop", "", "all"}, // a prefix matches whole segments only
 		{"GET", "any", "/plans", "", "plans"},
 		{"GET", "any", "/plans/", "", "plans"},
 		{"GET", "any", "/plans/7/8", "", "plans"},
 		{"GET", "any", "/plans/hotel", "", "exact"},
 		{"GET", "any", "/plans/hotel/7", "", "plans-deep"},
 		{"GET", "roast.example", "/plans/7", "", "host"},
-		{"GET", "roast.example", "/plans/hotel", "", "exact"}, // exact goes before host
+		{"GET", "roast.example", "/plans/hotel", "", "exact"}, // an exact path takes precedence over a host
 		{"POST", "any", "/plans/7", "", "post"},
 		{"POST", "any", "/plans/7", "1", "beta"},
 	}
--- a/internal/core/routing/verbatim.go
+++ b/internal/core/routing/verbatim.go
@@ -6,17 +6,18 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// hostRoutes are the routes of one host by their prefix, which ends with a
-// slash.
+// hostRoutes holds the routes of one host in a verbatim table.
 type hostRoutes struct {
+	// prefixes maps path prefixes, which end with a slash, to their routes.
 	prefixes map[string]*Route
 	// longest is the length of the longest prefix.
 	longest int
 }
 
-// CompileVerbatim builds a table that matches hosts and paths as they were
-// sent: the longest prefix that begins the path wins. Prefixes end with a
-// slash, and only the host and prefix of a route are heeded.
+// CompileVerbatim builds a table that matches hosts and paths as sent, without
+// bringing them into canonical form: the route with the longest matching path
+// prefix wins. Prefixes end with a slash. All conditions of a route other than
+// host and prefix are ignored.
 func CompileVerbatim(held *snapshot.Snapshot) *Table {
 	table := &Table{hosts: map[string]*hostRoutes{}}
 	for _, route := range held.Routes {
