--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -76,19 +76,22 @@
 	state State
 	// ended is set by Done; only the owner of the call accesses it.
 	ended bool
-	// hung is one of hungNow and hungNoMore, or 0; see MarkHung.
-	hung      atomic.Int32
+	// hangState is 0, hangMarked or hangCleared; see MarkHung.
+	hangState atomic.Int32
 	startedAt time.Duration
-	// expected is the service time expected when the call was queued or started.
-	expected time.Duration
+	// expectedService is the service time expected when the call was queued or started.
+	expectedService time.Duration
 	// startBy orders queued calls of equal priority: the earliest starts first.
 	startBy time.Duration
 	// queuedAt is the time at which the call was queued, expectedWait the queueing
 	// time that was estimated then.
 	queuedAt     time.Duration
 	expectedWait time.Duration
-	charged      float64
-	lane         *lane
+	// chargedSeconds is the expected slot time that queue.charge has charged.
+	chargedSeconds float64
+	// partnerQueue is the queue that holds or held the call; next and previous link
+	// its tickets.
+	partnerQueue *partnerQueue
 	next         *Ticket
 	previous     *Ticket
 }
@@ -99,14 +102,14 @@
 	return &Ticket{Call: call, waiter: waiter}
 }
 
-func (t *Ticket) settle(verdict Decision) {
-	t.state = verdict.State
+func (t *Ticket) settle(decision Decision) {
+	t.state = decision.State
 	if t.waiter != nil {
-		t.waiter.Settle(verdict)
+		t.waiter.Settle(decision)
 	}
 }
 
-// class returns the index of the call's priority in a partner's queue.
-func (t *Ticket) class() int {
+// priorityIndex returns the index of the call's priority in a partner's queue.
+func (t *Ticket) priorityIndex() int {
 	return int(min(max(t.Priority, resource.PriorityLow), resource.PriorityHigh))
 }
--- a/internal/core/admission/warmth.go
+++ b/internal/core/admission/cold.go
@@ -7,20 +7,20 @@
 )
 
 // SetColdLimit sets the maximum number of calls that start within a window while the back end
-// is cold, as computed by warmup.Terms.Limit; 0 means no limit. Opened is true if calls may have
-// started before without being counted.
+// is cold, as computed by warmup.Tolerance.Limit; 0 means no limit. Opened is true if calls may
+// have started before without being counted.
 func (g *Gate) SetColdLimit(now time.Duration, limit int, opened bool) {
-	g.warmth.SetLimit(now, limit, opened)
+	g.coldLimiter.SetLimit(now, limit, opened)
 }
 
 // SetColdUntil sets the time until which the back end is cold. Before the first call of
 // SetColdUntil the back end counts as cold.
-func (g *Gate) SetColdUntil(now, until time.Duration) { g.warmth.SetColdUntil(now, until) }
+func (g *Gate) SetColdUntil(now, until time.Duration) { g.coldLimiter.SetColdUntil(now, until) }
 
 // ColdWait returns the time for which a call can't start because the back end is cold; 0 if it
 // can start now.
 func (g *Gate) ColdWait(now time.Duration, ticket *Ticket) time.Duration {
-	return g.warmth.Wait(now, ticket.class())
+	return g.coldLimiter.Wait(now, ticket.priorityIndex())
 }
 
 // RefuseIfCold refuses a new call, before any other work is done for it, if it can't start
@@ -31,8 +31,8 @@
 	if wait == 0 {
 		return Decision{}, false
 	}
-	if verdict := register(g.requests, now, ticket.Request); verdict.State == StateRefused {
-		return verdict, true
+	if decision := register(g.requests, now, ticket.Request); decision.State == StateRefused {
+		return decision, true
 	}
 	return refused(result.WarmingUp, wait), true
 }
@@ -40,8 +40,8 @@
 // TryResend reports whether a started call may be sent to the back end again, and counts the
 // repeated sending as another start while the back end is cold.
 func (g *Gate) TryResend(now time.Duration, ticket *Ticket) bool {
-	return g.warmth.TryStart(now, ticket.class()) == 0
+	return g.coldLimiter.TryStart(now, ticket.priorityIndex()) == 0
 }
 
 // IsColdLimited reports whether starts are limited now because the back end is cold.
-func (g *Gate) IsColdLimited(now time.Duration) bool { return g.warmth.IsLimiting(now) }
+func (g *Gate) IsColdLimited(now time.Duration) bool { return g.coldLimiter.IsLimiting(now) }
--- a/internal/core/admission/control.go
+++ b/internal/core/admission/control.go
@@ -18,13 +18,14 @@
 	g.word.And(^uint64(drainingBit))
 }
 
+// refuseAll sets one of the refusal bits and refuses all queued calls.
 func (g *Gate) refuseAll(bit uint64) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.word.Or(bit)
 	for ticket := g.queue.pop(); ticket != nil; ticket = g.queue.pop() {
-		g.unqueue()
-		ticket.settle(refused(refusalOf(bit), 0))
+		g.decrementQueued()
+		ticket.settle(refused(refusalCode(bit), 0))
 	}
 }
 
@@ -39,13 +40,13 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.slots.Store(int64(max(slots, 1)))
-	g.startFree(now)
+	g.fillFreeSlots(now)
 }
 
-// startFree starts queued calls while slots are free. The caller holds the lock.
-func (g *Gate) startFree(now time.Duration) {
+// fillFreeSlots starts queued calls while slots are free. The caller holds the lock.
+func (g *Gate) fillFreeSlots(now time.Duration) {
 	for g.queue.length > 0 && g.hasRoom(g.word.Load()) {
 		g.word.Add(1)
-		g.handOver(now)
+		g.handOverSlot(now)
 	}
 }
--- a/internal/core/admission/evacuate_test.go
+++ b/internal/core/admission/control_test.go
@@ -9,7 +9,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-func TestAnEvacuatedGateRefusesWhatWaitsAndCutsNothing(t *testing.T) {
+func TestEvacuationRefusesQueuedCallsAndInterruptsNone(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	running := offer(gate, 0, Call{})
@@ -25,7 +25,7 @@
 	check.Equal(offer(gate, time.Second, Call{}).state, StateStarted)
 }
 
-func TestADrainStandsOverAnEvacuation(t *testing.T) {
+func TestDrainTakesPrecedenceOverEvacuation(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	gate.Evacuate()
--- a/internal/core/admission/seen.go
+++ b/internal/core/admission/fingerprint_set.go
@@ -11,17 +11,17 @@
 
 // Reserved values of a cell. All other values are fingerprints.
 const (
-	cellEmpty   = 0
-	cellRemoved = 1
-	firstFree   = 2
-	// reservedShift is added to fingerprints that equal a reserved value.
-	reservedShift = 1 << 63
+	cellEmpty        = 0
+	cellRemoved      = 1
+	firstFingerprint = 2
+	// reservedOffset is added to fingerprints that equal a reserved value.
+	reservedOffset = 1 << 63
 )
 
-// normal returns the fingerprint as a cell value that is not reserved.
-func (f Fingerprint) normal() uint64 {
-	if f < firstFree {
-		return uint64(f) + reservedShift
+// cellValue returns the fingerprint as a cell value that is not reserved.
+func (f Fingerprint) cellValue() uint64 {
+	if f < firstFingerprint {
+		return uint64(f) + reservedOffset
 	}
 	return uint64(f)
 }
@@ -44,18 +44,18 @@
 // compare-and-swap. A cell changes from empty to a fingerprint to removed and never
 // back, so a lookup that reaches an empty cell has seen every earlier addition.
 type generation struct {
-	cells    []atomic.Uint64
-	capacity int
-	count    atomic.Int64
-	since    time.Duration
+	cells     []atomic.Uint64
+	capacity  int
+	count     atomic.Int64
+	startedAt time.Duration
 }
 
-func newGeneration(capacity int, since time.Duration) *generation {
+func newGeneration(capacity int, startedAt time.Duration) *generation {
 	size := 16
 	for size < 2*capacity {
 		size *= 2
 	}
-	return &generation{cells: make([]atomic.Uint64, size), capacity: capacity, since: since}
+	return &generation{cells: make([]atomic.Uint64, size), capacity: capacity, startedAt: startedAt}
 }
 
 func (g *generation) find(value uint64) *atomic.Uint64 {
@@ -93,23 +93,23 @@
 	return Full
 }
 
-// retired is a generation to which no more fingerprints are added.
-type retired struct {
+// retiredGeneration is a generation to which no more fingerprints are added.
+type retiredGeneration struct {
 	*generation
-	// at is the time of retirement; all its fingerprints were added before.
-	at time.Duration
+	// retiredAt is the time of retirement; all its fingerprints were added before.
+	retiredAt time.Duration
 }
 
-// epoch is the list of generations in use. It is immutable; a rotation replaces it
-// as a whole.
-type epoch struct {
+// generationSet lists the generations in use. The list is immutable; a rotation replaces
+// it as a whole.
+type generationSet struct {
 	current *generation
-	older   []retired
+	older   []retiredGeneration
 }
 
 // find reports whether an older generation contains a value.
-func (e *epoch) find(value uint64) bool {
-	for _, old := range e.older {
+func (s *generationSet) find(value uint64) bool {
+	for _, old := range s.older {
 		if old.find(value) != nil {
 			return true
 		}
@@ -129,32 +129,32 @@
 type FingerprintSet struct {
 	window time.Duration
 	// limit is the maximum number of fingerprints in all generations.
-	limit int
-	epoch atomic.Pointer[epoch]
+	limit       int
+	generations atomic.Pointer[generationSet]
 }
 
 // NewFingerprintSet returns an empty set that remembers at most limit fingerprints.
 func NewFingerprintSet(now, window time.Duration, limit int) *FingerprintSet {
-	seen := &FingerprintSet{window: window, limit: max(limit, 1)}
-	first := newGeneration(min(firstCapacity, seen.limit), now)
-	seen.epoch.Store(&epoch{current: first})
-	return seen
+	set := &FingerprintSet{window: window, limit: max(limit, 1)}
+	first := newGeneration(min(firstCapacity, set.limit), now)
+	set.generations.Store(&generationSet{current: first})
+	return set
 }
 
 // Add adds a fingerprint unless the set contains it. Of several concurrent calls
 // with the same fingerprint, at most one returns Added.
 func (s *FingerprintSet) Add(now time.Duration, fingerprint Fingerprint) AddResult {
-	value := fingerprint.normal()
+	value := fingerprint.cellValue()
 	for {
-		held := s.rotate(now)
-		if held.find(value) || held.current.find(value) != nil {
+		generations := s.rotate(now)
+		if generations.find(value) || generations.current.find(value) != nil {
 			return Present
 		}
-		if int(held.current.count.Load()) >= held.current.capacity {
+		if int(generations.current.count.Load()) >= generations.current.capacity {
 			// rotate would have made room if the limit allowed it.
 			return Full
 		}
-		outcome := held.current.add(value)
+		outcome := generations.current.add(value)
 		if outcome != Added {
 			return outcome
 		}
@@ -162,26 +162,26 @@
 		// searched this one before the value was stored, and added the value to
 		// the newer one. Trying again resolves the race: only one of the two calls
 		// adds the value to the newer generation.
-		if s.epoch.Load() == held {
+		if s.generations.Load() == generations {
 			return Added
 		}
-		held.current.remove(value)
+		generations.current.remove(value)
 	}
 }
 
 // Contains reports whether the set contains a fingerprint.
 func (s *FingerprintSet) Contains(fingerprint Fingerprint) bool {
-	value := fingerprint.normal()
-	held := s.epoch.Load()
-	return held.current.find(value) != nil || held.find(value)
+	value := fingerprint.cellValue()
+	generations := s.generations.Load()
+	return generations.current.find(value) != nil || generations.find(value)
 }
 
 // Remove removes a fingerprint. It is meant for calls that certainly did not run.
 func (s *FingerprintSet) Remove(fingerprint Fingerprint) {
-	value := fingerprint.normal()
-	held := s.epoch.Load()
-	held.current.remove(value)
-	for _, old := range held.older {
+	value := fingerprint.cellValue()
+	generations := s.generations.Load()
+	generations.current.remove(value)
+	for _, old := range generations.older {
 		old.remove(value)
 	}
 }
@@ -195,41 +195,42 @@
 // rotate returns the generations in use, after retiring the current one if it is
 // full or has reached the age of the window, and dropping those that were retired
 // at least one window ago.
-func (s *FingerprintSet) rotate(now time.Duration) *epoch {
+func (s *FingerprintSet) rotate(now time.Duration) *generationSet {
 	for {
-		held := s.epoch.Load()
-		full := int(held.current.count.Load()) >= held.current.capacity
-		if !full && now-held.current.since < s.window {
-			return held
+		generations := s.generations.Load()
+		full := int(generations.current.count.Load()) >= generations.current.capacity
+		if !full && now-generations.current.startedAt < s.window {
+			return generations
 		}
-		next := s.successor(held, now)
+		next := s.successor(generations, now)
 		if next == nil {
-			return held
+			return generations
 		}
-		if s.epoch.CompareAndSwap(held, next) {
+		if s.generations.CompareAndSwap(generations, next) {
 			return next
 		}
 	}
 }
 
-// successor returns the epoch that follows held, or nil if nothing would change. At
-// the limit its current generation has capacity 0, while older ones continue to age.
-func (s *FingerprintSet) successor(held *epoch, now time.Duration) *epoch {
-	next := &epoch{}
-	taken := 0
-	if held.current.capacity > 0 {
-		next.older = append(next.older, retired{generation: held.current, at: now})
-		taken += int(held.current.count.Load())
+// successor returns the generations after the next rotation, or nil if nothing would
+// change. At the limit the new current generation has capacity 0, while older ones
+// continue to age.
+func (s *FingerprintSet) successor(generations *generationSet, now time.Duration) *generationSet {
+	next := &generationSet{}
+	used := 0
+	if generations.current.capacity > 0 {
+		next.older = append(next.older, retiredGeneration{generation: generations.current, retiredAt: now})
+		used += int(generations.current.count.Load())
 	}
-	for _, old := range held.older {
-		if now-old.at < s.window {
+	for _, old := range generations.older {
+		if now-old.retiredAt < s.window {
 			next.older = append(next.older, old)
-			taken += int(old.count.Load())
+			used += int(old.count.Load())
 		}
 	}
-	capacity := max(2*int(held.current.count.Load()), min(firstCapacity, s.limit))
-	capacity = max(0, min(capacity, s.limit-taken))
-	if capacity == 0 && held.current.capacity == 0 {
+	capacity := max(2*int(generations.current.count.Load()), min(firstCapacity, s.limit))
+	capacity = max(0, min(capacity, s.limit-used))
+	if capacity == 0 && generations.current.capacity == 0 {
 		return nil
 	}
 	next.current = newGeneration(capacity, now)
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -13,7 +13,7 @@
 
 // Layout of Gate.word, which packs the state that must change atomically: the
 // number of running calls in the low 24 bits, the number of queued calls in the
-// next 24, and the flags below in the top bits.
+// next 24, and flags in the top bits.
 const (
 	runningBits = 24
 	runningMask = 1<<runningBits - 1
@@ -24,46 +24,46 @@
 	closedBit    = 1 << 62
 	evacuatedBit = 1 << 61
 	isolatedBit  = 1 << 60
-	refusingAny  = drainingBit | closedBit | evacuatedBit
+	refusingMask = drainingBit | closedBit | evacuatedBit
 )
 
-// waitShare is the largest fraction of a call's remaining time that it is
+// maxWaitShare is the largest fraction of a call's remaining time that it is
 // expected to spend in the queue. A call that starts with little time left is
 // likely to reach its deadline while it runs, which leaves its outcome unknown.
-const waitShare = 0.6
+const maxWaitShare = 0.6
 
-// fullRetryAfter is the RetryAfter of calls that are refused because a set of
+// fullSetRetryAfter is the RetryAfter of calls that are refused because a set of
 // fingerprints is full.
-const fullRetryAfter = 5 * time.Second
+const fullSetRetryAfter = 5 * time.Second
 
 // Gate controls admission to one back end.
 type Gate struct {
 	config Config
-	// word is the packed state; its layout is defined above. A start never raises
-	// the running count above the slots: it increments the count by compare-and-swap
-	// only while a slot is free, or inherits the slot of a call that ends. The queued
+	// word is the packed state; its layout is defined above. A start never raises the
+	// running count above the slots: it increments the count by compare-and-swap only
+	// while a slot is free, or takes over the slot of a call that ends. The queued
 	// count changes only under mutex.
 	word atomic.Uint64
-	// hung is the number of running calls marked by MarkHung.
-	hung atomic.Int64
+	// hungCount is the number of running calls marked by MarkHung.
+	hungCount atomic.Int64
 	// runningWork is the sum of the expected service times of the running calls, in
 	// nanoseconds.
 	runningWork atomic.Int64
 	// slots is the maximum number of running calls; see SetSlots.
 	slots atomic.Int64
-	// leftBehind and probes count slots of the back end that are in use but not by
-	// calls of this gate; see occupied.go.
-	leftBehind leftBehind
-	probes     atomic.Int64
-	// mean is the mean service time of all calls, classes holds the statistics of
-	// each call class.
-	mean    movingMean
-	classes callclass.Table[classService]
+	// orphans and probeCount count slots of the back end that are in use, but not by
+	// calls of this gate; see orphans.go.
+	orphans    orphanedCalls
+	probeCount atomic.Int64
+	// meanService is the mean service time of all calls, classes holds the statistics
+	// of each call class.
+	meanService movingMean
+	classes     callclass.Table[classStats]
 	// requests holds the ids of received attempts, keys those of started operations.
 	requests *FingerprintSet
 	keys     *FingerprintSet
-	// warmth limits the starts while the back end is cold.
-	warmth *warmup.Limiter
+	// coldLimiter limits the starts while the back end is cold.
+	coldLimiter *warmup.Limiter
 
 	mutex    sync.Mutex
 	queue    queue
@@ -75,11 +75,11 @@
 	requestWindow := cmp.Or(config.RequestWindow, config.KeyWindow)
 	requestCount := cmp.Or(config.RequestCount, config.KeyCount)
 	gate := &Gate{
-		config:   config,
-		requests: NewFingerprintSet(now, requestWindow, requestCount),
-		keys:     NewFingerprintSet(now, config.KeyWindow, config.KeyCount),
-		warmth:   warmup.New(now),
-		queue:    queue{weights: config.Weights},
+		config:      config,
+		requests:    NewFingerprintSet(now, requestWindow, requestCount),
+		keys:        NewFingerprintSet(now, config.KeyWindow, config.KeyCount),
+		coldLimiter: warmup.New(now),
+		queue:       queue{weights: config.Weights},
 	}
 	gate.slots.Store(int64(max(config.Slots, 1)))
 	return gate
@@ -87,8 +87,8 @@
 
 // Load is the number of slots in use and calls queued at a gate.
 type Load struct {
-	// Running is the number of slots in use, including those used by probes and by
-	// calls from an earlier run of the daemon. An isolated call uses all slots.
+	// Running is the number of slots in use, including those used by probes and
+	// orphaned calls. An isolated call uses all slots.
 	Running int
 	Queued  int
 	Slots   int
@@ -98,15 +98,15 @@
 func (g *Gate) Load() Load {
 	word := g.word.Load()
 	return Load{
-		Running: g.taken(word),
+		Running: g.usedSlots(word),
 		Queued:  int(word & queuedMask >> runningBits),
 		Slots:   int(g.slots.Load()),
 	}
 }
 
-// taken returns the number of slots in use; an isolated call uses all of them.
-func (g *Gate) taken(word uint64) int {
-	running := int(word&runningMask) + int(g.occupied())
+// usedSlots returns the number of slots in use; an isolated call uses all of them.
+func (g *Gate) usedSlots(word uint64) int {
+	running := int(word&runningMask) + int(g.occupiedSlots())
 	if word&isolatedBit != 0 {
 		return max(running, int(g.slots.Load()))
 	}
@@ -114,28 +114,28 @@
 }
 
 // HasFreeSlot reports whether a new call would get a slot without queueing.
-func (g *Gate) HasFreeSlot() bool { return g.admits(g.word.Load()) }
+func (g *Gate) HasFreeSlot() bool { return g.canStartAtOnce(g.word.Load()) }
 
-// admits reports whether a slot is free and no call is queued for it.
-func (g *Gate) admits(word uint64) bool {
-	return word&(refusingAny|queuedMask) == 0 && g.hasRoom(word)
+// canStartAtOnce reports whether a slot is free and no call is queued for it.
+func (g *Gate) canStartAtOnce(word uint64) bool {
+	return word&(refusingMask|queuedMask) == 0 && g.hasRoom(word)
 }
 
 // hasRoom reports whether one more call may run. While a call is isolated, none may.
 func (g *Gate) hasRoom(word uint64) bool {
-	return word&isolatedBit == 0 && int64(word&runningMask) < g.limit()
+	return word&isolatedBit == 0 && int64(word&runningMask) < g.callLimit()
 }
 
 // RefusesCalls reports whether the gate refuses all new calls.
-func (g *Gate) RefusesCalls() bool { return g.word.Load()&refusingAny != 0 }
+func (g *Gate) RefusesCalls() bool { return g.word.Load()&refusingMask != 0 }
 
 // RefusalCode returns the code with which the gate refuses all new calls, or OK
 // while it accepts calls.
-func (g *Gate) RefusalCode() result.Code { return refusalOf(g.word.Load()) }
+func (g *Gate) RefusalCode() result.Code { return refusalCode(g.word.Load()) }
 
-// refusalOf returns the refusal code for a packed state. Draining takes precedence
+// refusalCode returns the refusal code for a packed state. Draining takes precedence
 // over evacuation: a back end that leaves does not return when its zone does.
-func refusalOf(word uint64) result.Code {
+func refusalCode(word uint64) result.Code {
 	switch {
 	case word&(drainingBit|closedBit) != 0:
 		return result.Draining
@@ -151,8 +151,8 @@
 // The attempt's id is recorded even if the call is refused: the sender may since
 // have sent a refused call elsewhere, so a late duplicate must not start here.
 func (g *Gate) Admit(now time.Duration, ticket *Ticket) Decision {
-	if verdict := register(g.requests, now, ticket.Request); verdict.State == StateRefused {
-		return verdict
+	if decision := register(g.requests, now, ticket.Request); decision.State == StateRefused {
+		return decision
 	}
 	if code := g.RefusalCode(); code != result.OK {
 		return refused(code, 0)
@@ -166,20 +166,20 @@
 	if !g.acquire() {
 		return g.enqueue(now, ticket)
 	}
-	verdict := g.remember(now, ticket)
-	if verdict.State == StateRefused {
+	decision := g.recordStart(now, ticket)
+	if decision.State == StateRefused {
 		g.release(now, ticket, 0)
-		return verdict
+		return decision
 	}
 	ticket.state = StateStarted
-	return verdict
+	return decision
 }
 
 // acquire takes a free slot unless calls are queued for it.
 func (g *Gate) acquire() bool {
 	for {
 		word := g.word.Load()
-		if !g.admits(word) {
+		if !g.canStartAtOnce(word) {
 			return false
 		}
 		if g.word.CompareAndSwap(word, word+1) {
@@ -188,19 +188,19 @@
 	}
 }
 
-// remember records the start of a call: in the cold limiter, the set of keys and
+// recordStart records the start of a call: in the cold limiter, the set of keys and
 // the expected work. If it returns a refusal, the call must not start.
-func (g *Gate) remember(now time.Duration, ticket *Ticket) Decision {
-	if wait := g.warmth.TryStart(now, ticket.class()); wait > 0 {
+func (g *Gate) recordStart(now time.Duration, ticket *Ticket) Decision {
+	if wait := g.coldLimiter.TryStart(now, ticket.priorityIndex()); wait > 0 {
 		return refused(result.WarmingUp, wait)
 	}
 	ticket.startedAt = now
-	verdict := register(g.keys, now, ticket.Key)
-	if verdict.State == StateStarted {
-		ticket.expected = g.serviceOf(&ticket.Call)
-		g.runningWork.Add(int64(ticket.expected))
+	decision := register(g.keys, now, ticket.Key)
+	if decision.State == StateStarted {
+		ticket.expectedService = g.expectedServiceOf(&ticket.Call)
+		g.runningWork.Add(int64(ticket.expectedService))
 	}
-	return verdict
+	return decision
 }
 
 // register adds a fingerprint to a set, or returns a refusal if the set contains it
@@ -213,7 +213,7 @@
 	case Present:
 		return refused(result.AlreadyStarted, 0)
 	case Full:
-		return refused(result.QueueFull, fullRetryAfter)
+		return refused(result.QueueFull, fullSetRetryAfter)
 	}
 	return Decision{State: StateStarted}
 }
@@ -223,18 +223,18 @@
 func (g *Gate) enqueue(now time.Duration, ticket *Ticket) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	into := g.queue.lane(ticket.Partner)
-	ticket.expected = g.serviceOf(&ticket.Call)
+	partner := g.queue.ofPartner(ticket.Partner)
+	ticket.expectedService = g.expectedServiceOf(&ticket.Call)
 	ticket.startBy = g.startBy(now, ticket)
-	if verdict := g.mayWait(now, ticket, into); verdict.State == StateRefused {
-		return verdict
+	if decision := g.reserveQueuePlace(now, ticket, partner); decision.State == StateRefused {
+		return decision
 	}
 	for {
 		word := g.word.Load()
 		free := word&queuedMask == 0 && g.hasRoom(word)
 		switch {
-		case word&refusingAny != 0:
-			return refused(refusalOf(word), 0)
+		case word&refusingMask != 0:
+			return refused(refusalCode(word), 0)
 		case free && g.word.CompareAndSwap(word, word+1):
 			// A slot was freed after the check in Admit. Freeing it needed no lock,
 			// because no call was queued.
@@ -242,10 +242,10 @@
 		case !free && g.word.CompareAndSwap(word, word+queuedUnit):
 			// From here on, each call that ends sees the queued call.
 			ticket.state = StateQueued
-			g.queue.push(ticket, into)
-			g.shedBehind(now, ticket)
-			g.shedLate(now, into)
-			g.shedHopeless(now)
+			g.queue.push(ticket, partner)
+			g.shedLowerPriorities(now, ticket)
+			g.shedMissedTargets(now, partner)
+			g.shedMissedDeadlines(now)
 			return Decision{State: StateQueued}
 		}
 	}
@@ -254,12 +254,12 @@
 // startLocked starts a call that holds a slot, or hands the slot over if the start
 // is refused. The caller holds the lock.
 func (g *Gate) startLocked(now time.Duration, ticket *Ticket) Decision {
-	verdict := g.remember(now, ticket)
-	ticket.state = verdict.State
-	if verdict.State == StateRefused {
-		g.handOver(now)
+	decision := g.recordStart(now, ticket)
+	ticket.state = decision.State
+	if decision.State == StateRefused {
+		g.handOverSlot(now)
 	}
-	return verdict
+	return decision
 }
 
 // Done ends a started call and hands its slot over to the next queued call. Ran must
@@ -271,12 +271,12 @@
 		return
 	}
 	ticket.ended = true
-	if ticket.hung.Swap(hungNoMore) == hungNow {
-		g.hung.Add(-1)
+	if ticket.hangState.Swap(hangCleared) == hangMarked {
+		g.hungCount.Add(-1)
 	}
-	g.runningWork.Add(-int64(ticket.expected))
+	g.runningWork.Add(-int64(ticket.expectedService))
 	if ran && !ticket.Unmeasured {
-		g.observe(&ticket.Call, now-ticket.startedAt)
+		g.observeService(&ticket.Call, now-ticket.startedAt)
 	}
 	if !ran && ticket.Key != 0 {
 		g.keys.Remove(ticket.Key)
@@ -286,7 +286,7 @@
 
 // release returns a slot that a call has held for a time. It takes the lock only if
 // calls are queued or a call is isolated.
-func (g *Gate) release(now time.Duration, ticket *Ticket, held time.Duration) {
+func (g *Gate) release(now time.Duration, ticket *Ticket, heldFor time.Duration) {
 	for {
 		word := g.word.Load()
 		if word&(isolatedBit|queuedMask) != 0 {
@@ -298,19 +298,19 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.queue.settleCharge(ticket, held.Seconds())
+	g.queue.correctCharge(ticket, heldFor.Seconds())
 	lifted := g.liftIsolation(ticket)
-	g.handOver(now)
+	g.handOverSlot(now)
 	if lifted {
-		g.startFree(now)
+		g.fillFreeSlots(now)
 	}
-	g.noteAlone()
-	g.shedHopeless(now)
+	g.signalIfAlone()
+	g.shedMissedDeadlines(now)
 }
 
-// handOver gives a held slot to the next queued call that can still start, or
+// handOverSlot gives a held slot to the next queued call that can still start, or
 // frees it. The caller holds the lock.
-func (g *Gate) handOver(now time.Duration) {
+func (g *Gate) handOverSlot(now time.Duration) {
 	for {
 		// The slot is not reused if the limit has been lowered since, or if other
 		// slots have been occupied.
@@ -323,40 +323,40 @@
 			g.word.Add(^uint64(0))
 			return
 		}
-		g.unqueue()
-		if g.startWaiting(now, ticket) {
+		g.decrementQueued()
+		if g.startQueued(now, ticket) {
 			return
 		}
 	}
 }
 
-// startWaiting starts or refuses a call taken from the queue and reports whether it
+// startQueued starts or refuses a call taken from the queue and reports whether it
 // was started.
-func (g *Gate) startWaiting(now time.Duration, ticket *Ticket) bool {
-	service := g.serviceOf(&ticket.Call)
+func (g *Gate) startQueued(now time.Duration, ticket *Ticket) bool {
+	service := g.expectedServiceOf(&ticket.Call)
 	if !g.config.NoEstimate && now+service > ticket.Deadline {
 		ticket.settle(refused(result.DeadlineBeforeStart, 0))
 		return false
 	}
 	if !g.config.NoEstimate && g.queue.length > 0 && g.lateness(ticket, now) > 0 {
 		// It would miss its target and delay the calls behind it.
-		ticket.settle(refused(result.QueueFull, service/retryParts))
+		ticket.settle(refused(result.QueueFull, service/retryAfterDivisor))
 		return false
 	}
-	verdict := g.remember(now, ticket)
-	if verdict.State == StateStarted {
+	decision := g.recordStart(now, ticket)
+	if decision.State == StateStarted {
 		g.observeDelay(ticket, now-ticket.queuedAt)
 		g.queue.charge(ticket, service.Seconds())
 	}
-	ticket.settle(verdict)
-	return verdict.State == StateStarted
+	ticket.settle(decision)
+	return decision.State == StateStarted
 }
 
 // LatestStart returns the latest time at which a queued call can start and still end
 // by its deadline. After that its owner should withdraw it and answer its sender at
 // once that it did not run, while there is time to send it elsewhere.
 func (g *Gate) LatestStart(ticket *Ticket) time.Duration {
-	return ticket.Deadline - g.serviceOf(&ticket.Call)
+	return ticket.Deadline - g.expectedServiceOf(&ticket.Call)
 }
 
 // Cancel withdraws a queued call. It returns false if the call has been settled
@@ -368,7 +368,7 @@
 		return false
 	}
 	g.queue.remove(ticket)
-	g.unqueue()
+	g.decrementQueued()
 	ticket.state = StateRefused
 	return true
 }
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -15,18 +15,18 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// record is a Waiter that records its decisions.
-type record struct {
-	verdicts []Decision
+// decisionRecorder is a Waiter that records its decisions.
+type decisionRecorder struct {
+	decisions []Decision
 }
 
-func (r *record) Settle(verdict Decision) { r.verdicts = append(r.verdicts, verdict) }
+func (r *decisionRecorder) Settle(decision Decision) { r.decisions = append(r.decisions, decision) }
 
-func (r *record) last() Decision {
-	if len(r.verdicts) == 0 {
+func (r *decisionRecorder) last() Decision {
+	if len(r.decisions) == 0 {
 		return Decision{}
 	}
-	return r.verdicts[len(r.verdicts)-1]
+	return r.decisions[len(r.decisions)-1]
 }
 
 func testConfig(slots int) Config {
@@ -37,23 +37,24 @@
 // immediate decision.
 type offered struct {
 	ticket *Ticket
-	waiter *record
+	waiter *decisionRecorder
 	state  State
 	code   result.Code
 }
 
+// offer calls Admit for a new call, whose deadline is in an hour if it has none.
 func offer(gate *Gate, now time.Duration, call Call) *offered {
 	if call.Deadline == 0 {
 		call.Deadline = now + time.Hour
 	}
-	waiter := &record{}
+	waiter := &decisionRecorder{}
 	ticket := NewTicket(call, waiter)
-	verdict := gate.Admit(now, ticket)
-	return &offered{ticket: ticket, waiter: waiter, state: verdict.State, code: verdict.Code}
+	decision := gate.Admit(now, ticket)
+	return &offered{ticket: ticket, waiter: waiter, state: decision.State, code: decision.Code}
 }
 
-// teach sets the mean service time of a new gate by running one call.
-func teach(gate *Gate, now, service time.Duration) {
+// setMeanService sets the mean service time of a new gate by running one call.
+func setMeanService(gate *Gate, now, service time.Duration) {
 	first := offer(gate, now, Call{})
 	gate.Done(now+service, first.ticket, true)
 }
@@ -68,7 +69,7 @@
 	check.Equal(second.state, StateQueued)
 	gate.Done(time.Millisecond, first.ticket, true)
 	check.Equal(third.waiter.last().State, StateStarted) // higher priority goes first
-	check.Equal(len(second.waiter.verdicts), 0)
+	check.Equal(len(second.waiter.decisions), 0)
 	gate.Done(time.Millisecond, first.ticket, true) // a second Done frees nothing
 	check.Equal(gate.Load(), Load{Running: 1, Queued: 1, Slots: 1})
 	check.True(gate.Cancel(second.ticket))
@@ -77,10 +78,10 @@
 	check.Equal(gate.Load(), Load{Slots: 1})
 }
 
-func TestDeadlineIsRefusedBeforeTheStart(t *testing.T) {
+func TestCallsThatCannotMeetTheirDeadlineAreRefusedBeforeStart(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
-	teach(gate, 0, 100*time.Millisecond)
+	setMeanService(gate, 0, 100*time.Millisecond)
 	now := time.Second
 	running := offer(gate, now, Call{})
 	late := offer(gate, now, Call{Deadline: now + 120*time.Millisecond})
@@ -92,10 +93,10 @@
 	check.Equal(gate.Load().Running, 0)
 }
 
-func TestFailuresDoNotMakeABackEndLookFast(t *testing.T) {
+func TestUnmeasuredCallsDoNotLowerTheMean(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
-	teach(gate, 0, 100*time.Millisecond)
+	setMeanService(gate, 0, 100*time.Millisecond)
 	failing := offer(gate, 0, Call{})
 	failing.ticket.Unmeasured = true
 	gate.Done(time.Millisecond, failing.ticket, true)
@@ -104,10 +105,10 @@
 
 // Guards against refusals after a machine stall: the two calls that a 10 s stall made
 // long must not raise the mean so far that a short queue is refused afterwards.
-func TestStallDoesNotOutlastItself(t *testing.T) {
+func TestMachineStallCausesNoLaterRefusals(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(2))
-	teach(gate, 0, 20*time.Millisecond)
+	setMeanService(gate, 0, 20*time.Millisecond)
 	first, second := offer(gate, 0, Call{}), offer(gate, 0, Call{})
 	gate.Done(10*time.Second, first.ticket, true)
 	gate.Done(10*time.Second, second.ticket, true)
@@ -172,7 +173,7 @@
 	check.Equal(offer(gate, 1, Call{}).code, result.Draining)
 }
 
-func TestFullQueueMakesRoomForShareAndPriority(t *testing.T) {
+func TestFullQueueEvictsByPriorityAndShare(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	offer(gate, 0, Call{})
@@ -189,7 +190,7 @@
 	check.Equal(greedy[6].waiter.last().Code, result.ShareExceeded)
 }
 
-func TestSharesAreOfSlotTime(t *testing.T) {
+func TestPartnersShareSlotTime(t *testing.T) {
 	check := is.New(t)
 	config := testConfig(1)
 	config.QueueLength = 1 << 10
@@ -226,14 +227,14 @@
 		gate := New(0, testConfig(slots))
 		now := time.Duration(0)
 		var calls []*offered
-		running := func() (held []*offered) {
+		running := func() (active []*offered) {
 			for _, call := range calls {
 				started := call.state == StateStarted || call.waiter.last().State == StateStarted
 				if started && !call.ticket.ended {
-					held = append(held, call)
+					active = append(active, call)
 				}
 			}
-			return held
+			return active
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond
@@ -246,8 +247,8 @@
 					Key:      Fingerprint(rapid.IntRange(0, 40).Draw(t, "key")),
 				}))
 			case 2:
-				if held := running(); len(held) > 0 {
-					gate.Done(now, held[rapid.IntRange(0, len(held)-1).Draw(t, "which")].ticket, rapid.Bool().Draw(t, "ran"))
+				if started := running(); len(started) > 0 {
+					gate.Done(now, started[rapid.IntRange(0, len(started)-1).Draw(t, "which")].ticket, rapid.Bool().Draw(t, "ran"))
 				}
 			case 3:
 				if len(calls) > 0 {
@@ -256,28 +257,29 @@
 			case 4:
 				gate.SetSlots(now, slots)
 			}
-			if held := len(running()); held > slots || held != gate.Load().Running {
-				t.Fatalf("%d calls hold %d slots of %d", held, gate.Load().Running, slots)
+			if started := len(running()); started > slots || started != gate.Load().Running {
+				t.Fatalf("%d calls hold %d slots of %d", started, gate.Load().Running, slots)
 			}
 			if load := gate.Load(); load.Queued > 0 && load.Running < load.Slots {
 				t.Fatalf("calls wait while slots are free: %+v", load)
 			}
 			for _, call := range calls {
-				if len(call.waiter.verdicts) > 1 {
-					t.Fatalf("a call was settled twice: %+v", call.waiter.verdicts)
+				if len(call.waiter.decisions) > 1 {
+					t.Fatalf("a call was settled twice: %+v", call.waiter.decisions)
 				}
 			}
 		}
 	})
 }
 
+// channelWaiter is a Waiter that sends its decision to a channel.
 type channelWaiter chan Decision
 
-func (c channelWaiter) Settle(verdict Decision) { c <- verdict }
+func (c channelWaiter) Settle(decision Decision) { c <- decision }
 
-// TestGateUnderThreads lets many goroutines compete for slots and counts the running
+// TestGateUnderConcurrency lets many goroutines compete for slots and counts the running
 // calls independently of the gate.
-func TestGateUnderThreads(t *testing.T) {
+func TestGateUnderConcurrency(t *testing.T) {
 	const slots = 3
 	config := testConfig(slots)
 	config.QueueLength = 64
@@ -291,14 +293,14 @@
 			for range 2000 {
 				waiter := make(channelWaiter, 1)
 				ticket := NewTicket(Call{Deadline: time.Hour, Key: Fingerprint(random.Uint64())}, waiter)
-				verdict := gate.Admit(0, ticket)
-				if verdict.State == StateQueued && random.IntN(8) == 0 && gate.Cancel(ticket) {
+				decision := gate.Admit(0, ticket)
+				if decision.State == StateQueued && random.IntN(8) == 0 && gate.Cancel(ticket) {
 					continue
 				}
-				if verdict.State == StateQueued {
-					verdict = <-waiter
+				if decision.State == StateQueued {
+					decision = <-waiter
 				}
-				if verdict.State != StateStarted {
+				if decision.State != StateStarted {
 					continue
 				}
 				started.Add(1)
@@ -319,15 +321,15 @@
 
 // Guards against duplicates when concurrent additions of one fingerprint race with the
 // rotation of generations.
-func TestSeenAddsOnceAcrossRotations(t *testing.T) {
+func TestFingerprintSetAddsOnceAcrossRotations(t *testing.T) {
 	check := is.New(t)
-	seen := NewFingerprintSet(0, 1, 1<<6)
+	set := NewFingerprintSet(0, 1, 1<<6)
 	for round := range 2000 {
 		var added atomic.Int64
 		var group sync.WaitGroup
 		for range 4 {
 			group.Go(func() {
-				if seen.Add(time.Duration(round), Fingerprint(round)) == Added {
+				if set.Add(time.Duration(round), Fingerprint(round)) == Added {
 					added.Add(1)
 				}
 			})
@@ -337,29 +339,29 @@
 	}
 }
 
-func TestSeenForgetsNothingEarly(t *testing.T) {
+func TestFingerprintSetDropsNothingEarly(t *testing.T) {
 	check := is.New(t)
-	seen := NewFingerprintSet(0, time.Minute, 2)
-	check.Equal(seen.Add(0, 1), Added)
-	check.Equal(seen.Add(0, 2), Added)
-	check.Equal(seen.Add(0, 3), Full) // nothing is dropped to make room
-	check.Equal(seen.Add(time.Minute-1, 1), Present)
-	check.Equal(seen.Add(time.Minute-1, 3), Full)
-	check.Equal(seen.Add(time.Minute, 3), Added)
-	check.Equal(seen.Add(time.Minute, 1), Added) // past the window
+	set := NewFingerprintSet(0, time.Minute, 2)
+	check.Equal(set.Add(0, 1), Added)
+	check.Equal(set.Add(0, 2), Added)
+	check.Equal(set.Add(0, 3), Full) // nothing is dropped to make room
+	check.Equal(set.Add(time.Minute-1, 1), Present)
+	check.Equal(set.Add(time.Minute-1, 3), Full)
+	check.Equal(set.Add(time.Minute, 3), Added)
+	check.Equal(set.Add(time.Minute, 1), Added) // past the window
 }
 
-func TestSeenGrowsWithUse(t *testing.T) {
+func TestFingerprintSetGrowsWithUse(t *testing.T) {
 	check := is.New(t)
-	seen := NewFingerprintSet(0, time.Minute, 10_000)
+	set := NewFingerprintSet(0, time.Minute, 10_000)
 	for number := range 10_000 {
-		check.Equal(seen.Add(time.Duration(number)*time.Millisecond, Fingerprint(number)), Added)
+		check.Equal(set.Add(time.Duration(number)*time.Millisecond, Fingerprint(number)), Added)
 	}
 	for number := range 10_000 {
-		check.Equal(seen.Add(10*time.Second, Fingerprint(number)), Present)
+		check.Equal(set.Add(10*time.Second, Fingerprint(number)), Present)
 	}
-	check.Equal(seen.Add(10*time.Second, 10_001), Full)
-	check.Equal(seen.Add(2*time.Minute, 10_001), Added)
+	check.Equal(set.Add(10*time.Second, 10_001), Full)
+	check.Equal(set.Add(2*time.Minute, 10_001), Added)
 }
 
 func BenchmarkAdmit(b *testing.B) {
@@ -375,15 +377,15 @@
 	})
 }
 
-// A queued call that calls of higher priority will delay past its deadline is refused
-// as soon as that is expected, not at its deadline.
-func TestCallsThatHigherOnesStarveAreRefusedAhead(t *testing.T) {
+// A queued call that is expected to miss its deadline because calls of higher priority
+// go first is refused at once, not at its deadline.
+func TestCallsDelayedByHigherPriorityAreRefusedEarly(t *testing.T) {
 	check := is.New(t)
 	config := testConfig(1)
 	config.QueueLength = 100
 	config.QueueWait = time.Hour
 	gate := New(0, config)
-	teach(gate, 0, 100*time.Millisecond)
+	setMeanService(gate, 0, 100*time.Millisecond)
 	now := time.Second
 	running := offer(gate, now, Call{})
 	low := offer(gate, now, Call{Priority: resource.PriorityLow, Deadline: now + time.Second})
@@ -391,7 +393,7 @@
 	for range 6 {
 		check.Equal(offer(gate, now, Call{Priority: resource.PriorityHigh}).state, StateQueued)
 	}
-	check.Equal(len(low.waiter.verdicts), 0) // seven calls of 100 ms and its own fit into 1 s
+	check.Equal(len(low.waiter.decisions), 0) // seven calls of 100 ms and its own fit into 1 s
 	for range 3 {
 		offer(gate, now, Call{Priority: resource.PriorityHigh})
 	}
@@ -404,7 +406,7 @@
 func TestAWaitingCallHasALatestStart(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
-	teach(gate, 0, 300*time.Millisecond)
+	setMeanService(gate, 0, 300*time.Millisecond)
 	ticket := NewTicket(Call{Deadline: time.Second}, nil)
 	check.Equal(gate.LatestStart(ticket), 700*time.Millisecond)
 }
--- a/internal/core/admission/isolation.go
+++ b/internal/core/admission/isolation.go
@@ -20,7 +20,7 @@
 	}
 	g.isolated = isolation{ticket: ticket, alone: make(chan struct{})}
 	g.word.Or(isolatedBit)
-	g.noteAlone()
+	g.signalIfAlone()
 	return g.isolated.alone
 }
 
@@ -30,7 +30,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.liftIsolation(ticket) {
-		g.startFree(now)
+		g.fillFreeSlots(now)
 	}
 }
 
@@ -45,9 +45,9 @@
 	return true
 }
 
-// noteAlone closes the channel of the isolated call if no other call runs. The caller holds the
-// lock.
-func (g *Gate) noteAlone() {
+// signalIfAlone closes the channel of the isolated call if no other call runs. The caller holds
+// the lock.
+func (g *Gate) signalIfAlone() {
 	if g.isolated.ticket == nil || g.word.Load()&runningMask > 1 {
 		return
 	}
--- a/internal/core/admission/isolation_test.go
+++ b/internal/core/admission/isolation_test.go
@@ -36,7 +36,7 @@
 	gate, started := fullGate()
 	alone := gate.Isolate(started[0])
 	check.Equal(gate.Isolate(started[1]), nil) // only one call can be isolated
-	waiting := &verdicts{}
+	waiting := &settledDecisions{}
 	check.Equal(gate.Admit(0, NewTicket(Call{Deadline: time.Hour}, waiting)).State, StateQueued)
 	gate.Done(0, started[1], true)
 	check.True(!isClosed(alone))
@@ -62,12 +62,12 @@
 }
 
 // When an isolation ends before its call does, queued calls start in all free slots.
-func TestCallsStartWhenAnIsolationIsGivenUp(t *testing.T) {
+func TestQueuedCallsStartWhenAnIsolationEnds(t *testing.T) {
 	check := is.New(t)
 	gate, started := fullGate()
 	alone := gate.Isolate(started[0])
 	gate.Done(0, started[1], true)
-	var waiting [3]verdicts
+	var waiting [3]settledDecisions
 	for index := range waiting {
 		gate.Admit(0, NewTicket(Call{Deadline: time.Hour}, &waiting[index]))
 	}
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -8,14 +8,14 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// classCount is the number of priorities.
-const classCount = int(resource.PriorityHigh) + 1
+// priorityCount is the number of priorities.
+const priorityCount = int(resource.PriorityHigh) + 1
 
-// laneLimit is the number of partners' queues from which on empty ones are dropped.
-const laneLimit = 64
+// partnerQueueLimit is the number of partners' queues above which empty ones are dropped.
+const partnerQueueLimit = 64
 
-// list is a doubly linked list of tickets, ordered by Ticket.startBy.
-type list struct {
+// ticketList is a doubly linked list of tickets, ordered by Ticket.startBy.
+type ticketList struct {
 	head   *Ticket
 	tail   *Ticket
 	length int
@@ -24,7 +24,7 @@
 }
 
 // push inserts a ticket behind all tickets with the same or an earlier startBy.
-func (l *list) push(ticket *Ticket) {
+func (l *ticketList) push(ticket *Ticket) {
 	before := l.tail
 	for before != nil && before.startBy > ticket.startBy {
 		before = before.previous
@@ -43,18 +43,18 @@
 		ticket.next.previous = ticket
 	}
 	l.length++
-	l.work += ticket.expected
+	l.work += ticket.expectedService
 }
 
-// until returns the work of the tickets whose startBy is not after the given time.
-func (l *list) until(startBy time.Duration) (work time.Duration) {
+// workUntil returns the work of the tickets whose startBy is not after the given time.
+func (l *ticketList) workUntil(startBy time.Duration) (work time.Duration) {
 	for ticket := l.head; ticket != nil && ticket.startBy <= startBy; ticket = ticket.next {
-		work += ticket.expected
+		work += ticket.expectedService
 	}
 	return work
 }
 
-func (l *list) remove(ticket *Ticket) {
+func (l *ticketList) remove(ticket *Ticket) {
 	if ticket.previous == nil {
 		l.head = ticket.next
 	} else {
@@ -68,124 +68,125 @@
 	ticket.next = nil
 	ticket.previous = nil
 	l.length--
-	l.work -= ticket.expected
+	l.work -= ticket.expectedService
 }
 
-// lane is the queue of one partner.
-type lane struct {
+// partnerQueue is the queue of one partner.
+type partnerQueue struct {
 	partner resource.Partner
 	weight  float64
-	// used is the partner's virtual time as defined by fair queueing: the slot time
+	// virtualTime is the partner's virtual time as defined by fair queueing: the slot time
 	// it has received, in seconds, divided by its weight.
-	used float64
-	// classes holds one list for each priority.
-	classes [classCount]list
-	length  int
+	virtualTime float64
+	// byPriority holds one list for each priority.
+	byPriority [priorityCount]ticketList
+	length     int
 }
 
-// ahead returns the work of the queued calls of at least the given priority.
-func (l *lane) ahead(class int) (work time.Duration) {
-	for above := class; above < classCount; above++ {
-		work += l.classes[above].work
+// workFromPriority returns the work of the queued calls of at least the given priority.
+func (p *partnerQueue) workFromPriority(priority int) (work time.Duration) {
+	for above := priority; above < priorityCount; above++ {
+		work += p.byPriority[above].work
 	}
 	return work
 }
 
-// aheadOf returns the work of the queued calls that go before a new call.
-func (l *lane) aheadOf(ticket *Ticket) time.Duration {
-	class := ticket.class()
-	return l.ahead(class+1) + l.classes[class].until(ticket.startBy)
+// workAhead returns the work of the queued calls that go before a new call.
+func (p *partnerQueue) workAhead(ticket *Ticket) time.Duration {
+	priority := ticket.priorityIndex()
+	return p.workFromPriority(priority+1) + p.byPriority[priority].workUntil(ticket.startBy)
 }
 
 // first returns the call that starts next, or nil.
-func (l *lane) first() *Ticket {
-	for class := classCount - 1; class >= 0; class-- {
-		if head := l.classes[class].head; head != nil {
+func (p *partnerQueue) first() *Ticket {
+	for priority := priorityCount - 1; priority >= 0; priority-- {
+		if head := p.byPriority[priority].head; head != nil {
 			return head
 		}
 	}
 	return nil
 }
 
-// last returns the last call of the lowest non-empty priority below the given one,
+// lastBelow returns the last call of the lowest non-empty priority below the given one,
 // or nil.
-func (l *lane) last(below int) *Ticket {
-	for class := 0; class < below; class++ {
-		if tail := l.classes[class].tail; tail != nil {
+func (p *partnerQueue) lastBelow(below int) *Ticket {
+	for priority := 0; priority < below; priority++ {
+		if tail := p.byPriority[priority].tail; tail != nil {
 			return tail
 		}
 	}
 	return nil
 }
 
-// queue shares slots between partners by weighted fair queueing of slot time.
-// Within a partner, higher priorities go first, and equal ones by Ticket.startBy.
+// queue holds the queued calls of all partners and shares slots between the partners
+// by weighted fair queueing of slot time. Within a partner, higher priorities go first,
+// and equal ones in the order of Ticket.startBy.
 type queue struct {
 	weights []PartnerWeight
-	// lanes is sorted by partner, so that every gate breaks ties in the same way.
-	lanes []*lane
-	// virtual is the largest virtual time at which a call has been started.
-	virtual float64
-	length  int
+	// partnerQueues is sorted by partner, so that every gate breaks ties in the same way.
+	partnerQueues []*partnerQueue
+	// virtualTime is the largest virtual time at which a call has been started.
+	virtualTime float64
+	length      int
 }
 
-// lane returns the queue of a partner and creates it if needed. Empty queues are
-// dropped when there are many, so beyond laneLimit the number of queues is bounded by
-// the number of queued calls.
-func (q *queue) lane(partner resource.Partner) *lane {
+// ofPartner returns the queue of a partner and creates it if needed. Empty queues are
+// dropped when there are many, so beyond partnerQueueLimit the number of queues is
+// bounded by the number of queued calls.
+func (q *queue) ofPartner(partner resource.Partner) *partnerQueue {
 	index, found := q.position(partner)
 	if found {
-		return q.lanes[index]
+		return q.partnerQueues[index]
 	}
-	if len(q.lanes) >= laneLimit {
-		q.lanes = slices.DeleteFunc(q.lanes, func(held *lane) bool { return held.length == 0 })
+	if len(q.partnerQueues) >= partnerQueueLimit {
+		q.partnerQueues = slices.DeleteFunc(q.partnerQueues, func(candidate *partnerQueue) bool { return candidate.length == 0 })
 		index, _ = q.position(partner)
 	}
-	made := &lane{partner: partner, weight: q.weight(partner), used: q.virtual}
-	q.lanes = slices.Insert(q.lanes, index, made)
-	return made
+	created := &partnerQueue{partner: partner, weight: q.weight(partner), virtualTime: q.virtualTime}
+	q.partnerQueues = slices.Insert(q.partnerQueues, index, created)
+	return created
 }
 
 func (q *queue) position(partner resource.Partner) (int, bool) {
-	return slices.BinarySearchFunc(q.lanes, partner, func(held *lane, wanted resource.Partner) int {
-		return strings.Compare(string(held.partner), string(wanted))
+	return slices.BinarySearchFunc(q.partnerQueues, partner, func(candidate *partnerQueue, wanted resource.Partner) int {
+		return strings.Compare(string(candidate.partner), string(wanted))
 	})
 }
 
 func (q *queue) weight(partner resource.Partner) float64 {
-	for _, given := range q.weights {
-		if given.Partner == partner && given.Weight > 0 {
-			return given.Weight
+	for _, configured := range q.weights {
+		if configured.Partner == partner && configured.Weight > 0 {
+			return configured.Weight
 		}
 	}
 	return 1
 }
 
-func (q *queue) push(ticket *Ticket, into *lane) {
-	if into.length == 0 {
+func (q *queue) push(ticket *Ticket, partner *partnerQueue) {
+	if partner.length == 0 {
 		// A partner earns no credit for time in which it had no queued calls.
-		into.used = max(into.used, q.virtual)
+		partner.virtualTime = max(partner.virtualTime, q.virtualTime)
 	}
-	ticket.lane = into
-	into.classes[ticket.class()].push(ticket)
-	into.length++
+	ticket.partnerQueue = partner
+	partner.byPriority[ticket.priorityIndex()].push(ticket)
+	partner.length++
 	q.length++
 }
 
 func (q *queue) remove(ticket *Ticket) {
-	ticket.lane.classes[ticket.class()].remove(ticket)
-	ticket.lane.length--
+	ticket.partnerQueue.byPriority[ticket.priorityIndex()].remove(ticket)
+	ticket.partnerQueue.length--
 	q.length--
 }
 
 // pop removes and returns the call that starts next, or nil.
 func (q *queue) pop() *Ticket {
-	var chosen *lane
-	for _, candidate := range q.lanes {
+	var chosen *partnerQueue
+	for _, candidate := range q.partnerQueues {
 		if candidate.length == 0 {
 			continue
 		}
-		if chosen == nil || candidate.used < chosen.used {
+		if chosen == nil || candidate.virtualTime < chosen.virtualTime {
 			chosen = candidate
 		}
 	}
@@ -200,43 +201,44 @@
 // charge adds the slot time that a started call is expected to use to its partner's
 // virtual time.
 func (q *queue) charge(ticket *Ticket, seconds float64) {
-	q.virtual = max(q.virtual, ticket.lane.used)
-	ticket.charged = seconds
-	ticket.lane.used += seconds / ticket.lane.weight
+	q.virtualTime = max(q.virtualTime, ticket.partnerQueue.virtualTime)
+	ticket.chargedSeconds = seconds
+	ticket.partnerQueue.virtualTime += seconds / ticket.partnerQueue.weight
 }
 
-// settleCharge replaces the expected slot time of a call by the actual one.
-func (q *queue) settleCharge(ticket *Ticket, seconds float64) {
-	owner := ticket.lane
+// correctCharge replaces the expected slot time of a call by the actual one.
+func (q *queue) correctCharge(ticket *Ticket, seconds float64) {
+	owner := ticket.partnerQueue
 	if owner == nil {
-		owner = q.lane(ticket.Partner)
+		owner = q.ofPartner(ticket.Partner)
 	}
-	owner.used += (seconds - ticket.charged) / owner.weight
+	owner.virtualTime += (seconds - ticket.chargedSeconds) / owner.weight
 }
 
 // share returns the fraction of the slots that a partner gets in competition with
 // the other partners that have queued calls.
-func (q *queue) share(of *lane) float64 {
-	total := of.weight
-	for _, other := range q.lanes {
-		if other != of && other.length > 0 {
+func (q *queue) share(partner *partnerQueue) float64 {
+	total := partner.weight
+	for _, other := range q.partnerQueues {
+		if other != partner && other.length > 0 {
 			total += other.weight
 		}
 	}
-	return of.weight / total
+	return partner.weight / total
 }
 
-// overShare returns the other partner's queue that exceeds its share of the queue
-// length most, or nil if there is none or if the given queue has reached its own share.
-func (q *queue) overShare(than *lane, limit int) *lane {
-	if float64(than.length) >= q.share(than)*float64(limit) {
+// mostOverShare returns the queue of the other partner that exceeds its share of the
+// queue length most. It returns nil if there is none, or if the given partner has
+// reached its own share.
+func (q *queue) mostOverShare(partner *partnerQueue, limit int) *partnerQueue {
+	if float64(partner.length) >= q.share(partner)*float64(limit) {
 		return nil
 	}
-	var worst *lane
+	var worst *partnerQueue
 	excess := 0.0
-	for _, other := range q.lanes {
-		over := float64(other.length) - q.shareWith(other, than)*float64(limit)
-		if other != than && other.length > 0 && over > excess {
+	for _, other := range q.partnerQueues {
+		over := float64(other.length) - q.shareWith(other, partner)*float64(limit)
+		if other != partner && other.length > 0 && over > excess {
 			worst = other
 			excess = over
 		}
@@ -245,15 +247,15 @@
 }
 
 // shareWith returns the share of a partner as if newcomer had queued calls too.
-func (q *queue) shareWith(of, newcomer *lane) float64 {
+func (q *queue) shareWith(partner, newcomer *partnerQueue) float64 {
 	if newcomer.length > 0 {
-		return q.share(of)
+		return q.share(partner)
 	}
 	total := newcomer.weight
-	for _, other := range q.lanes {
+	for _, other := range q.partnerQueues {
 		if other != newcomer && other.length > 0 {
 			total += other.weight
 		}
 	}
-	return of.weight / total
+	return partner.weight / total
 }
--- a/internal/core/admission/mean.go
+++ b/internal/core/admission/service_time.go
@@ -38,67 +38,67 @@
 	return time.Duration(math.Float64frombits(m.bits.Load()) * float64(time.Second))
 }
 
-// classOf returns the statistics of a call's class, which are empty at first.
-func (g *Gate) classOf(call *Call) *classService {
+// classStatsOf returns the statistics of a call's class, which are empty at first.
+func (g *Gate) classStatsOf(call *Call) *classStats {
 	return g.classes.Get(call.Class)
 }
 
-// observe adds the service time of a call to the means of all calls and of its class.
-func (g *Gate) observe(call *Call, took time.Duration) {
-	g.mean.observe(took)
-	one := g.classOf(call)
-	if mean := one.mean.value(); mean > 0 {
-		one.deviation.observe(max(took-mean, mean-took))
+// observeService adds the service time of a call to the means of all calls and of its class.
+func (g *Gate) observeService(call *Call, took time.Duration) {
+	g.meanService.observe(took)
+	stats := g.classStatsOf(call)
+	if mean := stats.mean.value(); mean > 0 {
+		stats.deviation.observe(max(took-mean, mean-took))
 	}
-	one.mean.observe(took)
+	stats.mean.observe(took)
 }
 
-// serviceOf returns the expected service time of a call: the mean of its class, or
+// expectedServiceOf returns the expected service time of a call: the mean of its class, or
 // the mean of all calls if the class has none yet.
-func (g *Gate) serviceOf(call *Call) time.Duration {
-	return cmp.Or(g.classOf(call).mean.value(), g.MeanServiceTime())
+func (g *Gate) expectedServiceOf(call *Call) time.Duration {
+	return cmp.Or(g.classStatsOf(call).mean.value(), g.MeanServiceTime())
 }
 
 // LongServiceTime returns a cautious estimate of a call's service time, the expected
 // service time plus the mean deviation of its class; 0 if unknown.
 func (g *Gate) LongServiceTime(call *Call) time.Duration {
-	return g.serviceOf(call) + g.classOf(call).deviation.value()
+	return g.expectedServiceOf(call) + g.classStatsOf(call).deviation.value()
 }
 
-// delayLimit is the largest ratio of actual to expected waits that is taken into
+// maxDelayRatio is the largest ratio of actual to expected waits that is taken into
 // account.
-const delayLimit = 4
+const maxDelayRatio = 4
 
-// delayOf returns the mean ratio of actual to expected waits of a class, from 1 to
-// delayLimit. Calls wait longer than the queue ahead of them suggests when later
-// arrivals overtake them.
-func (g *Gate) delayOf(call *Call) float64 {
-	return min(max(g.classOf(call).delay.value().Seconds(), 1), delayLimit)
+// delayRatioOf returns the mean ratio of actual to expected waits of a call's class,
+// from 1 to maxDelayRatio. Calls wait longer than the queue ahead of them suggests when
+// later arrivals overtake them.
+func (g *Gate) delayRatioOf(call *Call) float64 {
+	return min(max(g.classStatsOf(call).delayRatio.value().Seconds(), 1), maxDelayRatio)
 }
 
 // observeDelay records the ratio of a call's actual (or newly estimated) wait to the
 // wait that was expected when it was queued.
 func (g *Gate) observeDelay(ticket *Ticket, waited time.Duration) {
 	if ticket.expectedWait > 0 {
-		ratio := min(float64(waited)/float64(ticket.expectedWait), delayLimit)
-		g.classOf(&ticket.Call).delay.observe(time.Duration(ratio * float64(time.Second)))
+		ratio := min(float64(waited)/float64(ticket.expectedWait), maxDelayRatio)
+		g.classStatsOf(&ticket.Call).delayRatio.observe(time.Duration(ratio * float64(time.Second)))
 	}
 }
 
-// longestWeight is the fraction of its distance to the mean by which the longest service time
+// longestDecay is the fraction of its distance to the mean by which the longest service time
 // decays with each answer, so that a single outlier loses its effect after a few hundred answers.
-const longestWeight = 1.0 / 128
+const longestDecay = 1.0 / 128
 
 // RecordServiceTime records the time from sending a call to the back end's answer.
 func (g *Gate) RecordServiceTime(call *Call, took time.Duration) {
-	one := g.classOf(call)
-	one.seen.Add(1)
-	one.answered.observe(took)
-	mean := one.answered.value()
-	one.spread.observe(max(took-mean, mean-took))
-	old := one.longest.Load()
-	faded := old - int64(float64(old-int64(mean))*longestWeight)
-	one.longest.CompareAndSwap(old, max(faded, int64(took)))
+	stats := g.classStatsOf(call)
+	stats.answerCount.Add(1)
+	stats.answeredMean.observe(took)
+	mean := stats.answeredMean.value()
+	stats.answeredDeviation.observe(max(took-mean, mean-took))
+	old := stats.longestAnswered.Load()
+	decayed := old - int64(float64(old-int64(mean))*longestDecay)
+	stats.longestAnswered.CompareAndSwap(old, max(decayed, int64(took)))
 }
 
 // longDeviations is the number of mean deviations by which ServiceTimes.Long exceeds the mean. If
@@ -117,30 +117,31 @@
 
 // ServiceTimes returns the service times of a call's class.
 func (g *Gate) ServiceTimes(call *Call) ServiceTimes {
-	one := g.classOf(call)
-	mean := one.answered.value()
+	stats := g.classStatsOf(call)
+	mean := stats.answeredMean.value()
 	return ServiceTimes{
-		Mean: mean, Long: mean + longDeviations*one.spread.value(),
-		Longest: time.Duration(one.longest.Load()), Seen: int(one.seen.Load()),
+		Mean: mean, Long: mean + longDeviations*stats.answeredDeviation.value(),
+		Longest: time.Duration(stats.longestAnswered.Load()), Seen: int(stats.answerCount.Load()),
 	}
 }
 
-// classService holds the service time statistics of one class of calls.
-type classService struct {
+// classStats holds the service time statistics of one class of calls.
+type classStats struct {
 	// mean is the mean service time of all calls of the class.
 	mean movingMean
-	// answered and spread are the mean and the mean deviation of answered calls only. Hung
-	// calls are left out: the time for which they hold a slot is not service time.
-	answered movingMean
-	spread   movingMean
-	// longest is the decaying maximum of the answered calls in nanoseconds, seen their number.
-	longest atomic.Int64
-	seen    atomic.Int64
+	// answeredMean and answeredDeviation are the mean and the mean deviation of answered calls
+	// only. Hung calls are left out: the time for which they hold a slot is not service time.
+	answeredMean      movingMean
+	answeredDeviation movingMean
+	// longestAnswered is the decaying maximum of the answered calls in nanoseconds, answerCount
+	// their number.
+	longestAnswered atomic.Int64
+	answerCount     atomic.Int64
 	// deviation is the mean deviation from mean.
 	deviation movingMean
-	// delay is the mean ratio of actual to expected waits, stored as seconds.
-	delay movingMean
+	// delayRatio is the mean ratio of actual to expected waits, stored as seconds.
+	delayRatio movingMean
 }
 
 // MeanServiceTime returns the moving mean of the service times of all calls; 0 if unknown.
-func (g *Gate) MeanServiceTime() time.Duration { return g.mean.value() }
+func (g *Gate) MeanServiceTime() time.Duration { return g.meanService.value() }
--- a/internal/core/admission/target.go
+++ b/internal/core/admission/target.go
@@ -6,17 +6,17 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// retryParts sets the minimum RetryAfter of calls that are refused because of their
-// target: the service time divided by it.
-const retryParts = 2
+// retryAfterDivisor sets the minimum RetryAfter of calls that are refused because of
+// their target: the service time divided by it.
+const retryAfterDivisor = 2
 
-// shortShare is the fraction of the mean service time below which a call counts as
+// shortCallShare is the fraction of the mean service time below which a call counts as
 // short.
-const shortShare = 0.75
+const shortCallShare = 0.75
 
-// brief sets the longest wait that is too short to be the cause of a late answer: the
-// call's service time divided by it.
-const brief = 4
+// negligibleWaitDivisor sets the longest wait that is too short to be the cause of a
+// late answer: the call's service time divided by it.
+const negligibleWaitDivisor = 4
 
 // startBy returns the latest time at which a call can start and be expected to meet
 // its target, or the present time if it has no target.
@@ -24,37 +24,37 @@
 	if ticket.Target <= 0 {
 		return now
 	}
-	return ticket.Target - g.serviceOf(&ticket.Call)
+	return ticket.Target - g.expectedServiceOf(&ticket.Call)
 }
 
-// targetVerdict refuses a call that is expected to miss its target after the given wait.
-// A call that would miss its target after a negligible wait is not refused, because it
-// would probably be as late elsewhere.
-func (g *Gate) targetVerdict(now time.Duration, ticket *Ticket, wait time.Duration) Decision {
-	service := g.serviceOf(&ticket.Call)
-	wait = time.Duration(float64(wait) * g.delayOf(&ticket.Call))
+// checkTarget refuses a call that is expected to miss its target after the given wait,
+// corrected by delayRatioOf. A call that would miss its target after a negligible wait is
+// not refused, because it would probably be as late elsewhere.
+func (g *Gate) checkTarget(now time.Duration, ticket *Ticket, wait time.Duration) Decision {
+	service := g.expectedServiceOf(&ticket.Call)
+	wait = time.Duration(float64(wait) * g.delayRatioOf(&ticket.Call))
 	late := g.lateness(ticket, now+wait)
-	if late <= 0 || wait <= service/brief {
+	if late <= 0 || wait <= service/negligibleWaitDivisor {
 		return Decision{State: StateQueued}
 	}
-	return refused(result.QueueFull, max(late, service/retryParts))
+	return refused(result.QueueFull, max(late, service/retryAfterDivisor))
 }
 
-// shedLate refuses the queued calls of a partner that can't meet their targets any
+// shedMissedTargets refuses the queued calls of a partner that can't meet their targets any
 // more because of later arrivals that go first. The caller holds the lock.
-func (g *Gate) shedLate(now time.Duration, of *lane) {
+func (g *Gate) shedMissedTargets(now time.Duration, partner *partnerQueue) {
 	if g.config.NoEstimate {
 		return
 	}
-	ahead := of.ahead(0)
-	for class := range classCount {
-		for ticket := of.classes[class].tail; ticket != nil; {
+	ahead := partner.workFromPriority(0)
+	for priority := range priorityCount {
+		for ticket := partner.byPriority[priority].tail; ticket != nil; {
 			next := ticket.previous
-			ahead -= ticket.expected
-			wait := g.expectedWait(of, ahead)
-			if verdict := g.targetVerdict(now, ticket, wait); verdict.State == StateRefused {
+			ahead -= ticket.expectedService
+			wait := g.expectedWait(partner, ahead)
+			if decision := g.checkTarget(now, ticket, wait); decision.State == StateRefused {
 				g.observeDelay(ticket, now-ticket.queuedAt+wait)
-				g.evict(ticket, verdict)
+				g.evict(ticket, decision)
 			}
 			ticket = next
 		}
@@ -65,8 +65,8 @@
 // to miss its target. It is 0 for patient calls, and for short calls: running them
 // costs little, and their callers usually can't proceed without them.
 func (g *Gate) lateness(ticket *Ticket, start time.Duration) time.Duration {
-	service := g.serviceOf(&ticket.Call)
-	if ticket.Target <= 0 || ticket.Patient || float64(service) < shortShare*float64(g.MeanServiceTime()) {
+	service := g.expectedServiceOf(&ticket.Call)
+	if ticket.Target <= 0 || ticket.Patient || float64(service) < shortCallShare*float64(g.MeanServiceTime()) {
 		return 0
 	}
 	return max(start+g.LongServiceTime(&ticket.Call)-ticket.Target, 0)
--- a/internal/core/admission/target_test.go
+++ b/internal/core/admission/target_test.go
@@ -11,65 +11,65 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// targeted returns a call whose target is the given span from now; calls with the same
+// callWithTarget returns a call whose target is the given span from now; calls with the same
 // span belong to the same class.
-func targeted(now, span time.Duration) Call {
-	return Call{Deadline: now + time.Hour, Target: now + span, Class: classOfSpan(span)}
+func callWithTarget(now, span time.Duration) Call {
+	return Call{Deadline: now + time.Hour, Target: now + span, Class: classOfTarget(span)}
 }
 
-func classOfSpan(span time.Duration) callclass.Class {
+func classOfTarget(span time.Duration) callclass.Class {
 	return callclass.Of(&resource.Route{Target: span})
 }
 
-// teachKind runs one call with the given target span and service time.
-func teachKind(gate *Gate, now, span, service time.Duration) {
-	first := offer(gate, now, targeted(now, span))
+// runCallWithTarget runs one call with the given target span and service time.
+func runCallWithTarget(gate *Gate, now, span, service time.Duration) {
+	first := offer(gate, now, callWithTarget(now, span))
 	gate.Done(now+service, first.ticket, true)
 }
 
 // A call that can't meet its target is refused even if its deadline is far away, with
 // the time after which a retry may meet it.
-func TestWhatCannotMakeItsTargetIsRefusedAtOnce(t *testing.T) {
+func TestCallsThatCannotMeetTheirTargetAreRefusedAtOnce(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	const span = 250 * time.Millisecond
-	teachKind(gate, 0, span, 100*time.Millisecond)
+	runCallWithTarget(gate, 0, span, 100*time.Millisecond)
 	now := time.Second
-	check.Equal(offer(gate, now, targeted(now, span)).state, StateStarted)
-	check.Equal(offer(gate, now, targeted(now, span)).state, StateQueued) // would end after 200 ms
-	waiter := &record{}
-	verdict := gate.Admit(now, NewTicket(targeted(now, span), waiter))
-	check.Equal(verdict.Code, result.QueueFull) // would end after 300 ms
-	check.Equal(verdict.RetryAfter, 50*time.Millisecond)
+	check.Equal(offer(gate, now, callWithTarget(now, span)).state, StateStarted)
+	check.Equal(offer(gate, now, callWithTarget(now, span)).state, StateQueued) // would end after 200 ms
+	waiter := &decisionRecorder{}
+	decision := gate.Admit(now, NewTicket(callWithTarget(now, span), waiter))
+	check.Equal(decision.Code, result.QueueFull) // would end after 300 ms
+	check.Equal(decision.RetryAfter, 50*time.Millisecond)
 	check.Equal(offer(gate, now, Call{}).state, StateQueued) // has no target to miss
 }
 
 // When service times vary, fewer calls are admitted than their mean alone would allow.
-func TestATargetAllowsForSlowerCallsThanTheMean(t *testing.T) {
+func TestTargetCheckAllowsForVaryingServiceTimes(t *testing.T) {
 	check := is.New(t)
 	const span = 300 * time.Millisecond
 	steady, varied := New(0, testConfig(1)), New(0, testConfig(1))
 	for range 64 {
-		teachKind(steady, 0, span, 100*time.Millisecond)
-		teachKind(varied, 0, span, 20*time.Millisecond)
-		teachKind(varied, 0, span, 180*time.Millisecond)
+		runCallWithTarget(steady, 0, span, 100*time.Millisecond)
+		runCallWithTarget(varied, 0, span, 20*time.Millisecond)
+		runCallWithTarget(varied, 0, span, 180*time.Millisecond)
 	}
 	for _, gate := range []*Gate{steady, varied} {
-		offer(gate, 0, targeted(0, span))
-		offer(gate, 0, targeted(0, span))
+		offer(gate, 0, callWithTarget(0, span))
+		offer(gate, 0, callWithTarget(0, span))
 	}
-	check.Equal(offer(steady, 0, targeted(0, span)).state, StateQueued)
-	check.Equal(offer(varied, 0, targeted(0, span)).code, result.QueueFull)
+	check.Equal(offer(steady, 0, callWithTarget(0, span)).state, StateQueued)
+	check.Equal(offer(varied, 0, callWithTarget(0, span)).code, result.QueueFull)
 }
 
 // Of queued calls with equal priority, the one with the earliest latest start goes first.
-func TestEarliestStartGoesFirst(t *testing.T) {
+func TestCallThatMustStartFirstGoesFirst(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	holder := offer(gate, 0, Call{})
-	late := offer(gate, 0, targeted(0, 500*time.Millisecond))
-	soon := offer(gate, 1, targeted(1, 120*time.Millisecond))
-	high := Call{Deadline: time.Hour, Target: time.Second, Class: classOfSpan(time.Second), Priority: resource.PriorityHigh}
+	late := offer(gate, 0, callWithTarget(0, 500*time.Millisecond))
+	soon := offer(gate, 1, callWithTarget(1, 120*time.Millisecond))
+	high := Call{Deadline: time.Hour, Target: time.Second, Class: classOfTarget(time.Second), Priority: resource.PriorityHigh}
 	urgent := offer(gate, 2, high)
 	gate.Done(3, holder.ticket, true)
 	check.Equal(urgent.waiter.last().State, StateStarted)
@@ -81,15 +81,15 @@
 
 // A call that can no longer meet its target when a slot becomes free still runs if no
 // other call is queued.
-func TestALateCallMakesRoomForOthersOnly(t *testing.T) {
+func TestLateCallIsRefusedOnlyIfOthersWait(t *testing.T) {
 	check := is.New(t)
 	const span = 200 * time.Millisecond
 	for _, others := range []bool{false, true} {
 		gate := New(0, testConfig(1))
-		teachKind(gate, 0, span, 50*time.Millisecond)
-		holder := offer(gate, 0, targeted(0, span))
-		waiting := offer(gate, 0, targeted(0, span))
-		behind := Call{Deadline: time.Hour, Target: 10 * time.Second, Class: classOfSpan(span)}
+		runCallWithTarget(gate, 0, span, 50*time.Millisecond)
+		holder := offer(gate, 0, callWithTarget(0, span))
+		waiting := offer(gate, 0, callWithTarget(0, span))
+		behind := Call{Deadline: time.Hour, Target: 10 * time.Second, Class: classOfTarget(span)}
 		if others {
 			check.Equal(offer(gate, 0, behind).state, StateQueued)
 		}
@@ -108,42 +108,42 @@
 	gate := New(0, testConfig(1))
 	const short, long = 60 * time.Millisecond, 500 * time.Millisecond
 	for range 64 {
-		teachKind(gate, 0, short, 20*time.Millisecond)
-		teachKind(gate, 0, long, 200*time.Millisecond)
+		runCallWithTarget(gate, 0, short, 20*time.Millisecond)
+		runCallWithTarget(gate, 0, long, 200*time.Millisecond)
 	}
-	offer(gate, 0, targeted(0, long))
-	check.Equal(offer(gate, 0, targeted(0, short)).state, StateQueued)
-	check.Equal(offer(gate, 0, targeted(0, short)).state, StateQueued) // late but short
+	offer(gate, 0, callWithTarget(0, long))
+	check.Equal(offer(gate, 0, callWithTarget(0, short)).state, StateQueued)
+	check.Equal(offer(gate, 0, callWithTarget(0, short)).state, StateQueued) // late but short
 }
 
 // Guards against classes with targets of similar size sharing one service time.
-func TestCallsOfLikeTargetsAreNotTakenForEachOther(t *testing.T) {
+func TestServiceTimesAreKeptPerClass(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	const short, long = 1200 * time.Millisecond, 2000 * time.Millisecond
 	for range 64 {
-		teachKind(gate, 0, short, 230*time.Millisecond)
-		teachKind(gate, 0, long, 780*time.Millisecond)
+		runCallWithTarget(gate, 0, short, 230*time.Millisecond)
+		runCallWithTarget(gate, 0, long, 780*time.Millisecond)
 	}
-	shortCall, longCall := targeted(0, short), targeted(0, long)
-	check.True(gate.serviceOf(&shortCall) < 240*time.Millisecond)
-	check.True(gate.serviceOf(&longCall) > 770*time.Millisecond)
+	shortCall, longCall := callWithTarget(0, short), callWithTarget(0, long)
+	check.True(gate.expectedServiceOf(&shortCall) < 240*time.Millisecond)
+	check.True(gate.expectedServiceOf(&longCall) > 770*time.Millisecond)
 }
 
 // A queued call is refused as soon as later arrivals that go first make it miss its
 // target, not only when a slot becomes free for it.
-func TestWhatOthersPushBehindIsRefusedEarly(t *testing.T) {
+func TestOvertakenCallsAreRefusedEarly(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	const span = 400 * time.Millisecond
-	teachKind(gate, 0, span, 100*time.Millisecond)
-	offer(gate, 0, targeted(0, span))
-	pushed := targeted(0, span)
-	pushed.Target -= 50 * time.Millisecond
-	waiting := offer(gate, 0, pushed)
+	runCallWithTarget(gate, 0, span, 100*time.Millisecond)
+	offer(gate, 0, callWithTarget(0, span))
+	overtaken := callWithTarget(0, span)
+	overtaken.Target -= 50 * time.Millisecond
+	waiting := offer(gate, 0, overtaken)
 	check.Equal(waiting.state, StateQueued)
 	for range 2 {
-		sooner := targeted(0, span)
+		sooner := callWithTarget(0, span)
 		sooner.Target -= 60 * time.Millisecond
 		check.Equal(offer(gate, 0, sooner).state, StateQueued)
 	}
@@ -152,29 +152,29 @@
 }
 
 // When calls wait longer than the work ahead of them suggests, fewer are queued.
-func TestWaitsAreReckonedAsTheyTurnOut(t *testing.T) {
+func TestActualWaitsCorrectExpectedWaits(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	const span = 400 * time.Millisecond
 	for range 64 {
-		teachKind(gate, 0, span, 100*time.Millisecond)
+		runCallWithTarget(gate, 0, span, 100*time.Millisecond)
 	}
 	admitted := func() (queued int) {
-		holder := offer(gate, 0, targeted(0, span))
+		holder := offer(gate, 0, callWithTarget(0, span))
 		var waiting []*offered
-		for one := offer(gate, 0, targeted(0, span)); one.state == StateQueued; one = offer(gate, 0, targeted(0, span)) {
-			waiting = append(waiting, one)
+		for next := offer(gate, 0, callWithTarget(0, span)); next.state == StateQueued; next = offer(gate, 0, callWithTarget(0, span)) {
+			waiting = append(waiting, next)
 		}
-		for _, one := range waiting {
-			gate.Cancel(one.ticket)
+		for _, next := range waiting {
+			gate.Cancel(next.ticket)
 		}
 		gate.Done(100*time.Millisecond, holder.ticket, true)
 		return len(waiting)
 	}
 	before := admitted()
 	for range 64 {
-		holder := offer(gate, 0, targeted(0, span))
-		late := offer(gate, 0, targeted(0, span))
+		holder := offer(gate, 0, callWithTarget(0, span))
+		late := offer(gate, 0, callWithTarget(0, span))
 		gate.Done(200*time.Millisecond, holder.ticket, false) // twice the mean service time
 		check.Equal(late.waiter.last().State, StateStarted)
 		gate.Done(300*time.Millisecond, late.ticket, true)
@@ -184,24 +184,24 @@
 
 // Short calls ahead must not lead to a refusal for which the same number of long calls
 // would be a reason.
-func TestTheWaitIsThatOfTheWorkAhead(t *testing.T) {
+func TestExpectedWaitDependsOnTheWorkAhead(t *testing.T) {
 	check := is.New(t)
 	const short, long = 200 * time.Millisecond, 1200 * time.Millisecond
-	for _, kind := range []time.Duration{short, long} {
+	for _, aheadSpan := range []time.Duration{short, long} {
 		gate := New(0, testConfig(1))
 		for range 64 {
-			teachKind(gate, 0, short, 50*time.Millisecond)
-			teachKind(gate, 0, long, 500*time.Millisecond)
+			runCallWithTarget(gate, 0, short, 50*time.Millisecond)
+			runCallWithTarget(gate, 0, long, 500*time.Millisecond)
 		}
-		offer(gate, 0, targeted(0, long)) // runs for 500 ms
+		offer(gate, 0, callWithTarget(0, long)) // runs for 500 ms
 		for range 2 {
-			ahead := targeted(0, kind)
+			ahead := callWithTarget(0, aheadSpan)
 			ahead.Target = 300 * time.Millisecond
 			ahead.Patient = true
 			check.Equal(offer(gate, 0, ahead).state, StateQueued)
 		}
-		last := offer(gate, 0, targeted(0, long))
-		if kind == short {
+		last := offer(gate, 0, callWithTarget(0, long))
+		if aheadSpan == short {
 			check.Equal(last.state, StateQueued) // 500 + 100 ms, and 500 of its own
 		} else {
 			check.Equal(last.code, result.QueueFull) // 500 + 1,000 ms
