--- a/internal/core/callclass/callclass_test.go
+++ b/internal/core/callclass/callclass_test.go
@@ -17,7 +17,7 @@
 }
 
 // Guards against a hash that maps routes with targets of similar size to the same class.
-func TestRoutesOfLikeTargetsAreOfDifferentClasses(t *testing.T) {
+func TestSimilarTargetsHaveDifferentClasses(t *testing.T) {
 	check := is.New(t)
 	kinds := []*resource.Route{
 		route(800*time.Millisecond, 2*time.Second, true),
@@ -26,25 +26,25 @@
 		route(2*time.Second, 5*time.Second, true),
 		route(200*time.Millisecond, 600*time.Millisecond, true),
 	}
-	seen := map[Class]bool{}
+	classes := map[Class]bool{}
 	for _, kind := range kinds {
 		check.True(Of(kind) < Count)
-		seen[Of(kind)] = true
+		classes[Of(kind)] = true
 	}
-	check.Equal(len(seen), len(kinds))
+	check.Equal(len(classes), len(kinds))
 }
 
 // Routes that differ only in name and match belong to the same class.
-func TestNamesDoNotMatter(t *testing.T) {
+func TestClassDoesNotDependOnNameAndMatch(t *testing.T) {
 	check := is.New(t)
-	one := route(time.Second, 2*time.Second, true)
-	other := route(time.Second, 2*time.Second, true)
-	other.Name = "another"
-	other.Match.Host = "elsewhere.example"
-	check.Equal(Of(one), Of(other))
+	first := route(time.Second, 2*time.Second, true)
+	second := route(time.Second, 2*time.Second, true)
+	second.Name = "another"
+	second.Match.Host = "elsewhere.example"
+	check.Equal(Of(first), Of(second))
 }
 
-func TestNumbersOutOfRangeAreNoClasses(t *testing.T) {
+func TestNumbersOutOfRangeAreInvalid(t *testing.T) {
 	check := is.New(t)
 	check.True(Valid(0))
 	check.True(Valid(Count - 1))
--- a/internal/core/callclass/table_test.go
+++ b/internal/core/callclass/table_test.go
@@ -12,15 +12,15 @@
 	check := is.New(t)
 	table := &Table[int]{}
 	values := make([]*int, 16)
-	var asking sync.WaitGroup
+	var group sync.WaitGroup
 	for index := range values {
-		asking.Add(1)
+		group.Add(1)
 		go func() {
-			defer asking.Done()
+			defer group.Done()
 			values[index] = table.Get(7)
 		}()
 	}
-	asking.Wait()
+	group.Wait()
 	for _, value := range values {
 		check.True(value == values[0])
 	}
