--- a/internal/core/resource/canonical.go
+++ b/internal/core/resource/canonical.go
@@ -10,16 +10,16 @@
 
 // Reasons for refusing a path or host.
 const (
-	errPathStart   = errors.ConstError("a path begins with /")
-	errPathEscape  = errors.ConstError("a percent sign is not followed by two hexadecimal digits")
-	errPathHidden  = errors.ConstError("an escaped slash, backslash, percent sign or control character is ambiguous")
-	errPathRaw     = errors.ConstError("a backslash, question mark, hash or control character is not allowed in a path")
-	errPathDot     = errors.ConstError("a dot segment is ambiguous")
-	errPathEmpty   = errors.ConstError("an empty segment (//) is ambiguous")
-	errPathUTF8    = errors.ConstError("the path is not UTF-8")
-	errHostEmpty   = errors.ConstError("the host is empty")
-	errHostForm    = errors.ConstError("the host is not a DNS name or IP number")
-	errHostTooLong = errors.ConstError("the host is longer than 253 bytes")
+	errPathStart           = errors.ConstError("a path begins with /")
+	errPathEscape          = errors.ConstError("a percent sign is not followed by two hexadecimal digits")
+	errPathAmbiguousEscape = errors.ConstError("an escaped slash, backslash, percent sign or control character is ambiguous")
+	errPathForbiddenByte   = errors.ConstError("a backslash, question mark, hash or control character is not allowed in a path")
+	errPathDotSegment      = errors.ConstError("a dot segment is ambiguous")
+	errPathEmptySegment    = errors.ConstError("an empty segment (//) is ambiguous")
+	errPathUTF8            = errors.ConstError("the path is not UTF-8")
+	errHostEmpty           = errors.ConstError("the host is empty")
+	errHostInvalid         = errors.ConstError("the host is not a DNS name or IP number")
+	errHostTooLong         = errors.ConstError("the host is longer than 253 bytes")
 )
 
 const (
@@ -44,7 +44,7 @@
 		return "", errPathStart
 	}
 	canonical := path
-	if !plainPath(path) {
+	if !isPlainPath(path) {
 		rewritten, err := rewriteEscapes(path)
 		if err != nil {
 			return "", err
@@ -57,10 +57,10 @@
 	return canonical, nil
 }
 
-// plainPath reports whether no byte needs decoding, encoding or refusal.
-func plainPath(path string) bool {
+// isPlainPath reports whether no byte needs decoding, encoding or refusal.
+func isPlainPath(path string) bool {
 	for i := 0; i < len(path); i++ {
-		if path[i] != '/' && !plainByte(path[i]) {
+		if path[i] != '/' && !isPlainByte(path[i]) {
 			return false
 		}
 	}
@@ -76,7 +76,7 @@
 	return table
 }()
 
-func plainByte(b byte) bool { return plainBytes[b] }
+func isPlainByte(b byte) bool { return plainBytes[b] }
 
 func rewriteEscapes(path string) (string, error) {
 	decoded := make([]byte, 0, len(path))
@@ -88,7 +88,7 @@
 			if i+2 >= len(path) || !isHex(path[i+1]) || !isHex(path[i+2]) {
 				return "", errPathEscape
 			}
-			current = unhex(path[i+1])<<4 | unhex(path[i+2])
+			current = hexValue(path[i+1])<<4 | hexValue(path[i+2])
 			i += 2
 		}
 		if err := checkByte(current, escaped); err != nil {
@@ -106,16 +106,16 @@
 func checkByte(b byte, escaped bool) error {
 	control := b < ' ' || b == 0x7f
 	if escaped && (control || b == '/' || b == '\\' || b == '%') {
-		return errPathHidden
+		return errPathAmbiguousEscape
 	}
 	if !escaped && (control || b == '\\' || b == '?' || b == '#') {
-		return errPathRaw
+		return errPathForbiddenByte
 	}
 	return nil
 }
 
 func writeByte(canonical *strings.Builder, b byte) {
-	if b == '/' || plainByte(b) {
+	if b == '/' || isPlainByte(b) {
 		canonical.WriteByte(b)
 		return
 	}
@@ -129,11 +129,11 @@
 	for rest != "" {
 		segment, after, found := strings.Cut(rest, "/")
 		if segment == "" {
-			return errPathEmpty
+			return errPathEmptySegment
 		}
 		name, _, _ := strings.Cut(segment, ";")
 		if name == "." || name == ".." {
-			return errPathDot
+			return errPathDotSegment
 		}
 		if !found {
 			return nil
@@ -147,7 +147,7 @@
 	return b >= '0' && b <= '9' || b >= 'a' && b <= 'f' || b >= 'A' && b <= 'F'
 }
 
-func unhex(b byte) byte {
+func hexValue(b byte) byte {
 	switch {
 	case b >= 'a':
 		return b - 'a' + 10
@@ -175,8 +175,8 @@
 		return "", errHostTooLong
 	}
 	for label := range strings.SplitSeq(name, ".") {
-		if !validLabel(label) {
-			return "", errHostForm
+		if !isValidLabel(label) {
+			return "", errHostInvalid
 		}
 	}
 	return name, nil
@@ -185,7 +185,7 @@
 func canonicalIPv6(name string) (string, error) {
 	address, err := netip.ParseAddr(strings.TrimSuffix(strings.TrimPrefix(name, "["), "]"))
 	if err != nil || !strings.HasSuffix(name, "]") || !address.Is6() || address.Zone() != "" {
-		return "", errHostForm
+		return "", errHostInvalid
 	}
 	return "[" + address.String() + "]", nil
 }
@@ -204,7 +204,7 @@
 	return host[:colon]
 }
 
-func validLabel(label string) bool {
+func isValidLabel(label string) bool {
 	if label == "" || len(label) > maxLabelLength {
 		return false
 	}
--- a/internal/core/resource/encode.go
+++ b/internal/core/resource/encode.go
@@ -97,16 +97,16 @@
 func Encode(file *File) []Encoded {
 	encoded := make([]Encoded, 0, len(file.Services)+len(file.Backends)+len(file.Secrets)+len(file.Routes))
 	for _, service := range file.Services {
-		encoded = append(encoded, seal(service.Key(), service))
+		encoded = append(encoded, encodeResource(service.Key(), service))
 	}
 	for _, backend := range file.Backends {
-		encoded = append(encoded, seal(backend.Key(), backend))
+		encoded = append(encoded, encodeResource(backend.Key(), backend))
 	}
 	for _, secret := range file.Secrets {
-		encoded = append(encoded, seal(secret.Key(), secret.wire()))
+		encoded = append(encoded, encodeResource(secret.Key(), secret.wire()))
 	}
 	for _, route := range file.Routes {
-		encoded = append(encoded, seal(route.Key(), route))
+		encoded = append(encoded, encodeResource(route.Key(), route))
 	}
 	SortEncoded(encoded)
 	return encoded
@@ -143,18 +143,18 @@
 	partner := encoded.Key.Partner
 	switch encoded.Key.Kind {
 	case KindService:
-		service, err := decodeExact[Service](encoded)
+		service, err := decodeCanonical[Service](encoded)
 		service.Partner = partner
 		return service, err
 	case KindBackend:
-		backend, err := decodeExact[Backend](encoded)
+		backend, err := decodeCanonical[Backend](encoded)
 		backend.Partner = partner
 		return backend, err
 	case KindSecret:
-		wire, err := decodeExact[secretWire](encoded)
+		wire, err := decodeCanonical[secretWire](encoded)
 		return Secret{Partner: partner, Name: wire.Name, Value: SecretValue(wire.Value)}, err
 	case KindRoute:
-		route, err := decodeExact[Route](encoded)
+		route, err := decodeCanonical[Route](encoded)
 		route.Partner = partner
 		return route, err
 	default:
@@ -162,9 +162,9 @@
 	}
 }
 
-// decodeExact decodes a payload and requires that encoding the result gives the
+// decodeCanonical decodes a payload and requires that encoding the result gives the
 // same bytes, so that no field is dropped and no other encoding is accepted.
-func decodeExact[T any](encoded Encoded) (T, error) {
+func decodeCanonical[T any](encoded Encoded) (T, error) {
 	var value T
 	if err := unmarshalStrict(encoded.Payload, &value); err != nil {
 		return value, errors.Annotatef(err, "resource %s", encoded.Key)
@@ -175,7 +175,8 @@
 	return value, nil
 }
 
-func seal(key Key, value any) Encoded {
+// encodeResource encodes a resource, or its wire form, under its key.
+func encodeResource(key Key, value any) Encoded {
 	payload := mustMarshal(value)
 	return Encoded{Key: key, Digest: DigestOf(payload), Payload: payload}
 }
--- a/internal/core/resource/parse_test.go
+++ b/internal/core/resource/parse_test.go
@@ -59,27 +59,27 @@
 		is.NoErr(err)
 		is.Equal(decoded, file)
 		for _, encoded := range resource.Encode(file) {
-			one, err := resource.Decode(encoded)
+			decodedResource, err := resource.Decode(encoded)
 			is.NoErr(err)
-			is.Equal(one.Key(), encoded.Key)
+			is.Equal(decodedResource.Key(), encoded.Key)
 		}
 	}
 }
 
-func TestDecodeRefusesWhatIsNotCanonical(t *testing.T) {
+func TestDecodeRefusesNonCanonicalPayloads(t *testing.T) {
 	is := is.New(t)
 	encoded := resource.Encode(exampleFiles(t)[0])[0]
-	for _, spoil := range []func([]byte) []byte{
+	for _, corrupt := range []func([]byte) []byte{
 		func(payload []byte) []byte { return append([]byte(" "), payload...) },
 		func(payload []byte) []byte { return bytes.Replace(payload, []byte("{"), []byte(`{"new":1,`), 1) },
 		func(payload []byte) []byte { return append(bytes.Clone(payload), payload...) },
 	} {
-		spoiled := encoded
-		spoiled.Payload = spoil(encoded.Payload)
-		_, err := resource.Decode(spoiled)
+		corrupted := encoded
+		corrupted.Payload = corrupt(encoded.Payload)
+		_, err := resource.Decode(corrupted)
 		is.True(err != nil) // the digest does not match
-		spoiled.Digest = resource.DigestOf(spoiled.Payload)
-		_, err = resource.Decode(spoiled)
+		corrupted.Digest = resource.DigestOf(corrupted.Payload)
+		_, err = resource.Decode(corrupted)
 		is.True(err != nil) // the digest matches, but the payload is not canonical
 	}
 	renamed := encoded
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestAllMistakesAtOnceInOrder(t *testing.T) {
+func TestAllMistakesAreReportedInLineOrder(t *testing.T) {
 	is := is.New(t)
 	_, problems := parse("partner: A\nservices:\n  - nme: x\nroutes:\n  - name: r\n    match: {}\n    split: []\n")
 	lines := []int{}
@@ -154,7 +154,7 @@
 	is.Equal(lines, []int{1, 1, 3, 3, 6, 7})
 }
 
-func TestSecretsAreNeverShown(t *testing.T) {
+func TestMistakesNeverQuoteSecrets(t *testing.T) {
 	is := is.New(t)
 	const hidden = "hunter2"
 	for _, text := range []string{
--- a/internal/core/resource/read_file.go
+++ b/internal/core/resource/read_file.go
@@ -58,7 +58,7 @@
 		return ""
 	}
 	if !ValidName(text) {
-		v.fail(result.FileBadValue, "Use lower-case letters, digits and dashes, 63 at most, not beginning with a dash.", "%q is not a name", shorten(text))
+		v.addMistake(result.FileBadValue, "Use lower-case letters, digits and dashes, 63 at most, not beginning with a dash.", "%q is not a name", shorten(text))
 		return ""
 	}
 	return text
@@ -73,7 +73,7 @@
 		resource := read(entry, partner)
 		name := resource.Key().Name
 		if line, repeated := lines[name]; repeated && name != "" {
-			entry.fail(result.FileDuplicateName, "Rename one of the two.", "the name %s stands already in line %d", name, line)
+			entry.addMistake(result.FileDuplicateName, "Rename one of the two.", "the name %s stands already in line %d", name, line)
 		}
 		lines[name] = entry.line
 		resources = append(resources, resource)
@@ -89,12 +89,12 @@
 		distribution.Prefer = Preference(text)
 	}
 	if !slices.Contains([]Preference{PreferConvergence, PreferBytes}, distribution.Prefer) {
-		prefer.fail(result.FileBadValue, "Write convergence or bytes.", "the preference is not known")
+		prefer.addMistake(result.FileBadValue, "Write convergence or bytes.", "the preference is not known")
 	}
 	window := fields.optional("batch_window")
 	distribution.BatchWindow = window.duration(0, maxBatchWindow)
 	if distribution.BatchWindow > 0 && distribution.Prefer == PreferConvergence {
-		window.fail(result.FileBadValue, "Leave batch_window out or prefer bytes.", "convergence distributes at once and has no window")
+		window.addMistake(result.FileBadValue, "Leave batch_window out or prefer bytes.", "convergence distributes at once and has no window")
 	}
 	return distribution
 }
@@ -117,9 +117,9 @@
 		switch {
 		case partner == "":
 		case partner == owner:
-			entry.fail(result.FileBadValue, "Name other partners only.", "the owner may always use its service")
+			entry.addMistake(result.FileBadValue, "Name other partners only.", "the owner may always use its service")
 		case slices.Contains(exports, partner):
-			entry.fail(result.FileDuplicateName, "Name each partner once.", "the partner stands twice")
+			entry.addMistake(result.FileDuplicateName, "Name each partner once.", "the partner stands twice")
 		default:
 			exports = append(exports, partner)
 		}
@@ -136,7 +136,7 @@
 	}
 	canonical, err := CanonicalPath(text)
 	if err != nil {
-		v.fail(result.FileBadValue, "Write a plain path such as /orders; docs/FILES.md has the rules.", "%s", err)
+		v.addMistake(result.FileBadValue, "Write a plain path such as /orders; docs/FILES.md has the rules.", "%s", err)
 		return ""
 	}
 	return canonical
@@ -163,7 +163,7 @@
 	}
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil || parsed.Port() == 0 || parsed.Addr().Zone() != "" {
-		v.fail(result.FileBadValue, "Write an IP number and port, such as 10.0.1.5:8081.", "%q is not an address", shorten(text))
+		v.addMistake(result.FileBadValue, "Write an IP number and port, such as 10.0.1.5:8081.", "%q is not an address", shorten(text))
 		return ""
 	}
 	return parsed.String()
@@ -185,16 +185,16 @@
 	if !isText {
 		return ""
 	}
-	if text == "" || len(text) > maxSecretBytes || !headerSafe(text) {
-		v.fail(result.FileBadValue, fmt.Sprintf("Use 1 to %d printable ASCII characters without space at the ends.", maxSecretBytes), "the secret can't be sent in a header")
+	if text == "" || len(text) > maxSecretBytes || !isHeaderSafe(text) {
+		v.addMistake(result.FileBadValue, fmt.Sprintf("Use 1 to %d printable ASCII characters without space at the ends.", maxSecretBytes), "the secret can't be sent in a header")
 		return ""
 	}
 	return SecretValue(text)
 }
 
-// headerSafe reports whether text can be sent unchanged as the value of an HTTP
+// isHeaderSafe reports whether text can be sent unchanged as the value of an HTTP
 // header.
-func headerSafe(text string) bool {
+func isHeaderSafe(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if text[i] < ' ' || text[i] > '~' {
 			return false
@@ -211,11 +211,11 @@
 	}
 	name := canonicalHeader(text)
 	if name == "" || len(name) > maxNameLength {
-		v.fail(result.FileBadValue, "Write a header name such as X-Plan.", "%q is not a header name", shorten(text))
+		v.addMistake(result.FileBadValue, "Write a header name such as X-Plan.", "%q is not a header name", shorten(text))
 		return ""
 	}
 	if lo.Contains(reservedHeaders, name) || isSpringstackHeader(name) {
-		v.fail(result.FileBadValue, "Use another header.", "header %s belongs to HTTP or to springstack", name)
+		v.addMistake(result.FileBadValue, "Use another header.", "header %s belongs to HTTP or to springstack", name)
 		return ""
 	}
 	return name
--- a/internal/core/resource/read_route.go
+++ b/internal/core/resource/read_route.go
@@ -53,13 +53,13 @@
 		Methods:    readMethods(fields.optional("methods")),
 		Headers:    readHeaders(fields.optional("headers")),
 	}
-	hasPath := fields.optional("path").present()
-	hasPrefix := fields.optional("path_prefix").present()
+	hasPath := fields.optional("path").isPresent()
+	hasPrefix := fields.optional("path_prefix").isPresent()
 	if hasPath && hasPrefix {
-		entry.fail(result.FileBadValue, "Keep path or path_prefix.", "path and path_prefix exclude each other")
+		entry.addMistake(result.FileBadValue, "Keep path or path_prefix.", "path and path_prefix exclude each other")
 	}
-	if entry.present() && !hasPath && !hasPrefix {
-		entry.fail(result.FileMissingField, "Write path or path_prefix; path_prefix: / takes all paths.", "a path is missing")
+	if entry.isPresent() && !hasPath && !hasPrefix {
+		entry.addMistake(result.FileMissingField, "Write path or path_prefix; path_prefix: / takes all paths.", "a path is missing")
 	}
 	return match
 }
@@ -71,11 +71,11 @@
 	}
 	host, err := CanonicalHost(text)
 	if err != nil {
-		v.fail(result.FileBadValue, "Write a name such as app.example.", "%s", err)
+		v.addMistake(result.FileBadValue, "Write a name such as app.example.", "%s", err)
 		return ""
 	}
 	if withoutPort(text) != text {
-		v.fail(result.FileBadValue, "Leave the port out.", "hosts are compared without port")
+		v.addMistake(result.FileBadValue, "Leave the port out.", "hosts are compared without port")
 		return ""
 	}
 	return host
@@ -84,7 +84,7 @@
 func (v value) pathPrefix() string {
 	path := v.urlPath()
 	if len(path) > 1 && strings.HasSuffix(path, "/") {
-		v.fail(result.FileBadValue, "Leave the last slash out; a prefix matches whole segments.", "a prefix ends without slash")
+		v.addMistake(result.FileBadValue, "Leave the last slash out; a prefix matches whole segments.", "a prefix ends without slash")
 		return ""
 	}
 	return path
@@ -96,10 +96,10 @@
 		method, isText := entry.text()
 		switch {
 		case !isText:
-		case !validMethod(method):
-			entry.fail(result.FileBadValue, "Write a method in upper case, such as GET.", "%q is not a method", shorten(method))
+		case !isValidMethod(method):
+			entry.addMistake(result.FileBadValue, "Write a method in upper case, such as GET.", "%q is not a method", shorten(method))
 		case slices.Contains(methods, method):
-			entry.fail(result.FileDuplicateName, "Name each method once.", "the method stands twice")
+			entry.addMistake(result.FileDuplicateName, "Name each method once.", "the method stands twice")
 		default:
 			methods = append(methods, method)
 		}
@@ -108,7 +108,7 @@
 	return methods
 }
 
-func validMethod(method string) bool {
+func isValidMethod(method string) bool {
 	if method == "" || len(method) > maxNameLength || method == "CONNECT" {
 		return false
 	}
@@ -125,7 +125,7 @@
 		}
 		repeated := slices.ContainsFunc(headers, func(other HeaderMatch) bool { return other.Name == header.Name })
 		if repeated && header.Name != "" {
-			entry.fail(result.FileDuplicateName, "Name each header once.", "the header stands twice")
+			entry.addMistake(result.FileDuplicateName, "Name each header once.", "the header stands twice")
 		}
 		headers = append(headers, header)
 	}
@@ -138,8 +138,8 @@
 	if !isText {
 		return ""
 	}
-	if len(text) > maxHeaderValue || !headerSafe(text) {
-		v.fail(result.FileBadValue, "Use printable ASCII characters without space at the ends.", "the text can't be a header's value")
+	if len(text) > maxHeaderValue || !isHeaderSafe(text) {
+		v.addMistake(result.FileBadValue, "Use printable ASCII characters without space at the ends.", "the text can't be a header's value")
 		return ""
 	}
 	return text
@@ -151,17 +151,17 @@
 	for _, entry := range entries {
 		fields := entry.object("service", "weight")
 		destination := Destination{Service: fields.required("service").serviceRef(partner), Weight: 1}
-		if weight := fields.optional("weight"); weight.present() {
+		if weight := fields.optional("weight"); weight.isPresent() {
 			destination.Weight = weight.integer(1, maxWeight)
 		}
 		repeated := slices.ContainsFunc(split, func(other Destination) bool { return other.Service == destination.Service })
 		if repeated && destination.Service.Name != "" {
-			entry.fail(result.FileDuplicateName, "Name each service once.", "the service stands twice")
+			entry.addMistake(result.FileDuplicateName, "Name each service once.", "the service stands twice")
 		}
 		split = append(split, destination)
 	}
-	if list.present() && len(entries) == 0 {
-		list.fail(result.FileBadValue, "Name a service.", "a route needs a destination")
+	if list.isPresent() && len(entries) == 0 {
+		list.addMistake(result.FileBadValue, "Name a service.", "a route needs a destination")
 	}
 	slices.SortStableFunc(split, func(a, b Destination) int { return a.Service.Key().Compare(b.Service.Key()) })
 	return split
@@ -179,14 +179,14 @@
 		partner, name = string(owner), text
 	}
 	if (found && !ValidName(partner)) || !ValidName(name) {
-		v.fail(result.FileBadValue, "Write a service's name, or partner/name.", "%q is not a service", shorten(text))
+		v.addMistake(result.FileBadValue, "Write a service's name, or partner/name.", "%q is not a service", shorten(text))
 		return ServiceRef{}
 	}
 	return ServiceRef{Partner: Partner(partner), Name: name}
 }
 
 func readSecretUse(entry value) *SecretUse {
-	if !entry.present() {
+	if !entry.isPresent() {
 		return nil
 	}
 	fields := entry.object("name", "header")
@@ -200,7 +200,7 @@
 	}
 	priority, found := priorityNames[text]
 	if !found {
-		v.fail(result.FileBadValue, "Write low, normal or high.", "the priority is not known")
+		v.addMistake(result.FileBadValue, "Write low, normal or high.", "the priority is not known")
 	}
 	return priority
 }
--- a/internal/core/resource/references.go
+++ b/internal/core/resource/references.go
@@ -42,21 +42,21 @@
 // references of other files to resources that removed files declared, so apart from
 // one pass over all resources its cost depends on the size of the change.
 func MissingReferencesAfter(files, added, removed []*File) []MissingReference {
-	present := newIndex(files, targetsOf(added, removed))
-	lost := present.lostWith(removed)
-	fresh := lo.Keyify(added)
+	present := newIndex(files, affectedTargets(added, removed))
+	lost := present.lostTargets(removed)
+	addedFiles := lo.Keyify(added)
 	var missing []MissingReference
 	for _, file := range files {
-		_, isNew := fresh[file]
-		if !isNew && len(lost) == 0 {
+		_, isAdded := addedFiles[file]
+		if !isAdded && len(lost) == 0 {
 			continue
 		}
 		for reference := range file.references() {
-			if !isNew && !lost[reference.To] {
+			if !isAdded && !lost[reference.To] {
 				continue
 			}
-			if problem, broken := present.check(reference); broken {
-				missing = append(missing, problem)
+			if checked, unsatisfied := present.check(reference); unsatisfied {
+				missing = append(missing, checked)
 			}
 		}
 	}
@@ -74,7 +74,7 @@
 			}
 		}
 		for i := range f.Routes {
-			for _, target := range f.Routes[i].targets() {
+			for _, target := range f.Routes[i].referencedKeys() {
 				if !yield(MissingReference{File: f.Key(), From: f.Routes[i].Key(), To: target}) {
 					return
 				}
@@ -83,16 +83,16 @@
 	}
 }
 
-// targets returns the keys of the services and the secret that a route refers to.
-func (r *Route) targets() []Key {
-	targets := make([]Key, 0, len(r.Split)+1)
+// referencedKeys returns the keys of the services and the secret that a route refers to.
+func (r *Route) referencedKeys() []Key {
+	keys := make([]Key, 0, len(r.Split)+1)
 	for _, destination := range r.Split {
-		targets = append(targets, destination.Service.Key())
+		keys = append(keys, destination.Service.Key())
 	}
 	if r.Secret != nil {
-		targets = append(targets, Key{Partner: r.Partner, Kind: KindSecret, Name: r.Secret.Name})
+		keys = append(keys, Key{Partner: r.Partner, Kind: KindSecret, Name: r.Secret.Name})
 	}
-	return targets
+	return keys
 }
 
 // index looks up targets of references in a set of files. It contains only the
@@ -102,8 +102,8 @@
 	secrets  map[Key]bool
 }
 
-// targetsOf returns the keys that added files refer to and removed files declared.
-func targetsOf(added, removed []*File) map[Key]bool {
+// affectedTargets returns the keys that added files refer to and removed files declared.
+func affectedTargets(added, removed []*File) map[Key]bool {
 	targets := map[Key]bool{}
 	for _, file := range added {
 		for reference := range file.references() {
@@ -119,30 +119,30 @@
 }
 
 func newIndex(files []*File, targets map[Key]bool) index {
-	built := index{services: map[Key]*Service{}, secrets: map[Key]bool{}}
+	targetIndex := index{services: map[Key]*Service{}, secrets: map[Key]bool{}}
 	for _, file := range files {
 		for i := range file.Services {
 			if key := file.Services[i].Key(); targets[key] {
-				built.services[key] = &file.Services[i]
+				targetIndex.services[key] = &file.Services[i]
 			}
 		}
 		for i := range file.Secrets {
 			if key := file.Secrets[i].Key(); targets[key] {
-				built.secrets[key] = true
+				targetIndex.secrets[key] = true
 			}
 		}
 	}
-	return built
+	return targetIndex
 }
 
-// lostWith returns the keys of the services and secrets of removed files that no
+// lostTargets returns the keys of the services and secrets of removed files that no
 // longer exist, and of the services whose exports have changed.
-func (x index) lostWith(removed []*File) map[Key]bool {
+func (x index) lostTargets(removed []*File) map[Key]bool {
 	lost := map[Key]bool{}
 	for _, file := range removed {
 		for _, service := range file.Services {
-			now, found := x.services[service.Key()]
-			if !found || !slices.Equal(now.ExportTo, service.ExportTo) {
+			current, found := x.services[service.Key()]
+			if !found || !slices.Equal(current.ExportTo, service.ExportTo) {
 				lost[service.Key()] = true
 			}
 		}
@@ -177,26 +177,26 @@
 // NameConflicts returns an error for each resource of candidate whose name another
 // file of the same partner declares too.
 func NameConflicts(candidate *File, others []*File) []result.Error {
-	own := map[Key]bool{}
+	declared := map[Key]bool{}
 	for key := range candidate.keys() {
-		own[key] = true
+		declared[key] = true
 	}
-	var taken []result.Error
+	var conflicts []result.Error
 	for _, other := range others {
 		if other.Partner != candidate.Partner || other.Name == candidate.Name {
 			continue
 		}
 		for key := range other.keys() {
-			if !own[key] {
+			if !declared[key] {
 				continue
 			}
 			problem := result.New(result.NameTaken, "%s is declared by file %s", key, other.Name)
 			problem.File = candidate.Name
 			problem.Mend = "Rename it or withdraw the other file."
-			taken = append(taken, *problem)
+			conflicts = append(conflicts, *problem)
 		}
 	}
-	return taken
+	return conflicts
 }
 
 // Keys returns the keys of all resources of the file.
--- a/internal/core/resource/value.go
+++ b/internal/core/resource/value.go
@@ -18,14 +18,14 @@
 	path string
 }
 
-func (v value) present() bool { return v.node != nil }
+func (v value) isPresent() bool { return v.node != nil }
 
-func (v value) fail(code result.Code, mend string, format string, arguments ...any) {
+func (v value) addMistake(code result.Code, mend string, format string, arguments ...any) {
 	v.add(result.Error{Code: code, Line: v.line, Field: v.path, Detail: fmt.Sprintf(format, arguments...), Mend: mend})
 }
 
-func (v value) wrongType(wanted string) {
-	v.fail(result.FileWrongType, "Give "+wanted+".", "%s is wanted here, not %s", wanted, typeName(v.node))
+func (v value) addWrongType(wanted string) {
+	v.addMistake(result.FileWrongType, "Give "+wanted+".", "%s is wanted here, not %s", wanted, typeName(v.node))
 }
 
 func typeName(node ast.Node) string {
@@ -56,24 +56,24 @@
 // object reads a mapping. Keys that are duplicates or not among known are reported
 // as mistakes.
 func (v value) object(known ...string) object {
-	read := object{value: v, fields: map[string]value{}}
-	if !v.present() {
-		return read
+	mapping := object{value: v, fields: map[string]value{}}
+	if !v.isPresent() {
+		return mapping
 	}
 	pairs, isMapping := pairsOf(v.node)
 	if !isMapping {
-		v.wrongType("a mapping")
-		read.node = nil
-		return read
+		v.addWrongType("a mapping")
+		mapping.node = nil
+		return mapping
 	}
 	allowed := map[string]bool{}
 	for _, name := range known {
 		allowed[name] = true
 	}
 	for _, pair := range pairs {
-		read.take(pair, allowed)
+		mapping.addField(pair, allowed)
 	}
-	return read
+	return mapping
 }
 
 func pairsOf(node ast.Node) ([]*ast.MappingValueNode, bool) {
@@ -87,22 +87,22 @@
 	}
 }
 
-func (o object) take(pair *ast.MappingValueNode, allowed map[string]bool) {
+func (o object) addField(pair *ast.MappingValueNode, allowed map[string]bool) {
 	key, isText := pair.Key.(*ast.StringNode)
 	field := value{collector: o.collector, node: pair.Value, line: lineOf(pair.Key)}
 	if !isText {
 		field.path = o.path
-		field.fail(result.FileWrongType, "Write a field name.", "a key is not text")
+		field.addMistake(result.FileWrongType, "Write a field name.", "a key is not text")
 		return
 	}
 	field.path = join(o.path, key.Value)
 	if !allowed[key.Value] {
 		field.path = join(o.path, shorten(key.Value))
-		field.fail(result.FileUnknownField, "Remove or rename it; docs/FILES.md lists the fields.", "the field is not known")
+		field.addMistake(result.FileUnknownField, "Remove or rename it; docs/FILES.md lists the fields.", "the field is not known")
 		return
 	}
 	if _, repeated := o.fields[key.Value]; repeated {
-		field.fail(result.FileDuplicateName, "Keep one of the two.", "the field stands twice")
+		field.addMistake(result.FileDuplicateName, "Keep one of the two.", "the field stands twice")
 		return
 	}
 	o.fields[key.Value] = field
@@ -120,24 +120,24 @@
 // required returns a field and reports its absence as a mistake.
 func (o object) required(name string) value {
 	field := o.optional(name)
-	if !field.present() && o.present() {
-		field.fail(result.FileMissingField, "Add the field.", "the field is missing")
+	if !field.isPresent() && o.isPresent() {
+		field.addMistake(result.FileMissingField, "Add the field.", "the field is missing")
 	}
 	return field
 }
 
 // items reads a list of at most limit entries.
 func (v value) items(limit int) []value {
-	if !v.present() {
+	if !v.isPresent() {
 		return nil
 	}
 	list, isList := v.node.(*ast.SequenceNode)
 	if !isList {
-		v.wrongType("a list")
+		v.addWrongType("a list")
 		return nil
 	}
 	if len(list.Values) > limit {
-		v.fail(result.FileBadValue, "Shorten the list or split the file.", "the list has %d entries; at most %d are allowed", len(list.Values), limit)
+		v.addMistake(result.FileBadValue, "Shorten the list or split the file.", "the list has %d entries; at most %d are allowed", len(list.Values), limit)
 		return nil
 	}
 	entries := make([]value, 0, len(list.Values))
@@ -157,19 +157,19 @@
 	case *ast.LiteralNode:
 		return node.Value.Value, true
 	default:
-		v.wrongType("text")
+		v.addWrongType("text")
 		return "", false
 	}
 }
 
 // integer reads a whole number from low to high.
 func (v value) integer(low, high int) int {
-	if !v.present() {
+	if !v.isPresent() {
 		return 0
 	}
 	node, isInteger := v.node.(*ast.IntegerNode)
 	if !isInteger {
-		v.wrongType("a whole number")
+		v.addWrongType("a whole number")
 		return 0
 	}
 	number := int64(math.MaxInt64)
@@ -180,7 +180,7 @@
 		number = int64(min(read, math.MaxInt64))
 	}
 	if number < int64(low) || number > int64(high) {
-		v.fail(result.FileBadValue, fmt.Sprintf("Give a number from %d to %d.", low, high), "the number is out of range")
+		v.addMistake(result.FileBadValue, fmt.Sprintf("Give a number from %d to %d.", low, high), "the number is out of range")
 		return 0
 	}
 	return int(number)
@@ -188,12 +188,12 @@
 
 // boolean reads true or false; nil means absent.
 func (v value) boolean() *bool {
-	if !v.present() {
+	if !v.isPresent() {
 		return nil
 	}
 	node, isBool := v.node.(*ast.BoolNode)
 	if !isBool {
-		v.wrongType("true or false")
+		v.addWrongType("true or false")
 		return nil
 	}
 	read := node.Value
@@ -208,11 +208,11 @@
 	}
 	read, err := time.ParseDuration(text)
 	if err != nil {
-		v.fail(result.FileBadValue, "Write a number and a unit, such as 500ms or 2s.", "%q is not a duration", shorten(text))
+		v.addMistake(result.FileBadValue, "Write a number and a unit, such as 500ms or 2s.", "%q is not a duration", shorten(text))
 		return 0
 	}
 	if read < low || read > high {
-		v.fail(result.FileBadValue, fmt.Sprintf("Give a duration from %s to %s.", low, high), "the duration is out of range")
+		v.addMistake(result.FileBadValue, fmt.Sprintf("Give a duration from %s to %s.", low, high), "the duration is out of range")
 		return 0
 	}
 	return read
--- a/internal/core/resource/yaml.go
+++ b/internal/core/resource/yaml.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// unsupported lists the parts of YAML that are refused.
-var unsupported = map[token.Type]string{
+// unsupportedTokens lists the parts of YAML that are refused.
+var unsupportedTokens = map[token.Type]string{
 	token.AnchorType:     "an anchor",
 	token.AliasType:      "an alias",
 	token.TagType:        "a tag",
@@ -83,9 +83,9 @@
 }
 
 func checkTokens(tokens token.Tokens, limits Limits) *result.Error {
-	shape := shape{}
+	nesting := nestingTracker{}
 	for _, current := range tokens {
-		if name, found := unsupported[current.Type]; found {
+		if name, found := unsupportedTokens[current.Type]; found {
 			return &result.Error{
 				Code:   result.FileUnsupported,
 				Line:   current.Position.Line,
@@ -93,8 +93,8 @@
 				Mend:   "Write the value out.",
 			}
 		}
-		shape.add(current)
-		if shape.depth() > limits.Depth {
+		nesting.add(current)
+		if nesting.depth() > limits.Depth {
 			return &result.Error{
 				Code:   result.FileTooDeep,
 				Line:   current.Position.Line,
@@ -102,11 +102,11 @@
 				Mend:   "Flatten it.",
 			}
 		}
-		if shape.keys() > maxKeys {
+		if nesting.innermostKeyCount() > maxMappingKeys {
 			return &result.Error{
 				Code:   result.FileUnknownField,
 				Line:   current.Position.Line,
-				Detail: fmt.Sprintf("a mapping has more than %d fields", maxKeys),
+				Detail: fmt.Sprintf("a mapping has more than %d fields", maxMappingKeys),
 				Mend:   "Keep the fields of docs/FILES.md.",
 			}
 		}
@@ -114,70 +114,71 @@
 	return nil
 }
 
-// maxKeys is the maximum number of fields of one mapping, more than any mapping of
-// the file format has. The YAML parser's time is quadratic in that number.
-const maxKeys = 64
+// maxMappingKeys is the maximum number of fields of one mapping, more than any mapping
+// of the file format has. The YAML parser's time is quadratic in that number.
+const maxMappingKeys = 64
 
-// shape tracks an upper bound of the nesting depth over a token stream: the open
-// flow brackets, and the distinct columns of the block entries and keys around them.
-type shape struct {
+// nestingTracker tracks an upper bound of the nesting depth while it receives the tokens
+// of a file: the number of open flow brackets and of the distinct columns of the block
+// entries and keys around them.
+type nestingTracker struct {
 	flow  []level
 	block []level
 }
 
 // level is one open list or mapping.
 type level struct {
-	column int
-	keys   int
+	column   int
+	keyCount int
 }
 
-func (s *shape) depth() int { return len(s.flow) + len(s.block) }
+func (t *nestingTracker) depth() int { return len(t.flow) + len(t.block) }
 
-// keys returns the number of fields seen so far in the innermost mapping.
-func (s *shape) keys() int {
+// innermostKeyCount returns the number of fields seen so far in the innermost mapping.
+func (t *nestingTracker) innermostKeyCount() int {
 	switch {
-	case len(s.flow) > 0:
-		return s.flow[len(s.flow)-1].keys
-	case len(s.block) > 0:
-		return s.block[len(s.block)-1].keys
+	case len(t.flow) > 0:
+		return t.flow[len(t.flow)-1].keyCount
+	case len(t.block) > 0:
+		return t.block[len(t.block)-1].keyCount
 	default:
 		return 0
 	}
 }
 
-func (s *shape) add(current *token.Token) {
+func (t *nestingTracker) add(current *token.Token) {
 	switch current.Type {
 	case token.MappingStartType, token.SequenceStartType:
-		s.flow = append(s.flow, level{})
+		t.flow = append(t.flow, level{})
 	case token.MappingEndType, token.SequenceEndType:
-		s.flow = s.flow[:max(0, len(s.flow)-1)]
+		t.flow = t.flow[:max(0, len(t.flow)-1)]
 	case token.SequenceEntryType:
-		s.open(current.Position.Column).keys = 0
+		t.blockLevel(current.Position.Column).keyCount = 0
 	case token.MappingValueType:
-		s.addKey(current.Prev)
+		t.addKey(current.Prev)
 	}
 }
 
-func (s *shape) addKey(key *token.Token) {
-	if len(s.flow) > 0 {
-		s.flow[len(s.flow)-1].keys++
+func (t *nestingTracker) addKey(key *token.Token) {
+	if len(t.flow) > 0 {
+		t.flow[len(t.flow)-1].keyCount++
 		return
 	}
 	if key != nil {
-		s.open(key.Position.Column).keys++
+		t.blockLevel(key.Position.Column).keyCount++
 	}
 }
 
-// open returns the block level at a column, after closing the deeper levels. It
+// blockLevel returns the block level at a column, after closing the deeper levels. It
 // creates the level if needed.
-func (s *shape) open(column int) *level {
-	for len(s.block) > 0 && s.block[len(s.block)-1].column > column {
-		s.block = s.block[:len(s.block)-1]
+func (t *nestingTracker) blockLevel(column int) *level {
+	for len(t.block) > 0 && t.block[len(t.block)-1].column > column {
+		t.block = t.block[:len(t.block)-1]
 	}
-	if len(s.block) == 0 || s.block[len(s.block)-1].column < column {
-		s.block = append(s.block, level{column: column})
+	if len(t.block) == 0 || t.block[len(t.block)-1].column < column {
+		t.block = append(t.block, level{column: column})
 	}
-	return &s.block[len(s.block)-1]
+	return &t.block[len(t.block)-1]
 }
 
 // syntaxError converts an error of the YAML library. Its message is replaced if it
