--- a/internal/core/region/allowed_test.go
+++ b/internal/core/region/allowed_test.go
@@ -26,7 +26,7 @@
 }
 
 // The intersection does not depend on the order of the operands.
-func TestBothAllowsWhatEachAllows(t *testing.T) {
+func TestIntersectAllowsWhatBothAllow(t *testing.T) {
 	for _, given := range []struct {
 		name             string
 		one, two, wanted []string
