--- a/internal/core/routing/restrictions_test.go
+++ b/internal/core/routing/restrictions_test.go
@@ -14,7 +14,7 @@
 func TestRestrictionsAreThoseOfAServicesRoutes(t *testing.T) {
 	check := is.New(t)
 	service := func(name string) resource.ServiceRef { return resource.ServiceRef{Partner: "k", Name: name} }
-	to := func(regions []string, names ...string) resource.Route {
+	routeTo := func(regions []string, names ...string) resource.Route {
 		route := resource.Route{Partner: "k", Match: resource.Match{PathPrefix: "/"}, AllowedRegions: regions}
 		for _, name := range names {
 			route.Split = append(route.Split, resource.Destination{Service: service(name), Weight: 1})
@@ -22,12 +22,12 @@
 		return route
 	}
 	table := Compile(&snapshot.Snapshot{Routes: []resource.Route{
-		to([]string{"b", "a"}, "one"), to([]string{"a", "b"}, "one", "two"), to([]string{}, "two"), to(nil, "three"),
+		routeTo([]string{"b", "a"}, "one"), routeTo([]string{"a", "b"}, "one", "two"), routeTo([]string{}, "two"), routeTo(nil, "three"),
 	}})
 	check.True(table.HasRestrictions())
 	check.Equal(table.RestrictionsOf(service("one")), []region.Allowed{region.NewAllowed([]string{"a", "b"})})
 	check.Equal(table.RestrictionsOf(service("two")), []region.Allowed{region.NewAllowed([]string{"a", "b"}), region.NewAllowed([]string{})})
 	check.Equal(len(table.RestrictionsOf(service("three"))), 0)
-	check.True(!Compile(&snapshot.Snapshot{Routes: []resource.Route{to(nil, "one")}}).HasRestrictions())
+	check.True(!Compile(&snapshot.Snapshot{Routes: []resource.Route{routeTo(nil, "one")}}).HasRestrictions())
 	check.True(!(*Table)(nil).HasRestrictions())
 }
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -28,9 +28,11 @@
 // Query holds the properties of a call that routes are matched against.
 type Query struct {
 	Method string
-	// Host is the canonical host, as resource.CanonicalHost returns it.
+	// Host is the canonical host, as resource.CanonicalHost returns it; for a verbatim
+	// table, it is the host as sent.
 	Host string
-	// Path is the canonical path, as resource.CanonicalPath returns it.
+	// Path is the canonical path, as resource.CanonicalPath returns it; for a verbatim
+	// table, it is the path as sent.
 	Path string
 	// Header returns the first value of a header; nil means no headers.
 	Header func(name string) string
@@ -39,8 +41,8 @@
 // Target is one weighted destination of a compiled route.
 type Target struct {
 	Service resource.ServiceRef
-	// upTo is the sum of the weights of all targets up to and including this one.
-	upTo uint64
+	// cumulativeWeight is the sum of the weights up to and including this target.
+	cumulativeWeight uint64
 }
 
 // Route is a compiled route. It is immutable.
@@ -80,7 +82,7 @@
 	}
 	point := random % r.totalWeight
 	for _, target := range r.Targets {
-		if point < target.upTo {
+		if point < target.cumulativeWeight {
 			return target.Service
 		}
 	}
@@ -95,9 +97,9 @@
 	prefixes map[string][]*Route
 	// hosts maps hosts to the routes of a verbatim table; nil in other tables.
 	hosts map[string]*hostRoutes
-	// longest is the length of the longest prefix.
-	longest int
-	size    int
+	// longestPrefix is the length of the longest prefix.
+	longestPrefix int
+	size          int
 	// restrictions holds the distinct region restrictions of the routes to each
 	// service.
 	restrictions map[resource.ServiceRef][]region.Allowed
@@ -105,23 +107,23 @@
 
 // Compile builds the routing table of a snapshot. Routes without a destination
 // are skipped; snapshot.Build refuses them anyway.
-func Compile(held *snapshot.Snapshot) *Table {
+func Compile(snap *snapshot.Snapshot) *Table {
 	table := &Table{exact: map[string][]*Route{}, prefixes: map[string][]*Route{}}
-	for _, route := range held.Routes {
-		if compiled := compileRoute(route, held); compiled != nil {
+	for _, route := range snap.Routes {
+		if compiled := compileRoute(route, snap); compiled != nil {
 			table.add(compiled)
 		}
 	}
 	for _, routes := range table.exact {
-		slices.SortFunc(routes, moreSpecific)
+		slices.SortFunc(routes, compareSpecificity)
 	}
 	for _, routes := range table.prefixes {
-		slices.SortFunc(routes, moreSpecific)
+		slices.SortFunc(routes, compareSpecificity)
 	}
 	return table
 }
 
-func compileRoute(route resource.Route, held *snapshot.Snapshot) *Route {
+func compileRoute(route resource.Route, snap *snapshot.Snapshot) *Route {
 	compiled := &Route{
 		Resource: route,
 		Class:    callclass.Of(&route),
@@ -132,7 +134,7 @@
 	}
 	for _, destination := range route.Split {
 		compiled.totalWeight += uint64(max(destination.Weight, 1))
-		target := Target{Service: destination.Service, upTo: compiled.totalWeight}
+		target := Target{Service: destination.Service, cumulativeWeight: compiled.totalWeight}
 		compiled.Targets = append(compiled.Targets, target)
 	}
 	if len(compiled.Targets) == 0 {
@@ -141,13 +143,13 @@
 	if route.Secret != nil {
 		key := resource.Key{Partner: route.Partner, Kind: resource.KindSecret, Name: route.Secret.Name}
 		compiled.SecretHeader = textproto.CanonicalMIMEHeaderKey(route.Secret.Header)
-		compiled.SecretText = held.Secrets[key].Value
+		compiled.SecretText = snap.Secrets[key].Value
 	}
 	return compiled
 }
 
 func (t *Table) add(route *Route) {
-	t.count(route)
+	t.recordRoute(route)
 	match := route.Resource.Match
 	if match.Path != "" {
 		t.exact[match.Path] = append(t.exact[match.Path], route)
@@ -155,12 +157,12 @@
 	}
 	prefix := strings.TrimSuffix(match.PathPrefix, "/")
 	t.prefixes[prefix] = append(t.prefixes[prefix], route)
-	t.longest = max(t.longest, len(prefix))
+	t.longestPrefix = max(t.longestPrefix, len(prefix))
 }
 
-// count adds a route to the table's size and its region restriction, if any, to
+// recordRoute adds a route to the table's size and its region restriction, if any, to
 // the restrictions of its services.
-func (t *Table) count(route *Route) {
+func (t *Table) recordRoute(route *Route) {
 	t.size++
 	if !route.Regions.Restricted() {
 		return
@@ -195,14 +197,14 @@
 	if t.hosts != nil {
 		return t.findVerbatim(query)
 	}
-	if route := first(t.exact[query.Path], query); route != nil {
+	if route := firstMatch(t.exact[query.Path], query); route != nil {
 		return route
 	}
 	prefix := query.Path
 	for {
 		prefix = strings.TrimSuffix(prefix, "/")
-		if len(prefix) <= t.longest {
-			if route := first(t.prefixes[prefix], query); route != nil {
+		if len(prefix) <= t.longestPrefix {
+			if route := firstMatch(t.prefixes[prefix], query); route != nil {
 				return route
 			}
 		}
@@ -214,7 +216,7 @@
 	}
 }
 
-func first(routes []*Route, query Query) *Route {
+func firstMatch(routes []*Route, query Query) *Route {
 	for _, route := range routes {
 		if route.matches(query) {
 			return route
@@ -239,9 +241,9 @@
 	return true
 }
 
-// moreSpecific orders routes with the same path: those with a host first, then
+// compareSpecificity orders routes with the same path: those with a host first, then
 // those that list more methods and headers, then by name and partner.
-func moreSpecific(a, b *Route) int {
+func compareSpecificity(a, b *Route) int {
 	if (a.host == "") != (b.host == "") {
 		if a.host != "" {
 			return -1
@@ -249,13 +251,13 @@
 		return 1
 	}
 	return cmp.Or(
-		cmp.Compare(conditions(b), conditions(a)),
+		cmp.Compare(conditionCount(b), conditionCount(a)),
 		strings.Compare(a.Resource.Name, b.Resource.Name),
 		strings.Compare(string(a.Resource.Partner), string(b.Resource.Partner)),
 	)
 }
 
-func conditions(route *Route) int {
+func conditionCount(route *Route) int {
 	match := route.Resource.Match
 	return len(match.Methods) + len(match.Headers)
 }
--- a/internal/core/routing/table_test.go
+++ b/internal/core/routing/table_test.go
@@ -69,19 +69,19 @@
 	given := route("plans", resource.Match{Path: "/"})
 	given.Secret = &resource.SecretUse{Name: "key", Header: "x-plan-key"}
 	key := resource.Key{Partner: "k", Kind: resource.KindSecret, Name: "key"}
-	held := &snapshot.Snapshot{
+	snap := &snapshot.Snapshot{
 		Routes:  []resource.Route{given},
 		Secrets: map[resource.Key]resource.Secret{key: {Value: "text"}},
 	}
-	compiled := Compile(held).Find(Query{Path: "/"})
+	compiled := Compile(snap).Find(Query{Path: "/"})
 	check.Equal(compiled.Timeout, 15*time.Second)
 	check.Equal(compiled.Attempts, DefaultAttempts)
 	check.Equal(compiled.SecretHeader, "X-Plan-Key")
 	check.Equal(compiled.SecretText.Reveal(), "text")
 	check.True(compiled.Repeatable("HEAD"))
 	check.True(!compiled.Repeatable("PUT"))
-	no := false
-	compiled.Resource.Repeatable = &no
+	notRepeatable := false
+	compiled.Resource.Repeatable = &notRepeatable
 	check.True(!compiled.Repeatable("GET"))
 }
 
--- a/internal/core/routing/verbatim.go
+++ b/internal/core/routing/verbatim.go
@@ -10,46 +10,46 @@
 type hostRoutes struct {
 	// prefixes maps path prefixes, which end with a slash, to their routes.
 	prefixes map[string]*Route
-	// longest is the length of the longest prefix.
-	longest int
+	// longestPrefix is the length of the longest prefix.
+	longestPrefix int
 }
 
 // CompileVerbatim builds a table that matches hosts and paths as sent, without
 // bringing them into canonical form: the route with the longest matching path
 // prefix wins. Prefixes end with a slash. All conditions of a route other than
 // host and prefix are ignored.
-func CompileVerbatim(held *snapshot.Snapshot) *Table {
+func CompileVerbatim(snap *snapshot.Snapshot) *Table {
 	table := &Table{hosts: map[string]*hostRoutes{}}
-	for _, route := range held.Routes {
-		compiled := compileRoute(route, held)
+	for _, route := range snap.Routes {
+		compiled := compileRoute(route, snap)
 		if compiled == nil {
 			continue
 		}
-		table.count(compiled)
+		table.recordRoute(compiled)
 		host := strings.ToLower(route.Match.Host)
-		under := table.hosts[host]
-		if under == nil {
-			under = &hostRoutes{prefixes: map[string]*Route{}}
-			table.hosts[host] = under
+		routes := table.hosts[host]
+		if routes == nil {
+			routes = &hostRoutes{prefixes: map[string]*Route{}}
+			table.hosts[host] = routes
 		}
-		under.prefixes[route.Match.PathPrefix] = compiled
-		under.longest = max(under.longest, len(route.Match.PathPrefix))
+		routes.prefixes[route.Match.PathPrefix] = compiled
+		routes.longestPrefix = max(routes.longestPrefix, len(route.Match.PathPrefix))
 	}
 	return table
 }
 
 func (t *Table) findVerbatim(query Query) *Route {
-	under := t.hosts[query.Host]
-	if under == nil {
+	routes := t.hosts[query.Host]
+	if routes == nil {
 		return nil
 	}
-	path := query.Path[:min(len(query.Path), under.longest)]
+	path := query.Path[:min(len(query.Path), routes.longestPrefix)]
 	for {
 		slash := strings.LastIndexByte(path, '/')
 		if slash < 0 {
 			return nil
 		}
-		if route := under.prefixes[path[:slash+1]]; route != nil {
+		if route := routes.prefixes[path[:slash+1]]; route != nil {
 			return route
 		}
 		path = path[:slash]
--- a/internal/core/routing/verbatim_test.go
+++ b/internal/core/routing/verbatim_test.go
@@ -9,7 +9,7 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-func TestVerbatimTableTakesTheLongestPrefixAsSent(t *testing.T) {
+func TestVerbatimTableMatchesTheLongestPrefixAsSent(t *testing.T) {
 	service := resource.ServiceRef{Partner: "p", Name: "s"}
 	var routes []resource.Route
 	for name, match := range map[string]resource.Match{
