--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -25,17 +25,17 @@
 
 // push inserts a ticket behind all tickets with the same or an earlier startBy.
 func (l *ticketList) push(ticket *Ticket) {
-	before := l.tail
-	for before != nil && before.startBy > ticket.startBy {
-		before = before.previous
+	predecessor := l.tail
+	for predecessor != nil && predecessor.startBy > ticket.startBy {
+		predecessor = predecessor.previous
 	}
-	ticket.previous = before
-	if before == nil {
+	ticket.previous = predecessor
+	if predecessor == nil {
 		ticket.next = l.head
 		l.head = ticket
 	} else {
-		ticket.next = before.next
-		before.next = ticket
+		ticket.next = predecessor.next
+		predecessor.next = ticket
 	}
 	if ticket.next == nil {
 		l.tail = ticket
--- a/internal/core/admission/queueing.go
+++ b/internal/core/admission/queueing.go
@@ -14,14 +14,14 @@
 		return Decision{State: StateQueued}
 	}
 	wait := g.expectedWait(partner, partner.workAhead(ticket))
-	left := ticket.Deadline - now
+	remaining := ticket.Deadline - now
 	service := g.expectedServiceOf(&ticket.Call)
 	if decision := g.checkTarget(now, ticket, wait); decision.State == StateRefused {
 		return decision
 	}
 	ticket.queuedAt = now
 	ticket.expectedWait = wait
-	if wait+service > left || wait > time.Duration(float64(left)*maxWaitShare) {
+	if wait+service > remaining || wait > time.Duration(float64(remaining)*maxWaitShare) {
 		return refused(result.DeadlineBeforeStart, wait)
 	}
 	if wait > g.config.QueueWait {
@@ -30,8 +30,8 @@
 	if g.queue.length < g.config.QueueLength {
 		return Decision{State: StateQueued}
 	}
-	if lower := partner.lastBelow(ticket.priorityIndex()); lower != nil {
-		g.evict(lower, refused(result.Shed, wait))
+	if lowerPriority := partner.lastBelow(ticket.priorityIndex()); lowerPriority != nil {
+		g.evict(lowerPriority, refused(result.Shed, wait))
 		return Decision{State: StateQueued}
 	}
 	if overShare := g.queue.mostOverShare(partner, g.config.QueueLength); overShare != nil {
@@ -71,13 +71,13 @@
 	for _, partner := range g.queue.partnerQueues {
 		for priority := range priorityCount {
 			for head := partner.byPriority[priority].head; head != nil; head = partner.byPriority[priority].head {
-				higher := partner.workFromPriority(priority + 1)
-				wait := g.expectedWait(partner, higher)
+				higherWork := partner.workFromPriority(priority + 1)
+				wait := g.expectedWait(partner, higherWork)
 				if now+wait+g.expectedServiceOf(&head.Call) <= head.Deadline {
 					break
 				}
 				code := result.Shed
-				if higher == 0 {
+				if higherWork == 0 {
 					code = result.DeadlineBeforeStart
 				}
 				g.evict(head, refused(code, wait))
--- a/internal/core/admission/service_time.go
+++ b/internal/core/admission/service_time.go
@@ -23,10 +23,10 @@
 
 // observe adds a duration to the mean. If two updates race, one is lost, which the
 // mean tolerates.
-func (m *movingMean) observe(took time.Duration) {
+func (m *movingMean) observe(duration time.Duration) {
 	old := m.bits.Load()
 	mean := math.Float64frombits(old)
-	next := took.Seconds()
+	next := duration.Seconds()
 	if old != 0 {
 		next = min(next, mean*outlierFactor)
 		next = mean + (next-mean)*meanWeight
@@ -44,13 +44,13 @@
 }
 
 // observeService adds the service time of a call to the means of all calls and of its class.
-func (g *Gate) observeService(call *Call, took time.Duration) {
-	g.meanService.observe(took)
+func (g *Gate) observeService(call *Call, duration time.Duration) {
+	g.meanService.observe(duration)
 	stats := g.classStatsOf(call)
 	if mean := stats.mean.value(); mean > 0 {
-		stats.deviation.observe(max(took-mean, mean-took))
+		stats.deviation.observe(max(duration-mean, mean-duration))
 	}
-	stats.mean.observe(took)
+	stats.mean.observe(duration)
 }
 
 // expectedServiceOf returns the expected service time of a call: the mean of its class, or
@@ -90,15 +90,15 @@
 const longestDecay = 1.0 / 128
 
 // RecordServiceTime records the time from sending a call to the back end's answer.
-func (g *Gate) RecordServiceTime(call *Call, took time.Duration) {
+func (g *Gate) RecordServiceTime(call *Call, duration time.Duration) {
 	stats := g.classStatsOf(call)
 	stats.answerCount.Add(1)
-	stats.answeredMean.observe(took)
+	stats.answeredMean.observe(duration)
 	mean := stats.answeredMean.value()
-	stats.answeredDeviation.observe(max(took-mean, mean-took))
+	stats.answeredDeviation.observe(max(duration-mean, mean-duration))
 	old := stats.longestAnswered.Load()
 	decayed := old - int64(float64(old-int64(mean))*longestDecay)
-	stats.longestAnswered.CompareAndSwap(old, max(decayed, int64(took)))
+	stats.longestAnswered.CompareAndSwap(old, max(decayed, int64(duration)))
 }
 
 // longDeviations is the number of mean deviations by which ServiceTimes.Long exceeds the mean. If
--- a/internal/core/admission/service_time_test.go
+++ b/internal/core/admission/service_time_test.go
@@ -9,10 +9,10 @@
 
 // recordAnswers records a number of answers after the same service time and returns the
 // resulting Longest.
-func recordAnswers(gate *Gate, took time.Duration, count int) time.Duration {
+func recordAnswers(gate *Gate, duration time.Duration, count int) time.Duration {
 	for range count {
-		gate.observeService(&Call{}, took)
-		gate.RecordServiceTime(&Call{}, took)
+		gate.observeService(&Call{}, duration)
+		gate.RecordServiceTime(&Call{}, duration)
 	}
 	return gate.ServiceTimes(&Call{}).Longest
 }
--- a/internal/core/resource/encode.go
+++ b/internal/core/resource/encode.go
@@ -228,10 +228,10 @@
 	return nil
 }
 
-func unmarshalStrict(text []byte, into any) error {
+func unmarshalStrict(text []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(target); err != nil {
 		return result.New(result.UnknownFormat, "the encoding has a part that this build does not know")
 	}
 	return nil
--- a/internal/core/resource/value.go
+++ b/internal/core/resource/value.go
@@ -173,11 +173,11 @@
 		return 0
 	}
 	number := int64(math.MaxInt64)
-	switch read := node.Value.(type) {
+	switch parsed := node.Value.(type) {
 	case int64:
-		number = read
+		number = parsed
 	case uint64:
-		number = int64(min(read, math.MaxInt64))
+		number = int64(min(parsed, math.MaxInt64))
 	}
 	if number < int64(low) || number > int64(high) {
 		v.addMistake(result.FileBadValue, fmt.Sprintf("Give a number from %d to %d.", low, high), "the number is out of range")
@@ -196,8 +196,8 @@
 		v.addWrongType("true or false")
 		return nil
 	}
-	read := node.Value
-	return &read
+	parsed := node.Value
+	return &parsed
 }
 
 // duration reads a duration such as 500ms or 2s, from low to high.
@@ -206,16 +206,16 @@
 	if !isText {
 		return 0
 	}
-	read, err := time.ParseDuration(text)
+	parsed, err := time.ParseDuration(text)
 	if err != nil {
 		v.addMistake(result.FileBadValue, "Write a number and a unit, such as 500ms or 2s.", "%q is not a duration", shorten(text))
 		return 0
 	}
-	if read < low || read > high {
+	if parsed < low || parsed > high {
 		v.addMistake(result.FileBadValue, fmt.Sprintf("Give a duration from %s to %s.", low, high), "the duration is out of range")
 		return 0
 	}
-	return read
+	return parsed
 }
 
 func join(path, name string) string {
