--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -67,8 +67,7 @@
 type Ticket struct {
 	Call
 	// Unmeasured excludes the call from the mean service time. The owner sets it
-	// before Done for failed calls: immediate failures would make a back end look
-	// fast.
+	// before Done for failed calls, because immediate failures would lower the mean.
 	Unmeasured bool
 
 	waiter Waiter
@@ -81,13 +80,15 @@
 	startedAt time.Duration
 	// expectedService is the service time expected when the call was queued or started.
 	expectedService time.Duration
-	// startBy orders queued calls of equal priority: the earliest starts first.
+	// startBy is the latest start with which the call is expected to meet its target, or
+	// the time of queueing if it has none. Equal priorities start in this order.
 	startBy time.Duration
 	// queuedAt is the time at which the call was queued, expectedWait the queueing
 	// time that was estimated then.
 	queuedAt     time.Duration
 	expectedWait time.Duration
-	// chargedSeconds is the expected slot time that queue.charge has charged.
+	// chargedSeconds is the expected slot time for which queue.charge advanced the
+	// partner's virtual time; 0 until a queued call starts.
 	chargedSeconds float64
 	// partnerQueue is the queue that holds or held the call; next and previous link
 	// its tickets.
--- a/internal/core/admission/cold.go
+++ b/internal/core/admission/cold.go
@@ -7,10 +7,10 @@
 )
 
 // SetColdLimit sets the maximum number of calls that start within a window while the back end
-// is cold, as computed by warmup.Tolerance.Limit; 0 means no limit. Opened is true if calls may
-// have started before without being counted.
-func (g *Gate) SetColdLimit(now time.Duration, limit int, opened bool) {
-	g.coldLimiter.SetLimit(now, limit, opened)
+// is cold, as computed by warmup.Tolerance.Limit; 0 means no limit.
+// UncountedStarts is true if calls may have started before without being counted.
+func (g *Gate) SetColdLimit(now time.Duration, limit int, uncountedStarts bool) {
+	g.coldLimiter.SetLimit(now, limit, uncountedStarts)
 }
 
 // SetColdUntil sets the time until which the back end is cold. Before the first call of
--- a/internal/core/admission/control.go
+++ b/internal/core/admission/control.go
@@ -12,7 +12,7 @@
 func (g *Gate) Close() { g.refuseAll(closedBit) }
 
 // Evacuate refuses calls like Drain, but with the code for an evacuated zone. It
-// replaces a drain, so that only one of the two reasons applies at a time.
+// replaces an earlier Drain, whose code would otherwise take precedence.
 func (g *Gate) Evacuate() {
 	g.refuseAll(evacuatedBit)
 	g.word.And(^uint64(drainingBit))
--- a/internal/core/admission/control_test.go
+++ b/internal/core/admission/control_test.go
@@ -31,7 +31,7 @@
 	gate.Evacuate()
 	gate.Drain()
 	check.Equal(offer(gate, 0, Call{}).code, result.Draining)
-	gate.Evacuate() // of a new instance of the back end
+	gate.Evacuate() // replaces the drain, as for a new instance of the back end
 	check.Equal(offer(gate, 0, Call{}).code, result.ZoneEvacuated)
 	gate.Close()
 	gate.Resume()
--- a/internal/core/admission/fingerprint_set.go
+++ b/internal/core/admission/fingerprint_set.go
@@ -107,8 +107,8 @@
 	older   []retiredGeneration
 }
 
-// find reports whether an older generation contains a value.
-func (s *generationSet) find(value uint64) bool {
+// contains reports whether an older generation contains a value.
+func (s *generationSet) contains(value uint64) bool {
 	for _, old := range s.older {
 		if old.find(value) != nil {
 			return true
@@ -147,7 +147,7 @@
 	value := fingerprint.cellValue()
 	for {
 		generations := s.rotate(now)
-		if generations.find(value) || generations.current.find(value) != nil {
+		if generations.contains(value) || generations.current.find(value) != nil {
 			return Present
 		}
 		if int(generations.current.count.Load()) >= generations.current.capacity {
@@ -173,7 +173,7 @@
 func (s *FingerprintSet) Contains(fingerprint Fingerprint) bool {
 	value := fingerprint.cellValue()
 	generations := s.generations.Load()
-	return generations.current.find(value) != nil || generations.find(value)
+	return generations.current.find(value) != nil || generations.contains(value)
 }
 
 // Remove removes a fingerprint. It is meant for calls that certainly did not run.
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -24,6 +24,8 @@
 	closedBit    = 1 << 62
 	evacuatedBit = 1 << 61
 	isolatedBit  = 1 << 60
+	// refusingMask covers the flags under which all new calls are refused; under
+	// isolatedBit they are queued.
 	refusingMask = drainingBit | closedBit | evacuatedBit
 )
 
@@ -134,7 +136,7 @@
 func (g *Gate) RefusalCode() result.Code { return refusalCode(g.word.Load()) }
 
 // refusalCode returns the refusal code for a packed state. Draining takes precedence
-// over evacuation: a back end that leaves does not return when its zone does.
+// over evacuation: a drained back end stays out of use when the evacuation ends.
 func refusalCode(word uint64) result.Code {
 	switch {
 	case word&(drainingBit|closedBit) != 0:
@@ -188,8 +190,9 @@
 	}
 }
 
-// recordStart records the start of a call: in the cold limiter, the set of keys and
-// the expected work. If it returns a refusal, the call must not start.
+// recordStart counts the start of a call in the cold limiter, adds the call's key to
+// keys and its expected service time to runningWork. If it returns a refusal, the
+// call must not start; if keys caused the refusal, the cold limiter still counts it.
 func (g *Gate) recordStart(now time.Duration, ticket *Ticket) Decision {
 	if wait := g.coldLimiter.TryStart(now, ticket.priorityIndex()); wait > 0 {
 		return refused(result.WarmingUp, wait)
@@ -223,9 +226,9 @@
 func (g *Gate) enqueue(now time.Duration, ticket *Ticket) Decision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	partner := g.queue.ofPartner(ticket.Partner)
+	partner := g.queue.partnerQueueOf(ticket.Partner)
 	ticket.expectedService = g.expectedServiceOf(&ticket.Call)
-	ticket.startBy = g.startBy(now, ticket)
+	ticket.startBy = g.startByOf(now, ticket)
 	if decision := g.reserveQueuePlace(now, ticket, partner); decision.State == StateRefused {
 		return decision
 	}
@@ -339,7 +342,7 @@
 		return false
 	}
 	if !g.config.NoEstimate && g.queue.length > 0 && g.lateness(ticket, now) > 0 {
-		// It would miss its target and delay the calls behind it.
+		// The call would miss its target and delay the calls behind it.
 		ticket.settle(refused(result.QueueFull, service/retryAfterDivisor))
 		return false
 	}
@@ -352,9 +355,9 @@
 	return decision.State == StateStarted
 }
 
-// LatestStart returns the latest time at which a queued call can start and still end
-// by its deadline. After that its owner should withdraw it and answer its sender at
-// once that it did not run, while there is time to send it elsewhere.
+// LatestStart returns the latest time at which a queued call can start and be expected
+// to end by its deadline. After that time the owner of the call should withdraw it and
+// answer at once that it did not run, so that the sender can still send it elsewhere.
 func (g *Gate) LatestStart(ticket *Ticket) time.Duration {
 	return ticket.Deadline - g.expectedServiceOf(&ticket.Call)
 }
--- a/internal/core/admission/isolation.go
+++ b/internal/core/admission/isolation.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// isolation holds the isolated call: the running call beside which no other may start.
+// isolation holds the isolated call: while it runs, no other call may start.
 type isolation struct {
 	ticket *Ticket
 	// alone is closed once no other call runs.
--- a/internal/core/admission/orphans.go
+++ b/internal/core/admission/orphans.go
@@ -14,13 +14,14 @@
 	until atomic.Int64
 }
 
-// unknownOrphansDivisor is the divisor of the slots that gives those to use while the number of
-// orphaned calls is unknown. Using a quarter of them is safe enough: back ends can queue a few
+// unknownOrphansDivisor divides the slots: only the resulting number of them is used while the
+// number of orphaned calls is unknown. Using a quarter is safe because back ends can queue a few
 // calls, and most have aborted the calls whose connections closed.
 const unknownOrphansDivisor = 4
 
-// callLimit returns the number of calls that may run now: the slots that are not occupied
-// otherwise, but at least 1, because an answer shows how many calls the back end holds.
+// callLimit returns the number of calls that may run now: the slots that probes and orphaned calls
+// do not occupy, but at least 1, because it takes answers to release the reserved slots early; see
+// RecordAnswer and CapOrphanedCalls.
 func (g *Gate) callLimit() int64 {
 	return max(g.slots.Load()-g.occupiedSlots(), 1)
 }
@@ -51,8 +52,10 @@
 }
 
 // RecordAnswer records that the back end has answered a call, and releases one slot reserved for
-// orphaned calls: the answer proves that the back end had capacity for that call. The number of
-// calls that may run thus doubles within one service time.
+// orphaned calls: the answer proves that the back end had capacity for that call. If all
+// running calls are answered, the number of calls that may run thus doubles within one service
+// time. Since callLimit is at least 1, a count above slots - 1 is first lowered to slots - 1, so that
+// each answer raises the limit.
 func (g *Gate) RecordAnswer(now time.Duration) {
 	if count := g.orphans.count.Load(); count > 0 {
 		g.capOrphans(now, min(count, g.slots.Load()-1)-1)
@@ -65,8 +68,9 @@
 	g.capOrphans(now, int64(max(extra, 0)))
 }
 
-// Tick releases the slots reserved for orphaned calls once the time for these has passed. It also
-// starts calls that were queued at the same moment in which slots became free.
+// Tick releases the slots reserved for orphaned calls once all of these have ended; see
+// ExpectOrphanedCalls. It also starts calls that were queued while a slot of a probe or an orphaned
+// call was released: Gate.word does not contain these slots, so enqueue can miss the release.
 func (g *Gate) Tick(now time.Duration) {
 	if int64(now) >= g.orphans.until.Load() {
 		g.capOrphans(now, 0)
--- a/internal/core/admission/orphans_test.go
+++ b/internal/core/admission/orphans_test.go
@@ -39,7 +39,7 @@
 	check := is.New(t)
 	gate := gateWithOrphans(time.Second)
 	started, _ := startUntilQueued(gate, 0)
-	check.Equal(len(started), 1) // its answer shows how many calls the back end holds
+	check.Equal(len(started), 1) // the minimum of callLimit
 }
 
 // Callers must see a gate whose slots are occupied by orphaned calls as full.
@@ -101,7 +101,7 @@
 
 // If the back end has reported no count, most calls on closed connections are assumed to have
 // ended.
-func TestAQuarterOfTheSlotsIsUsedWithUnknownOrphans(t *testing.T) {
+func TestAQuarterOfTheSlotsIsUsedWhileTheOrphanCountIsUnknown(t *testing.T) {
 	check := is.New(t)
 	for slots, want := range map[int64]int64{1: 1, 4: 1, 5: 2, 18: 5} {
 		check.Equal(slotsWithUnknownOrphans(slots), want)
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -78,7 +78,7 @@
 	// virtualTime is the partner's virtual time as defined by fair queueing: the slot time
 	// it has received, in seconds, divided by its weight.
 	virtualTime float64
-	// byPriority holds one list for each priority.
+	// byPriority[p] lists the queued calls with priority index p; see Ticket.priorityIndex.
 	byPriority [priorityCount]ticketList
 	length     int
 }
@@ -130,10 +130,10 @@
 	length      int
 }
 
-// ofPartner returns the queue of a partner and creates it if needed. Empty queues are
+// partnerQueueOf returns the queue of a partner and creates it if needed. Empty queues are
 // dropped when there are many, so beyond partnerQueueLimit the number of queues is
 // bounded by the number of queued calls.
-func (q *queue) ofPartner(partner resource.Partner) *partnerQueue {
+func (q *queue) partnerQueueOf(partner resource.Partner) *partnerQueue {
 	index, found := q.position(partner)
 	if found {
 		return q.partnerQueues[index]
@@ -210,7 +210,7 @@
 func (q *queue) correctCharge(ticket *Ticket, seconds float64) {
 	owner := ticket.partnerQueue
 	if owner == nil {
-		owner = q.ofPartner(ticket.Partner)
+		owner = q.partnerQueueOf(ticket.Partner)
 	}
 	owner.virtualTime += (seconds - ticket.chargedSeconds) / owner.weight
 }
@@ -237,7 +237,7 @@
 	var worst *partnerQueue
 	excess := 0.0
 	for _, other := range q.partnerQueues {
-		over := float64(other.length) - q.shareWith(other, partner)*float64(limit)
+		over := float64(other.length) - q.shareIfQueued(other, partner)*float64(limit)
 		if other != partner && other.length > 0 && over > excess {
 			worst = other
 			excess = over
@@ -246,8 +246,8 @@
 	return worst
 }
 
-// shareWith returns the share of a partner as if newcomer had queued calls too.
-func (q *queue) shareWith(partner, newcomer *partnerQueue) float64 {
+// shareIfQueued returns the share of a partner as if newcomer had queued calls too.
+func (q *queue) shareIfQueued(partner, newcomer *partnerQueue) float64 {
 	if newcomer.length > 0 {
 		return q.share(partner)
 	}
--- a/internal/core/admission/queueing.go
+++ b/internal/core/admission/queueing.go
@@ -118,7 +118,7 @@
 }
 
 // minUsableSlots is the number of usable slots that expectedWait assumes when all running calls
-// hang, since even then one ends now and then.
+// are marked as hung. It is not 0, because some of these calls still end.
 const minUsableSlots = 0.1
 
 // expectedWait estimates the time until a call of a partner gets a slot, given the partner's
--- a/internal/core/admission/service_time.go
+++ b/internal/core/admission/service_time.go
@@ -102,7 +102,7 @@
 }
 
 // longDeviations is the number of mean deviations by which ServiceTimes.Long exceeds the mean. If
-// the deviation is as large as the mean, about one call in ten takes longer than that.
+// the mean deviation is as large as the mean, about one call in ten takes longer than Long.
 const longDeviations = 2
 
 // ServiceTimes summarises the service times of the answered calls of one class.
@@ -127,7 +127,8 @@
 
 // classStats holds the service time statistics of one class of calls.
 type classStats struct {
-	// mean is the mean service time of all calls of the class.
+	// mean is the mean time from start to Done of the class's calls, without Unmeasured ones and
+	// those that did not reach the back end.
 	mean movingMean
 	// answeredMean and answeredDeviation are the mean and the mean deviation of answered calls
 	// only. Hung calls are left out: the time for which they hold a slot is not service time.
@@ -139,7 +140,8 @@
 	answerCount     atomic.Int64
 	// deviation is the mean deviation from mean.
 	deviation movingMean
-	// delayRatio is the mean ratio of actual to expected waits, stored as seconds.
+	// delayRatio is the mean ratio of actual to expected waits; a movingMean holds durations, so
+	// a ratio of 1 is stored as 1 s.
 	delayRatio movingMean
 }
 
--- a/internal/core/admission/target.go
+++ b/internal/core/admission/target.go
@@ -18,9 +18,9 @@
 // late answer: the call's service time divided by it.
 const negligibleWaitDivisor = 4
 
-// startBy returns the latest time at which a call can start and be expected to meet
+// startByOf returns the latest time at which a call can start and be expected to meet
 // its target, or the present time if it has no target.
-func (g *Gate) startBy(now time.Duration, ticket *Ticket) time.Duration {
+func (g *Gate) startByOf(now time.Duration, ticket *Ticket) time.Duration {
 	if ticket.Target <= 0 {
 		return now
 	}
--- a/internal/core/admission/target_test.go
+++ b/internal/core/admission/target_test.go
@@ -70,10 +70,10 @@
 	late := offer(gate, 0, callWithTarget(0, 500*time.Millisecond))
 	soon := offer(gate, 1, callWithTarget(1, 120*time.Millisecond))
 	high := Call{Deadline: time.Hour, Target: time.Second, Class: classOfTarget(time.Second), Priority: resource.PriorityHigh}
-	urgent := offer(gate, 2, high)
+	highPriority := offer(gate, 2, high)
 	gate.Done(3, holder.ticket, true)
-	check.Equal(urgent.waiter.last().State, StateStarted)
-	gate.Done(4, urgent.ticket, true)
+	check.Equal(highPriority.waiter.last().State, StateStarted)
+	gate.Done(4, highPriority.ticket, true)
 	check.Equal(soon.waiter.last().State, StateStarted)
 	gate.Done(5, soon.ticket, true)
 	check.Equal(late.waiter.last().State, StateStarted)
@@ -159,7 +159,7 @@
 	for range 64 {
 		runCallWithTarget(gate, 0, span, 100*time.Millisecond)
 	}
-	admitted := func() (queued int) {
+	countQueued := func() (queued int) {
 		holder := offer(gate, 0, callWithTarget(0, span))
 		var waiting []*offered
 		for next := offer(gate, 0, callWithTarget(0, span)); next.state == StateQueued; next = offer(gate, 0, callWithTarget(0, span)) {
@@ -171,7 +171,7 @@
 		gate.Done(100*time.Millisecond, holder.ticket, true)
 		return len(waiting)
 	}
-	before := admitted()
+	queuedBefore := countQueued()
 	for range 64 {
 		holder := offer(gate, 0, callWithTarget(0, span))
 		late := offer(gate, 0, callWithTarget(0, span))
@@ -179,7 +179,7 @@
 		check.Equal(late.waiter.last().State, StateStarted)
 		gate.Done(300*time.Millisecond, late.ticket, true)
 	}
-	check.True(before > admitted())
+	check.True(queuedBefore > countQueued())
 }
 
 // Short calls ahead must not lead to a refusal for which the same number of long calls
--- a/internal/core/callclass/callclass.go
+++ b/internal/core/callclass/callclass.go
@@ -12,8 +12,8 @@
 )
 
 // Count is the number of classes, which bounds the memory for values kept per class.
-// With five kinds of calls, two of them fall into the same class in 2 % of all
-// configurations; they then only share their statistics.
+// If the routes have five different settings, the probability that two of these share a
+// class is 2 %; the only effect is that they share their statistics.
 const Count = 512
 
 // Class identifies a class of calls by a number below Count. All daemons assign the
--- a/internal/core/callclass/callclass_test.go
+++ b/internal/core/callclass/callclass_test.go
@@ -19,7 +19,7 @@
 // Guards against a hash that maps routes with targets of similar size to the same class.
 func TestSimilarTargetsHaveDifferentClasses(t *testing.T) {
 	check := is.New(t)
-	kinds := []*resource.Route{
+	routes := []*resource.Route{
 		route(800*time.Millisecond, 2*time.Second, true),
 		route(time.Second, 2500*time.Millisecond, false),
 		route(1200*time.Millisecond, 3*time.Second, false),
@@ -27,11 +27,11 @@
 		route(200*time.Millisecond, 600*time.Millisecond, true),
 	}
 	classes := map[Class]bool{}
-	for _, kind := range kinds {
-		check.True(Of(kind) < Count)
-		classes[Of(kind)] = true
+	for _, candidate := range routes {
+		check.True(Of(candidate) < Count)
+		classes[Of(candidate)] = true
 	}
-	check.Equal(len(classes), len(kinds))
+	check.Equal(len(classes), len(routes))
 }
 
 // Routes that differ only in name and match belong to the same class.
--- a/internal/core/callclass/table.go
+++ b/internal/core/callclass/table.go
@@ -2,8 +2,8 @@
 
 import "sync/atomic"
 
-// Table holds one value per class. A value is created as the zero value at its first
-// use. Table is safe for concurrent use without locks; the zero Table is empty.
+// Table holds one value per class. The first Get of a class creates its value, as the zero
+// value of the type. Table is safe for concurrent use without locks and needs no constructor.
 type Table[Value any] struct {
 	values [Count]atomic.Pointer[Value]
 }
--- a/internal/core/callclass/table_test.go
+++ b/internal/core/callclass/table_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Concurrent calls get the same value of a class, and each class has its own value.
+// Concurrent uses of Get return the same value for a class, and each class has its own value.
 func TestATableHasOneValueForEachClass(t *testing.T) {
 	check := is.New(t)
 	table := &Table[int]{}
--- a/internal/core/region/allowed_test.go
+++ b/internal/core/region/allowed_test.go
@@ -19,7 +19,7 @@
 	check.True(!NewAllowed([]string{}).Has(""))
 }
 
-func TestOrderAndRepetitionMakeNoDifference(t *testing.T) {
+func TestEqualIgnoresOrderAndRepetitionOfRegions(t *testing.T) {
 	check := is.New(t)
 	check.True(NewAllowed([]string{"b", "a", "b"}).Equal(NewAllowed([]string{"a", "b"})))
 	check.True(!NewAllowed([]string{}).Equal(NewAllowed(nil)))
@@ -28,8 +28,8 @@
 // The intersection does not depend on the order of the operands.
 func TestIntersectAllowsWhatBothAllow(t *testing.T) {
 	for _, given := range []struct {
-		name             string
-		one, two, wanted []string
+		name                string
+		left, right, wanted []string
 	}{
 		{"neither", nil, nil, nil},
 		{"one sets it", nil, []string{"a"}, []string{"a"}},
@@ -39,8 +39,8 @@
 	} {
 		t.Run(given.name, func(t *testing.T) {
 			check := is.New(t)
-			check.True(NewAllowed(given.one).Intersect(NewAllowed(given.two)).Equal(NewAllowed(given.wanted)))
-			check.True(NewAllowed(given.two).Intersect(NewAllowed(given.one)).Equal(NewAllowed(given.wanted)))
+			check.True(NewAllowed(given.left).Intersect(NewAllowed(given.right)).Equal(NewAllowed(given.wanted)))
+			check.True(NewAllowed(given.right).Intersect(NewAllowed(given.left)).Equal(NewAllowed(given.wanted)))
 		})
 	}
 }
--- a/internal/core/resource/canonical_test.go
+++ b/internal/core/resource/canonical_test.go
@@ -40,9 +40,9 @@
 }
 
 func TestCanonicalPathAllocatesNothingWhenCanonical(t *testing.T) {
-	is := is.New(t)
+	check := is.New(t)
 	allocations := testing.AllocsPerRun(100, func() { _, _ = resource.CanonicalPath("/renewals/2026/box-12/confirm") })
-	is.Equal(allocations, 0.0)
+	check.Equal(allocations, 0.0)
 }
 
 func BenchmarkCanonicalPath(b *testing.B) {
--- a/internal/core/resource/parse_test.go
+++ b/internal/core/resource/parse_test.go
@@ -40,34 +40,34 @@
 }
 
 func TestExamplesParseAndReferToEachOther(t *testing.T) {
-	is := is.New(t)
+	check := is.New(t)
 	files := exampleFiles(t)
-	is.Equal(resource.MissingReferences(files), nil)
+	check.Equal(resource.MissingReferences(files), nil)
 	for _, file := range files {
 		if file.Name != "timesheets" {
 			continue
 		}
-		is.Equal(file.Distribution, resource.Distribution{Prefer: resource.PreferBytes, BatchWindow: 500 * time.Millisecond})
-		is.Equal(file.Routes[1].Split[0].Service, resource.ServiceRef{Partner: "kameeldoring", Name: "roast-schedule"})
+		check.Equal(file.Distribution, resource.Distribution{Prefer: resource.PreferBytes, BatchWindow: 500 * time.Millisecond})
+		check.Equal(file.Routes[1].Split[0].Service, resource.ServiceRef{Partner: "kameeldoring", Name: "roast-schedule"})
 	}
 }
 
 func TestCanonicalEncodingsRoundTrip(t *testing.T) {
-	is := is.New(t)
+	check := is.New(t)
 	for _, file := range exampleFiles(t) {
 		decoded, err := resource.DecodeFile(resource.EncodeFile(file))
-		is.NoErr(err)
-		is.Equal(decoded, file)
+		check.NoErr(err)
+		check.Equal(decoded, file)
 		for _, encoded := range resource.Encode(file) {
 			decodedResource, err := resource.Decode(encoded)
-			is.NoErr(err)
-			is.Equal(decodedResource.Key(), encoded.Key)
+			check.NoErr(err)
+			check.Equal(decodedResource.Key(), encoded.Key)
 		}
 	}
 }
 
 func TestDecodeRefusesNonCanonicalPayloads(t *testing.T) {
-	is := is.New(t)
+	check := is.New(t)
 	encoded := resource.Encode(exampleFiles(t)[0])[0]
 	for _, corrupt := range []func([]byte) []byte{
 		func(payload []byte) []byte { return append([]byte(" "), payload...) },
@@ -77,15 +77,15 @@
 		corrupted := encoded
 		corrupted.Payload = corrupt(encoded.Payload)
 		_, err := resource.Decode(corrupted)
-		is.True(err != nil) // the digest does not match
+		check.True(err != nil) // the digest does not match
 		corrupted.Digest = resource.DigestOf(corrupted.Payload)
 		_, err = resource.Decode(corrupted)
-		is.True(err != nil) // the digest matches, but the payload is not canonical
+		check.True(err != nil) // the digest matches, but the payload is not canonical
 	}
 	renamed := encoded
 	renamed.Key.Name = "other"
 	_, err := resource.Decode(renamed)
-	is.True(err != nil)
+	check.True(err != nil)
 }
 
 // TestMistakes checks the code, line and field that are reported for each kind of
@@ -132,30 +132,30 @@
 	}
 	for _, example := range cases {
 		t.Run(example.name, func(t *testing.T) {
-			is := is.New(t)
+			check := is.New(t)
 			_, problems := parse(example.text)
-			is.Equal(len(problems), 1)
-			is.Equal(problems[0].Code, example.code)
-			is.Equal(problems[0].Line, example.line)
-			is.Equal(problems[0].Field, example.field)
-			is.Equal(problems[0].File, "test.yaml")
-			is.True(problems[0].Detail != "" && problems[0].Mend != "")
+			check.Equal(len(problems), 1)
+			check.Equal(problems[0].Code, example.code)
+			check.Equal(problems[0].Line, example.line)
+			check.Equal(problems[0].Field, example.field)
+			check.Equal(problems[0].File, "test.yaml")
+			check.True(problems[0].Detail != "" && problems[0].Mend != "")
 		})
 	}
 }
 
 func TestAllMistakesAreReportedInLineOrder(t *testing.T) {
-	is := is.New(t)
+	check := is.New(t)
 	_, problems := parse("partner: A\nservices:\n  - nme: x\nroutes:\n  - name: r\n    match: {}\n    split: []\n")
 	lines := []int{}
 	for _, problem := range problems {
 		lines = append(lines, problem.Line)
 	}
-	is.Equal(lines, []int{1, 1, 3, 3, 6, 7})
+	check.Equal(lines, []int{1, 1, 3, 3, 6, 7})
 }
 
 func TestMistakesNeverQuoteSecrets(t *testing.T) {
-	is := is.New(t)
+	check := is.New(t)
 	const hidden = "hunter2"
 	for _, text := range []string{
 		"partner: p\nname: f\nsecrets:\n  - name: s\n    value: \"" + hidden + "\\n\"\n",
@@ -163,9 +163,9 @@
 		"partner: p\nname: f\nsecrets:\n  - name: s\n    value: '" + hidden + "\n",
 	} {
 		_, problems := parse(text)
-		is.True(len(problems) > 0)
+		check.True(len(problems) > 0)
 		for _, problem := range problems {
-			is.True(!strings.Contains(problem.Error(), hidden))
+			check.True(!strings.Contains(problem.Error(), hidden))
 		}
 	}
 }
--- a/internal/core/resource/references.go
+++ b/internal/core/resource/references.go
@@ -29,9 +29,9 @@
 }
 
 // MissingReferences returns all references in files that are not satisfied by the
-// same files, in the order of the files. The services of a route must exist and be
-// exported to the route's partner; its secret, like the service of a back end, must
-// belong to the same partner.
+// same files, in the order of the files. All services and secrets that are referred to
+// must exist. A route may refer to services of its own partner and to those exported to
+// it; back ends and the secrets of routes refer to resources of their own partner.
 func MissingReferences(files []*File) []MissingReference {
 	return MissingReferencesAfter(files, files, nil)
 }
@@ -42,17 +42,17 @@
 // references of other files to resources that removed files declared, so apart from
 // one pass over all resources its cost depends on the size of the change.
 func MissingReferencesAfter(files, added, removed []*File) []MissingReference {
-	present := newIndex(files, affectedTargets(added, removed))
-	lost := present.lostTargets(removed)
-	addedFiles := lo.Keyify(added)
+	present := newTargetIndex(files, affectedTargets(added, removed))
+	changed := present.changedTargets(removed)
+	addedSet := lo.Keyify(added)
 	var missing []MissingReference
 	for _, file := range files {
-		_, isAdded := addedFiles[file]
-		if !isAdded && len(lost) == 0 {
+		_, isAdded := addedSet[file]
+		if !isAdded && len(changed) == 0 {
 			continue
 		}
 		for reference := range file.references() {
-			if !isAdded && !lost[reference.To] {
+			if !isAdded && !changed[reference.To] {
 				continue
 			}
 			if checked, unsatisfied := present.check(reference); unsatisfied {
@@ -95,9 +95,9 @@
 	return keys
 }
 
-// index looks up targets of references in a set of files. It contains only the
-// targets that newIndex was called with.
-type index struct {
+// targetIndex looks up targets of references in a set of files. It contains only the
+// targets that newTargetIndex was called with.
+type targetIndex struct {
 	services map[Key]*Service
 	secrets  map[Key]bool
 }
@@ -118,46 +118,46 @@
 	return targets
 }
 
-func newIndex(files []*File, targets map[Key]bool) index {
-	targetIndex := index{services: map[Key]*Service{}, secrets: map[Key]bool{}}
+func newTargetIndex(files []*File, targets map[Key]bool) targetIndex {
+	created := targetIndex{services: map[Key]*Service{}, secrets: map[Key]bool{}}
 	for _, file := range files {
 		for i := range file.Services {
 			if key := file.Services[i].Key(); targets[key] {
-				targetIndex.services[key] = &file.Services[i]
+				created.services[key] = &file.Services[i]
 			}
 		}
 		for i := range file.Secrets {
 			if key := file.Secrets[i].Key(); targets[key] {
-				targetIndex.secrets[key] = true
+				created.secrets[key] = true
 			}
 		}
 	}
-	return targetIndex
+	return created
 }
 
-// lostTargets returns the keys of the services and secrets of removed files that no
+// changedTargets returns the keys of the services and secrets of removed files that no
 // longer exist, and of the services whose exports have changed.
-func (x index) lostTargets(removed []*File) map[Key]bool {
-	lost := map[Key]bool{}
+func (x targetIndex) changedTargets(removed []*File) map[Key]bool {
+	changed := map[Key]bool{}
 	for _, file := range removed {
 		for _, service := range file.Services {
 			current, found := x.services[service.Key()]
 			if !found || !slices.Equal(current.ExportTo, service.ExportTo) {
-				lost[service.Key()] = true
+				changed[service.Key()] = true
 			}
 		}
 		for _, secret := range file.Secrets {
 			if !x.secrets[secret.Key()] {
-				lost[secret.Key()] = true
+				changed[secret.Key()] = true
 			}
 		}
 	}
-	return lost
+	return changed
 }
 
 // check returns the reference with NotExported filled in, and reports whether it
 // is unsatisfied.
-func (x index) check(reference MissingReference) (MissingReference, bool) {
+func (x targetIndex) check(reference MissingReference) (MissingReference, bool) {
 	if reference.To.Kind == KindSecret {
 		return reference, !x.secrets[reference.To]
 	}
--- a/internal/core/resource/types.go
+++ b/internal/core/resource/types.go
@@ -76,7 +76,8 @@
 const (
 	// PreferConvergence distributes each change at once.
 	PreferConvergence Preference = "convergence"
-	// PreferBytes collects changes for a batching window before distributing them.
+	// PreferBytes saves bytes: it collects changes for a batching window before
+	// distributing them.
 	PreferBytes Preference = "bytes"
 )
 
@@ -121,8 +122,8 @@
 	MaxConnections int    `json:"-"`
 }
 
-// WarmUp is the load that a service's back ends can take while they are cold: after their
-// start, and whenever they report that they have become cold again. The zero value sets no
+// WarmUp limits the calls to a service's back ends while they are cold: after their start,
+// and whenever they report that they have become cold again. The zero value sets no
 // limit.
 type WarmUp struct {
 	// Duration is the time for which a back end is cold after its start.
--- a/internal/core/resource/value.go
+++ b/internal/core/resource/value.go
@@ -53,9 +53,9 @@
 	fields map[string]value
 }
 
-// object reads a mapping. Keys that are duplicates or not among known are reported
+// object reads a mapping. Keys that are duplicates or not among allowedNames are reported
 // as mistakes.
-func (v value) object(known ...string) object {
+func (v value) object(allowedNames ...string) object {
 	mapping := object{value: v, fields: map[string]value{}}
 	if !v.isPresent() {
 		return mapping
@@ -67,7 +67,7 @@
 		return mapping
 	}
 	allowed := map[string]bool{}
-	for _, name := range known {
+	for _, name := range allowedNames {
 		allowed[name] = true
 	}
 	for _, pair := range pairs {
--- a/internal/core/resource/yaml.go
+++ b/internal/core/resource/yaml.go
@@ -93,7 +93,7 @@
 				Mend:   "Write the value out.",
 			}
 		}
-		nesting.add(current)
+		nesting.addToken(current)
 		if nesting.depth() > limits.Depth {
 			return &result.Error{
 				Code:   result.FileTooDeep,
@@ -115,12 +115,13 @@
 }
 
 // maxMappingKeys is the maximum number of fields of one mapping, more than any mapping
-// of the file format has. The YAML parser's time is quadratic in that number.
+// of the file format has. The YAML parser's time is quadratic in the number
+// of fields of a mapping.
 const maxMappingKeys = 64
 
 // nestingTracker tracks an upper bound of the nesting depth while it receives the tokens
-// of a file: the number of open flow brackets and of the distinct columns of the block
-// entries and keys around them.
+// of a file: the number of open flow brackets plus the number of distinct columns at
+// which the enclosing block entries and keys start.
 type nestingTracker struct {
 	flow  []level
 	block []level
@@ -146,7 +147,7 @@
 	}
 }
 
-func (t *nestingTracker) add(current *token.Token) {
+func (t *nestingTracker) addToken(current *token.Token) {
 	switch current.Type {
 	case token.MappingStartType, token.SequenceStartType:
 		t.flow = append(t.flow, level{})
--- a/internal/core/routing/restrictions_test.go
+++ b/internal/core/routing/restrictions_test.go
@@ -11,7 +11,7 @@
 )
 
 // The restrictions of a service are the region lists of its own routes without duplicates.
-func TestRestrictionsAreThoseOfAServicesRoutes(t *testing.T) {
+func TestRestrictionsOfAServiceComeFromItsRoutes(t *testing.T) {
 	check := is.New(t)
 	service := func(name string) resource.ServiceRef { return resource.ServiceRef{Partner: "k", Name: name} }
 	routeTo := func(regions []string, names ...string) resource.Route {
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -29,7 +29,7 @@
 type Query struct {
 	Method string
 	// Host is the canonical host, as resource.CanonicalHost returns it; for a verbatim
-	// table, it is the host as sent.
+	// table, it is the host in lower case, without its port.
 	Host string
 	// Path is the canonical path, as resource.CanonicalPath returns it; for a verbatim
 	// table, it is the path as sent.
@@ -50,7 +50,7 @@
 	Resource resource.Route
 	// Class is the class of the route's calls, for statistics.
 	Class callclass.Class
-	// Targets lists the destinations in the file's order.
+	// Targets lists the destinations in the order of Resource.Split.
 	Targets []Target
 	// Timeout is the time limit of the whole call; never 0.
 	Timeout time.Duration
@@ -75,7 +75,7 @@
 	return method == "GET" || method == "HEAD"
 }
 
-// Pick selects a destination by weight, using a uniform random number.
+// Pick selects a destination by weight. Random is uniformly distributed over all uint64 values.
 func (r *Route) Pick(random uint64) resource.ServiceRef {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
@@ -97,16 +97,16 @@
 	prefixes map[string][]*Route
 	// hosts maps hosts to the routes of a verbatim table; nil in other tables.
 	hosts map[string]*hostRoutes
-	// longestPrefix is the length of the longest prefix.
-	longestPrefix int
-	size          int
+	// longestPrefix is the length of the longest key of prefixes.
+	longestPrefixLength int
+	routeCount          int
 	// restrictions holds the distinct region restrictions of the routes to each
 	// service.
 	restrictions map[resource.ServiceRef][]region.Allowed
 }
 
 // Compile builds the routing table of a snapshot. Routes without a destination
-// are skipped; snapshot.Build refuses them anyway.
+// are skipped.
 func Compile(snap *snapshot.Snapshot) *Table {
 	table := &Table{exact: map[string][]*Route{}, prefixes: map[string][]*Route{}}
 	for _, route := range snap.Routes {
@@ -157,13 +157,13 @@
 	}
 	prefix := strings.TrimSuffix(match.PathPrefix, "/")
 	t.prefixes[prefix] = append(t.prefixes[prefix], route)
-	t.longestPrefix = max(t.longestPrefix, len(prefix))
+	t.longestPrefixLength = max(t.longestPrefixLength, len(prefix))
 }
 
 // recordRoute adds a route to the table's size and its region restriction, if any, to
 // the restrictions of its services.
 func (t *Table) recordRoute(route *Route) {
-	t.size++
+	t.routeCount++
 	if !route.Regions.Restricted() {
 		return
 	}
@@ -180,7 +180,7 @@
 
 // HasRestrictions reports whether any route is restricted to regions.
 func (t *Table) HasRestrictions() bool {
-	return t != nil && len(t.restrictions) > 0 // t is nil until the first version is in force
+	return t != nil && len(t.restrictions) > 0 // t is nil until the first configuration version is in force
 }
 
 // RestrictionsOf returns the distinct region restrictions of the routes to a service. It is
@@ -190,7 +190,7 @@
 }
 
 // Size returns the number of routes.
-func (t *Table) Size() int { return t.size }
+func (t *Table) Size() int { return t.routeCount }
 
 // Find returns the most specific route that matches a call, or nil.
 func (t *Table) Find(query Query) *Route {
@@ -203,7 +203,7 @@
 	prefix := query.Path
 	for {
 		prefix = strings.TrimSuffix(prefix, "/")
-		if len(prefix) <= t.longestPrefix {
+		if len(prefix) <= t.longestPrefixLength {
 			if route := firstMatch(t.prefixes[prefix], query); route != nil {
 				return route
 			}
@@ -218,14 +218,15 @@
 
 func firstMatch(routes []*Route, query Query) *Route {
 	for _, route := range routes {
-		if route.matches(query) {
+		if route.matchesConditions(query) {
 			return route
 		}
 	}
 	return nil
 }
 
-func (r *Route) matches(query Query) bool {
+// matchesConditions reports whether a call meets the conditions of the route other than its path.
+func (r *Route) matchesConditions(query Query) bool {
 	if r.host != "" && r.host != query.Host {
 		return false
 	}
--- a/internal/core/routing/table_test.go
+++ b/internal/core/routing/table_test.go
@@ -64,7 +64,7 @@
 	check.Equal(counts, map[string]int{"split": 100, "other": 300})
 }
 
-func TestDefaultsOfARoute(t *testing.T) {
+func TestCompiledRouteHasDefaultsAndSecret(t *testing.T) {
 	check := is.New(t)
 	given := route("plans", resource.Match{Path: "/"})
 	given.Secret = &resource.SecretUse{Name: "key", Header: "x-plan-key"}
--- a/internal/core/routing/verbatim.go
+++ b/internal/core/routing/verbatim.go
@@ -10,14 +10,15 @@
 type hostRoutes struct {
 	// prefixes maps path prefixes, which end with a slash, to their routes.
 	prefixes map[string]*Route
-	// longestPrefix is the length of the longest prefix.
-	longestPrefix int
+	// longestPrefix is the length of the longest key of prefixes.
+	longestPrefixLength int
 }
 
-// CompileVerbatim builds a table that matches hosts and paths as sent, without
-// bringing them into canonical form: the route with the longest matching path
-// prefix wins. Prefixes end with a slash. All conditions of a route other than
-// host and prefix are ignored.
+// CompileVerbatim builds a table that matches hosts and paths without bringing them
+// into canonical form, except that hosts are in lower case. The route with
+// the longest matching path prefix wins, and the last of those with equal host and
+// prefix. Prefixes end with a slash; a route without a prefix matches no call. All
+// conditions of a route other than host and prefix are ignored.
 func CompileVerbatim(snap *snapshot.Snapshot) *Table {
 	table := &Table{hosts: map[string]*hostRoutes{}}
 	for _, route := range snap.Routes {
@@ -33,7 +34,7 @@
 			table.hosts[host] = routes
 		}
 		routes.prefixes[route.Match.PathPrefix] = compiled
-		routes.longestPrefix = max(routes.longestPrefix, len(route.Match.PathPrefix))
+		routes.longestPrefixLength = max(routes.longestPrefixLength, len(route.Match.PathPrefix))
 	}
 	return table
 }
@@ -43,7 +44,7 @@
 	if routes == nil {
 		return nil
 	}
-	path := query.Path[:min(len(query.Path), routes.longestPrefix)]
+	path := query.Path[:min(len(query.Path), routes.longestPrefixLength)]
 	for {
 		slash := strings.LastIndexByte(path, '/')
 		if slash < 0 {
