--- a/internal/core/floor/floor_test.go
+++ b/internal/core/floor/floor_test.go
@@ -12,7 +12,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// region is a set of keepers that answer at once, or not at all.
+// region is a set of keepers whose replies the test delivers explicitly.
 type region struct {
 	daemons  map[string]*daemon
 	releaser *Releaser
@@ -20,7 +20,7 @@
 	waiting  []SendStoreRequest
 }
 
-// newRegion returns a region of eight keepers at version 1.
+// newRegion returns a region of MaxKeepers keepers that store version 1.
 func newRegion() *region {
 	m := newModel(3, 1)
 	for len(m.daemons) != MaxKeepers {
@@ -33,7 +33,7 @@
 	return g
 }
 
-// release starts to release a version.
+// release makes a version the target of the releaser.
 func (g *region) release(version protocol.Version) {
 	g.take(g.releaser.SetTarget(0, 1, version, g.set))
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// deliver lets keepers answer what they were sent so far.
+// deliver lets the keepers at the addresses answer the requests sent so far.
 func (g *region) deliver(addresses ...string) {
 	sent := g.waiting
 	g.waiting = nil
@@ -60,7 +60,8 @@
 	}
 }
 
-// restart makes a keeper forget, and learn its floor from others.
+// restart restarts a keeper without its state and lets it obtain its floor from
+// the daemons at the given addresses.
 func (g *region) restart(address string, from ...string) {
 	d := g.daemons[address]
 	d.incarnation++
@@ -84,12 +85,12 @@
 	g := newRegion()
 	g.release(2)
 	g.deliver("0", "1", "2", "3", "4")
-	g.restart("0", "5", "6", "7") // none of them has version 2
+	g.restart("0", "5", "6", "7") // none of them holds version 2
 	is.True(g.daemons["0"].keeper.IsValid())
 	is.Equal(g.daemons["0"].keeper.Stored(), protocol.Version(1))
-	g.deliver("5") // the sixth answer, but 0, 6 and 7 do not have version 2
+	g.deliver("5") // the sixth reply, but 0, 6 and 7 do not hold version 2
 	is.Equal(g.releaser.Released(), protocol.Version(0))
-	g.deliver("0") // stores again; its new life starts another round
+	g.deliver("0") // stores again; its new incarnation starts another round
 	g.deliver("1", "2", "3", "4")
 	is.Equal(g.releaser.Released(), protocol.Version(0))
 	g.deliver("0", "1", "2", "3", "4", "5")
@@ -104,7 +105,7 @@
 	for range 3 {
 		g.deliver("0", "1", "2", "3", "4", "5")
 	}
-	is.Equal(g.releaser.Released(), protocol.Version(0)) // five of six
+	is.Equal(g.releaser.Released(), protocol.Version(0)) // five valid replies, six needed
 	g.daemons["0"].keeper.Validate(1, g.set)
 	g.take(g.releaser.Tick(time.Second))
 	g.deliver("0")
@@ -116,11 +117,11 @@
 	is := is.New(t)
 	g := newRegion()
 	g.release(2)
-	g.take(g.releaser.Tick(time.Second)) // all are asked twice
+	g.take(g.releaser.Tick(time.Second)) // each keeper gets a second request
 	late := g.waiting[MaxKeepers:]
 	g.waiting = g.waiting[:MaxKeepers]
 	g.deliver("0", "1", "2", "3", "4", "5")
-	for _, store := range late { // answered before the round, heard after its start
+	for _, store := range late { // answered before the confirmation round, received after its start
 		d := g.daemons[store.Address]
 		reply := &protocol.StoreReply{Code: result.OK, From: d.member.ID, Incarnation: d.incarnation, Stored: 2}
 		g.take(g.releaser.HandleReply(0, store.Token, reply))
@@ -128,7 +129,7 @@
 	is.Equal(g.releaser.Released(), protocol.Version(0))
 }
 
-// all are the addresses of a region of eight.
+// all are the addresses of the keepers of newRegion.
 var all = []string{"0", "1", "2", "3", "4", "5", "6", "7"}
 
 func TestKeepersRestartInTurnWithoutThePlatform(t *testing.T) {
@@ -163,7 +164,7 @@
 		g.restart(address)
 	}
 	for _, address := range all[:6] {
-		g.restart(address, "6", "7") // two answers are no read quorum
+		g.restart(address, "6", "7") // two replies are no read quorum
 		is.True(!g.daemons[address].keeper.IsValid())
 	}
 }
@@ -198,7 +199,7 @@
 	is.Equal(g.releaser.Released(), protocol.Version(4))
 }
 
-// answer makes a valid keeper's reply.
+// answer returns the reply of a valid keeper.
 func answer(from protocol.NodeID, floor protocol.Version, set protocol.KeeperSet) *protocol.FloorReply {
 	return &protocol.FloorReply{Code: result.OK, From: from, Floor: floor, Keepers: set}
 }
@@ -222,17 +223,17 @@
 		floor   protocol.Version
 		known   bool
 	}{
-		{"one answer of two", []*protocol.FloorReply{answer("a", 7, older)}, 0, false},
+		{"one reply of two", []*protocol.FloorReply{answer("a", 7, older)}, 0, false},
 		{"the same keeper twice", []*protocol.FloorReply{answer("a", 7, older), answer("a", 7, older)}, 0, false},
 		{"a read quorum", []*protocol.FloorReply{answer("a", 5, older), answer("c", 7, older)}, 7, true},
-		{"an answer tells of a newer set", []*protocol.FloorReply{answer("a", 5, older), answer("c", 10, newer)}, 0, false},
-		{"the newer set, which only knows the older", []*protocol.FloorReply{answer("a", 5, newer), answer("d", 5, older), answer("e", 5, older)}, 9, true},
-		{"only the newer set while the change is under way", []*protocol.FloorReply{answer("d", 5, joint), answer("e", 5, joint)}, 0, false},
-		{"both sets while the change is under way", []*protocol.FloorReply{answer("d", 5, joint), answer("e", 5, joint), answer("a", 12, older), answer("b", 5, older)}, 12, true},
+		{"a reply with a newer set", []*protocol.FloorReply{answer("a", 5, older), answer("c", 10, newer)}, 0, false},
+		{"a quorum of the newer set that knows only the older set", []*protocol.FloorReply{answer("a", 5, newer), answer("d", 5, older), answer("e", 5, older)}, 9, true},
+		{"only the newer set during the change", []*protocol.FloorReply{answer("d", 5, joint), answer("e", 5, joint)}, 0, false},
+		{"both sets during the change", []*protocol.FloorReply{answer("d", 5, joint), answer("e", 5, joint), answer("a", 12, older), answer("b", 5, older)}, 12, true},
 		{"keepers that are not ready", []*protocol.FloorReply{{Code: result.NotReadyYet, From: "a", Keepers: older}, {Code: result.NotReadyYet, From: "b", Keepers: older}}, 0, false},
 		{"a fresh head", []*protocol.FloorReply{{Code: result.OK, FromHead: true, Floor: 11, Keepers: newer}}, 11, true},
-		{"no head at all", []*protocol.FloorReply{{Code: result.OK, FromHead: true}}, 0, true},
-		{"a reader that could not read", []*protocol.FloorReply{{Code: result.NoReader, FromHead: true, Floor: 11}}, 0, false},
+		{"no head on the platform", []*protocol.FloorReply{{Code: result.OK, FromHead: true}}, 0, true},
+		{"a reader that could not read the head", []*protocol.FloorReply{{Code: result.NoReader, FromHead: true, Floor: 11}}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -260,7 +261,7 @@
 	is.Equal(write+read, 0)
 }
 
-// live returns alive members, named by zone and number.
+// live returns members in state alive. The first letter of a name is the zone.
 func live(names ...string) []protocol.Member {
 	return lo.Map(names, func(name string, _ int) protocol.Member {
 		return protocol.Member{ID: protocol.NodeID(name), Region: "region", Zone: name[:1], ControlAddress: name, State: protocol.MemberAlive}
@@ -294,7 +295,7 @@
 	is.True(!changed) // not released with both sets in the head yet
 	again, changed := ChooseKeepers("region", second, left[1:], 4)
 	is.Equal(changed, lo.Contains(ids(second), left[0].ID))
-	is.Equal(again.Previous.Members, first.Members) // the older set stays until the change has settled
+	is.Equal(again.Previous.Members, first.Members) // the older set stays until the change is complete
 	third, changed := ChooseKeepers("region", second, left, 5)
 	is.True(changed)
 	is.True(third.Previous == nil)
--- a/internal/core/floor/keeper.go
+++ b/internal/core/floor/keeper.go
@@ -5,9 +5,10 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Keeper is what a daemon remembers as a possible keeper of its region. Every
-// daemon has one; only members of the keeper set are asked. What it stores
-// only grows, so a root that was paused and wakes can't lower anything.
+// Keeper is the state that a daemon holds as a possible keeper of its region.
+// Every daemon has one; only those of the members of the keeper set receive
+// store requests. The stored version only grows, so that requests of a root
+// that resumes after a pause can't lower it.
 type Keeper struct {
 	id     protocol.NodeID
 	region string
@@ -21,15 +22,15 @@
 	return &Keeper{id: id, region: region, set: protocol.KeeperSet{Region: region}}
 }
 
-// Validate makes the keeper valid: the daemon has learnt its own floor. It is
-// called again to tell the keeper of a newer set.
+// Validate makes the keeper valid once the daemon knows its own floor. It is
+// called again with each newer keeper set.
 func (k *Keeper) Validate(floor protocol.Version, set protocol.KeeperSet) {
 	k.valid = true
 	k.stored = max(k.stored, floor)
 	k.follow(set)
 }
 
-// follow takes a newer set of the keeper's region.
+// follow replaces the keeper set by a newer one of the keeper's region.
 func (k *Keeper) follow(set protocol.KeeperSet) {
 	if set.Region == k.region && set.Revision > k.set.Revision {
 		k.set = set
@@ -45,10 +46,10 @@
 // Set returns the newest keeper set known.
 func (k *Keeper) Set() protocol.KeeperSet { return k.set }
 
-// Store takes a version to remember, with the set that is in the head at that
-// version. A keeper that is not valid remembers too, but its answer does not
-// count: a version that was released before may have been forgotten with its
-// last incarnation.
+// Store stores a version and the keeper set in the head at that version. A
+// keeper that is not valid stores them too, but its reply does not count towards
+// a quorum: it may have stored a released version before it restarted and lost
+// its state.
 func (k *Keeper) HandleStoreRequest(request *protocol.StoreRequest) *protocol.StoreReply {
 	if request.Keepers.Region != k.region {
 		return &protocol.StoreReply{Code: result.NotKeeper}
@@ -62,9 +63,9 @@
 	return reply
 }
 
-// Answer answers a question for the floor from memory, never from the
-// platform. NotKeeper means a valid daemon that knows of no set with itself in
-// it. The caller fills in From, Peers and Incarnation.
+// Answer answers a request for the floor from memory, never from the platform.
+// NotKeeper means that the daemon is valid but not a member of the newest set it
+// knows. The caller sets From, Peers and Incarnation of the reply.
 func (k *Keeper) HandleFloorRequest(request *protocol.FloorRequest) *protocol.FloorReply {
 	if request.Region != k.region {
 		return &protocol.FloorReply{Code: result.NotKeeper}
--- a/internal/core/floor/learner.go
+++ b/internal/core/floor/learner.go
@@ -11,40 +11,43 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The periods of a Learner.
+// Time-outs and limits of a Learner.
 const (
-	// askTimeout is how long a daemon may take to answer.
+	// askTimeout bounds a request that a daemon answers from memory.
 	askTimeout = time.Second
-	// headTimeout is how long a reader may take to read the head.
+	// headTimeout bounds a request for which a reader first reads the head.
 	headTimeout = 3 * time.Second
-	// askBase and askCap bound the full-jitter wait between rounds.
+	// askBase and askCap are the first and the largest limit of the jittered
+	// wait between rounds; the limit doubles with each round.
 	askBase = 200 * time.Millisecond
 	askCap  = 3 * time.Second
-	// strangersAsked is how many daemons outside the set are asked in a round.
+	// strangersAsked is how many daemons outside the keeper set are queried in a
+	// round.
 	strangersAsked = 3
-	// roundsBeforeHead is how many rounds only keepers are asked.
+	// roundsBeforeHead is the number of rounds before a reader is asked for a
+	// fresh head.
 	roundsBeforeHead = 2
-	// maxPeers bounds the members remembered.
+	// maxPeers bounds the number of known peers.
 	maxPeers = 64
 )
 
-// LearnerConfig is what a Learner is told at its start.
+// LearnerConfig holds the settings of a Learner.
 type LearnerConfig struct {
 	ID     protocol.NodeID
 	Region string
-	// Seeds are control addresses to start from.
+	// Seeds are the control addresses queried before any peer is known.
 	Seeds []string
-	// RandomSeed makes random choices repeatable.
+	// RandomSeed makes the Learner's random choices repeatable.
 	RandomSeed uint64
 }
 
-// Learner finds the version floor of a daemon that has just started.
+// Learner determines the version floor of a daemon that has just started.
 //
-// What must hold: the floor is at least every version released in the region
-// before the Learner was made. It concludes only from a head that was read
-// from the platform after that, or from answers, given after that, of read
-// quorums of the newest keeper set that any answer told of. See docs/FLOOR.md
-// for why that suffices while sets change and keepers restart.
+// Invariant: the floor is at least every version released in the region before
+// the Learner was created. It is derived only from a head read from the platform
+// after that, or from replies, sent after that, of a read quorum of the newest
+// keeper set in any reply. docs/FLOOR.md explains why that suffices while
+// keeper sets change and keepers restart.
 type Learner struct {
 	config LearnerConfig
 	random *rand.Rand
@@ -64,7 +67,7 @@
 	incarnation protocol.Incarnation
 }
 
-// NewLearner returns a Learner that knows nothing yet.
+// NewLearner returns a Learner whose floor is not known yet.
 func NewLearner(config LearnerConfig) *Learner {
 	return &Learner{
 		config:  config,
@@ -76,7 +79,7 @@
 	}
 }
 
-// Tick lets time pass and asks whom it is time to ask.
+// Tick starts a round of requests when one is due.
 func (l *Learner) Tick(now time.Duration) []Output {
 	if l.known || now < l.askAt {
 		return nil
@@ -84,8 +87,8 @@
 	return l.round(now)
 }
 
-// round asks the keepers that have not answered and some strangers, and, when
-// keepers alone did not do, a reader.
+// round queries the keepers without a valid reply and some other daemons and,
+// after roundsBeforeHead rounds, also asks a reader for a fresh head.
 func (l *Learner) round(now time.Duration) []Output {
 	limit := min(askCap, askBase<<min(l.rounds, 8))
 	l.askAt = now + limit/4 + time.Duration(l.random.Int64N(int64(limit)))
@@ -121,7 +124,7 @@
 	}
 }
 
-// keeperAddresses returns where the keepers without an answer are.
+// keeperAddresses returns the addresses of the keepers without a valid reply.
 func (l *Learner) keeperAddresses() []string {
 	var addresses []string
 	for _, member := range allMembers(l.set) {
@@ -137,8 +140,8 @@
 	return addresses
 }
 
-// strangers returns some addresses at random, from which newer sets, readers
-// and other members are learnt.
+// strangers returns some random addresses of other daemons and seeds. Their
+// replies may contain newer keeper sets, readers and other members.
 func (l *Learner) strangers() []string {
 	addresses := l.knownAddresses(func(protocol.Member) bool { return true })
 	addresses = lo.Without(lo.Uniq(append(addresses, l.config.Seeds...)), l.keeperAddresses()...)
@@ -146,7 +149,8 @@
 	return addresses[:min(len(addresses), strangersAsked)]
 }
 
-// readerAddress returns a reader at random; a seed when none is known.
+// readerAddress returns the address of a random reader, or of a random seed if
+// no reader is known.
 func (l *Learner) readerAddress() (string, bool) {
 	addresses := l.knownAddresses(func(member protocol.Member) bool { return member.Reader })
 	if len(addresses) == 0 {
@@ -158,7 +162,7 @@
 	return addresses[l.random.IntN(len(addresses))], true
 }
 
-// knownAddresses returns the addresses of peers, in a fixed order.
+// knownAddresses returns the addresses of the wanted peers, ordered by id.
 func (l *Learner) knownAddresses(wanted func(protocol.Member) bool) []string {
 	members := lo.Filter(l.Peers(), func(member protocol.Member, _ int) bool {
 		return wanted(member) && member.ID != l.config.ID
@@ -166,7 +170,8 @@
 	return lo.Map(members, func(member protocol.Member, _ int) string { return member.ControlAddress })
 }
 
-// HandleReply takes the answer to an AskFloor; nil when none came.
+// HandleReply handles the reply to an AskFloor; nil means that it timed out or
+// failed.
 func (l *Learner) HandleReply(now time.Duration, token Token, reply *protocol.FloorReply) []Output {
 	if !l.pending[token] {
 		return nil
@@ -193,7 +198,7 @@
 	return nil
 }
 
-// follow takes a newer keeper set and reports whether it was newer.
+// follow replaces the keeper set by a newer one and reports whether it did.
 func (l *Learner) follow(set protocol.KeeperSet) bool {
 	if set.Region != l.config.Region || set.Revision <= l.set.Revision {
 		return false
@@ -202,8 +207,8 @@
 	return true
 }
 
-// count notes the answer of a valid keeper. NotKeeper counts as well: the
-// daemon is valid, and has only not heard yet of the set that it is in.
+// count records the reply of a valid keeper. NotKeeper counts as well: such a
+// daemon is valid, and may not have received the set yet that it is in.
 func (l *Learner) count(reply *protocol.FloorReply) {
 	valid := reply.Code == result.OK || reply.Code == result.NotKeeper
 	if !valid || reply.From == "" || reply.From == l.config.ID {
@@ -213,9 +218,10 @@
 	l.highest = max(l.highest, reply.Floor)
 }
 
-// hasQuorum reports whether the answers are read quorums of the newest set.
-// The revision of that set is itself a version, and part of the floor: all
-// that was released with older sets in the head is below it.
+// hasQuorum reports whether the replies form a read quorum of the newest set
+// and, while it is being changed, of the previous one. The floor also covers the
+// revision of that set, which is itself a version: every version released with
+// an older set in the head is below it.
 func (l *Learner) hasQuorum() bool {
 	if l.set.Revision == 0 {
 		return false
@@ -229,7 +235,8 @@
 	l.pending = map[Token]bool{}
 }
 
-// HandleHead takes a head that the daemon's own reader read after ReadHead.
+// HandleHead handles a head that the daemon's own reader has read after
+// ReadHead.
 func (l *Learner) HandleHead(now time.Duration, version protocol.Version, sets []protocol.KeeperSet) []Output {
 	if l.known {
 		return nil
@@ -241,7 +248,7 @@
 	return nil
 }
 
-// AddPeers adds members that may be asked.
+// AddPeers adds or updates members that may be queried.
 func (l *Learner) AddPeers(peers []protocol.Member) {
 	for _, peer := range peers {
 		known, found := l.peers[peer.ID]
@@ -254,17 +261,17 @@
 	}
 }
 
-// Floor returns the floor; false while it is not known.
+// Floor returns the floor, and false while it is not known.
 func (l *Learner) Floor() (protocol.Version, bool) { return l.floor, l.known }
 
-// Keepers returns the newest keeper set of the region that was learnt.
+// Keepers returns the newest keeper set of the region received so far.
 func (l *Learner) Keepers() protocol.KeeperSet { return l.set }
 
-// Incarnation returns the highest incarnation of this daemon that a peer
-// remembers.
+// Incarnation returns the highest incarnation of this daemon that any reply
+// contained.
 func (l *Learner) Incarnation() protocol.Incarnation { return l.incarnation }
 
-// Peers returns the live members that were learnt on the way, by id.
+// Peers returns the members received in replies or added, ordered by id.
 func (l *Learner) Peers() []protocol.Member {
 	members := lo.Values(l.peers)
 	slices.SortFunc(members, func(a, b protocol.Member) int { return lo.Ternary(a.ID < b.ID, -1, 1) })
--- a/internal/core/floor/model_test.go
+++ b/internal/core/floor/model_test.go
@@ -11,11 +11,11 @@
 	"pgregory.net/rapid"
 
 	"github.com/springstack/springstack/internal/core/protocol"
-	_ "github.com/springstack/springstack/internal/fixedseed" // the same draws on every run
+	_ "github.com/springstack/springstack/internal/fixedseed" // makes rapid draw the same values on every run
 )
 
-// model runs daemons and roots of one region over a network that delivers
-// messages in any order, or never, beside a list of accepted heads.
+// model simulates the daemons and roots of one region with a list of accepted
+// heads, over a network that reorders, duplicates and loses messages.
 type model struct {
 	// random draws the steps, so that the drawn number of steps can shrink.
 	random *rand.Rand
@@ -25,7 +25,7 @@
 	daemons []*daemon
 	roots   []*root
 	network []message
-	// held says which kinds of messages to which daemons wait for now.
+	// held is the set of routes on which messages are delayed.
 	held map[route]bool
 	// released is the highest version that any root has released.
 	released protocol.Version
@@ -39,7 +39,7 @@
 	daemon int
 }
 
-// messageKind tells questions for the floor and stores apart.
+// messageKind distinguishes floor requests from store requests.
 type messageKind int
 
 const (
@@ -47,29 +47,30 @@
 	kindStore
 )
 
-// message is under way until it is delivered.
+// message is a request or reply in flight.
 type message struct {
 	route   route
 	deliver func()
 }
 
-// daemon is one machine of the region. Its number is its address.
+// daemon is one daemon of the region. Its number is also its address.
 type daemon struct {
 	number      int
 	member      protocol.Member
 	incarnation protocol.Incarnation
 	keeper      *Keeper
 	learner     *Learner
-	// atStart is the highest version released when the learner was made: the
-	// most that this daemon may have held before.
+	// atStart is the highest version released when the learner was created: the
+	// highest that this daemon may have used before it restarted.
 	atStart protocol.Version
-	headAt  bool
+	// headAt is set once the learner has requested a fresh head.
+	headAt bool
 }
 
-// root is one daemon's role as root; several may be at work at once.
+// root is a daemon in the root role; several may be active at the same time.
 type root struct {
 	releaser *Releaser
-	// seen is the newest head that it has read.
+	// seen is the version of the newest head that it has read.
 	seen protocol.Version
 }
 
@@ -107,7 +108,7 @@
 
 func (m *model) setAt(version protocol.Version) protocol.KeeperSet { return m.heads[version-1] }
 
-// restart makes a daemon forget everything.
+// restart restarts a daemon without any of its state.
 func (m *model) restart(d *daemon) {
 	d.incarnation++
 	d.keeper = NewKeeper(d.member.ID, "region")
@@ -121,8 +122,8 @@
 	})
 }
 
-// accept appends a version; a set proposed from an older head is dropped, as
-// update-if-version would.
+// accept appends a head. A keeper set derived from an older set is dropped, as
+// update-if-version would do.
 func (m *model) accept(proposed *protocol.KeeperSet) {
 	set := m.setAt(m.head())
 	if proposed != nil {
@@ -199,7 +200,8 @@
 	m.network = append(m.network, message{route: way, deliver: deliver})
 }
 
-// learnt checks a floor once it is known (I1).
+// learnt checks a daemon's floor once it is known: it must not be below any
+// version released before the daemon restarted.
 func (m *model) learnt(t *rapid.T, d *daemon) {
 	if d.learner == nil {
 		return
@@ -209,17 +211,16 @@
 		return
 	}
 	if floor < d.atStart {
-		t.Fatalf("%s learnt floor %d but may have held %d", d.member.ID, floor, d.atStart)
+		t.Fatalf("%s has floor %d but may have used version %d before its restart", d.member.ID, floor, d.atStart)
 	}
 	d.keeper.Validate(floor, d.learner.Keepers())
 	d.learner = nil
 	m.floors++
 }
 
-// checkQuorums holds the keepers to what makes floors sound, whether or not
-// anybody asks them now: whatever set a learner knows of, it can't collect read
-// quorums of keepers that know neither of the version released nor of a newer
-// set.
+// checkQuorums checks that no learner could conclude a floor that is too low,
+// even if none is learning now: no recent keeper set has a read quorum of valid
+// keepers that know neither the released version nor a newer set.
 func (m *model) checkQuorums(t *rapid.T) {
 	for _, set := range m.configurations() {
 		if set.Revision > m.released {
@@ -234,19 +235,19 @@
 			return false
 		}
 		if HasReadQuorum(set, ignorant) {
-			t.Fatalf("version %d is released; read quorums of set %d could know nothing of it", m.released, set.Revision)
+			t.Fatalf("version %d is released, but a read quorum of set %d may not have stored it", m.released, set.Revision)
 		}
 	}
 }
 
-// configurations returns the newest keeper sets that were in the head.
+// configurations returns the last six distinct keeper sets of the heads.
 func (m *model) configurations() []protocol.KeeperSet {
 	sets := lo.UniqBy(m.heads, func(set protocol.KeeperSet) protocol.Version { return set.Revision })
 	return sets[max(0, len(sets)-6):]
 }
 
-// step draws and runs one action. Time passes and new things happen mostly
-// when little is under way, so that runs get somewhere.
+// step draws and runs one action. The more messages are in flight, the more
+// likely it delivers one, so that exchanges complete.
 func (m *model) step(t *rapid.T) {
 	if m.random.IntN(len(m.network)+6) >= 4 && m.deliver() {
 		return
@@ -259,7 +260,7 @@
 	case action < 13:
 		m.held = map[route]bool{}
 	case action < 17:
-		if d.keeper.IsValid() { // hearsay of the set in some head
+		if d.keeper.IsValid() { // learns the keeper set of some head from a peer
 			d.keeper.Validate(0, m.setAt(1+protocol.Version(m.random.IntN(len(m.heads)))))
 		}
 	case action < 30:
@@ -288,9 +289,8 @@
 	}
 }
 
-// deliver runs a message that is not held back, mostly one of the oldest, and
-// sometimes leaves it to come again or loses it. It reports whether there was
-// one.
+// deliver delivers a message that is not delayed, often one of the oldest, and
+// sometimes duplicates or loses it. It reports whether there was one.
 func (m *model) deliver() bool {
 	i := m.random.IntN(max(1, len(m.network)))
 	if m.random.IntN(2) == 0 {
@@ -324,8 +324,8 @@
 	}
 }
 
-// recover ends all faults and expects that every daemon learns its floor and
-// that the newest version is released, within some rounds.
+// recover ends all faults and expects that within 40 rounds every daemon obtains
+// its floor and the newest version is released.
 func (m *model) recover(t *rapid.T) {
 	m.held = map[route]bool{}
 	for range 40 {
@@ -349,15 +349,15 @@
 	}
 	for _, d := range m.daemons {
 		if !d.keeper.IsValid() {
-			t.Fatalf("%s has no floor after the faults", d.member.ID)
+			t.Fatalf("%s does not know its floor after the faults ended", d.member.ID)
 		}
 	}
 	if m.released != m.head() {
-		t.Fatalf("version %d is released after the faults, not %d", m.released, m.head())
+		t.Fatalf("released version %d after the faults ended, want %d", m.released, m.head())
 	}
 }
 
-// modelSteps is how long one run of the model is.
+// modelSteps is the maximum number of steps in one run of the model.
 const modelSteps = 1500
 
 func TestFloorIsNeverBelowWhatWasReleased(t *testing.T) {
@@ -374,6 +374,6 @@
 	})
 	t.Logf("floors learnt: %d, versions released: %d", floors, released)
 	if floors == 0 || released == 0 {
-		t.Fatal("the model never got anywhere")
+		t.Fatal("the runs learnt no floor or released no version")
 	}
 }
--- a/internal/core/floor/output.go
+++ b/internal/core/floor/output.go
@@ -6,14 +6,14 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Token pairs an output with the reply that answers it.
+// Token matches an output with its reply.
 type Token uint64
 
-// Output is something that the owner of a Learner or Releaser must carry out.
+// Output is an action that the owner of a Learner or Releaser must carry out.
 type Output interface{ output() }
 
-// AskFloor asks the daemon at Address; the reply, or nil after Timeout, goes
-// to Learner.HandleReply.
+// AskFloor sends the request to the daemon at Address. The reply, or nil after
+// Timeout, must be passed to Learner.HandleReply.
 type SendFloorRequest struct {
 	Token   Token
 	Address string
@@ -21,12 +21,12 @@
 	Timeout time.Duration
 }
 
-// ReadHead asks the daemon's own reader, if it holds a lease, for a fresh
-// head; the version goes to Learner.HandleHead.
+// ReadHead requests a fresh head from the daemon's own reader, if that holds a
+// lease. The head's version must be passed to Learner.HandleHead.
 type ReadHead struct{}
 
-// StoreVersion asks the keeper at Address to store; the reply, or nil after
-// Timeout, goes to Releaser.HandleReply.
+// StoreVersion sends the request to the keeper at Address. The reply, or nil
+// after Timeout, must be passed to Releaser.HandleReply.
 type SendStoreRequest struct {
 	Token   Token
 	Address string
@@ -34,6 +34,6 @@
 	Timeout time.Duration
 }
 
-func (SendFloorRequest) output() {}
-func (ReadHead) output()         {}
+func (SendFloorRequest) output()     {}
+func (ReadHead) output()     {}
 func (SendStoreRequest) output() {}
--- a/internal/core/floor/releaser.go
+++ b/internal/core/floor/releaser.go
@@ -8,34 +8,34 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The periods of a Releaser.
+// Time-outs of a Releaser.
 const (
-	// storeTimeout is how long a keeper may take to answer.
+	// storeTimeout bounds a store request.
 	storeTimeout = time.Second
-	// storeRetry is how often keepers that have not answered are asked again.
+	// storeRetry is the interval at which requests without a reply are repeated.
 	storeRetry = 250 * time.Millisecond
-	// patience is how long a release may take before a newer target replaces it.
+	// patience is how long a release may run before a newer target replaces it.
 	patience = 500 * time.Millisecond
 )
 
-// Releaser runs at a region's root: it stores versions at the keepers and says
-// which version may be released to proxies.
+// Releaser runs on the root daemon of a region: it stores versions at the
+// keepers and determines which version may be released to proxies.
 //
-// What must hold: before a version is released there was one moment at which a
-// write quorum of every set that counts remembered it, all at once. Keepers
-// forget when they restart, so adding up answers is not enough: one keeper
-// could restart and learn its floor from keepers that have not stored yet,
-// while its earlier answer still counts. Hence two rounds. Once a write quorum
-// has answered, these keepers are asked again; only those that still have the
-// same incarnation count, and so at the moment between the rounds all of them
-// remembered the version. Two roots at once do no harm, as each release has
-// its own quorum and stores only grow.
+// Invariant: before a version is released, there was one moment at which a
+// write quorum of every active set held it. Keepers lose their state when they
+// restart, so counting replies is not enough: a keeper could restart and obtain
+// its floor from keepers that have not stored the version yet, while its
+// earlier reply still counts. Hence there are two rounds. Once a write quorum
+// has stored the version, these keepers are queried again, and only those with
+// the same incarnation as before count; all of them held the version at the
+// moment between the rounds. Two roots at the same time do no harm, as each
+// release has its own quorum and stored versions only grow.
 type Releaser struct {
 	id        protocol.NodeID
 	region    string
 	addresses map[protocol.NodeID]string
 	released  protocol.Version
-	// current is the release under way; next waits for it.
+	// current is the release in progress; next is released after it.
 	current   *release
 	next      *target
 	lastToken Token
@@ -50,29 +50,30 @@
 	set     protocol.KeeperSet
 }
 
-// release is one target on its way.
+// release is the state of releasing one target.
 type release struct {
 	target  target
 	started time.Duration
-	// stored says which incarnation of a keeper has stored the version.
+	// stored maps each keeper that has stored the version to its incarnation.
 	stored map[protocol.NodeID]protocol.Incarnation
-	// round counts the confirming rounds; 0 while storing.
+	// round counts the confirmation rounds; 0 while storing.
 	round int
-	// asked are the keepers that the confirming round asks, as of its start;
-	// confirmed are those that have answered with the same incarnation.
+	// asked are the keepers that had stored the version at the start of the
+	// confirmation round; confirmed are those that have replied in this round
+	// with the same incarnation.
 	asked     map[protocol.NodeID]protocol.Incarnation
 	confirmed map[protocol.NodeID]bool
 }
 
-// pendingStore is a request without an answer yet.
+// pendingStore is a store request without a reply yet.
 type pendingStore struct {
 	keeper  protocol.NodeID
 	release *release
 	round   int
 }
 
-// NewReleaser returns a Releaser that has released nothing. Its tokens start
-// anew: answers to a former Releaser must not be handed to it.
+// NewReleaser returns a Releaser that has released nothing. It reuses the tokens
+// of earlier Releasers, so replies to those must not be passed to it.
 func NewReleaser(id protocol.NodeID, region string) *Releaser {
 	return &Releaser{
 		id:        id,
@@ -82,17 +83,18 @@
 	}
 }
 
-// UpdateMembers tells where members are now. A keeper that returned at another
-// address is asked there, and not where the set says.
+// UpdateMembers sets the current addresses of members. They take precedence over
+// the addresses in the keeper set, as a keeper may restart at another address.
 func (r *Releaser) UpdateMembers(members []protocol.Member) {
 	for _, member := range members {
 		r.addresses[member.ID] = member.ControlAddress
 	}
 }
 
-// SetTarget names the newest version and the region's keeper set at it. While
-// a release is under way the target waits, unless the set has changed or the
-// release takes long: keepers may have been lost that the new set replaces.
+// SetTarget sets the newest version and the region's keeper set at it. The
+// target waits for a release in progress, unless the set has changed or that
+// release takes longer than patience: the new set may replace keepers whose
+// loss blocks it.
 func (r *Releaser) SetTarget(now time.Duration, term uint64, version protocol.Version, set protocol.KeeperSet) []Output {
 	next := target{term: term, version: version, set: set}
 	if version <= r.released || r.current != nil && version <= r.current.target.version {
@@ -113,7 +115,8 @@
 	return r.ask(now)
 }
 
-// Tick lets time pass and retries stores that are due.
+// Tick repeats store requests that are due, and abandons a release that takes
+// too long if a newer target waits.
 func (r *Releaser) Tick(now time.Duration) []Output {
 	if r.current == nil {
 		return nil
@@ -130,7 +133,7 @@
 	return r.ask(now)
 }
 
-// ask sends the release to the keepers that it needs answers from.
+// ask sends a store request to each keeper whose reply is still needed.
 func (r *Releaser) ask(now time.Duration) []Output {
 	r.retryAt = now + storeRetry
 	var outputs []Output
@@ -164,7 +167,8 @@
 	}
 }
 
-// HandleReply takes the answer to a StoreVersion; nil when none came.
+// HandleReply handles the reply to a StoreVersion; nil means that it timed out
+// or failed.
 func (r *Releaser) HandleReply(now time.Duration, token Token, reply *protocol.StoreReply) []Output {
 	asked, known := r.pending[token]
 	delete(r.pending, token)
@@ -185,7 +189,7 @@
 	return r.ask(now)
 }
 
-// finish releases the current target and goes on with the next.
+// finish releases the current target and starts the next one.
 func (r *Releaser) finish(now time.Duration) []Output {
 	r.released = r.current.target.version
 	r.current = nil
@@ -196,10 +200,10 @@
 	return r.start(now, *r.next)
 }
 
-// Released returns the highest version that may be put in force.
+// Released returns the highest version that proxies may use.
 func (r *Releaser) Released() protocol.Version { return r.released }
 
-// take counts an answer. It reports whether a confirming round starts.
+// take counts a reply and reports whether a confirmation round starts.
 func (c *release) take(asked pendingStore, reply *protocol.StoreReply) bool {
 	before, had := c.stored[asked.keeper]
 	c.stored[asked.keeper] = reply.Incarnation
@@ -213,7 +217,7 @@
 	return false
 }
 
-// tryRound starts a confirming round if a write quorum has stored.
+// tryRound starts a confirmation round if a write quorum has stored the version.
 func (c *release) tryRound() bool {
 	quorum := HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { _, has := c.stored[id]; return has })
 	if !quorum {
@@ -223,15 +227,15 @@
 	return true
 }
 
-// startRound asks all keepers that have stored by now. Only these count in the
-// round: one that stores later was not among them at its start.
+// startRound starts a confirmation round. Only keepers that have stored the
+// version before its start count in it.
 func (c *release) startRound() {
 	c.round++
 	c.asked = maps.Clone(c.stored)
 	c.confirmed = map[protocol.NodeID]bool{}
 }
 
-// needs reports whether an answer of a keeper could still help.
+// needs reports whether a keeper's reply is still needed for a quorum.
 func (c *release) needs(id protocol.NodeID) bool {
 	_, stored := c.stored[id]
 	if c.round == 0 {
--- a/internal/core/floor/sets.go
+++ b/internal/core/floor/sets.go
@@ -12,12 +12,13 @@
 // MaxKeepers is the largest keeper set.
 const MaxKeepers = 8
 
-// writeQuorums holds the write quorum by size of the set.
+// writeQuorums is the size of the write quorum, indexed by the size of the set.
 var writeQuorums = [MaxKeepers + 1]int{0, 1, 2, 2, 3, 4, 5, 6, 6}
 
-// Quorums returns how many keepers of a set of the size must store a version
-// before its release, and how many answers are enough to learn the floor.
-// Their sum always exceeds the size. It returns zeros for a size out of range.
+// Quorums returns the quorums of a keeper set of the size: how many keepers must
+// store a version before its release, and how many replies suffice to determine
+// the floor. Their sum always exceeds the size, so that any two of them share a
+// keeper. It returns zeros if the size is out of range.
 func QuorumSizes(size int) (write, read int) {
 	if size < 1 || size > MaxKeepers {
 		return 0, 0
@@ -26,8 +27,9 @@
 	return write, size - write + 1
 }
 
-// Sets returns the sets whose quorums count while the given one is the newest:
-// the set itself and, until the change has settled, the one that it replaces.
+// Sets returns the active sets, whose quorums are all required while the given
+// set is the newest: the set itself and, until its change is complete, the set
+// that it replaces.
 func ActiveSets(set protocol.KeeperSet) []protocol.KeeperSet {
 	sets := []protocol.KeeperSet{set}
 	if set.Previous != nil {
@@ -36,16 +38,16 @@
 	return sets
 }
 
-// HasWrite reports whether the members for which counted is true are a write
-// quorum of each of the sets that count.
+// HasWrite reports whether the members for which counted returns true form a
+// write quorum of each active set.
 func HasWriteQuorum(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
 	return lo.EveryBy(ActiveSets(set), func(one protocol.KeeperSet) bool {
 		return one.Write > 0 && countMembers(one, counted) >= one.Write
 	})
 }
 
-// HasRead reports whether the members for which counted is true are a read
-// quorum of each of the sets that count.
+// HasRead reports whether the members for which counted returns true form a
+// read quorum of each active set.
 func HasReadQuorum(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
 	return lo.EveryBy(ActiveSets(set), func(one protocol.KeeperSet) bool {
 		return one.Read > 0 && countMembers(one, counted) >= one.Read
@@ -56,7 +58,7 @@
 	return lo.CountBy(set.Members, func(member protocol.KeeperMember) bool { return counted(member.ID) })
 }
 
-// allMembers returns the members of all sets that count, each once.
+// allMembers returns the members of all active sets, each once.
 func allMembers(set protocol.KeeperSet) []protocol.KeeperMember {
 	members := lo.FlatMap(ActiveSets(set), func(one protocol.KeeperSet, _ int) []protocol.KeeperMember { return one.Members })
 	return lo.UniqBy(members, func(member protocol.KeeperMember) protocol.NodeID { return member.ID })
@@ -66,18 +68,18 @@
 	return lo.ContainsBy(allMembers(set), func(member protocol.KeeperMember) bool { return member.ID == id })
 }
 
-// ChooseKeepers returns what should replace the keeper set of a region in the
-// head, and whether anything should. current is the set in the head, the zero
-// set if there is none; live are the region's members that may be keepers;
-// released is the newest version that was released with current in the head.
+// ChooseKeepers returns the set that should replace a region's keeper set in the
+// head, and whether it has to be replaced. current is the set in the head, the
+// zero set if there is none; live are the region's members that may be keepers;
+// released is the newest version released with current in the head.
 //
-// A change takes two steps. First the new set, with the old one as Previous;
-// then, once a version has been released with both in the head, the new set
-// alone. While a change has not settled, only the new set may be changed: the
-// old one stays until quorums of it know better.
+// A change takes two steps: first the new set is written with the old one as
+// Previous; once a version has been released with both in the head, the new set
+// is written alone. Until then only the new set may be changed again: the old
+// one has to stay Previous until quorums of both sets have stored a version.
 //
-// The result carries the revision of current, so that it is written only if
-// current is still in the head.
+// The result has the revision of current, so that it is written only if current
+// is still in the head.
 func ChooseKeepers(region string, current protocol.KeeperSet, live []protocol.Member, released protocol.Version) (protocol.KeeperSet, bool) {
 	settled := current.Revision > 0 && released >= current.Revision
 	if current.Previous != nil && settled {
@@ -101,8 +103,8 @@
 	return slices.Equal(a, b)
 }
 
-// keeperCount returns how many keepers a region with so many live members
-// should have. Two members get one keeper: with two, either's loss would stop
+// keeperCount returns the size of the keeper set for a number of live members.
+// Two members get one keeper: with two keepers, the loss of either would block
 // releases.
 func keeperCount(live int) int {
 	if live == 2 {
@@ -111,8 +113,9 @@
 	return min(live, MaxKeepers)
 }
 
-// chooseMembers keeps the keepers that are live, adds the missing ones where
-// their zone has fewest, and moves keepers from crowded zones to empty ones.
+// chooseMembers chooses the members of a keeper set: it keeps the current
+// keepers that are live, adds missing ones from the zones with the fewest
+// keepers, and balances the keepers between zones.
 func chooseMembers(current []protocol.KeeperMember, live []protocol.Member) []protocol.KeeperMember {
 	candidates := slices.Clone(live)
 	slices.SortFunc(candidates, func(a, b protocol.Member) int {
@@ -139,10 +142,12 @@
 	return choice.keepers()
 }
 
-// rankOf orders members in the same way everywhere, without regard to names.
+// rankOf returns a hash that orders members in the same way on every daemon,
+// independent of the naming scheme.
 func rankOf(id protocol.NodeID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// zoneChoice is a choice of keepers under way.
+// zoneChoice is the state of choosing keepers: those chosen, the members that
+// may be added, and the number of chosen keepers by zone.
 type zoneChoice struct {
 	chosen []protocol.Member
 	spare  []protocol.Member
@@ -154,8 +159,8 @@
 	c.zones[member.Zone]++
 }
 
-// fill adds spares, each from the zone with fewest keepers, and drops the
-// newest ones beyond the size.
+// fill drops the last chosen keepers beyond the size, or adds spares up to the
+// size, each from the zone with the fewest keepers.
 func (c *zoneChoice) fill(size int) {
 	for len(c.chosen) > size {
 		c.drop(len(c.chosen) - 1)
@@ -165,7 +170,8 @@
 	}
 }
 
-// balance moves keepers while a zone has two more than one with a spare.
+// balance replaces keepers of the fullest zones by spares of the emptiest one,
+// as long as the counts of the two zones differ by two or more.
 func (c *zoneChoice) balance() {
 	for len(c.spare) > 0 {
 		next := c.emptiest()
@@ -184,8 +190,8 @@
 	}
 }
 
-// emptiest returns the spare whose zone has fewest keepers; the first in rank
-// when several have.
+// emptiest returns the index of the spare whose zone has the fewest keepers;
+// among several, the first in rank.
 func (c *zoneChoice) emptiest() int {
 	best := 0
 	for i, member := range c.spare {
--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -11,19 +11,19 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Contents are the parsed files that a head names, by digest. They are never
-// changed: a change builds another map.
+// Contents are the parsed files that a head refers to, by digest. The map is
+// immutable: a change builds a new one.
 type Contents map[resource.Digest]*resource.File
 
-// Change is one operator's request, checked as far as it can be without a
-// head. It can be applied again to a newer head after a conflict.
+// Change is an operator's request that has passed all checks that need no head.
+// After a conflict it can be applied again to a newer head.
 type Change struct {
-	// Request is what the operator sent.
+	// Request is the operator's request.
 	Request *protocol.SubmitRequest
 	// File is the parsed content; nil for a withdrawal.
 	File *resource.File
-	// Digest and Text are the content object to write before the head; empty for
-	// a withdrawal.
+	// Digest and Text are the name and data of the content object, which has to
+	// be written before the head; empty for a withdrawal.
 	Digest resource.Digest
 	Text   []byte
 	// Now is the reader's wall clock.
@@ -32,8 +32,8 @@
 	Term uint64
 }
 
-// Prepare parses and checks a request. The reply is not nil when the request
-// is refused, and then did not run.
+// Prepare parses and checks a request. The reply is nil unless the request is
+// refused; a refused request has no effect.
 func Prepare(request *protocol.SubmitRequest, now time.Time, term uint64) (*Change, *protocol.SubmitReply) {
 	change := &Change{Request: request, Now: now, Term: term}
 	if request.Format != protocol.Format {
@@ -70,15 +70,15 @@
 	return c, nil
 }
 
-// Key returns the file that the change is about.
+// Key returns the key of the changed file.
 func (c *Change) Key() resource.FileKey {
 	return resource.FileKey{Partner: c.Request.Partner, Name: c.Request.File}
 }
 
-// Apply decides one change. When it is refused, or was applied before, the
-// same head and contents come back and nothing is to be written. Otherwise the
-// new head is to be written by update-if-version, after the change's content;
-// the reply is true only once that update has succeeded.
+// Apply applies one change. If the change is refused or was applied before, the
+// same head and contents are returned and there is nothing to write. Otherwise
+// the caller writes the change's content and then the new head by
+// update-if-version; the reply is valid only once that update has succeeded.
 func Apply(head *Head, contents Contents, change *Change) (*Head, Contents, *protocol.SubmitReply) {
 	if known := FindOperation(head, change.Request); known != nil {
 		return head, contents, known
@@ -107,8 +107,8 @@
 	return draft.head, draft.contents, reply
 }
 
-// checkRevision compares what the operator expects with what is there. A
-// submission makes a file; a replacement and a withdrawal need one.
+// checkRevision compares the expected revision with the file in the head. A
+// submission creates a file; a replacement or withdrawal needs an existing one.
 func checkRevision(head *Head, change *Change) *protocol.SubmitReply {
 	entry, found := head.File(change.Key())
 	expect := change.Request.Expect
@@ -127,7 +127,8 @@
 	return nil
 }
 
-// lostTo refuses a change that lost a race and shows the winner.
+// lostTo refuses a change that conflicts with an earlier one, and returns the
+// current revision and version of the file.
 func lostTo(head *Head, entry FileEntry, format string, arguments ...any) *protocol.SubmitReply {
 	reply := refuse(result.RevisionMismatch, format, arguments...)
 	reply.Revision = entry.Revision()
@@ -138,7 +139,7 @@
 	return reply
 }
 
-// refuse returns an answer with one error.
+// refuse returns a reply with one error.
 func refuse(code result.Code, format string, arguments ...any) *protocol.SubmitReply {
 	problem := result.New(code, format, arguments...)
 	entry, _ := result.Lookup(code)
@@ -147,8 +148,8 @@
 }
 
 // SetKeepers returns the head with the given keeper sets in place of those of
-// the same regions. It is a version of its own when anything changes; each
-// changed set carries that version as its revision.
+// the same regions. If any set changes, the head gets a new version, which is
+// also the revision of the changed sets; otherwise the same head is returned.
 func SetKeepers(head *Head, sets []protocol.KeeperSet, now time.Time, term uint64) *Head {
 	next := head.clone()
 	next.Term = max(next.Term, term)
@@ -166,7 +167,7 @@
 }
 
 // Catalogue returns all accepted resources, sorted by key. The contents must
-// lack nothing that the head names; see Lacking.
+// include all that the head refers to; see Lacking.
 func Catalogue(head *Head, contents Contents) []resource.Encoded {
 	var catalogue []resource.Encoded
 	for _, entry := range head.Files {
@@ -178,7 +179,7 @@
 	return catalogue
 }
 
-// Prune returns the contents without those that the head does not name.
+// Prune returns the contents that the head refers to.
 func Prune(head *Head, contents Contents) Contents {
 	pruned := make(Contents, len(head.Files))
 	for _, digest := range head.Digests() {
@@ -189,14 +190,14 @@
 	return pruned
 }
 
-// complete reports whether contents holds all that the head names.
+// complete reports whether contents includes all that the head refers to.
 func complete(head *Head, contents Contents) bool {
 	return lo.EveryBy(head.Files, func(entry FileEntry) bool {
 		return lo.EveryBy(entry.digests(), func(digest resource.Digest) bool { return contents[digest] != nil })
 	})
 }
 
-// Lacking returns the digests that the head names and contents lack.
+// Lacking returns the digests in the head that are missing from contents.
 func MissingContents(head *Head, contents Contents) []resource.Digest {
 	return lo.Filter(head.Digests(), func(digest resource.Digest, _ int) bool {
 		return contents[digest] == nil
--- a/internal/core/ledger/codec.go
+++ b/internal/core/ledger/codec.go
@@ -11,11 +11,11 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Bounds of the head in bytes. The platform takes objects up to 1 MiB.
+// Size limits of the head in bytes. The platform accepts objects up to 1 MiB.
 const (
-	// HeadBudget is what a change may let the head grow to.
+	// HeadBudget is the largest head that a change may produce.
 	HeadBudget = 768 << 10
-	// MaxHead is the largest head that Decode reads.
+	// MaxHead is the largest head that Decode accepts.
 	MaxHeadSize = 1 << 20
 )
 
@@ -28,20 +28,22 @@
 	return encoded
 }
 
-// Upper bounds of the encoded size, in bytes.
+// Upper bounds of the encoded size of parts of the head, in bytes.
 const (
 	// fixedSize covers the head's own fields.
 	fixedSize = 512
-	// entrySize covers a file's or operation's fields besides its texts.
+	// entrySize covers the fields of a file, operation, keeper set or member
+	// besides its texts.
 	entrySize = 640
 	// textSize covers the quotes and comma of one text.
 	textSize = 3
-	// escapedSize is how many bytes JSON makes of one byte at most.
+	// escapedSize is the largest number of bytes that JSON uses for one byte.
 	escapedSize = 6
 )
 
-// sizeWithin returns the encoded size of a head, or an upper bound of it when
-// that is within the budget already, which is far cheaper.
+// sizeWithin returns an upper bound of the encoded size of a head if that bound
+// is within the budget, and the exact size otherwise. The bound is far cheaper
+// to compute.
 func sizeWithin(head *Head, budget int) int {
 	bound := fixedSize
 	for _, entry := range head.Files {
@@ -81,8 +83,9 @@
 	return size + keepersSize(set.Previous)
 }
 
-// Decode reads a head. A format or field that this build does not know is
-// UnknownFormat; a head that contradicts itself is DigestMismatch.
+// Decode decodes and checks a head. It returns UnknownFormat for a format or
+// field that this build does not know, and DigestMismatch for an inconsistent
+// head.
 func Decode(data []byte) (*Head, error) {
 	if len(data) > MaxHeadSize {
 		return nil, result.New(result.HeadTooLarge, "the head has %d bytes; at most %d are read", len(data), MaxHeadSize)
@@ -108,7 +111,8 @@
 	return head, nil
 }
 
-// check holds the head to its own order and bounds.
+// check verifies the order of the head's lists and the consistency of its
+// revisions and versions.
 func (h *Head) check() error {
 	for i, entry := range h.Files {
 		if i > 0 && h.Files[i-1].Key().Compare(entry.Key()) >= 0 {
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -19,11 +19,11 @@
 	head     *Head
 	contents Contents
 	request  *Change
-	// version is the version that the head gets if anything accepted changes.
+	// version is the version of the new head if accepted content changes.
 	version protocol.Version
 	changed bool
-	// touched are the files whose accepted revision may differ from before: the
-	// request's own and those promoted.
+	// touched are the files whose accepted revision may have changed: first the
+	// request's own file, then the promoted ones.
 	touched []resource.FileKey
 }
 
@@ -33,8 +33,8 @@
 	return &draft{before: head, head: next, contents: contents, request: change, version: head.Version + 1, touched: []resource.FileKey{change.Key()}}
 }
 
-// change puts the request into the head: a withdrawn file goes away, any other
-// content becomes the file's held revision for settle to promote.
+// change applies the request to the head: a withdrawn file is removed, and any
+// other content becomes the file's held revision, which settle may promote.
 func (d *draft) change() *protocol.SubmitReply {
 	key := d.request.Key()
 	if d.request.File == nil {
@@ -57,8 +57,9 @@
 	return nil
 }
 
-// claims returns the contents of the partner's other files, accepted and held:
-// a name is taken by either, so that a promotion never meets a taken name.
+// claims returns the accepted and held contents of the partner's other files.
+// The resource names in both are taken, so that a promotion never introduces a
+// duplicate name.
 func (d *draft) claims(key resource.FileKey) []*resource.File {
 	var claims []*resource.File
 	for _, entry := range d.head.Files {
@@ -75,8 +76,8 @@
 	return claims
 }
 
-// settle promotes every held file that can be promoted, all in this version,
-// and answers for the request.
+// settle promotes every held file that can be promoted, all in one version, and
+// returns the reply to the request.
 func (d *draft) settle() *protocol.SubmitReply {
 	for d.promote() {
 	}
@@ -94,8 +95,9 @@
 	return d.answer()
 }
 
-// promote accepts the oldest held file that can stand, together with the held
-// files that it needs for that, and reports whether there was one.
+// promote accepts the oldest held file whose references can all be satisfied,
+// together with the held files needed for that, and reports whether there was
+// one.
 func (d *draft) promote() bool {
 	for _, key := range d.heldKeys() {
 		set, stands := d.closure(key)
@@ -110,10 +112,10 @@
 	return false
 }
 
-// closure returns the held files that must be accepted together with one, so
-// that nothing is missing, or false if there are none that do. Files that need
-// each other are accepted in one version this way, and no held file that can't
-// stand keeps others back.
+// closure returns a held file with the other held files that must be accepted
+// together with it so that no reference is missing, or false if that is not
+// possible. Files that refer to each other are thus accepted in one version, and
+// a held file that can't be accepted does not block others.
 func (d *draft) closure(key resource.FileKey) ([]resource.FileKey, bool) {
 	set := []resource.FileKey{key}
 	for {
@@ -129,9 +131,9 @@
 	}
 }
 
-// remedy returns a held file outside the set that would mend a missing
-// reference: the one that declares its target or, when an accepted file
-// outside the set is what lacks it, that file's own replacement.
+// remedy returns a held file outside the set that resolves a missing reference:
+// one that declares the target or, if the reference is in an accepted file
+// outside the set, the held replacement of that file.
 func (d *draft) remedy(missing resource.MissingReference, set []resource.FileKey) (resource.FileKey, bool) {
 	candidates := lo.Without(d.heldKeys(), set...)
 	supplier, found := lo.Find(candidates, func(key resource.FileKey) bool {
@@ -144,9 +146,9 @@
 	return missing.File, slices.Contains(candidates, missing.File)
 }
 
-// missing returns what the files in force would lack with the held revisions
-// of trial in place of their accepted ones. What was in force before the change
-// lacked nothing, so only what differs from it is looked at.
+// missing returns the unsatisfied references among the accepted files, with the
+// held revisions of the files in trial in place of their accepted ones. There
+// were none before the change, so only the differences since then are checked.
 func (d *draft) missing(trial []resource.FileKey) []resource.MissingReference {
 	files := make([]*resource.File, 0, len(d.head.Files))
 	for _, entry := range d.head.Files {
@@ -162,8 +164,8 @@
 	return resource.MissingReferencesAfter(files, added, removed)
 }
 
-// difference returns the contents that came in and went out since before the
-// change, with the held revisions of trial in place of their accepted ones.
+// difference returns the accepted contents added and removed by the change, with
+// the held revisions of the files in trial in place of their accepted ones.
 func (d *draft) difference(trial []resource.FileKey) (added, removed []*resource.File) {
 	for _, key := range lo.Union(d.touched, trial) {
 		now, _ := d.head.File(key)
@@ -201,8 +203,9 @@
 	return lo.Map(held, func(entry FileEntry, _ int) resource.FileKey { return entry.Key() })
 }
 
-// accept makes a held revision the accepted one. Content equal to what is in
-// force keeps its version, for nothing changes on any proxy.
+// accept makes the held revision of a file the accepted one. If its content
+// equals the accepted one, it keeps that version, as nothing changes on any
+// proxy.
 func (d *draft) accept(key resource.FileKey) {
 	entry, _ := d.head.File(key)
 	accepted := &AcceptedRevision{
@@ -223,8 +226,9 @@
 	d.touched = lo.Union(d.touched, []resource.FileKey{key})
 }
 
-// blockers refuses a replacement that would take away what accepted files
-// need, even if it would be held for other reasons: it could wait for ever.
+// blockers refuses a replacement that would remove resources that other accepted
+// files need, even if it would be held for other reasons: otherwise it could
+// stay held without end.
 func (d *draft) blockers() *protocol.SubmitReply {
 	key := d.request.Key()
 	entry, found := d.head.File(key)
@@ -240,7 +244,8 @@
 	return d.stillNeeded(others)
 }
 
-// stillNeeded refuses the change and names what needs what would go away.
+// stillNeeded refuses the change with one error for each resource that needs
+// something that the change would remove.
 func (d *draft) stillNeeded(broken []resource.MissingReference) *protocol.SubmitReply {
 	errors := lo.Map(broken[:min(len(broken), MaxWaitsFor)], func(missing resource.MissingReference, _ int) result.Error {
 		problem := result.New(result.StillNeeded, "%s of file %s needs %s", missing.From, missing.File, missing.To)
@@ -251,7 +256,7 @@
 	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.before.Version}
 }
 
-// noteWaits writes what each held file waits for.
+// noteWaits updates WaitsFor of each held file.
 func (d *draft) noteWaits() {
 	for _, key := range d.heldKeys() {
 		entry, _ := d.head.File(key)
@@ -281,7 +286,7 @@
 	return reply
 }
 
-// record remembers the operation and drops contents that nothing names.
+// record adds the operation to the head and drops unreferenced contents.
 func (d *draft) record(reply *protocol.SubmitReply) {
 	operation := Operation{
 		ID:          d.request.Request.Operation,
@@ -297,8 +302,9 @@
 	d.contents = d.pruned()
 }
 
-// pruned returns the contents without those that only the head before named. A
-// content names its file, so no other file's entry can name the same digest.
+// pruned returns the contents without those that only the previous head refers
+// to. A content includes the key of its file, so the entries of two files never
+// share a digest.
 func (d *draft) pruned() Contents {
 	pruned := maps.Clone(d.contents)
 	for _, key := range d.touched {
--- a/internal/core/ledger/fuzz_test.go
+++ b/internal/core/ledger/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// FuzzDecode holds the head's codec to: no panic, and what was read encodes to
-// something that reads and encodes the same.
+// FuzzDecode checks that decoding never panics, and that a decoded head encodes
+// to bytes that decode and encode to the same bytes again.
 func FuzzDecode(f *testing.F) {
 	c := newChain(f)
 	f.Add(ledger.Encode(c.head))
@@ -26,7 +26,7 @@
 		encoded := ledger.Encode(head)
 		again, err := ledger.Decode(encoded)
 		if err != nil || !bytes.Equal(ledger.Encode(again), encoded) {
-			t.Fatalf("%v: %q is not %q", err, ledger.Encode(again), encoded)
+			t.Fatalf("%v: got %q after another round trip, want %q", err, ledger.Encode(again), encoded)
 		}
 	})
 }
--- a/internal/core/ledger/head.go
+++ b/internal/core/ledger/head.go
@@ -1,8 +1,8 @@
-// Package ledger decides which files are accepted. It is a pure function from
-// the head object, the contents that it names and one change to the next head,
-// the next contents and the operator's answer. Whoever drives it writes the
-// content first and then the head by update-if-version; that update is the
-// only moment of acceptance.
+// Package ledger decides which configuration files are accepted. It is a pure
+// function of the head object, the contents that it refers to and one change;
+// its results are the next head, the next contents and the reply to the
+// operator. The caller writes the content first and then the head by
+// update-if-version; the change is accepted when that update succeeds.
 package ledger
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// Format is the revision of the head's encoding.
+// Format is the version of the head's encoding.
 const Format = 1
 
 // HeadObject is the name of the head on the platform.
 const HeadObject = "head"
 
-// ContentPrefix starts the names of content objects.
+// ContentPrefix is the prefix of the names of content objects.
 const ContentPrefix = "content/"
 
 // ContentObject returns the name of the object that holds a file's canonical text.
@@ -28,38 +28,41 @@
 	return ContentPrefix + string(digest)
 }
 
-// Head is the one mutable object. It is treated as immutable: a change builds
-// another. The zero Head, with Format set, is the head of an empty mesh.
+// Head is the value of the head object: the list of all configuration files and
+// recent operations. It is immutable in memory: a change builds a new Head. A
+// Head with only Format set is that of an empty mesh.
 type Head struct {
 	Format int `json:"format"`
-	// Version counts the updates that changed what is accepted.
+	// Version is the configuration version; it grows by one with each change to
+	// accepted content or keeper sets.
 	Version protocol.Version `json:"version"`
 	// Term is the fencing term of the reader that wrote the head.
 	Term uint64 `json:"term"`
-	// AcceptedAt is when Version was accepted, in the reader's wall clock.
+	// AcceptedAt is when Version was accepted, by the reader's wall clock.
 	AcceptedAt time.Time `json:"accepted_at"`
-	// LastRevision is the last file revision given out. Revisions are drawn from
-	// this one counter, so that a file withdrawn and submitted anew never has a
-	// revision that an operator saw before.
+	// LastRevision is the last file revision assigned. All files share this
+	// counter, so that a file that is withdrawn and submitted again never gets a
+	// revision that it had before.
 	LastRevision uint64 `json:"last_revision"`
 	// Files are sorted by key.
 	Files []FileEntry `json:"files,omitempty"`
-	// Operations are in the order in which they were taken in.
+	// Operations are in the order in which they were applied.
 	Operations []Operation `json:"operations,omitempty"`
-	// OperationFloor is the highest time of an operation id that was dropped, in
-	// Unix milliseconds. An id that is not listed and not newer is refused.
+	// OperationFloor is the highest time in an operation id that was dropped from
+	// Operations, in Unix milliseconds. An id that is not listed and not newer
+	// than that is refused.
 	OperationFloor int64 `json:"operation_floor,omitempty"`
 	// Keepers are sorted by region.
 	Keepers []protocol.KeeperSet `json:"keepers,omitempty"`
 }
 
-// FileEntry is one file. At least one of Accepted and Held is set; both are
-// when a replacement waits while the accepted revision stays in force.
+// FileEntry is one file. At least one of Accepted and Held is set; both are set
+// if a replacement is held while the accepted revision stays in force.
 type FileEntry struct {
-	Partner  resource.Partner  `json:"partner"`
-	Name     string            `json:"name"`
-	Accepted *AcceptedRevision `json:"accepted,omitempty"`
-	Held     *HeldRevision     `json:"held,omitempty"`
+	Partner  resource.Partner `json:"partner"`
+	Name     string           `json:"name"`
+	Accepted *AcceptedRevision        `json:"accepted,omitempty"`
+	Held     *HeldRevision    `json:"held,omitempty"`
 }
 
 // Accepted is the accepted revision of a file.
@@ -70,16 +73,18 @@
 	At       time.Time        `json:"at"`
 }
 
-// HeldRevision is a revision that waits for references.
+// HeldRevision is a stored revision that is not accepted because resources that
+// it refers to are missing.
 type HeldRevision struct {
 	Revision uint64          `json:"revision"`
 	Digest   resource.Digest `json:"digest"`
 	At       time.Time       `json:"at"`
-	// WaitsFor says what is missing, at most MaxWaitsFor lines.
+	// WaitsFor describes the missing references, in at most MaxWaitsFor lines.
 	WaitsFor []string `json:"waits_for"`
 }
 
-// MaxWaitsFor bounds the lines of WaitsFor in the head and in answers.
+// MaxWaitsFor is the maximum number of lines of WaitsFor, and of Promoted and
+// errors in replies.
 const MaxWaitsFor = 16
 
 // Key returns the file's key.
@@ -99,7 +104,7 @@
 	return revision
 }
 
-// digests returns the contents that the entry names: none, one or two.
+// digests returns the digests of the accepted and held revisions.
 func (e FileEntry) digests() []resource.Digest {
 	var digests []resource.Digest
 	if e.Accepted != nil {
@@ -133,8 +138,8 @@
 	return protocol.KeeperSet{}, false
 }
 
-// Digests returns the digests of all contents that the head names, sorted and
-// without repetition: those of accepted and of held revisions.
+// Digests returns the digests of all accepted and held revisions, sorted and
+// without duplicates.
 func (h *Head) Digests() []resource.Digest {
 	digests := make([]resource.Digest, 0, len(h.Files))
 	for _, entry := range h.Files {
@@ -150,8 +155,8 @@
 	})
 }
 
-// clone copies the head so that the lists can be changed. Entries' pointers
-// are shared: they are replaced, never written through.
+// clone copies the head and its lists. What the entries point to is shared and
+// must not be modified; a pointer is replaced instead.
 func (h *Head) clone() *Head {
 	next := *h
 	next.Files = slices.Clone(h.Files)
@@ -170,7 +175,7 @@
 	h.Files = slices.Insert(h.Files, position, entry)
 }
 
-// remove takes the entry of a file away.
+// remove deletes the entry of a file.
 func (h *Head) remove(key resource.FileKey) {
 	position, found := h.search(key)
 	if found {
@@ -178,8 +183,8 @@
 	}
 }
 
-// advance makes the head one version newer. The time of acceptance never runs
-// backwards, whichever reader's clock it comes from.
+// advance increments the version. AcceptedAt never decreases, even if the clocks
+// of two readers differ.
 func (h *Head) advance(now time.Time) {
 	h.Version++
 	if now.After(h.AcceptedAt) {
@@ -187,7 +192,8 @@
 	}
 }
 
-// setKeepers puts one region's set in place and reports whether it changed.
+// setKeepers replaces the keeper set of one region and reports whether it
+// changed.
 func (h *Head) setKeepers(set protocol.KeeperSet) bool {
 	position, found := slices.BinarySearchFunc(h.Keepers, set, func(a, b protocol.KeeperSet) int {
 		return strings.Compare(a.Region, b.Region)
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -16,12 +16,12 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// failer is what a chain needs of a test.
+// failer is the part of testing.TB and rapid.T that a chain uses.
 type failer interface {
 	Fatalf(format string, arguments ...any)
 }
 
-// chain drives a ledger as a reader would, each change a second after the last.
+// chain applies changes in sequence as a reader would, one per second.
 type chain struct {
 	t        failer
 	now      time.Time
@@ -130,8 +130,9 @@
 	is.Equal(c.head.Version, protocol.Version(1))
 }
 
-// TestHeldFileThatCannotStandKeepsNobodyBack: b/f waits for what it takes away
-// itself, and a/g for nothing that is not accepted. Found by rapid.
+// TestHeldFileThatCannotStandKeepsNobodyBack guards against a held file that
+// blocks unrelated ones: the replacement of b/f removes the service that its
+// own route needs, while all that a/g refers to is accepted.
 func TestHeldFileThatCannotStandKeepsNobodyBack(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
@@ -140,8 +141,9 @@
 	is.Equal(c.submit("a/g", route("r", "b/z")).Code, result.OK)
 }
 
-// TestHeldFilesInEachOthersWay: each of two held replacements takes away what
-// the other needs; when both could stand alone, one of them is accepted.
+// TestHeldFilesInEachOthersWay guards against a deadlock of two held
+// replacements, each of which removes what the other needs: once each could be
+// accepted alone, one of them is.
 func TestHeldFilesInEachOthersWay(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
@@ -237,8 +239,9 @@
 	is.Equal(c.send(other).Code, result.UsageError)
 }
 
-// TestDroppedOperationIsNeverTakenAsNew drops the first operation by count and
-// age, with a reader's clock that jumps back afterwards.
+// TestDroppedOperationIsNeverTakenAsNew guards against a second run of an
+// operation that was dropped by count and age, after the reader's clock has
+// jumped back.
 func TestDroppedOperationIsNeverTakenAsNew(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
@@ -249,7 +252,7 @@
 	for i := range ledger.MinOperationCount + 2 {
 		c.submit(fmt.Sprintf("a/f%d", i), service(fmt.Sprintf("s%d", i)))
 	}
-	is.Equal(len(c.head.Operations), ledger.MinOperationCount+2) // the first two were beyond both bounds
+	is.Equal(len(c.head.Operations), ledger.MinOperationCount+2) // the first two exceeded both bounds
 	c.now = start
 	is.Equal(c.send(first).Code, result.OutcomeUnknown)
 	_, found := c.head.File(resource.FileKey{Partner: "a", Name: "f"})
@@ -301,8 +304,9 @@
 	}
 }
 
-// TestHeadRefusesToOutgrowItsBudget starts a little below the budget. A full
-// head still lets files go.
+// TestHeadRefusesToOutgrowItsBudget fills a head from just below its budget. It
+// guards against a full head that can't shrink because withdrawals are refused
+// too.
 func TestHeadRefusesToOutgrowItsBudget(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
--- a/internal/core/ledger/operation.go
+++ b/internal/core/ledger/operation.go
@@ -14,14 +14,13 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Operation remembers one change that was taken in, so that a resend gets the
-// first answer again.
+// Operation records an applied change, so that a resend gets the same answer.
 type Operation struct {
 	ID string `json:"id"`
-	// At is when the change was taken in, by the reader's clock, in Unix
+	// At is when the change was applied, by the reader's clock, in Unix
 	// milliseconds.
 	At int64 `json:"at"`
-	// Fingerprint tells a resend from another change under the same id.
+	// Fingerprint distinguishes a resend from another change with the same id.
 	Fingerprint string           `json:"fingerprint"`
 	Code        result.Code      `json:"code"`
 	Version     protocol.Version `json:"version"`
@@ -32,28 +31,29 @@
 
 // Limits of operation ids.
 const (
-	// OperationAge is how long an id is kept at least.
+	// OperationAge is the minimum time for which an id is kept.
 	MinOperationAge = 15 * time.Minute
-	// OperationCount is how many ids are kept at least.
+	// OperationCount is the number of newest ids that are kept at any age.
 	MinOperationCount = 64
 	// OperationAhead is how far an id's time may be ahead of the reader's clock.
 	MaxOperationSkew = 5 * time.Minute
-	// randomDigits is the least count of random digits in an id.
+	// randomDigits is the minimum number of random digits in an id.
 	randomDigits = 16
-	// maxOperationLength bounds an id in bytes.
+	// maxOperationLength is the maximum length of an id in bytes.
 	maxOperationLength = 64
-	// fingerprintBytes is how much of the request's digest is kept.
+	// fingerprintBytes is the number of bytes of the request's hash that are
+	// kept.
 	fingerprintBytes = 8
 )
 
 // NewOperation returns an operation id: the time in Unix milliseconds, a dash
-// and random in hexadecimal. random must hold at least 8 random bytes.
+// and random in hexadecimal. random must have at least 8 bytes.
 func NewOperationID(now time.Time, random []byte) string {
 	return fmt.Sprintf("%d-%s", now.UnixMilli(), hex.EncodeToString(random))
 }
 
-// OperationTime returns the time inside an operation id in Unix milliseconds,
-// or an error if the id is malformed (UsageError).
+// OperationTime returns the time in an operation id in Unix milliseconds, or
+// UsageError if the id is malformed.
 func OperationTime(id string) (int64, error) {
 	malformed := result.New(result.UsageError, "the operation id is not <unix milliseconds>-<random hex>")
 	digits, random, found := strings.Cut(id, "-")
@@ -70,7 +70,8 @@
 	return milliseconds, nil
 }
 
-// fingerprint identifies all that a request asks for, besides its id.
+// fingerprint returns a hash of all fields of a request that define the change.
+// The operation id is not one of them.
 func fingerprint(request *protocol.SubmitRequest) string {
 	hash := sha256.New()
 	expect := "any"
@@ -85,9 +86,9 @@
 	return hex.EncodeToString(hash.Sum(nil)[:fingerprintBytes])
 }
 
-// FindOperation returns the answer that the head remembers for a request: nil
-// when the id is unknown. An id used for another change is OperationReused.
-// After a lost answer it tells whether the update took effect.
+// FindOperation returns the answer recorded in the head for a request, nil if
+// its id is not listed, or OperationReused if the id was used for another
+// change. After a lost reply it shows whether the update was applied.
 func FindOperation(head *Head, request *protocol.SubmitRequest) *protocol.SubmitReply {
 	for _, operation := range head.Operations {
 		if operation.ID != request.Operation {
@@ -111,9 +112,10 @@
 	}
 }
 
-// checkOperation answers for ids that are not in the head but can't be taken as
-// new. One that is not newer than a dropped id may have been that one, so its
-// outcome is unknown; one too far ahead would raise the floor over others.
+// checkOperation refuses an id that is not in the head but can't be treated as
+// new. If it is not newer than OperationFloor, it may have been dropped, and the
+// outcome of its change is unknown. If it is too far ahead of the clock, dropping
+// it later would raise OperationFloor above the ids of other changes.
 func checkOperation(head *Head, id string, now time.Time) *protocol.SubmitReply {
 	milliseconds, err := OperationTime(id)
 	if err != nil {
@@ -132,10 +134,10 @@
 	return nil
 }
 
-// remember adds an operation and drops the oldest ones that are beyond both
-// the count and the age. Dropping raises OperationFloor to the time in the
-// dropped id, so that this id, sent again, is never taken as new whatever any
-// clock says; the clock only decides how soon ids are dropped.
+// remember adds an operation and drops the oldest ones that exceed both the
+// count and the age. OperationFloor is raised to the time in a dropped id, so
+// that a resend of it is never treated as new, whatever the readers' clocks
+// show; the clock only affects how soon ids are dropped.
 func (h *Head) remember(operation Operation, now time.Time) {
 	h.Operations = append(h.Operations, operation)
 	dropped := 0
@@ -149,8 +151,9 @@
 	h.Operations = slices.Delete(h.Operations, 0, dropped)
 }
 
-// expired reports whether an operation is beyond the age. One from the future
-// was stamped by a clock that has jumped; it must not stop all dropping.
+// expired reports whether an operation is older than OperationAge. One too far
+// in the future counts as expired as well: the clock that dated it has jumped,
+// and the operation must not keep later ones from being dropped.
 func expired(operation Operation, now time.Time) bool {
 	oldest := now.Add(-MinOperationAge).UnixMilli()
 	newest := now.Add(MaxOperationSkew).UnixMilli()
--- a/internal/core/ledger/property_test.go
+++ b/internal/core/ledger/property_test.go
@@ -16,8 +16,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// drawBody draws a small file over few names, so that files depend on each
-// other, clash and take away what others need.
+// drawBody draws a small file. It uses few names, so that files refer to each
+// other, declare the same names and remove what others need.
 func drawBody(t *rapid.T, partner string) string {
 	other := map[string]string{"a": "b", "b": "a"}[partner]
 	names := []string{"x", "y", "z"}
@@ -38,9 +38,9 @@
 		strings.Join(services, ", "), strings.Join(secrets, ", "), strings.Join(routes, ", "))
 }
 
-// TestAcceptanceHoldsItsRules draws operators' changes and checks the whole
-// state after each with the full reference check, which Apply itself does not
-// use.
+// TestAcceptanceHoldsItsRules applies random changes and checks the whole state
+// after each. It uses the full reference check, whereas Apply checks only what
+// has changed.
 func TestAcceptanceHoldsItsRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newChain(t)
@@ -67,7 +67,7 @@
 	step := c.head.Version - before.Version
 	changed := !reflect.DeepEqual(catalogue, ledger.Catalogue(c.head, c.contents))
 	if step > 1 || changed && step != 1 {
-		t.Fatalf("version %d after %d; catalogue changed: %v", c.head.Version, before.Version, changed)
+		t.Fatalf("version %d follows version %d; catalogue changed: %v", c.head.Version, before.Version, changed)
 	}
 }
 
@@ -79,11 +79,11 @@
 		}
 	}
 	if missing := resource.MissingReferences(accepted); len(missing) > 0 {
-		t.Fatalf("accepted files lack %v", missing)
+		t.Fatalf("accepted files have missing references: %v", missing)
 	}
 	catalogue := ledger.Catalogue(c.head, c.contents)
 	if distinct := slices.CompactFunc(slices.Clone(catalogue), func(a, b resource.Encoded) bool { return a.Key == b.Key }); len(distinct) != len(catalogue) {
-		t.Fatalf("a name stands twice")
+		t.Fatalf("the catalogue has two resources with the same key")
 	}
 	for _, entry := range c.head.Files {
 		if entry.Held != nil {
@@ -91,16 +91,16 @@
 		}
 	}
 	if len(c.contents) != len(c.head.Digests()) || len(ledger.MissingContents(c.head, c.contents)) > 0 {
-		t.Fatalf("contents do not fit the head")
+		t.Fatalf("contents are not exactly those that the head refers to")
 	}
 	decoded, err := ledger.Decode(ledger.Encode(c.head))
 	if err != nil || !reflect.DeepEqual(ledger.Encode(decoded), ledger.Encode(c.head)) {
-		t.Fatalf("the head does not survive its encoding: %v", err)
+		t.Fatalf("the head changed in a round trip through its encoding: %v", err)
 	}
 }
 
-// checkHeld holds a held file to truly waiting: put in place of its accepted
-// revision, something would be missing, and it says what.
+// checkHeld checks that a held file has to wait: accepting it alone would leave
+// references missing, and it lists what it waits for.
 func checkHeld(t *rapid.T, c *chain, entry ledger.FileEntry, accepted []*resource.File) {
 	file := c.contents[entry.Held.Digest]
 	trial := []*resource.File{file}
@@ -110,9 +110,9 @@
 		}
 	}
 	if len(resource.MissingReferences(trial)) == 0 {
-		t.Fatalf("%s is held but lacks nothing", entry.Key())
+		t.Fatalf("%s is held but has no missing references", entry.Key())
 	}
 	if len(entry.Held.WaitsFor) == 0 {
-		t.Fatalf("%s does not say what it waits for", entry.Key())
+		t.Fatalf("%s is held but WaitsFor is empty", entry.Key())
 	}
 }
--- a/internal/core/ledger/status.go
+++ b/internal/core/ledger/status.go
@@ -9,10 +9,10 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// FileStatuses lists the files of a head with all that daemons tell each other
-// of them, sorted by key. A file with a held replacement gives two entries, the
-// accepted revision first. InForce is left to those who know. What one partner
-// may see of it is decided by the operators' API.
+// FileStatuses returns the status of the files of a head as daemons exchange it,
+// sorted by key. A file with a held replacement has two entries, the accepted
+// revision first. InForce is not set, as it does not follow from the head. The
+// operators' API restricts what each partner may see.
 func FileStatuses(head *Head, contents Contents) []protocol.FileStatus {
 	var statuses []protocol.FileStatus
 	for _, entry := range head.Files {
@@ -36,7 +36,8 @@
 	return statuses
 }
 
-// describe fills in what the content of a file tells; nil when not at hand.
+// describe returns a status with the fields that follow from the content of a
+// file, which is nil if it is not loaded.
 func describe(entry FileEntry, file *resource.File) protocol.FileStatus {
 	status := protocol.FileStatus{Partner: entry.Partner, Name: entry.Name}
 	if file == nil {
@@ -51,7 +52,7 @@
 	return status
 }
 
-// ResourceDigests lists the resources of a file with their digests.
+// ResourceDigests returns the resources of a file with their digests.
 func ResourceDigests(file *resource.File) []protocol.ResourceDigest {
 	return lo.Map(resource.Encode(file), func(encoded resource.Encoded, _ int) protocol.ResourceDigest {
 		return protocol.ResourceDigest{Kind: encoded.Key.Kind, Name: encoded.Key.Name, Digest: encoded.Digest}
--- a/internal/core/ledger/year_test.go
+++ b/internal/core/ledger/year_test.go
@@ -14,18 +14,19 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The size of the workload: 190 services of two partners, one file each, and
-// a year of 2,300 changes a day.
+// The workload: 190 services of two partners, one file each, and 2,300 changes
+// a day for a year.
 const (
 	yearServices  = 190
 	changesPerDay = 2_300
 	yearOfChanges = 365 * changesPerDay
 	shortOfYear   = 2_000
-	// measureEach is how many changes pass between two looks at the head.
+	// measureEach is the number of changes between two measurements of the head.
 	measureEach = 10
 )
 
-// year draws operators' changes from a fixed seed and keeps the largest head.
+// year applies random changes from a fixed seed and records the size of the
+// largest head.
 type year struct {
 	chain
 	random  *rand.Rand
@@ -34,8 +35,8 @@
 	codes   map[result.Code]int
 }
 
-// body returns one service's file: the service, its back ends, a secret and a
-// route, now and then one that leads to a service that may not be there.
+// body returns the file of one service: the service, its back ends, a secret and
+// a route. Some routes lead to another service, which may not exist.
 func (y *year) body(service int) string {
 	target := service
 	if y.random.IntN(20) == 0 {
@@ -56,8 +57,8 @@
 
 func otherOf(service int) string { return ownerOf(service + 1) }
 
-// step sends one change: mostly replacements, a few withdrawals and first
-// submissions, a few resends of the last operation.
+// step applies one change: mostly replacements, some withdrawals and first
+// submissions. Some changes are sent twice.
 func (y *year) step() {
 	service := y.random.IntN(yearServices)
 	key := fmt.Sprintf("%s/f%d", ownerOf(service), service)
@@ -76,7 +77,7 @@
 	if y.random.IntN(50) == 0 {
 		again := y.send(request)
 		if reply.Code == result.OK && (again.Version != reply.Version || again.Revision != reply.Revision) {
-			y.t.Fatalf("a resend was answered %+v after %+v", again, reply)
+			y.t.Fatalf("reply %+v to a resend, want the first reply %+v", again, reply)
 		}
 	}
 	y.now = y.now.Add(24*time.Hour/changesPerDay - time.Second)
@@ -86,12 +87,13 @@
 	}
 }
 
-// measure encodes the head and holds it to the budget and to its own checks.
+// measure records the size of the encoded head, checks it against the budget
+// and, every 1,000 changes, decodes it and checks the contents.
 func (y *year) measure() {
 	encoded := ledger.Encode(y.head)
 	y.largest = max(y.largest, len(encoded))
 	if len(encoded) > ledger.HeadBudget {
-		y.t.Fatalf("the head has %d bytes after %d changes", len(encoded), y.sent)
+		y.t.Fatalf("the head has %d bytes after %d changes, which exceeds its budget", len(encoded), y.sent)
 	}
 	if y.sent%1000 != 0 {
 		return
@@ -115,12 +117,12 @@
 func TestHeadStaysBounded(t *testing.T) {
 	y := runYear(t, shortOfYear)
 	if y.codes[result.OK] < shortOfYear/2 || y.codes[result.Held] == 0 || y.codes[result.StillNeeded] == 0 {
-		t.Fatalf("the workload is not what it should be: %v", y.codes)
+		t.Fatalf("the workload has too few of some result codes: %v", y.codes)
 	}
 	t.Logf("%d changes, largest head %d bytes, answers %v", y.sent, y.largest, y.codes)
 }
 
-// yearChanges lets the benchmark run a part of the year.
+// yearChanges is how many changes the benchmark runs.
 var yearChanges = flag.Int("year-changes", yearOfChanges, "how many changes BenchmarkYearOfChanges runs")
 
 // BenchmarkYearOfChanges runs the whole year:
--- a/internal/core/object/object.go
+++ b/internal/core/object/object.go
@@ -1,24 +1,26 @@
-// Package object defines the platform's objects and calls as the core sees
-// them: typed values only. The port in internal/platform carries them out.
+// Package object defines the objects, calls and replies of the platform's object
+// store as plain values. The platform port in internal/platform executes the
+// calls.
 package object
 
 import "github.com/springstack/springstack/internal/result"
 
-// Version is the platform's object version. It grows with each change to any
-// object; 0 means "no such object".
+// Version is an object version. All objects of the platform share one sequence
+// of versions, which grows with each change to any of them. 0 means that the
+// object does not exist.
 type Version uint64
 
-// Object is one named value.
+// Object is a named value in the store.
 type Object struct {
-	// Name is a slash separated path such as head or content/4f2a.
+	// Name is a slash-separated path such as head or content/4f2a.
 	Name string
 	// Version is the object version at which Data was written.
 	Version Version
-	// Data is the value; at most the platform's size limit, 1 MiB here.
+	// Data is the value, of at most 1 MiB.
 	Data []byte
 }
 
-// EventKind tells what a watch event reports.
+// EventKind is the kind of change that a watch event reports.
 type EventKind int
 
 // The kinds of watch events.
@@ -27,8 +29,8 @@
 	EventDelete
 )
 
-// Event is one change seen by a watch. Events may arrive late, twice or
-// crossed; Version orders them.
+// Event is one change reported by a watch. Events may arrive late, twice or out
+// of order; Object.Version orders them.
 type Event struct {
 	Kind   EventKind
 	Object Object
@@ -50,7 +52,7 @@
 // Call is one request to the platform.
 type Call struct {
 	Kind CallKind
-	// Name is the object, or the prefix for CallList.
+	// Name is the name of the object, or the prefix for CallList.
 	Name string
 	// Expect is the version that CallUpdate and CallDelete require.
 	Expect Version
@@ -58,7 +60,8 @@
 	Data []byte
 }
 
-// Machine is one entry of the platform's machine list, which lags.
+// Machine is one entry of the platform's machine list. The list may be out of
+// date.
 type Machine struct {
 	// ID is the identity of the machine, equal to the daemon's node id.
 	ID string
@@ -66,22 +69,23 @@
 	Address string
 	Region  string
 	Zone    string
-	// Leaving is set when the machine is about to be taken away.
+	// Leaving is set when the machine is about to be removed.
 	Leaving bool
 }
 
-// Reply answers a Call.
+// Reply is the result of a Call.
 type Reply struct {
-	// Code is result.OK or a 5xx code. PlatformUnknown means that the effect
-	// may have happened; PlatformUnavailable that it certainly did not.
+	// Code is result.OK or a 5xx code. PlatformUnknown means that the call may
+	// have taken effect; PlatformUnavailable means that it did not.
 	Code result.Code
-	// Object answers CallGet, CallCreate and CallUpdate (Data may be left out).
+	// Object is the result of CallGet, CallCreate and CallUpdate. Data may be
+	// empty for the latter two.
 	Object Object
-	// Objects answers CallList.
+	// Objects is the result of CallList.
 	Objects []Object
 	// ListVersion is the version at which a list or machine list was taken; a
 	// watch may start from it.
 	ListVersion Version
-	// Machines answers CallMachines.
+	// Machines is the result of CallMachines.
 	Machines []Machine
 }
--- a/internal/core/reader/attempt.go
+++ b/internal/core/reader/attempt.go
@@ -11,59 +11,61 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// phase is how far an attempt is.
+// phase is the current step of an attempt.
 type phase int
 
 const (
 	// phaseContents: the contents that the new head names are being written.
 	phaseContents phase = iota + 1
-	// phaseWrite: the head update is due to be sent.
+	// phaseWrite: the head update is ready to be sent.
 	phaseWrite
-	// phaseWriting: the head update was sent and not answered.
+	// phaseWriting: the head update was sent and has no reply yet.
 	phaseWriting
-	// phaseResolve: a read of the head, sent from now on, has to tell whether
-	// the update has landed.
+	// phaseResolve: the outcome of the update is unknown; a read of the head has
+	// to be sent to find out whether it was applied.
 	phaseResolve
-	// phaseResolving: that read is under way.
+	// phaseResolving: the read for phaseResolve is in flight.
 	phaseResolving
-	// phaseConfirm: nothing is to be written; a read, sent from now on, has to
-	// show that the refusals were decided on the newest head.
+	// phaseConfirm: all changes were refused; a read of the head has to be sent
+	// to confirm that they were checked against the newest head.
 	phaseConfirm
-	// phaseConfirming: that read is under way.
+	// phaseConfirming: the read for phaseConfirm is in flight.
 	phaseConfirming
 )
 
-// attempt is one head update on its way, or one round of refusals.
+// attempt is one pending head update, or one batch of refused changes that
+// await confirmation.
 //
-// What must hold: an attempt ends only when its update has landed, or when the
-// head has another object version than base, so that the update, wherever it
-// still is, can't land any more. Until then its changes are neither tried in
-// another update nor called not accepted.
+// Invariant: an attempt ends only when its update was applied, or when the
+// object version of the head differs from base, so that an update still in
+// flight can only fail. Until then its changes are neither put into another
+// update nor reported as not accepted.
 type attempt struct {
 	number uint64
 	items  []*submission
 	// base is the object version that the update expects; 0 creates the head.
 	base object.Version
-	// data is the new head, encoded once: each sending is identical.
+	// data is the encoded new head; retries send the same bytes.
 	data []byte
-	// replies answer the items when nothing is to be written.
+	// replies are the refusals of the items when there is nothing to write.
 	replies []*protocol.SubmitReply
 	phase   phase
-	// unwritten are the contents to be written before the head; writing are
-	// those under way.
+	// unwritten are the contents that must be written before the head; writing
+	// are those with a write in flight.
 	unwritten map[resource.Digest][]byte
 	writing   map[resource.Digest]bool
-	// files are the parsed contents that the new head names.
+	// files are the parsed contents that the new head refers to.
 	files ledger.Contents
-	// lost is set once a sending of the update got no conclusive answer.
+	// lost is set once the update was sent and got no conclusive reply.
 	lost bool
 }
 
-// mayLand reports whether the update may take effect from now on, or already
-// has without this reader knowing.
+// mayLand reports whether the update may still be applied by the platform, or
+// may have been applied without this reader having seen it.
 func (a *attempt) mayLand() bool { return a.lost || a.phase == phaseWriting }
 
-// advanceAttempt does what is due and reports whether to go on.
+// advanceAttempt runs the next step of the attempt, or starts one, and reports
+// whether it has to be called again.
 func (r *Reader) advanceAttempt() bool {
 	if r.changes.attempt == nil {
 		return r.startAttempt()
@@ -82,8 +84,8 @@
 	return false
 }
 
-// startAttempt forms the next attempt if there is anything to do and the head
-// with all its contents is at hand.
+// startAttempt creates the next attempt if changes are queued and the head and
+// all contents that it refers to are loaded.
 func (r *Reader) startAttempt() bool {
 	idle := len(r.changes.queue) == 0 && len(r.changes.keepers) == 0
 	if idle || !r.headUsable() || len(ledger.MissingContents(r.head.head, r.contents.files)) > 0 {
@@ -102,7 +104,7 @@
 	return true
 }
 
-// startKeepers forms an attempt that changes keeper sets only.
+// startKeepers creates an attempt that changes only keeper sets.
 func (r *Reader) startKeepers(next *attempt) bool {
 	wanted := slices.DeleteFunc(slices.Clone(r.changes.keepers), func(set protocol.KeeperSet) bool {
 		current, _ := r.head.head.KeeperSet(set.Region)
@@ -119,8 +121,9 @@
 	return true
 }
 
-// answerKnown answers the first change in the queue if the head already has
-// its operation id. That needs no further read: what the head has, it has.
+// answerKnown answers the first change in the queue if its operation id is
+// already in the head. No further read is needed, as a recorded operation
+// keeps its answer in every later head.
 func (r *Reader) answerKnown() bool {
 	first := r.changes.queue[0]
 	reply := ledger.FindOperation(r.head.head, first.request)
@@ -132,12 +135,13 @@
 	return true
 }
 
-// fill takes a run of changes from the queue: either changes that all alter
-// the head, each counted as a version of its own, or refusals.
+// fill moves changes from the front of the queue into the attempt: either only
+// changes that alter the head, each as a version of its own, or only refusals.
 //
-// A change joins a batch only if it would alter the head by itself as well.
-// Otherwise another reader that got a resend of it could refuse it on the same
-// head, "did not run", while this update is still on its way and then lands.
+// A change joins a batch only if it would also alter the current head by
+// itself. Otherwise another reader that received a resend of it could refuse
+// it against the same head as not run, while this update is still in flight
+// and is then applied.
 func (r *Reader) fill(next *attempt) {
 	head, files := r.head.head, r.contents.files
 	limit := maxBatch
@@ -174,15 +178,15 @@
 	next.collectContents(r.contents.files)
 }
 
-// take moves the first change of the queue into the attempt.
+// take moves the first change of the queue into the attempt, with its reply.
 func (r *Reader) take(next *attempt, reply *protocol.SubmitReply) {
 	next.items = append(next.items, r.changes.queue[0])
 	next.replies = append(next.replies, reply)
 	r.changes.queue = r.changes.queue[1:]
 }
 
-// collectContents lists what the platform may not have yet: contents that the
-// current head names are there.
+// collectContents lists the contents that the platform may not have yet. Those
+// in present are referred to by the current head and so were written before.
 func (a *attempt) collectContents(present ledger.Contents) {
 	a.unwritten = map[resource.Digest][]byte{}
 	a.writing = map[resource.Digest]bool{}
@@ -194,9 +198,9 @@
 	}
 }
 
-// headAdvanced settles the attempt when a newer head is known, however it
-// became known. The update expected an older object version: either its
-// operation ids are in the head, or it can't land any more.
+// headAdvanced ends the attempt after a newer head was adopted from a read, a
+// watch event or a write. The update expected an older object version: either
+// its operation ids are in the new head, or it can no longer be applied.
 func (r *Reader) headAdvanced() {
 	current := r.changes.attempt
 	if current == nil || current.base == r.head.version {
@@ -215,8 +219,8 @@
 	r.requeue(current)
 }
 
-// settle answers a change that the head has. Its content is on the platform,
-// since whoever wrote the head wrote that before.
+// settle answers a change whose operation is in the head. Its content is on the
+// platform, because a reader writes contents before the head.
 func (r *Reader) settle(item *submission, reply *protocol.SubmitReply) {
 	if item.change.File != nil && reply.Code != result.OperationReused {
 		r.keepContents(ledger.Contents{item.change.Digest: item.change.File})
@@ -228,13 +232,14 @@
 		LogField{"version", fmt.Sprint(reply.Version)})
 }
 
-// readSent notes that a read of the head leaves now.
+// readSent advances the attempt when a read of the head is sent.
 func (c *changeState) readSent() {
 	c.move(phaseResolve, phaseResolving)
 	c.move(phaseConfirm, phaseConfirming)
 }
 
-// readFailed notes that the read under way proved nothing.
+// readFailed makes the attempt wait for another read after one that failed or
+// returned an outdated head.
 func (c *changeState) readFailed() {
 	c.move(phaseResolving, phaseResolve)
 	c.move(phaseConfirming, phaseConfirm)
@@ -246,9 +251,9 @@
 	}
 }
 
-// headConfirmed takes a read that was sent after the attempt asked for it and
-// showed the head still at the attempt's base; otherwise headAdvanced has
-// ended the attempt.
+// headConfirmed handles a read that was sent after the attempt requested it and
+// found the head unchanged at the attempt's base. If the head had changed,
+// headAdvanced would have ended the attempt before.
 func (r *Reader) headConfirmed() {
 	current := r.changes.attempt
 	if current == nil {
@@ -265,8 +270,10 @@
 	}
 }
 
-// resend sends an update again whose answer was lost and that has not landed
-// so far. Both sendings expect the same object version: only one can win.
+// resend schedules the update again after its reply was lost and the head was
+// found unchanged. Both copies expect the same object version, so at most one
+// of them is applied. If no reply was lost, the read contradicts the conflict
+// that the platform reported, and another read is scheduled.
 func (r *Reader) resend(current *attempt) {
 	if current.lost {
 		current.phase = phaseWrite
--- a/internal/core/reader/attemptwrite.go
+++ b/internal/core/reader/attemptwrite.go
@@ -6,7 +6,9 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// writeContents creates the contents; one that exists already is as good.
+// writeContents creates the missing content objects, and sends the head update
+// once there are none. A content object that already exists counts as written,
+// as its name is the digest of its data.
 func (r *Reader) writeContents(current *attempt) {
 	if len(current.unwritten) == 0 {
 		r.writeHead(current)
@@ -40,7 +42,7 @@
 	}
 }
 
-// writeHead sends the update that accepts the batch.
+// writeHead sends the head update of the attempt.
 func (r *Reader) writeHead(current *attempt) {
 	current.phase = phaseWriting
 	write := object.Call{Kind: object.CallUpdate, Name: ledger.HeadObject, Expect: current.base, Data: current.data}
@@ -50,8 +52,8 @@
 	r.call(pendingCall{purpose: purposeHeadWrite, attempt: current.number}, write)
 }
 
-// headWasWritten takes the answer to an update. Only an OK and a newer head
-// settle it; see attempt.
+// headWasWritten handles the reply to a head update. Only OK or a newer head
+// ends the attempt; see attempt.
 func (r *Reader) headWasWritten(call pendingCall, reply object.Reply) {
 	current := r.changes.attempt
 	if current == nil || current.number != call.attempt {
@@ -78,8 +80,9 @@
 	}
 }
 
-// refuseTooLarge ends an attempt that the platform will never take. A batch is
-// taken apart; a single change is refused.
+// refuseTooLarge ends an attempt with an object above the platform's size
+// limit. The changes of a batch are retried one by one; a single change is
+// refused.
 func (r *Reader) refuseTooLarge(current *attempt, code result.Code) {
 	if len(current.items) != 1 {
 		r.changes.alone = true
--- a/internal/core/reader/backoff.go
+++ b/internal/core/reader/backoff.go
@@ -11,15 +11,15 @@
 	backoffCap  = 10 * time.Second
 )
 
-// backoff spaces retries: each wait is drawn between zero and a limit that
-// doubles with each failure in a row, so that readers that failed together do
-// not return together.
+// backoff is an exponential backoff with full jitter: each wait is drawn
+// between zero and a limit that doubles with each consecutive failure, so that
+// readers that failed at the same time do not retry at the same time.
 type backoff struct {
 	failures int
 	until    time.Duration
 }
 
-// fail notes a failure at now and draws the next wait.
+// fail records a failure at now and draws the next wait.
 func (b *backoff) fail(now time.Duration, random *rand.Rand) {
 	limit := backoffCap
 	if b.failures < 6 {
@@ -29,7 +29,7 @@
 	b.until = now + jitter(random, limit)
 }
 
-// succeed forgets the failures.
+// succeed resets the backoff.
 func (b *backoff) succeed() { *b = backoff{} }
 
 // due reports whether the wait is over.
--- a/internal/core/reader/changes.go
+++ b/internal/core/reader/changes.go
@@ -12,39 +12,44 @@
 
 // Bounds of the queue of changes.
 const (
-	// maxQueued is how many changes wait at once; more are Overloaded.
+	// maxQueued is how many changes may be queued; more get Overloaded.
 	maxQueued = 256
-	// maxBatch is how many changes one head update carries.
+	// maxBatch is how many changes one head update may contain.
 	maxBatch = 32
 )
 
-// submission is one change on its way into the head.
+// submission is an operator's change that is queued or part of the attempt.
 type submission struct {
 	request  *protocol.SubmitRequest
 	change   *ledger.Change
 	tickets  []Ticket
 	deadline time.Duration
-	// givenUp is set when the operators were told OutcomeUnknown: the change is
-	// not tried anew, but a resend may join while its update may still land.
+	// givenUp is set once OutcomeUnknown was returned for the change. It is not
+	// put into another update, but a resend can join it as long as its update
+	// may still be applied.
 	givenUp bool
 }
 
-// changeState is the queue, and the one attempt under way.
+// changeState holds the queue of changes and the current attempt, if any.
 type changeState struct {
 	queue   []*submission
 	attempt *attempt
-	// attempts numbers the attempts, so that late answers are told apart.
+	// attempts numbers the attempts, so that late replies to calls of an earlier
+	// attempt are recognised.
 	attempts uint64
 	retry    backoff
-	// alone is set after a batch was too large for the platform.
+	// alone limits the next attempts to one change each, after a batch exceeded
+	// the platform's size limit.
 	alone bool
-	// keepers are the keeper sets that the owner wants in the head.
+	// keepers are the keeper sets passed to Reader.SetKeepers that are not in an
+	// attempt yet.
 	keepers []protocol.KeeperSet
-	// keepersAt is the owner's wall clock when it asked for them.
+	// keepersAt is the wall clock passed with them.
 	keepersAt time.Time
 }
 
-// enqueue takes a change in. A resend joins the change that is under way.
+// enqueue queues a change, or adds a resend to the pending change with the
+// same operation id.
 func (r *Reader) enqueue(wallClock time.Time, ticket Ticket, request *protocol.SubmitRequest) {
 	if !r.lease.held {
 		r.answer(ticket, refusal(result.NoReader, "this daemon does not hold a reader lease"))
@@ -71,7 +76,8 @@
 	})
 }
 
-// find returns the submission with an operation id, queued or under way.
+// find returns the submission with an operation id from the attempt or the
+// queue, or nil.
 func (c *changeState) find(operation string) *submission {
 	candidates := c.queue
 	if c.attempt != nil {
@@ -85,8 +91,8 @@
 	return nil
 }
 
-// join adds a resend to its first sending. The same id with another change is
-// refused: at most one of the two can be what the id stands for.
+// join adds a resend to the pending submission with the same operation id. A
+// request that differs from it is refused, as an id identifies one change.
 func (r *Reader) join(first *submission, ticket Ticket, request *protocol.SubmitRequest) {
 	if !sameRequest(first.request, request) {
 		r.answer(ticket, refusal(result.OperationReused, "the operation id is in use for another change"))
@@ -113,7 +119,8 @@
 	item.tickets = nil
 }
 
-// refusal returns an answer with one error, whose code says whether it ran.
+// refusal returns a reply with one error. The table of result codes defines
+// whether a change with that code ran.
 func refusal(code result.Code, detail string) *protocol.SubmitReply {
 	problem := result.New(code, "%s", detail)
 	entry, _ := result.Lookup(code)
@@ -129,17 +136,17 @@
 	return refusal(result.OutcomeUnknown, "an update with the change was sent and its answer was lost")
 }
 
-// advanceChanges gives up what took too long and drives the attempt, starting
-// the next one when there is none.
+// advanceChanges expires overdue changes and advances the attempt, starting the
+// next one when there is none.
 func (r *Reader) advanceChanges() {
 	r.expireChanges()
 	for r.advanceAttempt() {
 	}
 }
 
-// expireChanges answers what has waited too long. A change that is only
-// queued has no update that could land: an earlier attempt that carried it has
-// ended, and ended means that its update can't land any more.
+// expireChanges answers changes that are past their deadline. A queued change
+// is not accepted for certain: an attempt that contained it has ended, and an
+// attempt ends only when its update can no longer be applied.
 func (r *Reader) expireChanges() {
 	r.changes.queue = slices.DeleteFunc(r.changes.queue, func(item *submission) bool {
 		if r.now < item.deadline {
@@ -169,15 +176,15 @@
 	}
 }
 
-// requeue ends an attempt whose update certainly has not landed and never
-// will; its changes go back to the front of the queue, in order.
+// requeue ends an attempt whose update was not and can no longer be applied,
+// and puts its changes back at the front of the queue, in order.
 func (r *Reader) requeue(ended *attempt) {
 	r.changes.attempt = nil
 	again := slices.DeleteFunc(slices.Clone(ended.items), func(item *submission) bool { return item.givenUp })
 	r.changes.queue = append(again, r.changes.queue...)
 }
 
-// abandonChanges answers everything when the lease is lost.
+// abandonChanges answers all pending changes when the lease is lost.
 func (r *Reader) abandonChanges() {
 	if current := r.changes.attempt; current != nil && current.mayLand() {
 		for _, item := range current.items {
--- a/internal/core/reader/contents.go
+++ b/internal/core/reader/contents.go
@@ -11,22 +11,22 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// parallelContents bounds how many contents are read or written at once.
+// parallelContents is how many contents are read or written concurrently.
 const parallelContents = 8
 
-// contentState is the cache of the contents that the head names.
+// contentState caches the contents that the head refers to.
 type contentState struct {
 	files   ledger.Contents
 	loading map[resource.Digest]bool
 	attempt backoff
-	// announced is the object version of the head last announced under this
-	// lease, and announcedHead that head; nil before the first.
+	// announced is the object version of the head last announced under the
+	// current lease; announcedHead is that head, nil before the first.
 	announced     object.Version
 	announcedHead *ledger.Head
 }
 
-// reset forgets loads under way and what was announced; what is loaded stays,
-// for it is immutable.
+// reset drops the loads in flight and what was announced. Loaded files are
+// kept, as contents are immutable.
 func (c *contentState) reset() {
 	c.announced = 0
 	c.announcedHead = nil
@@ -34,8 +34,8 @@
 	c.attempt.succeed()
 }
 
-// advanceContents loads what the head names and lacks here, and announces the
-// version once all of it is there: a part of a version is never handed out.
+// advanceContents loads the contents that the head refers to, and announces the
+// version once all of them are loaded, so that no partial version is published.
 func (r *Reader) advanceContents() {
 	announced := r.contents.announcedHead != nil && r.contents.announced == r.head.version
 	if !r.headUsable() || announced {
@@ -78,7 +78,7 @@
 	r.keepContents(ledger.Contents{call.digest: file})
 }
 
-// decodeContent checks a content against the digest that names it.
+// decodeContent verifies data against its digest and decodes it.
 func decodeContent(digest resource.Digest, data []byte) (*resource.File, error) {
 	if resource.DigestOf(data) != digest {
 		return nil, result.New(result.DigestMismatch, "the content does not have the digest that names it")
@@ -86,8 +86,8 @@
 	return resource.DecodeFile(data)
 }
 
-// keepContents adds to the cache by building another map, as the ledger's
-// callers may hold the old one.
+// keepContents adds files to the cache. It builds a new map, because callers of
+// the ledger may hold the old one.
 func (r *Reader) keepContents(added ledger.Contents) {
 	files := make(ledger.Contents, len(r.contents.files)+len(added))
 	for digest, file := range r.contents.files {
@@ -99,8 +99,8 @@
 	r.contents.files = files
 }
 
-// announce hands out the head's version, once for each change that matters to
-// the rest of the daemon, and drops contents that no head names any more.
+// announce emits CatalogueReady for the head, unless its version and files are
+// those announced last, and drops contents that the head does not refer to.
 func (r *Reader) announce() {
 	r.contents.files = ledger.Prune(r.head.head, r.contents.files)
 	previous := r.contents.announcedHead
@@ -121,9 +121,9 @@
 	r.event("catalogue_ready", LogField{"version", fmt.Sprint(head.Version)})
 }
 
-// batchWindow returns how long the step from one head to the next may wait for
-// more changes: as long as the most impatient of the files that it accepts
-// allows, and not at all for a withdrawal or a change of keepers.
+// batchWindow returns how long the release of a head may be delayed to batch it
+// with later changes: the shortest batch window of the files accepted since the
+// previous head, and zero for a withdrawal or a change of keeper sets.
 func batchWindow(previous, head *ledger.Head, files ledger.Contents) time.Duration {
 	if previous == nil {
 		return 0
--- a/internal/core/reader/head.go
+++ b/internal/core/reader/head.go
@@ -9,32 +9,33 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// headState is what the reader knows of the head. It only moves forward in
-// object versions, whatever order events, reads and own writes come in.
+// headState is the reader's view of the head. Its object version only grows, in
+// whatever order events, reads and the reader's own writes arrive.
 type headState struct {
-	// known is set after the first read, also when there is no head.
+	// known is set after the first read under the lease, even if no head exists.
 	known bool
-	// version is the object version of head; 0 while there is none.
+	// version is the object version of head; 0 if no head exists.
 	version object.Version
 	head    *ledger.Head
 
-	// since is an object version at or after which version was still the head's;
-	// sending is the same for the read under way.
+	// since is an object version at which the head was still at version: a watch
+	// that starts there misses no change. sending becomes since when the read in
+	// flight succeeds.
 	since   object.Version
 	sending object.Version
 
-	// reading is set while a read is under way; wanted asks for one that is
-	// sent from now on.
+	// reading is set while a read is in flight; wanted requests another one, sent
+	// after that.
 	reading  bool
 	wanted   bool
 	attempt  backoff
 	resyncAt time.Duration
-	// missing counts the reads in a row that showed no head, or one below what
-	// the mesh holds.
+	// missing counts consecutive reads that found no head, or one older than the
+	// version known to the mesh.
 	missing int
 
-	// waiting are questions that need a read sent after them; asked are those
-	// that the read under way will answer.
+	// waiting are the requests for a fresh head that need a read sent after them;
+	// asked are those that the read in flight will answer.
 	waiting []headWaiter
 	asked   []headWaiter
 
@@ -42,14 +43,14 @@
 	watchAttempt backoff
 }
 
-// headWaiter is a FreshHead question.
+// headWaiter is a pending FreshHead request.
 type headWaiter struct {
 	ticket   Ticket
 	deadline time.Duration
 }
 
-// awaitHead queues a question. Questions that come before the next read is
-// sent share it.
+// awaitHead queues a request for a fresh head. All requests queued before the
+// next read is sent share that read.
 func (r *Reader) awaitHead(ticket Ticket) {
 	if !r.lease.held {
 		r.emit(FreshHeadResult{Ticket: ticket})
@@ -59,7 +60,7 @@
 	r.head.waiting = append(r.head.waiting, waiter)
 }
 
-// advanceHead sends a read and starts the watch when they are due.
+// advanceHead reads the head and starts the watch when they are due.
 func (r *Reader) advanceHead() {
 	r.head.waiting = r.expireWaiters(r.head.waiting)
 	due := !r.head.known || r.head.wanted || len(r.head.waiting) > 0 || r.now >= r.head.resyncAt
@@ -72,7 +73,7 @@
 	}
 }
 
-// expireWaiters answers the questions that can wait no longer.
+// expireWaiters answers the requests past their deadline and returns the others.
 func (r *Reader) expireWaiters(waiters []headWaiter) []headWaiter {
 	var left []headWaiter
 	for _, waiter := range waiters {
@@ -95,8 +96,8 @@
 	r.call(pendingCall{purpose: purposeHeadRead}, object.Call{Kind: object.CallGet, Name: ledger.HeadObject})
 }
 
-// headWasRead takes a read of the head. A read that lags behind what was seen
-// before proves nothing and is repeated.
+// headWasRead handles the reply to a read of the head. A read that returns an
+// older head than the known one is stale and is repeated.
 func (r *Reader) headWasRead(call pendingCall, reply object.Reply) {
 	r.head.reading = false
 	defer r.countMissing(reply)
@@ -123,17 +124,18 @@
 	r.headConfirmed()
 }
 
-// headUsable reports that the head is known and not below what the mesh holds.
+// headUsable reports whether the head is known and not older than the version
+// known to the mesh.
 func (r *Reader) headUsable() bool {
 	return r.head.known && r.head.head.Version >= r.floor
 }
 
-// missingReads is how many reads in a row must show an older head or none
-// before that is told; fewer may only lag.
+// missingReads is how many consecutive reads must find an older head or none
+// before an event is logged; fewer can be due to replication lag.
 const missingReads = 5
 
-// countMissing tells, once, that the platform goes on showing no head or an
-// older one than the mesh holds.
+// countMissing logs an event once when missingReads consecutive reads have found
+// no head, or one older than the version known to the mesh.
 func (r *Reader) countMissing(reply object.Reply) {
 	gone := reply.Code == result.PlatformNotFound
 	if reply.Code != result.OK && !gone {
@@ -167,8 +169,8 @@
 	r.head.asked = nil
 }
 
-// adopt takes a head if it is newer than the one known. It reports whether the
-// head known is at least as new as the given one, and readable.
+// adopt replaces the known head by a newer one. It reports whether the known
+// head is now the given one; an older or unreadable head is not adopted.
 func (r *Reader) adopt(found object.Object) bool {
 	if found.Version <= r.head.version {
 		return found.Version == r.head.version
@@ -189,10 +191,11 @@
 	return true
 }
 
-// startWatch follows the head from the last read on. It does not start from
-// the head's own version: an idle head would be compacted away, again and
-// again. Object versions are one sequence, and the lease's version before the
-// read was sent is a recent one that the read certainly covers.
+// startWatch watches the head from the last read on. The watch does not start
+// at the head's own object version: while the head does not change, that
+// version is compacted and the watch would fail each time. All objects share
+// one sequence of versions, so the version of the lease when the read was sent
+// is a recent one that the read covers.
 func (r *Reader) startWatch() {
 	r.head.watch = r.newToken()
 	r.emit(StartWatch{Token: r.head.watch, Prefix: ledger.HeadObject, From: max(r.head.version, r.head.since)})
@@ -210,8 +213,8 @@
 	r.adopt(event.Object)
 }
 
-// watchEnded reads the head again, which also covers what a compacted watch
-// has missed, and then starts another watch.
+// watchEnded schedules a read of the head, which also covers changes that a
+// compacted watch has missed; another watch starts after it.
 func (r *Reader) watchEnded(token Token, code result.Code) {
 	if token != r.head.watch || token == 0 {
 		return
@@ -222,8 +225,8 @@
 	r.event("watch_ended", LogField{"code", code.Name()})
 }
 
-// abandonHead forgets the head with the lease. Object versions grow for ever,
-// so the version is kept and nothing older is taken after the next lease.
+// abandonHead resets the head's state when the lease is lost. The head and its
+// object version are kept, so that no older head is adopted under a later lease.
 func (r *Reader) abandonHead() {
 	if r.head.watch != 0 {
 		r.emit(StopWatch{Token: r.head.watch})
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -11,44 +11,45 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// LeasePrefix starts the names of lease objects.
+// LeasePrefix is the prefix of the names of lease objects.
 const LeasePrefix = "lease/"
 
-// leaseFormat is the revision of the encoding of leases.
+// leaseFormat is the version of the encoding of leases.
 const leaseFormat = 1
 
-// clockMargin is by how much clocks of different machines may run apart, as a
-// divisor: a holder stops a tenth early and others wait a tenth longer.
+// clockMargin allows for clocks that run at different rates, as a divisor of
+// the lease duration: a holder stops a tenth of it early, and others wait a
+// tenth of it longer.
 const clockMargin = 10
 
-// renewalsPerLease is how often a lease is renewed within its duration.
+// renewalsPerLease is how many times a lease is renewed within its duration.
 const renewalsPerLease = 3
 
 // leaseRecord is the value of a lease object.
 type leaseRecord struct {
 	Format int `json:"format"`
-	// Holder is empty when the lease was given back.
+	// Holder is empty after the holder has resigned.
 	Holder protocol.NodeID `json:"holder"`
 	Term   uint64          `json:"term"`
-	// Renewals grows with each write that a holder sends under one term, so a
-	// read tells which of several writes has landed.
+	// Renewals grows with each write of a holder within a term, so that a read
+	// shows which of several writes was applied.
 	Renewals uint64        `json:"renewals"`
 	Duration time.Duration `json:"duration_ns"`
 }
 
-// leaseObservation is a lease as it was first seen at its newest version.
+// leaseObservation is the newest version seen of a lease.
 type leaseObservation struct {
 	version object.Version
 	record  leaseRecord
-	// at is when this version was first seen, on this daemon's own clock.
+	// at is when this version was first seen, by this daemon's own clock.
 	at time.Duration
 }
 
-// leaseState is all that the reader knows of leases.
+// leaseState is the reader's view of the leases of its region.
 type leaseState struct {
 	candidate bool
 	observed  map[string]leaseObservation
-	// busy is set while a call of the acquisition is under way.
+	// busy is set while a call of an acquisition is in flight.
 	busy    bool
 	attempt backoff
 
@@ -56,15 +57,16 @@
 	slot    string
 	version object.Version
 	record  leaseRecord
-	// expires is when the holder stops, counted from the sending of the write
-	// that is known to have landed.
+	// expires is when the holder stops using the lease, counted from when the
+	// last write known to be applied was sent.
 	expires time.Duration
-	// renewing is set while a renewal, or the read that resolves it, runs.
+	// renewing is set while a renewal, or the read that resolves its outcome, is
+	// in flight.
 	renewing bool
 	renewAt  time.Duration
-	// mustRead is set when a renewal's fate is not known.
+	// mustRead is set when the outcome of a renewal is unknown.
 	mustRead bool
-	// sent lists the renewals under way by count, newest last.
+	// sent lists the renewals not known to be applied, newest last.
 	sent []sentRenewal
 }
 
@@ -75,14 +77,14 @@
 	r.lease.candidate = candidacy.Candidate
 }
 
-// checkLease notices that the lease has run out while nothing was called.
+// checkLease drops the lease if it has expired since the last step.
 func (r *Reader) checkLease() {
 	if r.lease.held && r.now >= r.lease.expires {
 		r.loseLease("expired")
 	}
 }
 
-// advanceLease renews a held lease, or tries to get one.
+// advanceLease renews a held lease, or tries to acquire one.
 func (r *Reader) advanceLease() {
 	if r.lease.held {
 		r.advanceRenewal()
@@ -105,10 +107,10 @@
 	return slots
 }
 
-// leaseListed looks for a lease that is free. The list may lag: the write that
-// follows carries the version seen, so a stale view only makes it fail. Only a
-// look that finds no free lease ends the backoff: with a list that goes on
-// lagging, each attempt fails anew.
+// leaseListed handles a list of the leases and tries to take a free one. The
+// list may be stale: the write expects the version listed, so that it fails if
+// the lease has changed. A list with a free lease does not reset the backoff,
+// as every attempt fails while the list stays stale.
 func (r *Reader) leaseListed(reply object.Reply) {
 	r.lease.busy = false
 	if reply.Code != result.OK {
@@ -130,7 +132,7 @@
 	r.lease.attempt = backoff{until: r.nextLook()}
 }
 
-// observe notes a lease object; only a new version restarts its time.
+// observe records a lease object. Only a newer version restarts its duration.
 func (r *Reader) observe(found object.Object) {
 	known, seen := r.lease.observed[found.Name]
 	if seen && found.Version <= known.version {
@@ -143,8 +145,8 @@
 	r.lease.observed[found.Name] = observation
 }
 
-// isFree reports whether a lease may be taken: it was never taken, was given
-// back, was held by this daemon before it restarted, or has not changed for
+// isFree reports whether a lease may be taken: it was never taken, its holder
+// resigned, this daemon held it before a restart, or it has not changed for
 // longer than its duration by this daemon's own clock.
 func (r *Reader) isFree(slot string) bool {
 	seen, found := r.lease.observed[slot]
@@ -154,12 +156,13 @@
 	return r.now >= seen.freeAt()
 }
 
-// freeAt is when others may take the lease unless it changes before.
+// freeAt returns when others may take the lease if it does not change before.
 func (o leaseObservation) freeAt() time.Duration {
 	return o.at + o.record.Duration + o.record.Duration/clockMargin
 }
 
-// nextLook returns when a lease could be free: none is now.
+// nextLook returns when to list the leases again, given that none is free now:
+// when the first of them could become free, plus jitter.
 func (r *Reader) nextLook() time.Duration {
 	next := r.now + r.config.LeaseDuration
 	for _, slot := range r.slots() {
@@ -185,7 +188,8 @@
 	r.call(pendingCall{purpose: purposeLeaseTake, record: record, slot: slot}, write)
 }
 
-// highestTerm makes terms grow over all slots of the region that were seen.
+// highestTerm returns the highest term seen in any slot of the region, so that
+// terms grow across slots.
 func (r *Reader) highestTerm() uint64 {
 	highest := uint64(0)
 	for _, seen := range r.lease.observed {
@@ -208,7 +212,8 @@
 	}
 }
 
-// gainLease starts to hold a lease that the call is known to have written.
+// gainLease starts to hold the lease that a successful call has written, unless
+// it has expired meanwhile.
 func (r *Reader) gainLease(call pendingCall, version object.Version) {
 	expires := r.holdUntil(call.sent)
 	r.observe(object.Object{Name: call.slot, Version: version, Data: call.record.encode()})
@@ -230,7 +235,7 @@
 	r.event("reader_lease_gained", LogField{"slot", call.slot}, LogField{"term", fmt.Sprint(call.record.Term)})
 }
 
-// resign gives the lease back.
+// resign releases the lease by writing a record without a holder.
 func (r *Reader) resign() {
 	r.lease.candidate = false
 	if !r.lease.held {
@@ -242,8 +247,8 @@
 	r.call(pendingCall{purpose: purposeLeaseResign}, object.Call{Kind: object.CallUpdate, Name: slot, Expect: version, Data: record.encode()})
 }
 
-// loseLease stops everything that a reader does. Answers to calls under way
-// are ignored from now on.
+// loseLease ends the work of a lease holder. Replies to calls in flight are
+// ignored from then on.
 func (r *Reader) loseLease(reason string) {
 	r.lease.held = false
 	r.lease.busy = false
--- a/internal/core/reader/model_test.go
+++ b/internal/core/reader/model_test.go
@@ -12,12 +12,12 @@
 	"github.com/springstack/springstack/internal/core/object"
 	"github.com/springstack/springstack/internal/core/protocol"
 	"github.com/springstack/springstack/internal/core/resource"
-	_ "github.com/springstack/springstack/internal/fixedseed" // the same draws on every run
+	_ "github.com/springstack/springstack/internal/fixedseed" // makes rapid draw the same values on every run
 	"github.com/springstack/springstack/internal/lab/standin"
 	"github.com/springstack/springstack/internal/result"
 )
 
-// sending is one request of an operator and what it was told.
+// sending is one request of an operator and the reply it got, if any.
 type sending struct {
 	client  *client
 	life    *Reader
@@ -26,7 +26,7 @@
 	reply   *protocol.SubmitReply
 }
 
-// question is a FreshHead and the version that its answer may not be below.
+// question is a FreshHead request and the lowest version it may return.
 type question struct {
 	client  *client
 	life    *Reader
@@ -34,8 +34,8 @@
 	atLeast protocol.Version
 }
 
-// oracle sees what operators and daemons are told, and every head that the
-// platform ever had.
+// oracle records all requests, their replies and every head that the platform
+// had, and checks them against each other.
 type oracle struct {
 	t         *rapid.T
 	world     *world
@@ -46,7 +46,7 @@
 	tickets   Ticket
 }
 
-// observe notes the head when it has changed and checks the readers.
+// observe records the head if it has changed, and checks it and the leases.
 func (o *oracle) observe() {
 	head, version := o.world.headObject()
 	if version != o.seen {
@@ -57,8 +57,8 @@
 	o.checkLeases()
 }
 
-// checkHead holds a new head to the one before: versions are dense, and an
-// operation keeps its answer.
+// checkHead compares a new head with the one before: each new operation makes
+// at most one version, and an operation keeps the version recorded for it.
 func (o *oracle) checkHead(head *ledger.Head) {
 	if len(o.history) == 0 {
 		return
@@ -82,11 +82,11 @@
 		}
 	}
 	if grown := int(head.Version - before.Version); grown > max(taken, 1) {
-		o.t.Fatalf("%d operations made %d versions", taken, grown)
+		o.t.Fatalf("%d new operations raised the version by %d", taken, grown)
 	}
 }
 
-// checkLeases holds the readers to one a slot, by true time.
+// checkLeases checks that at any moment each slot has at most one holder.
 func (o *oracle) checkLeases() {
 	holders := map[string]string{}
 	for _, c := range o.world.clients {
@@ -95,13 +95,14 @@
 			continue
 		}
 		if other, taken := holders[lease.slot]; taken {
-			o.t.Fatalf("%s and %s hold %s at once", other, c.name, lease.slot)
+			o.t.Fatalf("%s and %s hold lease %s at the same time", other, c.name, lease.slot)
 		}
 		holders[lease.slot] = c.name
 	}
 }
 
-// collect takes the answers that came and checks what they say.
+// collect assigns replies to their requests and checks the fresh heads and the
+// versions published since the last call.
 func (o *oracle) collect() {
 	for _, sent := range o.sendings {
 		if sent.reply == nil && sent.client.reader == sent.life {
@@ -111,7 +112,7 @@
 	for _, asked := range o.questions {
 		answer, answered := asked.client.heads[asked.ticket]
 		if asked.client.reader == asked.life && answered && answer.OK && answer.Version < asked.atLeast {
-			o.t.Fatalf("a fresh head had version %d after %d", answer.Version, asked.atLeast)
+			o.t.Fatalf("a fresh head had version %d, below version %d on the platform at the request", answer.Version, asked.atLeast)
 		}
 	}
 	for _, c := range o.world.clients {
@@ -119,13 +120,13 @@
 	}
 }
 
-// checkReady holds what a reader hands out to what was accepted: whole, in
-// order, never back.
+// checkReady checks that a reader publishes complete versions in ascending
+// order.
 func (o *oracle) checkReady(c *client) {
 	last := protocol.Version(0)
 	for _, ready := range c.ready {
 		if ready.Version < last {
-			o.t.Fatalf("%s went back from version %d to %d", c.name, last, ready.Version)
+			o.t.Fatalf("%s published versions in descending order: %d, then %d", c.name, last, ready.Version)
 		}
 		last = ready.Version
 		accepted := 0
@@ -135,13 +136,13 @@
 			}
 		}
 		if accepted != len(ready.Resources) {
-			o.t.Fatalf("%s handed out %d resources of %d files", c.name, len(ready.Resources), accepted)
+			o.t.Fatalf("%s published %d resources for %d accepted files", c.name, len(ready.Resources), accepted)
 		}
 	}
 	c.ready = c.ready[max(0, len(c.ready)-1):]
 }
 
-// finish checks what operators were told against all heads that ever were.
+// finish checks the replies to operators against the operations in all heads.
 func (o *oracle) finish() {
 	ran := map[string]protocol.Version{}
 	for _, head := range o.history {
@@ -159,14 +160,14 @@
 		entry, _ := result.Lookup(sent.reply.Code)
 		accepted := sent.reply.Code == result.OK || sent.reply.Code == result.Held
 		if version, has := ran[id]; accepted && (!has || version != sent.reply.Version) {
-			o.t.Fatalf("operation %s was called accepted in version %d, which it was not", id, sent.reply.Version)
+			o.t.Fatalf("operation %s was reported as accepted in version %d, which no head confirms", id, sent.reply.Version)
 		}
 		before, known := refused[id]
 		refused[id] = entry.Ran == result.RanNo && (before || !known)
 	}
 	for id, all := range refused {
 		if _, has := ran[id]; all && has {
-			o.t.Fatalf("operation %s ran, and all its sendings were told that it did not", id)
+			o.t.Fatalf("operation %s ran, but every reply to it reported that it did not", id)
 		}
 	}
 }
@@ -209,7 +210,7 @@
 	o.collect()
 }
 
-// lengths are the longest waits between two actions.
+// lengths are upper bounds of the wait between two actions.
 var lengths = []time.Duration{5 * time.Millisecond, 50 * time.Millisecond, time.Second, 10 * time.Second}
 
 func (o *oracle) submit(c *client) {
@@ -229,7 +230,7 @@
 	o.send(c, request)
 }
 
-// resend sends an earlier request again, to any reader.
+// resend sends one of the last four requests again, to any reader.
 func (o *oracle) resend(c *client) {
 	if len(o.sendings) == 0 {
 		return
@@ -251,7 +252,7 @@
 	c.input(func(now time.Duration) []Output { return c.reader.SetKeepers(now, wall, []protocol.KeeperSet{set}) })
 }
 
-// changeFaults draws the platform's faults of the next while.
+// changeFaults draws the platform's faults until the next call.
 func (o *oracle) changeFaults() {
 	w := o.world
 	chance := func() float64 { return float64(w.random.IntN(3)) * w.random.Float64() / 3 }
@@ -275,7 +276,7 @@
 	}
 }
 
-// recover switches all faults off and expects the next change to be accepted.
+// recover disables all faults and expects the next change to be accepted.
 func (o *oracle) recover() {
 	w := o.world
 	w.faults, w.late = standin.Faults{}, 0
@@ -292,11 +293,11 @@
 		w.run(5 * time.Second)
 		o.collect()
 		if reply := o.sendings[len(o.sendings)-1].reply; reply == nil || reply.Code != result.OK && reply.Code != result.RevisionMismatch {
-			o.t.Fatalf("after the faults a change was answered %+v", reply)
+			o.t.Fatalf("reply to a change after the faults: %+v", reply)
 		}
 		return
 	}
-	o.t.Fatalf("a minute after the faults there was no reader")
+	o.t.Fatalf("no reader within a minute after the faults")
 }
 
 func TestReadersUnderFaults(t *testing.T) {
@@ -330,9 +331,9 @@
 	})
 	t.Logf("changes accepted: %d, unknown: %d, refused: %d", accepted, unknown, refused)
 	if accepted == 0 || unknown == 0 || refused == 0 {
-		t.Fatal("the model never got anywhere")
+		t.Fatal("the runs did not cover all three outcomes of a change")
 	}
 }
 
-// modelSteps is how many actions one run of the model has at most.
+// modelSteps is the maximum number of actions in one run of the model.
 const modelSteps = 120
--- a/internal/core/reader/output.go
+++ b/internal/core/reader/output.go
@@ -8,55 +8,56 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// Token pairs a PlatformCall or a StartWatch with what answers it.
+// Token matches a PlatformCall with its reply, or a StartWatch with its events.
 type Token uint64
 
-// Ticket is chosen by the owner and pairs a submission or a fresh head read
-// with its result.
+// Ticket is chosen by the owner and matches a call of Submit or FreshHead with
+// its result.
 type Ticket uint64
 
-// Output is something that the owner of a Reader must carry out or hand on.
+// Output is an action or notification that the owner of a Reader must process.
 type Output interface{ output() }
 
-// PlatformCall asks for one call to the platform. The answer, or a
-// PlatformUnknown reply after Timeout, goes to HandlePlatformReply.
+// PlatformCall requests one call to the platform. The reply, or PlatformUnknown
+// after Timeout, must be passed to HandlePlatformReply.
 type PlatformCall struct {
 	Token   Token
 	Call    object.Call
 	Timeout time.Duration
 }
 
-// StartWatch asks for a watch of the objects under Prefix after version From.
-// Events go to HandleEvent, its end to HandleWatchEnded.
+// StartWatch requests a watch of the objects with the prefix, for changes after
+// version From. Its events must be passed to HandleEvent, its end to
+// HandleWatchEnded.
 type StartWatch struct {
 	Token  Token
 	Prefix string
 	From   object.Version
 }
 
-// StopWatch ends a watch. Events that are still on their way are ignored.
+// StopWatch ends a watch. Events that arrive later are ignored.
 type StopWatch struct{ Token Token }
 
-// SubmitDone answers Submit.
+// SubmitDone is the result of Submit.
 type SubmitResult struct {
 	Ticket Ticket
 	Reply  *protocol.SubmitReply
 }
 
-// HeadRead answers FreshHead. With OK unset the head could not be read and
-// Version means nothing.
+// HeadRead is the result of FreshHead. If OK is unset, the head could not be
+// read and Version has no meaning.
 type FreshHeadResult struct {
 	Ticket Ticket
 	OK     bool
 	// Version is the configuration version of a head read from the platform
-	// after FreshHead was called; 0 when the platform certainly has no head.
+	// after FreshHead was called; 0 if the platform has no head.
 	Version protocol.Version
 	Keepers []protocol.KeeperSet
 }
 
-// CatalogueReady hands over a whole version: all contents were loaded and
-// their digests checked. It is sent once a version, in growing order, and
-// again when held files change at the same version.
+// CatalogueReady publishes a complete version: all contents were loaded and
+// their digests verified. It is emitted once per version, in ascending order,
+// and again when held files change at the same version.
 type CatalogueReady struct {
 	Version     protocol.Version
 	Resources   []resource.Encoded
@@ -66,30 +67,30 @@
 	AcceptedAt  time.Time
 }
 
-// Gained reports that the reader lease is held, with its fencing term.
+// Gained reports that the reader lease was acquired, with its fencing term.
 type LeaseGained struct{ Term uint64 }
 
 // Lost reports that the reader lease is no longer held.
 type LeaseLost struct{}
 
-// Event asks for one log line; Name is a stable event name.
+// Event requests one log line; Name is a stable event name.
 type LogEvent struct {
 	Name   string
 	Fields []LogField
 }
 
-// EventField is one key and value of a log line.
+// EventField is a key and value of a log line.
 type LogField struct {
 	Key   string
 	Value string
 }
 
-func (PlatformCall) output()    {}
-func (StartWatch) output()      {}
-func (StopWatch) output()       {}
-func (SubmitResult) output()    {}
-func (FreshHeadResult) output() {}
-func (CatalogueReady) output()  {}
-func (LeaseGained) output()     {}
-func (LeaseLost) output()       {}
-func (LogEvent) output()        {}
+func (PlatformCall) output()   {}
+func (StartWatch) output()     {}
+func (StopWatch) output()      {}
+func (SubmitResult) output()     {}
+func (FreshHeadResult) output()       {}
+func (CatalogueReady) output() {}
+func (LeaseGained) output()         {}
+func (LeaseLost) output()           {}
+func (LogEvent) output()          {}
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -1,11 +1,12 @@
-// Package reader is the state machine of a daemon that may read the platform:
-// it competes for a reader lease, follows the head while it holds one, and
-// drives operators' changes through lost answers. It does no input or output;
-// its owner carries out the outputs. See docs/ACCEPTANCE.md.
+// Package reader implements the state machine of a daemon that may access the
+// platform: it competes for a reader lease, follows the head object while it
+// holds one, and writes operators' changes into the head, also when replies of
+// the platform are lost. It does no input or output; its owner carries out the
+// outputs. See docs/ACCEPTANCE.md.
 //
-// What must hold: nothing depends on the lease but the number of readers. Each
-// change is protected by update-if-version alone, so a holder that was paused
-// and wakes can neither win nor lose anything.
+// Invariant: the lease only limits the number of readers. Each change is
+// protected by update-if-version alone, so that a holder that resumes after a
+// pause can neither overwrite a change nor lose one.
 package reader
 
 import (
@@ -19,21 +20,21 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Config is what a Reader is told at its start.
+// Config holds the settings of a Reader.
 type Config struct {
 	ID     protocol.NodeID
 	Region string
-	// LeaseSlots is how many readers a region may have; 0 means 2.
+	// LeaseSlots is the maximum number of readers of a region; 0 means 2.
 	LeaseSlots int
 	// LeaseDuration is how long a lease lasts without renewal; 0 means 6 s.
 	LeaseDuration time.Duration
 	// CallTimeout bounds one platform call; 0 means 2 s.
 	CallTimeout time.Duration
-	// SubmitTimeout is how long a change is tried before its operator is told
-	// OutcomeUnknown or NotAccepted; 0 means 10 s.
+	// SubmitTimeout is how long a change is retried before OutcomeUnknown or
+	// NotAccepted is returned to the operator; 0 means 10 s.
 	SubmitTimeout time.Duration
-	// ResyncInterval is how often the head is read although the watch is
-	// silent; 0 means 10 s.
+	// ResyncInterval is how often the head is read even if the watch reports no
+	// change; 0 means 10 s.
 	ResyncInterval time.Duration
 	// RandomSeed makes the reader's random choices repeatable.
 	RandomSeed uint64
@@ -67,13 +68,13 @@
 	return c
 }
 
-// Candidacy says whether this daemon should compete for a reader lease.
+// Candidacy states whether this daemon should compete for a reader lease.
 type Candidacy struct {
-	// Candidate is set while the daemon is one of the few that may touch the
+	// Candidate is set while the daemon is one of the few that may access the
 	// platform. A holder that is no longer a candidate keeps its lease.
 	Candidate bool
-	// Delay is waited before the first attempt, so that lower ranked
-	// candidates only try when higher ranked ones did not succeed.
+	// Delay is the wait before the first attempt, so that lower ranked
+	// candidates try only if higher ranked ones did not succeed.
 	Delay time.Duration
 }
 
@@ -89,8 +90,7 @@
 	head      headState
 	contents  contentState
 	changes   changeState
-	// floor is the newest version that the daemon knows of; a head below it is
-	// not used.
+	// floor is the newest version known to the daemon; an older head is not used.
 	floor protocol.Version
 }
 
@@ -107,7 +107,7 @@
 	return r
 }
 
-// purpose says what a platform call was made for.
+// purpose is the reason for a platform call; it selects the reply's handler.
 type purpose int
 
 const (
@@ -122,29 +122,33 @@
 	purposeContentWrite
 )
 
-// pendingCall is a platform call without an answer yet.
+// pendingCall is a platform call without a reply yet.
 type pendingCall struct {
 	purpose purpose
-	// sent is when the call left; what its answer proves dates from then.
+	// sent is when the call was sent. Its reply holds as of that time: leases and
+	// the next resync are counted from it.
 	sent time.Duration
-	// record and slot belong to lease writes.
+	// slot is the name of the lease object, for calls on one lease; record is
+	// the lease that the call writes, or whose write it resolves.
 	record leaseRecord
 	slot   string
-	// takeSent is when the write that a lease read resolves was sent.
+	// takeSent is when the acquiring write was sent whose outcome a lease read
+	// resolves.
 	takeSent time.Duration
-	// digest belongs to content calls.
+	// digest is set for content calls.
 	digest resource.Digest
-	// attempt is the number of the attempt that the call belongs to.
+	// attempt is the number of the attempt that made the call, for writes of
+	// contents and the head.
 	attempt uint64
 }
 
-// SetFloor tells the newest version that the daemon knows of. What must hold:
-// no version is accepted on top of a head below it. Such a head is either old
-// or, if the platform lost its store, the start of another chain, which would
-// give accepted versions another content.
+// SetFloor sets the newest version known to the daemon. Invariant: no change is
+// accepted on top of a head below it. Such a head is either stale or, if the
+// platform lost its data, the start of a second history, in which version
+// numbers already in use would stand for other contents.
 func (r *Reader) SetFloor(version protocol.Version) { r.floor = max(r.floor, version) }
 
-// IsReader reports whether the lease was held at the time of the last call.
+// IsReader reports whether the lease was held at the end of the last step.
 func (r *Reader) IsReader() bool { return r.lease.held }
 
 // Term returns the fencing term of the held lease; 0 when none is held.
@@ -155,13 +159,13 @@
 	return r.lease.record.Term
 }
 
-// Tick lets time pass.
+// Tick advances the time, updates the candidacy and does what has become due.
 func (r *Reader) Tick(now time.Duration, candidacy Candidacy) []Output {
 	return r.step(now, func() { r.setCandidacy(candidacy) })
 }
 
-// HandlePlatformReply takes the answer of a PlatformCall. Answers to calls that
-// were made under a lease that is lost are ignored.
+// HandlePlatformReply handles the reply to a PlatformCall. Replies to calls made
+// under a lease that was lost since are ignored.
 func (r *Reader) HandlePlatformReply(now time.Duration, token Token, reply object.Reply) []Output {
 	return r.step(now, func() {
 		call, known := r.calls[token]
@@ -173,33 +177,34 @@
 	})
 }
 
-// HandleEvent takes an event of the watch with the token.
+// HandleEvent handles an event of the watch with the token.
 func (r *Reader) HandleEvent(now time.Duration, token Token, event object.Event) []Output {
 	return r.step(now, func() { r.watchEvent(token, event) })
 }
 
-// HandleWatchEnded takes the end of the watch with the token.
+// HandleWatchEnded handles the end of the watch with the token.
 func (r *Reader) HandleWatchEnded(now time.Duration, token Token, code result.Code) []Output {
 	return r.step(now, func() { r.watchEnded(token, code) })
 }
 
-// Submit queues an operator's change; SubmitDone with the ticket answers it.
-// wallClock is only written into the head, never compared with other clocks.
+// Submit queues an operator's change; SubmitDone with the ticket is its result.
+// wallClock is recorded in the head and dates the change for the bounds on
+// operation ids; deadlines do not depend on it.
 func (r *Reader) Submit(now time.Duration, wallClock time.Time, ticket Ticket, request *protocol.SubmitRequest) []Output {
 	return r.step(now, func() { r.enqueue(wallClock, ticket, request) })
 }
 
-// FreshHead asks for the version of a head that is read after this call;
-// HeadRead with the ticket answers it.
+// FreshHead requests the version of a head read after this call; HeadRead with
+// the ticket is its result.
 func (r *Reader) RequestFreshHead(now time.Duration, ticket Ticket) []Output {
 	return r.step(now, func() { r.awaitHead(ticket) })
 }
 
 // SetKeepers replaces the keeper sets of some regions in the head, as a new
-// version. The Revision of each set is that of the set which it was derived
-// from (0 for none); when the head has another one by then, the set is
-// dropped. The owner repeats the call until CatalogueReady shows the sets.
-// wallClock is only written into the head, as the time of acceptance.
+// version. The Revision of each set is that of the set it was derived from (0
+// for none); a set is dropped if the head has another revision by then. The
+// owner repeats the call until CatalogueReady contains the sets. wallClock is
+// recorded in the head as the time of acceptance.
 func (r *Reader) SetKeepers(now time.Duration, wallClock time.Time, sets []protocol.KeeperSet) []Output {
 	return r.step(now, func() {
 		r.changes.keepers = sets
@@ -207,14 +212,14 @@
 	})
 }
 
-// Resign gives the lease back, so that another daemon can take it at once. The
-// owner must not report itself as a candidate afterwards.
+// Resign releases the lease, so that another daemon can take it at once. After
+// it, the owner must not call Tick as a candidate.
 func (r *Reader) Resign(now time.Duration) []Output {
 	return r.step(now, r.resign)
 }
 
-// step runs one input: first it notices a lease that has run out meanwhile,
-// then it takes the input in, then it does all that has become due.
+// step processes one input: it first drops a lease that has expired, then
+// applies the input, then does what has become due, and returns the outputs.
 func (r *Reader) step(now time.Duration, input func()) []Output {
 	r.now = max(r.now, now)
 	r.checkLease()
@@ -231,7 +236,7 @@
 	return outputs
 }
 
-// dispatch hands a reply to what waits for it.
+// dispatch passes a reply to the handler for the purpose of the call.
 func (r *Reader) dispatch(call pendingCall, reply object.Reply) {
 	switch call.purpose {
 	case purposeLeaseList:
@@ -265,7 +270,7 @@
 	return r.lastToken
 }
 
-// call makes a platform call.
+// call emits a platform call and registers it for its reply.
 func (r *Reader) call(pending pendingCall, call object.Call) {
 	pending.sent = r.now
 	token := r.newToken()
--- a/internal/core/reader/reader_test.go
+++ b/internal/core/reader/reader_test.go
@@ -41,8 +41,9 @@
 	}
 }
 
-// TestEmptyStoreIsNotTheStartOfAnotherChain gives a reader that remembers
-// nothing a platform that has lost the head, in a mesh that holds version 5.
+// TestEmptyStoreIsNotTheStartOfAnotherChain guards against a restarted reader
+// that accepts changes on an empty platform, after the platform lost a head
+// whose version 5 the mesh still uses.
 func TestEmptyStoreIsNotTheStartOfAnotherChain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -60,8 +61,8 @@
 	is.Equal(reader.names["head_deleted"], 1)
 }
 
-// TestCandidateBacksOffFromAListThatLags lets a candidate see free leases that
-// are long taken: the platform tolerates few calls.
+// TestCandidateBacksOffFromAListThatLags guards against a candidate that
+// overloads the platform because a stale list shows taken leases as free.
 func TestCandidateBacksOffFromAListThatLags(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
@@ -74,6 +75,6 @@
 	is.True(!candidate.reader.IsReader())
 	const most = 60
 	if candidate.calls > most {
-		t.Errorf("%d platform calls in a minute, more than %d", candidate.calls, most)
+		t.Errorf("%d platform calls in a minute; at most %d allowed", candidate.calls, most)
 	}
 }
--- a/internal/core/reader/renewal.go
+++ b/internal/core/reader/renewal.go
@@ -9,20 +9,21 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// sentRenewal is when a renewal left.
+// sentRenewal is the renewal count of a write and when it was sent.
 type sentRenewal struct {
 	renewals uint64
 	at       time.Duration
 }
 
-// holdUntil returns when a lease written by a call sent at sent must no longer
-// be used. It is earlier than anybody else may take it, since others count a
-// tenth more than the duration from when they saw the write, after sent.
+// holdUntil returns when the holder must stop using a lease that was written by
+// a call sent at the given time. That is before anyone else may take it: others
+// wait for a tenth more than the duration, from when they saw the write.
 func (r *Reader) holdUntil(sent time.Duration) time.Duration {
 	return sent + r.config.LeaseDuration - r.config.LeaseDuration/clockMargin
 }
 
-// advanceRenewal sends what keeps a held lease alive.
+// advanceRenewal sends a renewal that is due, or a read of the lease if the
+// outcome of the last renewal is unknown.
 func (r *Reader) advanceRenewal() {
 	if r.lease.renewing || r.now < r.lease.renewAt {
 		return
@@ -39,7 +40,7 @@
 		object.Call{Kind: object.CallUpdate, Name: r.lease.slot, Expect: r.lease.version, Data: record.encode()})
 }
 
-// nextRenewal returns a count that no write under this term has carried.
+// nextRenewal returns a renewal count not used by any write of this term.
 func (r *Reader) nextRenewal() uint64 {
 	highest := r.lease.record.Renewals
 	for _, sent := range r.lease.sent {
@@ -61,12 +62,14 @@
 	}
 }
 
-// renewalRetry is short, for the lease must be saved within its duration.
+// renewalRetry returns the wait before a renewal is retried. It is short,
+// because the lease must be renewed before it expires.
 func (r *Reader) renewalRetry() time.Duration {
 	return jitter(r.random, r.config.LeaseDuration/clockMargin)
 }
 
-// renewalLanded extends the lease from when the write that landed was sent.
+// renewalLanded extends the lease, counted from when the write that was applied
+// had been sent.
 func (r *Reader) renewalLanded(record leaseRecord, version object.Version) {
 	r.lease.version = version
 	r.lease.record = record
@@ -80,7 +83,8 @@
 	r.lease.renewAt = max(r.now, sent+r.config.LeaseDuration/renewalsPerLease)
 }
 
-// leaseRead resolves a write whose answer was lost, or that met a conflict.
+// leaseRead handles a read of the lease after a write whose reply was lost or
+// reported a conflict.
 func (r *Reader) leaseRead(call pendingCall, reply object.Reply) {
 	if !r.lease.held {
 		r.takeResolved(call, reply)
@@ -107,8 +111,9 @@
 	return record.Holder == r.config.ID && record.Term == r.lease.record.Term
 }
 
-// takeResolved ends an acquisition whose answer was lost. A write that lands
-// later only makes the lease look held by this daemon, which may take it again.
+// takeResolved completes an acquisition whose reply was lost, with a read of the
+// lease. If the write is applied after that read, the lease names this daemon
+// as its holder, and isFree lets this daemon take it again.
 func (r *Reader) takeResolved(call pendingCall, reply object.Reply) {
 	r.lease.busy = false
 	var record leaseRecord
--- a/internal/core/reader/script_test.go
+++ b/internal/core/reader/script_test.go
@@ -13,7 +13,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// script drives one reader by hand: it answers its calls one by one.
+// script drives one reader: the test answers its platform calls one by one.
 type script struct {
 	is      *is.I
 	reader  *Reader
@@ -23,7 +23,7 @@
 	world   *world
 }
 
-// newScript returns a reader that has just gained its lease.
+// newScript returns a script whose reader has just acquired its lease.
 func newScript(t *testing.T) *script {
 	s := &script{is: is.New(t), reader: New(Config{ID: "one", Region: "windhoek", RandomSeed: 1}), world: newWorld(1)}
 	s.pass(0)
@@ -33,7 +33,7 @@
 	return s
 }
 
-// pass lets time go by with a tick.
+// pass advances the time and calls Tick.
 func (s *script) pass(duration time.Duration) {
 	s.now += duration
 	s.take(s.reader.Tick(s.now, Candidacy{Candidate: true}))
@@ -48,18 +48,18 @@
 	s.outputs = append(s.outputs, outputs...)
 }
 
-// reply answers the oldest call on an object.
+// reply answers the oldest pending call on an object and returns the call.
 func (s *script) reply(name string, reply object.Reply) PlatformCall {
 	call, index, found := lo.FindIndexOf(s.calls, func(call PlatformCall) bool { return call.Call.Name == name })
 	if !found {
-		panic("no call on " + name)
+		panic("no pending call on " + name)
 	}
 	s.calls = append(s.calls[:index:index], s.calls[index+1:]...)
 	s.take(s.reader.HandlePlatformReply(s.now, call.Token, reply))
 	return call
 }
 
-// head answers the oldest call on the head with a head that was encoded.
+// head answers the oldest pending call on the head with an encoded head.
 func (s *script) head(version object.Version, data []byte) {
 	s.reply(ledger.HeadObject, object.Reply{Object: object.Object{Name: ledger.HeadObject, Version: version, Data: data}})
 }
@@ -68,7 +68,7 @@
 	s.take(s.reader.Submit(s.now, time.UnixMilli(epoch), ticket, request))
 }
 
-// answers returns the codes that a ticket was answered with.
+// answers returns the result codes emitted for a ticket.
 func (s *script) answers(ticket Ticket) []result.Code {
 	return lo.FilterMap(s.outputs, func(output Output, _ int) (result.Code, bool) {
 		done, is := output.(SubmitResult)
@@ -79,12 +79,12 @@
 	})
 }
 
-// waiting reports whether a call on an object waits for its answer.
+// waiting reports whether a call on an object is pending.
 func (s *script) waiting(name string) bool {
 	return lo.ContainsBy(s.calls, func(call PlatformCall) bool { return call.Call.Name == name })
 }
 
-// writeContents answers all writes of contents.
+// writeContents answers all pending writes of contents with OK.
 func (s *script) writeContents() {
 	for _, call := range s.calls {
 		if call.Call.Kind == object.CallCreate && call.Call.Name != ledger.HeadObject {
@@ -100,7 +100,7 @@
 	unavailable = object.Reply{Code: result.PlatformUnavailable}
 )
 
-// sendChange brings a first change as far as its head update.
+// sendChange submits a first change and returns its head update, still pending.
 func (s *script) sendChange() PlatformCall {
 	s.reply(ledger.HeadObject, notFound)
 	s.submit(1, s.world.change("op000001", "roastery", protocol.ActionSubmit))
@@ -108,7 +108,8 @@
 	return s.calls[len(s.calls)-1]
 }
 
-// renew answers renewals so that the lease lasts, and refuses all else.
+// renewOnly lets time pass; it answers renewals of the lease with OK and all
+// other calls with PlatformUnavailable.
 func (s *script) renewOnly(duration time.Duration) {
 	for end := s.now + duration; s.now < end; {
 		s.pass(100 * time.Millisecond)
@@ -172,7 +173,7 @@
 	s.outputs, s.calls = nil, nil
 	s.take(s.reader.RequestFreshHead(s.now, 9))
 	s.is.True(!s.reader.IsReader())
-	s.is.Equal(s.answers(1), []result.Code{result.OutcomeUnknown}) // its update had been sent
+	s.is.Equal(s.answers(1), []result.Code{result.OutcomeUnknown}) // its update was sent
 	s.is.Equal(s.answers(2), []result.Code{result.NotAccepted})
 	s.is.Equal(len(s.calls), 0)
 }
@@ -195,7 +196,7 @@
 			return answer, is
 		})
 	}
-	s.take(s.reader.RequestFreshHead(s.now, 1)) // the first read is already under way
+	s.take(s.reader.RequestFreshHead(s.now, 1)) // the first read is already in flight
 	s.take(s.reader.RequestFreshHead(s.now, 2))
 	s.reply(ledger.HeadObject, notFound)
 	s.is.Equal(len(read()), 0)
@@ -211,11 +212,11 @@
 	s.submit(3, s.world.change("op000003", "labels", protocol.ActionSubmit))
 	s.submit(4, s.world.change("op000004", "roastery", protocol.ActionReplace))
 	s.writeContents()
-	s.head(5, s.calls[len(s.calls)-1].Call.Data) // the first change went alone
+	s.head(5, s.calls[len(s.calls)-1].Call.Data) // the first change is sent alone
 	s.writeContents()
 	update, err := ledger.Decode(s.calls[len(s.calls)-1].Call.Data)
 	s.is.NoErr(err)
-	s.is.Equal(len(update.Operations), 3) // two more together, not the fourth
+	s.is.Equal(len(update.Operations), 3) // the second and third in one update, without the fourth
 	s.is.Equal(update.Version, protocol.Version(3))
 }
 
--- a/internal/core/reader/world_test.go
+++ b/internal/core/reader/world_test.go
@@ -14,7 +14,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// world runs readers against the stand-in's store on virtual time.
+// world simulates readers against the store of the fake platform, in virtual
+// time.
 type world struct {
 	now         time.Duration
 	random      *rand.Rand
@@ -26,11 +27,11 @@
 	clients     []*client
 	headCache   *ledger.Head
 	headVersion object.Version
-	// changed is called after each event.
+	// changed, if set, is called after each scheduled event.
 	changed func()
 }
 
-// client is one reader with its share of the shell.
+// client is one reader with a simulated owner, which carries out its outputs.
 type client struct {
 	world     *world
 	name      string
@@ -81,7 +82,7 @@
 	heap.Push(&w.queue, scheduled{at: w.now + delay, order: w.order, run: run})
 }
 
-// run lets time pass.
+// run advances the time and runs the events that become due.
 func (w *world) run(duration time.Duration) {
 	end := w.now + duration
 	for len(w.queue) > 0 && w.queue[0].at <= end {
@@ -104,7 +105,7 @@
 	return c
 }
 
-// restart begins anew with nothing remembered.
+// restart replaces the reader by a new one without any state.
 func (c *client) restart(region string) {
 	c.reader = New(Config{ID: protocol.NodeID(c.name), Region: region, RandomSeed: c.world.random.Uint64()})
 	c.watches = map[Token]object.Version{}
@@ -124,7 +125,7 @@
 	c.world.after(50*time.Millisecond, c.tick)
 }
 
-// input steps the reader, or keeps the input while the client is paused.
+// input steps the reader; while the client is paused it queues the input.
 func (c *client) input(step func(now time.Duration) []Output) {
 	if c.paused {
 		c.held = append(c.held, func() { c.input(step) })
@@ -160,7 +161,7 @@
 		c.world.store.CloseWatch(c.world.now, c.name)
 	case SubmitResult:
 		if c.done[output.Ticket] != nil {
-			panic("a ticket was answered twice")
+			panic("two results for one ticket")
 		}
 		c.done[output.Ticket] = output.Reply
 	case FreshHeadResult:
@@ -172,8 +173,8 @@
 	}
 }
 
-// platform carries out one call with the faults of the day. The reader is
-// answered once: in time, or with PlatformUnknown at the call's timeout.
+// platform carries out one call under the configured faults. The reader gets one
+// reply: in time, or PlatformUnknown at the call's timeout.
 func (c *client) platform(call PlatformCall) {
 	w := c.world
 	c.calls++
@@ -208,7 +209,7 @@
 	})
 }
 
-// deliver sends what is new to every watch, each event on its own way.
+// deliver sends new events to every watch.
 func (w *world) deliver() {
 	for _, c := range w.clients {
 		for token, from := range c.watches {
@@ -247,16 +248,16 @@
 	})
 }
 
-// submit sends a change and returns its ticket.
+// submit sends a change with a ticket.
 func (c *client) submit(ticket Ticket, request *protocol.SubmitRequest) {
 	wall := time.UnixMilli(epoch).Add(c.world.now)
 	c.input(func(now time.Duration) []Output { return c.reader.Submit(now, wall, ticket, request) })
 }
 
-// epoch is the wall clock at the origin of virtual time.
+// epoch is the wall clock at the start of virtual time, in Unix milliseconds.
 const epoch = 1_750_000_000_000
 
-// change returns a submission of a file with one service.
+// change returns a request for a file with one service, or for its withdrawal.
 func (w *world) change(operation, file string, action protocol.Action) *protocol.SubmitRequest {
 	id := fmt.Sprintf("%d-%016x", epoch+w.now.Milliseconds()+1, []byte(operation)[:8])
 	content := ""
--- a/internal/result/codes.go
+++ b/internal/result/codes.go
@@ -1,9 +1,11 @@
 package result
 
-// The codes. New ones are added at the end of their group.
+// The result codes; entries describes each. New codes are added at the end of
+// their group.
 const (
 	OK Code = 0
-	// Held: stored, but waiting for references before it can be accepted.
+	// Held means that a file is stored but not accepted yet, because resources
+	// that it refers to are missing.
 	Held Code = 10
 
 	FileSyntax          Code = 100
--- a/internal/result/document_test.go
+++ b/internal/result/document_test.go
@@ -46,11 +46,12 @@
 		is.True(entry.Meaning != "" && entry.Mend != "")
 		is.True(entry.Ran == RanYes || entry.Ran == RanNo || entry.Ran == RanUnknown)
 		is.True(entry.HTTPStatus >= 200 && entry.HTTPStatus < 600)
-		is.Equal(entry.Exit == 0, entry.HTTPStatus < 300) // success in one is success in the other
+		is.Equal(entry.Exit == 0, entry.HTTPStatus < 300) // both or neither report success
 	}
 }
 
-// TestEveryConstantHasAnEntry reads the constants from codes.go.
+// TestEveryConstantHasAnEntry compares the number of constants in codes.go with
+// the number of entries.
 func TestEveryConstantHasAnEntry(t *testing.T) {
 	is := is.New(t)
 	file, err := parser.ParseFile(token.NewFileSet(), "codes.go", nil, 0)
--- a/internal/result/entries.go
+++ b/internal/result/entries.go
@@ -1,6 +1,6 @@
 package result
 
-// entries is the table behind Lookup, in ascending order of code.
+// entries is the table of all codes, in ascending order.
 var entries = []Entry{
 	{Code: OK, Name: "ok", Ran: RanYes, Exit: 0, HTTPStatus: 200,
 		Meaning: "The operation succeeded.",
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,65 +1,65 @@
-// Package result defines the numbered codes that every part of springstack
-// answers with. Codes are stable: a number is never given a second meaning.
-// docs/RESULT-CODES.md is the table for operators; a test holds it equal to
-// this package.
+// Package result defines the numbered result codes of springstack. Codes are
+// stable: a number is never reused with another meaning. docs/RESULT-CODES.md
+// is the table for operators; a test checks that it matches this package.
 package result
 
 import "fmt"
 
 // Code is a stable result number. Codes are grouped by hundreds:
-// 0 success, 1xx files, 2xx acceptance, 3xx distribution, 4xx requests,
+// 0xx success, 1xx files, 2xx acceptance, 3xx distribution, 4xx requests,
 // 5xx platform, 6xx settings and access.
 type Code int
 
-// Execution says whether the operation or request that a code answers ran.
+// Execution states whether the operation or request that got a code was
+// executed.
 type Execution string
 
-// The three truthful things that can be said about execution.
+// The values of Execution.
 const (
-	// RanYes means that it ran and the answer is its whole answer.
+	// RanYes means that it ran and the reply is complete.
 	RanYes Execution = "yes"
-	// RanNo means that it certainly did not run; sending it again is safe.
+	// RanNo means that it did not run; sending it again is safe.
 	RanNo Execution = "no"
 	// RanUnknown means that it may have run.
 	RanUnknown Execution = "unknown"
 )
 
-// Entry describes one code for people.
+// Entry describes one code for operators and clients.
 type Entry struct {
 	// Code is the stable number.
 	Code Code
 	// Name is a stable identifier in snake case.
 	Name string
-	// Ran says whether the thing answered for has run.
+	// Ran states whether the operation or request was executed.
 	Ran Execution
 	// Exit is the exit status of the operators' client for this code.
 	Exit int
-	// HTTPStatus is the status used where the code travels over HTTP.
+	// HTTPStatus is the status of an HTTP response with the code.
 	HTTPStatus int
-	// Meaning is one sentence for an operator.
+	// Meaning explains the code to an operator, in one sentence.
 	Meaning string
-	// Mend says what the operator can do.
+	// Mend is the remedy that an operator can apply.
 	Mend string
 }
 
-// Error is an error that carries a code and the place that it concerns.
-// Detail never holds the value of a secret.
+// Error is an error with a code and the place in a file that it concerns. Detail
+// never contains the value of a secret.
 type Error struct {
 	// Code is the numbered reason.
 	Code Code `json:"code"`
 	// File is the file that the error concerns, if any.
 	File string `json:"file,omitempty"`
-	// Line is the 1-based line in File; 0 when not known.
+	// Line is the 1-based line in File; 0 if unknown.
 	Line int `json:"line,omitempty"`
 	// Field is the path of the field in File, such as routes[2].match.path.
 	Field string `json:"field,omitempty"`
-	// Detail says what is wrong, in one sentence.
+	// Detail describes the error in one sentence.
 	Detail string `json:"detail,omitempty"`
-	// Mend says how to put it right.
+	// Mend is the remedy.
 	Mend string `json:"mend,omitempty"`
 }
 
-// Error returns one line with the code, place, detail and mend.
+// Error returns one line with the code, place, detail and remedy.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("springstack-%d %s", e.Code, e.Code.Name())
 	if e.File != "" {
