--- a/internal/core/reader/attemptwrite.go
+++ b/internal/core/reader/attemptwrite.go
@@ -14,9 +14,9 @@
 		r.writeHead(current)
 		return
 	}
-	for _, item := range current.items {
+	for _, item := range current.submissions {
 		digest := item.change.Digest
-		if current.unwritten[digest] == nil || current.writing[digest] || len(current.writing) >= parallelContents {
+		if current.unwritten[digest] == nil || current.writing[digest] || len(current.writing) >= maxConcurrentContents {
 			continue
 		}
 		current.writing[digest] = true
@@ -25,7 +25,7 @@
 	}
 }
 
-func (r *Reader) contentWasWritten(call pendingCall, reply object.Reply) {
+func (r *Reader) handleContentWrite(call pendingCall, reply object.Reply) {
 	current := r.changes.attempt
 	if current == nil || current.number != call.attempt {
 		return
@@ -45,16 +45,16 @@
 // writeHead sends the head update of the attempt.
 func (r *Reader) writeHead(current *attempt) {
 	current.phase = phaseWriting
-	write := object.Call{Kind: object.CallUpdate, Name: ledger.HeadObject, Expect: current.base, Data: current.data}
-	if current.base == 0 {
+	write := object.Call{Kind: object.CallUpdate, Name: ledger.HeadObject, Expect: current.baseVersion, Data: current.headData}
+	if current.baseVersion == 0 {
 		write.Kind = object.CallCreate
 	}
 	r.call(pendingCall{purpose: purposeHeadWrite, attempt: current.number}, write)
 }
 
-// headWasWritten handles the reply to a head update. Only OK or a newer head
+// handleHeadWrite handles the reply to a head update. Only OK or a newer head
 // ends the attempt; see attempt.
-func (r *Reader) headWasWritten(call pendingCall, reply object.Reply) {
+func (r *Reader) handleHeadWrite(call pendingCall, reply object.Reply) {
 	current := r.changes.attempt
 	if current == nil || current.number != call.attempt {
 		return
@@ -62,11 +62,11 @@
 	switch reply.Code {
 	case result.OK:
 		r.changes.retry.succeed()
-		r.adopt(object.Object{Name: ledger.HeadObject, Version: reply.Object.Version, Data: current.data})
+		r.adoptHead(object.Object{Name: ledger.HeadObject, Version: reply.Object.Version, Data: current.headData})
 	case result.PlatformUnavailable, result.PlatformReadersFull:
 		r.changes.retry.fail(r.now, r.random)
 		current.phase = phaseWrite
-		if current.lost {
+		if current.replyLost {
 			current.phase = phaseResolve
 		}
 	case result.PlatformTooLarge:
@@ -74,7 +74,7 @@
 	case result.PlatformConflict, result.PlatformExists, result.PlatformNotFound:
 		current.phase = phaseResolve
 	default:
-		current.lost = true
+		current.replyLost = true
 		current.phase = phaseResolve
 		r.changes.retry.fail(r.now, r.random)
 	}
@@ -84,12 +84,12 @@
 // limit. The changes of a batch are retried one by one; a single change is
 // refused.
 func (r *Reader) refuseTooLarge(current *attempt, code result.Code) {
-	if len(current.items) != 1 {
-		r.changes.alone = true
-		current.lost = false
+	if len(current.submissions) != 1 {
+		r.changes.unbatched = true
+		current.replyLost = false
 		r.requeue(current)
 		return
 	}
 	r.changes.attempt = nil
-	r.answerAll(current.items[0], refusal(code, "the platform refuses an object of this size"))
+	r.answerAll(current.submissions[0], newRefusal(code, "the platform refuses an object of this size"))
 }
--- a/internal/core/reader/backoff.go
+++ b/internal/core/reader/backoff.go
@@ -32,8 +32,8 @@
 // succeed resets the backoff.
 func (b *backoff) succeed() { *b = backoff{} }
 
-// due reports whether the wait is over.
-func (b *backoff) due(now time.Duration) bool { return now >= b.until }
+// isDue reports whether the wait is over.
+func (b *backoff) isDue(now time.Duration) bool { return now >= b.until }
 
 // jitter draws a duration between 1 ns and limit.
 func jitter(random *rand.Rand, limit time.Duration) time.Duration {
--- a/internal/core/reader/changes.go
+++ b/internal/core/reader/changes.go
@@ -24,48 +24,48 @@
 	change   *ledger.Change
 	tickets  []Ticket
 	deadline time.Duration
-	// givenUp is set once OutcomeUnknown was returned for the change. It is not
+	// abandoned is set once OutcomeUnknown was returned for the change. It is not
 	// put into another update, but a resend can join it as long as its update
 	// may still be applied.
-	givenUp bool
+	abandoned bool
 }
 
 // changeState holds the queue of changes and the current attempt, if any.
 type changeState struct {
 	queue   []*submission
 	attempt *attempt
-	// attempts numbers the attempts, so that late replies to calls of an earlier
-	// attempt are recognised.
-	attempts uint64
-	retry    backoff
-	// alone limits the next attempts to one change each, after a batch exceeded
-	// the platform's size limit.
-	alone bool
-	// keepers are the keeper sets passed to Reader.SetKeepers that are not in an
-	// attempt yet.
-	keepers []protocol.KeeperSet
-	// keepersAt is the wall clock passed with them.
-	keepersAt time.Time
+	// lastAttemptNumber numbers the attempts, so that late replies to calls of
+	// an earlier attempt are recognised.
+	lastAttemptNumber uint64
+	retry             backoff
+	// unbatched limits the next attempts to one change each, after a batch
+	// exceeded the platform's size limit.
+	unbatched bool
+	// keeperSets are the keeper sets passed to Reader.SetKeepers that are not
+	// in an attempt yet.
+	keeperSets []protocol.KeeperSet
+	// keeperSetsAt is the wall clock passed with them.
+	keeperSetsAt time.Time
 }
 
 // enqueue queues a change, or adds a resend to the pending change with the
 // same operation id.
 func (r *Reader) enqueue(wallClock time.Time, ticket Ticket, request *protocol.SubmitRequest) {
 	if !r.lease.held {
-		r.answer(ticket, refusal(result.NoReader, "this daemon does not hold a reader lease"))
+		r.answer(ticket, newRefusal(result.NoReader, "this daemon does not hold a reader lease"))
 		return
 	}
-	if joined := r.changes.find(request.Operation); joined != nil {
-		r.join(joined, ticket, request)
+	if pending := r.changes.findSubmission(request.Operation); pending != nil {
+		r.joinSubmission(pending, ticket, request)
 		return
 	}
 	if len(r.changes.queue) >= maxQueued {
-		r.answer(ticket, refusal(result.Overloaded, "too many changes are waiting"))
+		r.answer(ticket, newRefusal(result.Overloaded, "too many changes are waiting"))
 		return
 	}
-	change, refused := ledger.Prepare(request, wallClock, r.lease.record.Term)
-	if refused != nil {
-		r.answer(ticket, refused)
+	change, refusal := ledger.Prepare(request, wallClock, r.lease.record.Term)
+	if refusal != nil {
+		r.answer(ticket, refusal)
 		return
 	}
 	r.changes.queue = append(r.changes.queue, &submission{
@@ -76,12 +76,12 @@
 	})
 }
 
-// find returns the submission with an operation id from the attempt or the
-// queue, or nil.
-func (c *changeState) find(operation string) *submission {
+// findSubmission returns the submission with an operation id from the attempt
+// or the queue, or nil.
+func (c *changeState) findSubmission(operation string) *submission {
 	candidates := c.queue
 	if c.attempt != nil {
-		candidates = append(slices.Clone(c.attempt.items), candidates...)
+		candidates = append(slices.Clone(c.attempt.submissions), candidates...)
 	}
 	for _, candidate := range candidates {
 		if candidate.request.Operation == operation {
@@ -91,16 +91,17 @@
 	return nil
 }
 
-// join adds a resend to the pending submission with the same operation id. A
-// request that differs from it is refused, as an id identifies one change.
-func (r *Reader) join(first *submission, ticket Ticket, request *protocol.SubmitRequest) {
+// joinSubmission adds a resend to the pending submission with the same
+// operation id. A request that differs from it is refused, as an id identifies
+// one change.
+func (r *Reader) joinSubmission(first *submission, ticket Ticket, request *protocol.SubmitRequest) {
 	if !sameRequest(first.request, request) {
-		r.answer(ticket, refusal(result.OperationReused, "the operation id is in use for another change"))
+		r.answer(ticket, newRefusal(result.OperationReused, "the operation id is in use for another change"))
 		return
 	}
 	first.tickets = append(first.tickets, ticket)
 	first.deadline = r.now + r.config.SubmitTimeout
-	first.givenUp = false
+	first.abandoned = false
 }
 
 func sameRequest(a, b *protocol.SubmitRequest) bool {
@@ -119,9 +120,9 @@
 	item.tickets = nil
 }
 
-// refusal returns a reply with one error. The table of result codes defines
+// newRefusal returns a reply with one error. The table of result codes defines
 // whether a change with that code ran.
-func refusal(code result.Code, detail string) *protocol.SubmitReply {
+func newRefusal(code result.Code, detail string) *protocol.SubmitReply {
 	problem := result.New(code, "%s", detail)
 	entry, _ := result.Lookup(code)
 	problem.Mend = entry.Mend
@@ -129,11 +130,11 @@
 }
 
 func notAccepted() *protocol.SubmitReply {
-	return refusal(result.NotAccepted, "the platform did not show the present head in time; no update was sent")
+	return newRefusal(result.NotAccepted, "the platform did not show the present head in time; no update was sent")
 }
 
 func outcomeUnknown() *protocol.SubmitReply {
-	return refusal(result.OutcomeUnknown, "an update with the change was sent and its answer was lost")
+	return newRefusal(result.OutcomeUnknown, "an update with the change was sent and its answer was lost")
 }
 
 // advanceChanges expires overdue changes and advances the attempt, starting the
@@ -159,18 +160,18 @@
 	if current == nil {
 		return
 	}
-	expired := slices.ContainsFunc(current.items, func(item *submission) bool { return r.now >= item.deadline })
+	expired := slices.ContainsFunc(current.submissions, func(item *submission) bool { return r.now >= item.deadline })
 	if !expired {
 		return
 	}
-	if !current.mayLand() {
+	if !current.mayBeApplied() {
 		r.requeue(current)
 		r.expireChanges()
 		return
 	}
-	for _, item := range current.items {
-		if r.now >= item.deadline && !item.givenUp {
-			item.givenUp = true
+	for _, item := range current.submissions {
+		if r.now >= item.deadline && !item.abandoned {
+			item.abandoned = true
 			r.answerAll(item, outcomeUnknown())
 		}
 	}
@@ -180,14 +181,14 @@
 // and puts its changes back at the front of the queue, in order.
 func (r *Reader) requeue(ended *attempt) {
 	r.changes.attempt = nil
-	again := slices.DeleteFunc(slices.Clone(ended.items), func(item *submission) bool { return item.givenUp })
-	r.changes.queue = append(again, r.changes.queue...)
+	remaining := slices.DeleteFunc(slices.Clone(ended.submissions), func(item *submission) bool { return item.abandoned })
+	r.changes.queue = append(remaining, r.changes.queue...)
 }
 
 // abandonChanges answers all pending changes when the lease is lost.
 func (r *Reader) abandonChanges() {
-	if current := r.changes.attempt; current != nil && current.mayLand() {
-		for _, item := range current.items {
+	if current := r.changes.attempt; current != nil && current.mayBeApplied() {
+		for _, item := range current.submissions {
 			r.answerAll(item, outcomeUnknown())
 		}
 	} else if current != nil {
@@ -196,5 +197,5 @@
 	for _, item := range r.changes.queue {
 		r.answerAll(item, notAccepted())
 	}
-	r.changes = changeState{attempts: r.changes.attempts}
+	r.changes = changeState{lastAttemptNumber: r.changes.lastAttemptNumber}
 }
--- a/internal/core/reader/contents.go
+++ b/internal/core/reader/contents.go
@@ -11,46 +11,46 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// parallelContents is how many contents are read or written concurrently.
-const parallelContents = 8
+// maxConcurrentContents is how many contents are read or written concurrently.
+const maxConcurrentContents = 8
 
 // contentState caches the contents that the head refers to.
 type contentState struct {
 	files   ledger.Contents
 	loading map[resource.Digest]bool
-	attempt backoff
-	// announced is the object version of the head last announced under the
+	retry   backoff
+	// announcedVersion is the object version of the head last announced under the
 	// current lease; announcedHead is that head, nil before the first.
-	announced     object.Version
-	announcedHead *ledger.Head
+	announcedVersion object.Version
+	announcedHead    *ledger.Head
 }
 
 // reset drops the loads in flight and what was announced. Loaded files are
 // kept, as contents are immutable.
 func (c *contentState) reset() {
-	c.announced = 0
+	c.announcedVersion = 0
 	c.announcedHead = nil
 	c.loading = map[resource.Digest]bool{}
-	c.attempt.succeed()
+	c.retry.succeed()
 }
 
 // advanceContents loads the contents that the head refers to, and announces the
 // version once all of them are loaded, so that no partial version is published.
 func (r *Reader) advanceContents() {
-	announced := r.contents.announcedHead != nil && r.contents.announced == r.head.version
-	if !r.headUsable() || announced {
+	isAnnounced := r.contents.announcedHead != nil && r.contents.announcedVersion == r.head.version
+	if !r.isHeadUsable() || isAnnounced {
 		return
 	}
-	lacking := ledger.MissingContents(r.head.head, r.contents.files)
-	if len(lacking) == 0 {
+	missing := ledger.MissingContents(r.head.head, r.contents.files)
+	if len(missing) == 0 {
 		r.announce()
 		return
 	}
-	if !r.contents.attempt.due(r.now) {
+	if !r.contents.retry.isDue(r.now) {
 		return
 	}
-	for _, digest := range lacking {
-		if len(r.contents.loading) >= parallelContents {
+	for _, digest := range missing {
+		if len(r.contents.loading) >= maxConcurrentContents {
 			return
 		}
 		if r.contents.loading[digest] {
@@ -62,20 +62,20 @@
 	}
 }
 
-func (r *Reader) contentWasRead(call pendingCall, reply object.Reply) {
+func (r *Reader) handleContentRead(call pendingCall, reply object.Reply) {
 	delete(r.contents.loading, call.digest)
 	if reply.Code != result.OK {
-		r.contents.attempt.fail(r.now, r.random)
+		r.contents.retry.fail(r.now, r.random)
 		return
 	}
 	file, err := decodeContent(call.digest, reply.Object.Data)
 	if err != nil {
-		r.contents.attempt.fail(r.now, r.random)
-		r.event("content_unreadable", LogField{"digest", string(call.digest)}, LogField{"error", err.Error()})
+		r.contents.retry.fail(r.now, r.random)
+		r.logEvent("content_unreadable", LogField{"digest", string(call.digest)}, LogField{"error", err.Error()})
 		return
 	}
-	r.contents.attempt.succeed()
-	r.keepContents(ledger.Contents{call.digest: file})
+	r.contents.retry.succeed()
+	r.cacheContents(ledger.Contents{call.digest: file})
 }
 
 // decodeContent verifies data against its digest and decodes it.
@@ -86,9 +86,9 @@
 	return resource.DecodeFile(data)
 }
 
-// keepContents adds files to the cache. It builds a new map, because callers of
+// cacheContents adds files to the cache. It builds a new map, because callers of
 // the ledger may hold the old one.
-func (r *Reader) keepContents(added ledger.Contents) {
+func (r *Reader) cacheContents(added ledger.Contents) {
 	files := make(ledger.Contents, len(r.contents.files)+len(added))
 	for digest, file := range r.contents.files {
 		files[digest] = file
@@ -104,7 +104,7 @@
 func (r *Reader) announce() {
 	r.contents.files = ledger.Prune(r.head.head, r.contents.files)
 	previous := r.contents.announcedHead
-	r.contents.announced = r.head.version
+	r.contents.announcedVersion = r.head.version
 	r.contents.announcedHead = r.head.head
 	if previous != nil && previous.Version == r.head.head.Version && reflect.DeepEqual(previous.Files, r.head.head.Files) {
 		return
@@ -118,12 +118,13 @@
 		BatchWindow: batchWindow(previous, head, r.contents.files),
 		AcceptedAt:  head.AcceptedAt,
 	})
-	r.event("catalogue_ready", LogField{"version", fmt.Sprint(head.Version)})
+	r.logEvent("catalogue_ready", LogField{"version", fmt.Sprint(head.Version)})
 }
 
 // batchWindow returns how long the release of a head may be delayed to batch it
 // with later changes: the shortest batch window of the files accepted since the
-// previous head, and zero for a withdrawal or a change of keeper sets.
+// previous head. It is zero without such files, as after a withdrawal or a
+// change of keeper sets.
 func batchWindow(previous, head *ledger.Head, files ledger.Contents) time.Duration {
 	if previous == nil {
 		return 0
--- a/internal/core/reader/head.go
+++ b/internal/core/reader/head.go
@@ -18,176 +18,176 @@
 	version object.Version
 	head    *ledger.Head
 
-	// since is an object version at which the head was still at version: a watch
-	// that starts there misses no change. sending becomes since when the read in
-	// flight succeeds.
-	since   object.Version
-	sending object.Version
-
-	// reading is set while a read is in flight; wanted requests another one, sent
-	// after that.
-	reading  bool
-	wanted   bool
-	attempt  backoff
-	resyncAt time.Duration
-	// missing counts consecutive reads that found no head, or one older than the
-	// version known to the mesh.
-	missing int
-
-	// waiting are the requests for a fresh head that need a read sent after them;
-	// asked are those that the read in flight will answer.
-	waiting []headWaiter
-	asked   []headWaiter
-
-	watch        Token
-	watchAttempt backoff
+	// watchFrom is an object version at which the head was still at version: a
+	// watch that starts there misses no change. pendingWatchFrom replaces it
+	// when the read in flight succeeds.
+	watchFrom        object.Version
+	pendingWatchFrom object.Version
+
+	// reading is set while a read is in flight; readRequested causes another one,
+	// sent after that.
+	reading       bool
+	readRequested bool
+	readRetry     backoff
+	resyncAt      time.Duration
+	// outdatedReads counts consecutive reads that found no head, or one older
+	// than the version known to the mesh.
+	outdatedReads int
+
+	// waiters are the requests for a fresh head that need a read sent after them;
+	// readWaiters are those that the read in flight will answer.
+	waiters     []headWaiter
+	readWaiters []headWaiter
+
+	watch      Token
+	watchRetry backoff
 }
 
-// headWaiter is a pending FreshHead request.
+// headWaiter is a pending request for a fresh head.
 type headWaiter struct {
 	ticket   Ticket
 	deadline time.Duration
 }
 
-// awaitHead queues a request for a fresh head. All requests queued before the
-// next read is sent share that read.
-func (r *Reader) awaitHead(ticket Ticket) {
+// enqueueFreshHead queues a request for a fresh head. All requests queued
+// before the next read is sent share that read.
+func (r *Reader) enqueueFreshHead(ticket Ticket) {
 	if !r.lease.held {
 		r.emit(FreshHeadResult{Ticket: ticket})
 		return
 	}
 	waiter := headWaiter{ticket: ticket, deadline: r.now + r.config.CallTimeout}
-	r.head.waiting = append(r.head.waiting, waiter)
+	r.head.waiters = append(r.head.waiters, waiter)
 }
 
 // advanceHead reads the head and starts the watch when they are due.
 func (r *Reader) advanceHead() {
-	r.head.waiting = r.expireWaiters(r.head.waiting)
-	due := !r.head.known || r.head.wanted || len(r.head.waiting) > 0 || r.now >= r.head.resyncAt
-	if due && !r.head.reading && r.head.attempt.due(r.now) {
+	r.head.waiters = r.expireWaiters(r.head.waiters)
+	due := !r.head.known || r.head.readRequested || len(r.head.waiters) > 0 || r.now >= r.head.resyncAt
+	if due && !r.head.reading && r.head.readRetry.isDue(r.now) {
 		r.readHead()
 	}
-	verified := r.head.known && !r.head.reading && !r.head.wanted
-	if verified && r.head.watch == 0 && r.head.watchAttempt.due(r.now) {
+	verified := r.head.known && !r.head.reading && !r.head.readRequested
+	if verified && r.head.watch == 0 && r.head.watchRetry.isDue(r.now) {
 		r.startWatch()
 	}
 }
 
 // expireWaiters answers the requests past their deadline and returns the others.
 func (r *Reader) expireWaiters(waiters []headWaiter) []headWaiter {
-	var left []headWaiter
+	var remaining []headWaiter
 	for _, waiter := range waiters {
 		if r.now < waiter.deadline {
-			left = append(left, waiter)
+			remaining = append(remaining, waiter)
 			continue
 		}
 		r.emit(FreshHeadResult{Ticket: waiter.ticket})
 	}
-	return left
+	return remaining
 }
 
 func (r *Reader) readHead() {
 	r.head.reading = true
-	r.head.wanted = false
-	r.head.sending = r.lease.version
-	r.head.asked = r.head.waiting
-	r.head.waiting = nil
-	r.changes.readSent()
+	r.head.readRequested = false
+	r.head.pendingWatchFrom = r.lease.version
+	r.head.readWaiters = r.head.waiters
+	r.head.waiters = nil
+	r.changes.markReadSent()
 	r.call(pendingCall{purpose: purposeHeadRead}, object.Call{Kind: object.CallGet, Name: ledger.HeadObject})
 }
 
-// headWasRead handles the reply to a read of the head. A read that returns an
+// handleHeadRead handles the reply to a read of the head. A read that returns an
 // older head than the known one is stale and is repeated.
-func (r *Reader) headWasRead(call pendingCall, reply object.Reply) {
+func (r *Reader) handleHeadRead(call pendingCall, reply object.Reply) {
 	r.head.reading = false
-	defer r.countMissing(reply)
-	current := false
+	defer r.countOutdatedRead(reply)
+	isCurrent := false
 	switch reply.Code {
 	case result.OK:
-		current = r.adopt(reply.Object)
+		isCurrent = r.adoptHead(reply.Object)
 	case result.PlatformNotFound:
-		current = r.head.version == 0
-	}
-	if !current {
-		r.head.attempt.fail(r.now, r.random)
-		r.head.wanted = true
-		r.head.waiting = append(r.head.asked, r.head.waiting...)
-		r.head.asked = nil
-		r.changes.readFailed()
+		isCurrent = r.head.version == 0
+	}
+	if !isCurrent {
+		r.head.readRetry.fail(r.now, r.random)
+		r.head.readRequested = true
+		r.head.waiters = append(r.head.readWaiters, r.head.waiters...)
+		r.head.readWaiters = nil
+		r.changes.markReadFailed()
 		return
 	}
 	r.head.known = true
-	r.head.since = max(r.head.version, r.head.sending)
-	r.head.attempt.succeed()
-	r.head.resyncAt = call.sent + r.config.ResyncInterval
-	r.answerAsked()
-	r.headConfirmed()
+	r.head.watchFrom = max(r.head.version, r.head.pendingWatchFrom)
+	r.head.readRetry.succeed()
+	r.head.resyncAt = call.sentAt + r.config.ResyncInterval
+	r.answerReadWaiters()
+	r.handleUnchangedHead()
 }
 
-// headUsable reports whether the head is known and not older than the version
+// isHeadUsable reports whether the head is known and not older than the version
 // known to the mesh.
-func (r *Reader) headUsable() bool {
+func (r *Reader) isHeadUsable() bool {
 	return r.head.known && r.head.head.Version >= r.floor
 }
 
-// missingReads is how many consecutive reads must find an older head or none
-// before an event is logged; fewer can be due to replication lag.
-const missingReads = 5
+// outdatedReadsBeforeEvent is how many consecutive reads must find an older
+// head or none before an event is logged; fewer can be due to replication lag.
+const outdatedReadsBeforeEvent = 5
 
-// countMissing logs an event once when missingReads consecutive reads have found
-// no head, or one older than the version known to the mesh.
-func (r *Reader) countMissing(reply object.Reply) {
-	gone := reply.Code == result.PlatformNotFound
-	if reply.Code != result.OK && !gone {
+// countOutdatedRead logs an event when outdatedReadsBeforeEvent consecutive
+// reads have found no head, or one older than the version known to the mesh.
+func (r *Reader) countOutdatedRead(reply object.Reply) {
+	isMissing := reply.Code == result.PlatformNotFound
+	if reply.Code != result.OK && !isMissing {
 		return
 	}
-	older := reply.Object.Version < r.head.version || r.head.head.Version < r.floor
-	if !older {
-		r.head.missing = 0
+	isOutdated := reply.Object.Version < r.head.version || r.head.head.Version < r.floor
+	if !isOutdated {
+		r.head.outdatedReads = 0
 		return
 	}
-	r.head.missing++
-	if r.head.missing != missingReads {
+	r.head.outdatedReads++
+	if r.head.outdatedReads != outdatedReadsBeforeEvent {
 		return
 	}
 	name := "head_moved_back"
-	if gone {
+	if isMissing {
 		name = "head_deleted"
 	}
-	r.event(name, LogField{"object_version", fmt.Sprint(reply.Object.Version)}, LogField{"known", fmt.Sprint(max(r.floor, r.head.head.Version))})
+	r.logEvent(name, LogField{"object_version", fmt.Sprint(reply.Object.Version)}, LogField{"known", fmt.Sprint(max(r.floor, r.head.head.Version))})
 }
 
-func (r *Reader) answerAsked() {
-	for _, waiter := range r.head.asked {
+func (r *Reader) answerReadWaiters() {
+	for _, waiter := range r.head.readWaiters {
 		r.emit(FreshHeadResult{
 			Ticket:  waiter.ticket,
-			OK:      r.headUsable(),
+			OK:      r.isHeadUsable(),
 			Version: r.head.head.Version,
 			Keepers: r.head.head.Keepers,
 		})
 	}
-	r.head.asked = nil
+	r.head.readWaiters = nil
 }
 
-// adopt replaces the known head by a newer one. It reports whether the known
+// adoptHead replaces the known head by a newer one. It reports whether the known
 // head is now the given one; an older or unreadable head is not adopted.
-func (r *Reader) adopt(found object.Object) bool {
+func (r *Reader) adoptHead(found object.Object) bool {
 	if found.Version <= r.head.version {
 		return found.Version == r.head.version
 	}
 	head, err := ledger.Decode(found.Data)
 	if err != nil {
-		r.event("head_unreadable", LogField{"object_version", fmt.Sprint(found.Version)}, LogField{"error", err.Error()})
+		r.logEvent("head_unreadable", LogField{"object_version", fmt.Sprint(found.Version)}, LogField{"error", err.Error()})
 		return false
 	}
 	if head.Version < r.head.head.Version {
-		r.event("head_moved_back", LogField{"object_version", fmt.Sprint(found.Version)}, LogField{"version", fmt.Sprint(head.Version)})
+		r.logEvent("head_moved_back", LogField{"object_version", fmt.Sprint(found.Version)}, LogField{"version", fmt.Sprint(head.Version)})
 		return false
 	}
 	r.head.known = true
 	r.head.version = found.Version
 	r.head.head = head
-	r.headAdvanced()
+	r.handleNewerHead()
 	return true
 }
 
@@ -198,41 +198,41 @@
 // is a recent one that the read covers.
 func (r *Reader) startWatch() {
 	r.head.watch = r.newToken()
-	r.emit(StartWatch{Token: r.head.watch, Prefix: ledger.HeadObject, From: max(r.head.version, r.head.since)})
+	r.emit(StartWatch{Token: r.head.watch, Prefix: ledger.HeadObject, From: max(r.head.version, r.head.watchFrom)})
 }
 
-func (r *Reader) watchEvent(token Token, event object.Event) {
+func (r *Reader) handleWatchEvent(token Token, event object.Event) {
 	if token != r.head.watch || token == 0 || event.Object.Name != ledger.HeadObject {
 		return
 	}
-	r.head.watchAttempt.succeed()
+	r.head.watchRetry.succeed()
 	if event.Kind == object.EventDelete {
-		r.event("head_deleted", LogField{"object_version", fmt.Sprint(event.Object.Version)})
+		r.logEvent("head_deleted", LogField{"object_version", fmt.Sprint(event.Object.Version)})
 		return
 	}
-	r.adopt(event.Object)
+	r.adoptHead(event.Object)
 }
 
-// watchEnded schedules a read of the head, which also covers changes that a
+// handleWatchEnd schedules a read of the head, which also covers changes that a
 // compacted watch has missed; another watch starts after it.
-func (r *Reader) watchEnded(token Token, code result.Code) {
+func (r *Reader) handleWatchEnd(token Token, code result.Code) {
 	if token != r.head.watch || token == 0 {
 		return
 	}
 	r.head.watch = 0
-	r.head.wanted = true
-	r.head.watchAttempt.fail(r.now, r.random)
-	r.event("watch_ended", LogField{"code", code.Name()})
+	r.head.readRequested = true
+	r.head.watchRetry.fail(r.now, r.random)
+	r.logEvent("watch_ended", LogField{"code", code.Name()})
 }
 
-// abandonHead resets the head's state when the lease is lost. The head and its
+// resetHead resets the head's state when the lease is lost. The head and its
 // object version are kept, so that no older head is adopted under a later lease.
-func (r *Reader) abandonHead() {
+func (r *Reader) resetHead() {
 	if r.head.watch != 0 {
 		r.emit(StopWatch{Token: r.head.watch})
 	}
-	for _, waiter := range append(r.head.asked, r.head.waiting...) {
+	for _, waiter := range append(r.head.readWaiters, r.head.waiters...) {
 		r.emit(FreshHeadResult{Ticket: waiter.ticket})
 	}
-	r.head = headState{version: r.head.version, head: r.head.head, missing: r.head.missing}
+	r.head = headState{version: r.head.version, head: r.head.head, outdatedReads: r.head.outdatedReads}
 }
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -17,10 +17,10 @@
 // leaseFormat is the version of the encoding of leases.
 const leaseFormat = 1
 
-// clockMargin allows for clocks that run at different rates, as a divisor of
-// the lease duration: a holder stops a tenth of it early, and others wait a
-// tenth of it longer.
-const clockMargin = 10
+// clockMarginDivisor allows for clocks that run at different rates, as a
+// divisor of the lease duration: a holder stops a tenth of it early, and others
+// wait a tenth of it longer.
+const clockMarginDivisor = 10
 
 // renewalsPerLease is how many times a lease is renewed within its duration.
 const renewalsPerLease = 3
@@ -41,17 +41,17 @@
 type leaseObservation struct {
 	version object.Version
 	record  leaseRecord
-	// at is when this version was first seen, by this daemon's own clock.
-	at time.Duration
+	// seenAt is when this version was first seen, by this daemon's own clock.
+	seenAt time.Duration
 }
 
 // leaseState is the reader's view of the leases of its region.
 type leaseState struct {
-	candidate bool
-	observed  map[string]leaseObservation
-	// busy is set while a call of an acquisition is in flight.
-	busy    bool
-	attempt backoff
+	isCandidate bool
+	observed    map[string]leaseObservation
+	// acquiring is set while a call of an acquisition is in flight.
+	acquiring    bool
+	acquireRetry backoff
 
 	held    bool
 	slot    string
@@ -64,21 +64,22 @@
 	// in flight.
 	renewing bool
 	renewAt  time.Duration
-	// mustRead is set when the outcome of a renewal is unknown.
+	// mustRead is set when the lease must be read because the outcome of a
+	// renewal is unknown or it met a conflict.
 	mustRead bool
-	// sent lists the renewals not known to be applied, newest last.
-	sent []sentRenewal
+	// sentRenewals lists the renewals not known to be applied, newest last.
+	sentRenewals []sentRenewal
 }
 
 func (r *Reader) setCandidacy(candidacy Candidacy) {
-	if candidacy.Candidate && !r.lease.candidate {
-		r.lease.attempt = backoff{until: r.now + candidacy.Delay}
+	if candidacy.Candidate && !r.lease.isCandidate {
+		r.lease.acquireRetry = backoff{until: r.now + candidacy.Delay}
 	}
-	r.lease.candidate = candidacy.Candidate
+	r.lease.isCandidate = candidacy.Candidate
 }
 
-// checkLease drops the lease if it has expired since the last step.
-func (r *Reader) checkLease() {
+// expireLease drops the lease if it has expired since the last step.
+func (r *Reader) expireLease() {
 	if r.lease.held && r.now >= r.lease.expires {
 		r.loseLease("expired")
 	}
@@ -90,16 +91,16 @@
 		r.advanceRenewal()
 		return
 	}
-	if !r.lease.candidate || r.lease.busy || !r.lease.attempt.due(r.now) {
+	if !r.lease.isCandidate || r.lease.acquiring || !r.lease.acquireRetry.isDue(r.now) {
 		return
 	}
-	r.lease.busy = true
+	r.lease.acquiring = true
 	r.call(pendingCall{purpose: purposeLeaseList}, object.Call{Kind: object.CallList, Name: r.leasePrefix()})
 }
 
 func (r *Reader) leasePrefix() string { return LeasePrefix + r.config.Region + "/" }
 
-func (r *Reader) slots() []string {
+func (r *Reader) slotNames() []string {
 	slots := make([]string, r.config.LeaseSlots)
 	for i := range slots {
 		slots[i] = r.leasePrefix() + strconv.Itoa(i)
@@ -107,72 +108,73 @@
 	return slots
 }
 
-// leaseListed handles a list of the leases and tries to take a free one. The
+// handleLeaseList handles a list of the leases and tries to take a free one. The
 // list may be stale: the write expects the version listed, so that it fails if
 // the lease has changed. A list with a free lease does not reset the backoff,
 // as every attempt fails while the list stays stale.
-func (r *Reader) leaseListed(reply object.Reply) {
-	r.lease.busy = false
+func (r *Reader) handleLeaseList(reply object.Reply) {
+	r.lease.acquiring = false
 	if reply.Code != result.OK {
-		r.lease.attempt.fail(r.now, r.random)
+		r.lease.acquireRetry.fail(r.now, r.random)
 		return
 	}
 	for _, found := range reply.Objects {
-		r.observe(found)
+		r.observeLease(found)
 	}
-	slots := r.slots()
+	slots := r.slotNames()
 	first := r.random.IntN(len(slots))
 	for i := range slots {
 		slot := slots[(first+i)%len(slots)]
-		if r.isFree(slot) {
+		if r.isLeaseFree(slot) {
 			r.takeLease(slot)
 			return
 		}
 	}
-	r.lease.attempt = backoff{until: r.nextLook()}
+	r.lease.acquireRetry = backoff{until: r.nextListAt()}
 }
 
-// observe records a lease object. Only a newer version restarts its duration.
-func (r *Reader) observe(found object.Object) {
+// observeLease records a lease object. Only a newer version restarts its
+// duration.
+func (r *Reader) observeLease(found object.Object) {
 	known, seen := r.lease.observed[found.Name]
 	if seen && found.Version <= known.version {
 		return
 	}
-	observation := leaseObservation{version: found.Version, at: r.now}
+	observation := leaseObservation{version: found.Version, seenAt: r.now}
 	if err := json.Unmarshal(found.Data, &observation.record); err != nil || observation.record.Duration <= 0 {
 		observation.record = leaseRecord{Holder: "unreadable", Duration: r.config.LeaseDuration}
 	}
 	r.lease.observed[found.Name] = observation
 }
 
-// isFree reports whether a lease may be taken: it was never taken, its holder
-// resigned, this daemon held it before a restart, or it has not changed for
-// longer than its duration by this daemon's own clock.
-func (r *Reader) isFree(slot string) bool {
-	seen, found := r.lease.observed[slot]
-	if !found || seen.record.Holder == "" || seen.record.Holder == r.config.ID {
+// isLeaseFree reports whether a lease may be taken: it was never taken, its
+// holder resigned, this daemon held it before a restart, or it has not changed
+// for longer than its duration by this daemon's own clock.
+func (r *Reader) isLeaseFree(slot string) bool {
+	observation, found := r.lease.observed[slot]
+	if !found || observation.record.Holder == "" || observation.record.Holder == r.config.ID {
 		return true
 	}
-	return r.now >= seen.freeAt()
+	return r.now >= observation.freeAt()
 }
 
 // freeAt returns when others may take the lease if it does not change before.
 func (o leaseObservation) freeAt() time.Duration {
-	return o.at + o.record.Duration + o.record.Duration/clockMargin
+	return o.seenAt + o.record.Duration + o.record.Duration/clockMarginDivisor
 }
 
-// nextLook returns when to list the leases again, given that none is free now:
+// nextListAt returns when to list the leases again, given that none is free now:
 // when the first of them could become free, plus jitter.
-func (r *Reader) nextLook() time.Duration {
+func (r *Reader) nextListAt() time.Duration {
 	next := r.now + r.config.LeaseDuration
-	for _, slot := range r.slots() {
+	for _, slot := range r.slotNames() {
 		next = min(next, r.lease.observed[slot].freeAt())
 	}
 	return max(next, r.now) + jitter(r.random, r.config.LeaseDuration/4)
 }
 
 func (r *Reader) takeLease(slot string) {
-	seen, found := r.lease.observed[slot]
+	observation, found := r.lease.observed[slot]
 	record := leaseRecord{
 		Format:   leaseFormat,
 		Holder:   r.config.ID,
@@ -182,9 +184,9 @@
 	write := object.Call{Kind: object.CallCreate, Name: slot, Data: record.encode()}
 	if found {
 		write.Kind = object.CallUpdate
-		write.Expect = seen.version
+		write.Expect = observation.version
 	}
-	r.lease.busy = true
+	r.lease.acquiring = true
 	r.call(pendingCall{purpose: purposeLeaseTake, record: record, slot: slot}, write)
 }
 
@@ -192,52 +194,52 @@
 // terms grow across slots.
 func (r *Reader) highestTerm() uint64 {
 	highest := uint64(0)
-	for _, seen := range r.lease.observed {
-		highest = max(highest, seen.record.Term)
+	for _, observation := range r.lease.observed {
+		highest = max(highest, observation.record.Term)
 	}
 	return highest
 }
 
-func (r *Reader) leaseTaken(call pendingCall, reply object.Reply) {
+func (r *Reader) handleLeaseTake(call pendingCall, reply object.Reply) {
 	switch reply.Code {
 	case result.OK:
-		r.lease.busy = false
+		r.lease.acquiring = false
 		r.gainLease(call, reply.Object.Version)
 	case result.PlatformUnknown:
-		r.call(pendingCall{purpose: purposeLeaseRead, record: call.record, slot: call.slot, takeSent: call.sent},
+		r.call(pendingCall{purpose: purposeLeaseRead, record: call.record, slot: call.slot, takeSentAt: call.sentAt},
 			object.Call{Kind: object.CallGet, Name: call.slot})
 	default:
-		r.lease.busy = false
-		r.lease.attempt.fail(r.now, r.random)
+		r.lease.acquiring = false
+		r.lease.acquireRetry.fail(r.now, r.random)
 	}
 }
 
 // gainLease starts to hold the lease that a successful call has written, unless
 // it has expired meanwhile.
 func (r *Reader) gainLease(call pendingCall, version object.Version) {
-	expires := r.holdUntil(call.sent)
-	r.observe(object.Object{Name: call.slot, Version: version, Data: call.record.encode()})
+	expires := r.holdUntil(call.sentAt)
+	r.observeLease(object.Object{Name: call.slot, Version: version, Data: call.record.encode()})
 	if r.now >= expires {
-		r.lease.attempt.fail(r.now, r.random)
+		r.lease.acquireRetry.fail(r.now, r.random)
 		return
 	}
 	r.lease.held = true
-	r.lease.attempt.succeed()
+	r.lease.acquireRetry.succeed()
 	r.lease.slot = call.slot
 	r.lease.version = version
 	r.lease.record = call.record
 	r.lease.expires = expires
 	r.lease.renewing = false
 	r.lease.mustRead = false
-	r.lease.sent = nil
-	r.lease.renewAt = call.sent + r.config.LeaseDuration/renewalsPerLease
+	r.lease.sentRenewals = nil
+	r.lease.renewAt = call.sentAt + r.config.LeaseDuration/renewalsPerLease
 	r.emit(LeaseGained{Term: call.record.Term})
-	r.event("reader_lease_gained", LogField{"slot", call.slot}, LogField{"term", fmt.Sprint(call.record.Term)})
+	r.logEvent("reader_lease_gained", LogField{"slot", call.slot}, LogField{"term", fmt.Sprint(call.record.Term)})
 }
 
 // resign releases the lease by writing a record without a holder.
 func (r *Reader) resign() {
-	r.lease.candidate = false
+	r.lease.isCandidate = false
 	if !r.lease.held {
 		return
 	}
@@ -251,14 +253,14 @@
 // ignored from then on.
 func (r *Reader) loseLease(reason string) {
 	r.lease.held = false
-	r.lease.busy = false
-	r.lease.attempt.fail(r.now, r.random)
+	r.lease.acquiring = false
+	r.lease.acquireRetry.fail(r.now, r.random)
 	r.calls = map[Token]pendingCall{}
-	r.abandonHead()
+	r.resetHead()
 	r.contents.reset()
 	r.abandonChanges()
 	r.emit(LeaseLost{})
-	r.event("reader_lease_lost", LogField{"slot", r.lease.slot}, LogField{"reason", reason})
+	r.logEvent("reader_lease_lost", LogField{"slot", r.lease.slot}, LogField{"reason", reason})
 }
 
 func (l leaseRecord) encode() []byte {
--- a/internal/core/reader/model_test.go
+++ b/internal/core/reader/model_test.go
@@ -17,41 +17,42 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// sending is one request of an operator and the reply it got, if any.
-type sending struct {
+// sentRequest is one request of an operator and the reply it got, if any.
+type sentRequest struct {
 	client  *client
-	life    *Reader
+	reader  *Reader
 	ticket  Ticket
 	request *protocol.SubmitRequest
 	reply   *protocol.SubmitReply
 }
 
-// question is a FreshHead request and the lowest version it may return.
-type question struct {
-	client  *client
-	life    *Reader
-	ticket  Ticket
-	atLeast protocol.Version
+// freshHeadRequest is a call of RequestFreshHead and the lowest version that its
+// result may have.
+type freshHeadRequest struct {
+	client     *client
+	reader     *Reader
+	ticket     Ticket
+	minVersion protocol.Version
 }
 
 // oracle records all requests, their replies and every head that the platform
 // had, and checks them against each other.
 type oracle struct {
-	t         *rapid.T
-	world     *world
-	seen      object.Version
-	history   []*ledger.Head
-	sendings  []*sending
-	questions []question
-	tickets   Ticket
+	t                 *rapid.T
+	world             *world
+	seenVersion       object.Version
+	history           []*ledger.Head
+	sentRequests      []*sentRequest
+	freshHeadRequests []freshHeadRequest
+	lastTicket        Ticket
 }
 
 // observe records the head if it has changed, and checks it and the leases.
 func (o *oracle) observe() {
 	head, version := o.world.headObject()
-	if version != o.seen {
+	if version != o.seenVersion {
 		o.checkHead(head)
-		o.seen = version
+		o.seenVersion = version
 		o.history = append(o.history, head)
 	}
 	o.checkLeases()
@@ -71,18 +72,18 @@
 	for _, operation := range before.Operations {
 		versions[operation.ID] = operation.Version
 	}
-	taken := 0
+	added := 0
 	for _, operation := range head.Operations {
-		version, known := versions[operation.ID]
-		if known && version != operation.Version {
+		version, isKnown := versions[operation.ID]
+		if isKnown && version != operation.Version {
 			o.t.Fatalf("operation %s was applied twice", operation.ID)
 		}
-		if !known {
-			taken++
+		if !isKnown {
+			added++
 		}
 	}
-	if grown := int(head.Version - before.Version); grown > max(taken, 1) {
-		o.t.Fatalf("%d new operations raised the version by %d", taken, grown)
+	if increase := int(head.Version - before.Version); increase > max(added, 1) {
+		o.t.Fatalf("%d new operations raised the version by %d", added, increase)
 	}
 }
 
@@ -101,30 +102,30 @@
 	}
 }
 
-// collect assigns replies to their requests and checks the fresh heads and the
-// versions published since the last call.
-func (o *oracle) collect() {
-	for _, sent := range o.sendings {
-		if sent.reply == nil && sent.client.reader == sent.life {
-			sent.reply = sent.client.done[sent.ticket]
+// collectReplies assigns replies to their requests and checks the fresh heads
+// and the versions published since the last call.
+func (o *oracle) collectReplies() {
+	for _, sent := range o.sentRequests {
+		if sent.reply == nil && sent.client.reader == sent.reader {
+			sent.reply = sent.client.results[sent.ticket]
 		}
 	}
-	for _, asked := range o.questions {
-		answer, answered := asked.client.heads[asked.ticket]
-		if asked.client.reader == asked.life && answered && answer.OK && answer.Version < asked.atLeast {
-			o.t.Fatalf("a fresh head had version %d, below version %d on the platform at the request", answer.Version, asked.atLeast)
+	for _, request := range o.freshHeadRequests {
+		answer, answered := request.client.freshHeads[request.ticket]
+		if request.client.reader == request.reader && answered && answer.OK && answer.Version < request.minVersion {
+			o.t.Fatalf("a fresh head had version %d, below version %d on the platform at the request", answer.Version, request.minVersion)
 		}
 	}
 	for _, c := range o.world.clients {
-		o.checkReady(c)
+		o.checkPublished(c)
 	}
 }
 
-// checkReady checks that a reader publishes complete versions in ascending
+// checkPublished checks that a reader publishes complete versions in ascending
 // order.
-func (o *oracle) checkReady(c *client) {
+func (o *oracle) checkPublished(c *client) {
 	last := protocol.Version(0)
-	for _, ready := range c.ready {
+	for _, ready := range c.published {
 		if ready.Version < last {
 			o.t.Fatalf("%s published versions in descending order: %d, then %d", c.name, last, ready.Version)
 		}
@@ -139,34 +140,34 @@
 			o.t.Fatalf("%s published %d resources for %d accepted files", c.name, len(ready.Resources), accepted)
 		}
 	}
-	c.ready = c.ready[max(0, len(c.ready)-1):]
+	c.published = c.published[max(0, len(c.published)-1):]
 }
 
 // finish checks the replies to operators against the operations in all heads.
 func (o *oracle) finish() {
-	ran := map[string]protocol.Version{}
+	appliedVersions := map[string]protocol.Version{}
 	for _, head := range o.history {
 		for _, operation := range head.Operations {
-			ran[operation.ID] = operation.Version
+			appliedVersions[operation.ID] = operation.Version
 		}
 	}
-	refused := map[string]bool{}
-	for _, sent := range o.sendings {
+	allRefused := map[string]bool{}
+	for _, sent := range o.sentRequests {
 		id := sent.request.Operation
 		if sent.reply == nil {
-			refused[id] = false
+			allRefused[id] = false
 			continue
 		}
 		entry, _ := result.Lookup(sent.reply.Code)
 		accepted := sent.reply.Code == result.OK || sent.reply.Code == result.Held
-		if version, has := ran[id]; accepted && (!has || version != sent.reply.Version) {
+		if version, has := appliedVersions[id]; accepted && (!has || version != sent.reply.Version) {
 			o.t.Fatalf("operation %s was reported as accepted in version %d, which no head confirms", id, sent.reply.Version)
 		}
-		before, known := refused[id]
-		refused[id] = entry.Ran == result.RanNo && (before || !known)
+		before, known := allRefused[id]
+		allRefused[id] = entry.Ran == result.RanNo && (before || !known)
 	}
-	for id, all := range refused {
-		if _, has := ran[id]; all && has {
+	for id, all := range allRefused {
+		if _, has := appliedVersions[id]; all && has {
 			o.t.Fatalf("operation %s ran, but every reply to it reported that it did not", id)
 		}
 	}
@@ -187,17 +188,17 @@
 	case action < 50:
 		o.resend(c)
 	case action < 58:
-		o.tickets++
-		o.questions = append(o.questions, question{client: c, life: c.reader, ticket: o.tickets, atLeast: w.head().Version})
-		ticket := o.tickets
+		o.lastTicket++
+		o.freshHeadRequests = append(o.freshHeadRequests, freshHeadRequest{client: c, reader: c.reader, ticket: o.lastTicket, minVersion: w.head().Version})
+		ticket := o.lastTicket
 		c.input(func(now time.Duration) []Output { return c.reader.RequestFreshHead(now, ticket) })
 	case action < 64:
 		o.setKeepers(c)
 	case action < 68:
 		c.paused = true
 	case action < 80:
-		for _, sleeper := range w.clients {
-			sleeper.wake()
+		for _, other := range w.clients {
+			other.resume()
 		}
 	case action < 82:
 		c.restart("windhoek")
@@ -206,24 +207,24 @@
 	default:
 		o.changeFaults()
 	}
-	w.run(time.Duration(w.random.Int64N(int64(lengths[w.random.IntN(len(lengths))]))))
-	o.collect()
+	w.run(time.Duration(w.random.Int64N(int64(maxWaits[w.random.IntN(len(maxWaits))]))))
+	o.collectReplies()
 }
 
-// lengths are upper bounds of the wait between two actions.
-var lengths = []time.Duration{5 * time.Millisecond, 50 * time.Millisecond, time.Second, 10 * time.Second}
+// maxWaits are upper bounds of the wait between two actions.
+var maxWaits = []time.Duration{5 * time.Millisecond, 50 * time.Millisecond, time.Second, 10 * time.Second}
 
 func (o *oracle) submit(c *client) {
 	files := []string{"roastery", "plans", "labels"}
-	o.tickets++
-	operation := string(binary.BigEndian.AppendUint64(nil, uint64(o.tickets)))
+	o.lastTicket++
+	operation := string(binary.BigEndian.AppendUint64(nil, uint64(o.lastTicket)))
 	file := files[o.world.random.IntN(len(files))]
 	entry, found := o.world.head().File(resource.FileKey{Partner: "kameeldoring", Name: file})
 	action := protocol.ActionSubmit
 	if found {
 		action = []protocol.Action{protocol.ActionReplace, protocol.ActionReplace, protocol.ActionWithdraw}[o.world.random.IntN(3)]
 	}
-	request := o.world.change(operation, file, action)
+	request := o.world.newRequest(operation, file, action)
 	if found && o.world.random.IntN(2) == 0 {
 		request.Expect = protocol.Expectation{Given: true, Revision: entry.Revision()}
 	}
@@ -232,16 +233,16 @@
 
 // resend sends one of the last four requests again, to any reader.
 func (o *oracle) resend(c *client) {
-	if len(o.sendings) == 0 {
+	if len(o.sentRequests) == 0 {
 		return
 	}
-	o.tickets++
-	o.send(c, o.sendings[max(0, len(o.sendings)-1-o.world.random.IntN(4))].request)
+	o.lastTicket++
+	o.send(c, o.sentRequests[max(0, len(o.sentRequests)-1-o.world.random.IntN(4))].request)
 }
 
 func (o *oracle) send(c *client, request *protocol.SubmitRequest) {
-	o.sendings = append(o.sendings, &sending{client: c, life: c.reader, ticket: o.tickets, request: request})
-	c.submit(o.tickets, request)
+	o.sentRequests = append(o.sentRequests, &sentRequest{client: c, reader: c.reader, ticket: o.lastTicket, request: request})
+	c.submit(o.lastTicket, request)
 }
 
 func (o *oracle) setKeepers(c *client) {
@@ -267,32 +268,32 @@
 		ReplayedEvent:  chance(),
 		BrokenWatch:    chance(),
 	}
-	w.late = chance()
+	w.lateProbability = chance()
 	if w.random.IntN(5) == 0 {
 		w.faults.Outage = []standin.Outage{standin.OutageRefusing, standin.OutageSilent}[w.random.IntN(2)]
 	}
 	if w.random.IntN(6) == 0 {
-		w.faults, w.late = standin.Faults{}, 0
+		w.faults, w.lateProbability = standin.Faults{}, 0
 	}
 }
 
 // recover disables all faults and expects the next change to be accepted.
 func (o *oracle) recover() {
 	w := o.world
-	w.faults, w.late = standin.Faults{}, 0
+	w.faults, w.lateProbability = standin.Faults{}, 0
 	for _, c := range w.clients {
-		c.wake()
+		c.resume()
 	}
 	w.run(time.Minute)
 	for _, c := range w.clients {
 		if !c.reader.IsReader() {
 			continue
 		}
-		o.tickets++
-		o.send(c, w.change(string(binary.BigEndian.AppendUint64(nil, uint64(o.tickets))), "last", protocol.ActionSubmit))
+		o.lastTicket++
+		o.send(c, w.newRequest(string(binary.BigEndian.AppendUint64(nil, uint64(o.lastTicket))), "last", protocol.ActionSubmit))
 		w.run(5 * time.Second)
-		o.collect()
-		if reply := o.sendings[len(o.sendings)-1].reply; reply == nil || reply.Code != result.OK && reply.Code != result.RevisionMismatch {
+		o.collectReplies()
+		if reply := o.sentRequests[len(o.sentRequests)-1].reply; reply == nil || reply.Code != result.OK && reply.Code != result.RevisionMismatch {
 			o.t.Fatalf("reply to a change after the faults: %+v", reply)
 		}
 		return
@@ -305,17 +306,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "seed"))
 		o := &oracle{t: t, world: newWorld(seed)}
-		o.world.changed = o.observe
+		o.world.afterEvent = o.observe
 		for range 4 {
 			c := o.world.add("windhoek")
-			c.rate = 0.97 + 0.02*float64(o.world.random.IntN(4))
+			c.clockRate = 0.97 + 0.02*float64(o.world.random.IntN(4))
 		}
 		for range modelSteps - rapid.IntRange(0, modelSteps-1).Draw(t, "cut") {
 			o.step()
 		}
 		o.recover()
 		o.finish()
-		for _, sent := range o.sendings {
+		for _, sent := range o.sentRequests {
 			if sent.reply == nil {
 				continue
 			}
--- a/internal/core/reader/output.go
+++ b/internal/core/reader/output.go
@@ -11,8 +11,8 @@
 // Token matches a PlatformCall with its reply, or a StartWatch with its events.
 type Token uint64
 
-// Ticket is chosen by the owner and matches a call of Submit or FreshHead with
-// its result.
+// Ticket is chosen by the owner and matches a call of Submit or
+// RequestFreshHead with its result.
 type Ticket uint64
 
 // Output is an action or notification that the owner of a Reader must process.
@@ -38,19 +38,19 @@
 // StopWatch ends a watch. Events that arrive later are ignored.
 type StopWatch struct{ Token Token }
 
-// SubmitDone is the result of Submit.
+// SubmitResult is the result of Submit.
 type SubmitResult struct {
 	Ticket Ticket
 	Reply  *protocol.SubmitReply
 }
 
-// HeadRead is the result of FreshHead. If OK is unset, the head could not be
-// read and Version has no meaning.
+// FreshHeadResult is the result of RequestFreshHead. If OK is unset, the head
+// could not be read and Version has no meaning.
 type FreshHeadResult struct {
 	Ticket Ticket
 	OK     bool
 	// Version is the configuration version of a head read from the platform
-	// after FreshHead was called; 0 if the platform has no head.
+	// after RequestFreshHead was called; 0 if the platform has no head.
 	Version protocol.Version
 	Keepers []protocol.KeeperSet
 }
@@ -67,30 +67,30 @@
 	AcceptedAt  time.Time
 }
 
-// Gained reports that the reader lease was acquired, with its fencing term.
+// LeaseGained reports that the reader lease was acquired, with its fencing term.
 type LeaseGained struct{ Term uint64 }
 
-// Lost reports that the reader lease is no longer held.
+// LeaseLost reports that the reader lease is no longer held.
 type LeaseLost struct{}
 
-// Event requests one log line; Name is a stable event name.
+// LogEvent requests one log line; Name is a stable event name.
 type LogEvent struct {
 	Name   string
 	Fields []LogField
 }
 
-// EventField is a key and value of a log line.
+// LogField is a key and value of a log line.
 type LogField struct {
 	Key   string
 	Value string
 }
 
-func (PlatformCall) output()   {}
-func (StartWatch) output()     {}
-func (StopWatch) output()      {}
-func (SubmitResult) output()     {}
-func (FreshHeadResult) output()       {}
-func (CatalogueReady) output() {}
-func (LeaseGained) output()         {}
-func (LeaseLost) output()           {}
-func (LogEvent) output()          {}
+func (PlatformCall) output()    {}
+func (StartWatch) output()      {}
+func (StopWatch) output()       {}
+func (SubmitResult) output()    {}
+func (FreshHeadResult) output() {}
+func (CatalogueReady) output()  {}
+func (LeaseGained) output()     {}
+func (LeaseLost) output()       {}
+func (LogEvent) output()        {}
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -125,16 +125,16 @@
 // pendingCall is a platform call without a reply yet.
 type pendingCall struct {
 	purpose purpose
-	// sent is when the call was sent. Its reply holds as of that time: leases and
-	// the next resync are counted from it.
-	sent time.Duration
+	// sentAt is when the call was sent. Its reply holds as of that time: leases
+	// and the next resync are counted from it.
+	sentAt time.Duration
 	// slot is the name of the lease object, for calls on one lease; record is
 	// the lease that the call writes, or whose write it resolves.
 	record leaseRecord
 	slot   string
-	// takeSent is when the acquiring write was sent whose outcome a lease read
+	// takeSentAt is when the acquiring write was sent whose outcome a lease read
 	// resolves.
-	takeSent time.Duration
+	takeSentAt time.Duration
 	// digest is set for content calls.
 	digest resource.Digest
 	// attempt is the number of the attempt that made the call, for writes of
@@ -179,25 +179,25 @@
 
 // HandleEvent handles an event of the watch with the token.
 func (r *Reader) HandleEvent(now time.Duration, token Token, event object.Event) []Output {
-	return r.step(now, func() { r.watchEvent(token, event) })
+	return r.step(now, func() { r.handleWatchEvent(token, event) })
 }
 
 // HandleWatchEnded handles the end of the watch with the token.
 func (r *Reader) HandleWatchEnded(now time.Duration, token Token, code result.Code) []Output {
-	return r.step(now, func() { r.watchEnded(token, code) })
+	return r.step(now, func() { r.handleWatchEnd(token, code) })
 }
 
-// Submit queues an operator's change; SubmitDone with the ticket is its result.
+// Submit queues an operator's change; SubmitResult with the ticket is its result.
 // wallClock is recorded in the head and dates the change for the bounds on
 // operation ids; deadlines do not depend on it.
 func (r *Reader) Submit(now time.Duration, wallClock time.Time, ticket Ticket, request *protocol.SubmitRequest) []Output {
 	return r.step(now, func() { r.enqueue(wallClock, ticket, request) })
 }
 
-// FreshHead requests the version of a head read after this call; HeadRead with
-// the ticket is its result.
+// RequestFreshHead requests the version of a head read after this call;
+// FreshHeadResult with the ticket is its result.
 func (r *Reader) RequestFreshHead(now time.Duration, ticket Ticket) []Output {
-	return r.step(now, func() { r.awaitHead(ticket) })
+	return r.step(now, func() { r.enqueueFreshHead(ticket) })
 }
 
 // SetKeepers replaces the keeper sets of some regions in the head, as a new
@@ -207,8 +207,8 @@
 // recorded in the head as the time of acceptance.
 func (r *Reader) SetKeepers(now time.Duration, wallClock time.Time, sets []protocol.KeeperSet) []Output {
 	return r.step(now, func() {
-		r.changes.keepers = sets
-		r.changes.keepersAt = wallClock
+		r.changes.keeperSets = sets
+		r.changes.keeperSetsAt = wallClock
 	})
 }
 
@@ -222,7 +222,7 @@
 // applies the input, then does what has become due, and returns the outputs.
 func (r *Reader) step(now time.Duration, input func()) []Output {
 	r.now = max(r.now, now)
-	r.checkLease()
+	r.expireLease()
 	input()
 	r.advanceLease()
 	if r.lease.held {
@@ -240,27 +240,27 @@
 func (r *Reader) dispatch(call pendingCall, reply object.Reply) {
 	switch call.purpose {
 	case purposeLeaseList:
-		r.leaseListed(reply)
+		r.handleLeaseList(reply)
 	case purposeLeaseTake:
-		r.leaseTaken(call, reply)
+		r.handleLeaseTake(call, reply)
 	case purposeLeaseRenew:
-		r.leaseRenewed(call, reply)
+		r.handleLeaseRenewal(call, reply)
 	case purposeLeaseRead:
-		r.leaseRead(call, reply)
+		r.handleLeaseRead(call, reply)
 	case purposeHeadRead:
-		r.headWasRead(call, reply)
+		r.handleHeadRead(call, reply)
 	case purposeHeadWrite:
-		r.headWasWritten(call, reply)
+		r.handleHeadWrite(call, reply)
 	case purposeContentRead:
-		r.contentWasRead(call, reply)
+		r.handleContentRead(call, reply)
 	case purposeContentWrite:
-		r.contentWasWritten(call, reply)
+		r.handleContentWrite(call, reply)
 	}
 }
 
 func (r *Reader) emit(output Output) { r.outputs = append(r.outputs, output) }
 
-func (r *Reader) event(name string, fields ...LogField) {
+func (r *Reader) logEvent(name string, fields ...LogField) {
 	r.emit(LogEvent{Name: name, Fields: fields})
 }
 
@@ -272,7 +272,7 @@
 
 // call emits a platform call and registers it for its reply.
 func (r *Reader) call(pending pendingCall, call object.Call) {
-	pending.sent = r.now
+	pending.sentAt = r.now
 	token := r.newToken()
 	r.calls[token] = pending
 	r.emit(PlatformCall{Token: token, Call: call, Timeout: r.config.CallTimeout})
--- a/internal/core/reader/reader_test.go
+++ b/internal/core/reader/reader_test.go
@@ -29,41 +29,41 @@
 	if !reader.reader.IsReader() {
 		reader = second
 	}
-	reader.submit(1, w.change("op000001", "roastery", protocol.ActionSubmit))
+	reader.submit(1, w.newRequest("op000001", "roastery", protocol.ActionSubmit))
 	w.run(time.Second)
-	is.Equal(reader.done[1].Code, result.OK)
-	is.Equal(reader.done[1].Version, protocol.Version(1))
+	is.Equal(reader.results[1].Code, result.OK)
+	is.Equal(reader.results[1].Version, protocol.Version(1))
 	for _, c := range []*client{first, second, third} {
 		if c.reader.IsReader() {
-			is.Equal(c.ready[len(c.ready)-1].Version, protocol.Version(1))
-			is.Equal(len(c.ready[len(c.ready)-1].Resources), 1)
+			is.Equal(c.published[len(c.published)-1].Version, protocol.Version(1))
+			is.Equal(len(c.published[len(c.published)-1].Resources), 1)
 		}
 	}
 }
 
-// TestEmptyStoreIsNotTheStartOfAnotherChain guards against a restarted reader
+// TestEmptyPlatformDoesNotStartNewHistory guards against a restarted reader
 // that accepts changes on an empty platform, after the platform lost a head
 // whose version 5 the mesh still uses.
-func TestEmptyStoreIsNotTheStartOfAnotherChain(t *testing.T) {
+func TestEmptyPlatformDoesNotStartNewHistory(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	reader := w.add("windhoek")
 	reader.reader.SetFloor(5)
 	w.run(2 * time.Second)
 	is.True(reader.reader.IsReader())
-	reader.submit(1, w.change("op000001", "roastery", protocol.ActionSubmit))
+	reader.submit(1, w.newRequest("op000001", "roastery", protocol.ActionSubmit))
 	w.run(defaultSubmitTimeout + time.Second)
-	is.Equal(reader.done[1].Code, result.NotAccepted)
-	is.Equal(len(reader.ready), 0)
+	is.Equal(reader.results[1].Code, result.NotAccepted)
+	is.Equal(len(reader.published), 0)
 	is.Equal(w.store.Apply(w.now, "test", object.Call{Kind: object.CallGet, Name: ledger.HeadObject}, standin.Lag{}).Code,
 		result.PlatformNotFound)
-	w.run(time.Duration(missingReads) * defaultResyncInterval)
-	is.Equal(reader.names["head_deleted"], 1)
+	w.run(time.Duration(outdatedReadsBeforeEvent) * defaultResyncInterval)
+	is.Equal(reader.eventCounts["head_deleted"], 1)
 }
 
-// TestCandidateBacksOffFromAListThatLags guards against a candidate that
+// TestCandidateBacksOffWithStaleLeaseList guards against a candidate that
 // overloads the platform because a stale list shows taken leases as free.
-func TestCandidateBacksOffFromAListThatLags(t *testing.T) {
+func TestCandidateBacksOffWithStaleLeaseList(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(1)
 	w.add("windhoek")
@@ -74,7 +74,7 @@
 	w.run(time.Minute)
 	is.True(!candidate.reader.IsReader())
 	const most = 60
-	if candidate.calls > most {
-		t.Errorf("%d platform calls in a minute; at most %d allowed", candidate.calls, most)
+	if candidate.callCount > most {
+		t.Errorf("%d platform calls in a minute; at most %d allowed", candidate.callCount, most)
 	}
 }
--- a/internal/core/reader/renewal.go
+++ b/internal/core/reader/renewal.go
@@ -12,14 +12,14 @@
 // sentRenewal is the renewal count of a write and when it was sent.
 type sentRenewal struct {
 	renewals uint64
-	at       time.Duration
+	sentAt   time.Duration
 }
 
 // holdUntil returns when the holder must stop using a lease that was written by
 // a call sent at the given time. That is before anyone else may take it: others
 // wait for a tenth more than the duration, from when they saw the write.
 func (r *Reader) holdUntil(sent time.Duration) time.Duration {
-	return sent + r.config.LeaseDuration - r.config.LeaseDuration/clockMargin
+	return sent + r.config.LeaseDuration - r.config.LeaseDuration/clockMarginDivisor
 }
 
 // advanceRenewal sends a renewal that is due, or a read of the lease if the
@@ -35,7 +35,7 @@
 	}
 	record := r.lease.record
 	record.Renewals = r.nextRenewal()
-	r.lease.sent = append(r.lease.sent, sentRenewal{renewals: record.Renewals, at: r.now})
+	r.lease.sentRenewals = append(r.lease.sentRenewals, sentRenewal{renewals: record.Renewals, sentAt: r.now})
 	r.call(pendingCall{purpose: purposeLeaseRenew, record: record, slot: r.lease.slot},
 		object.Call{Kind: object.CallUpdate, Name: r.lease.slot, Expect: r.lease.version, Data: record.encode()})
 }
@@ -43,84 +43,84 @@
 // nextRenewal returns a renewal count not used by any write of this term.
 func (r *Reader) nextRenewal() uint64 {
 	highest := r.lease.record.Renewals
-	for _, sent := range r.lease.sent {
+	for _, sent := range r.lease.sentRenewals {
 		highest = max(highest, sent.renewals)
 	}
 	return highest + 1
 }
 
-func (r *Reader) leaseRenewed(call pendingCall, reply object.Reply) {
+func (r *Reader) handleLeaseRenewal(call pendingCall, reply object.Reply) {
 	r.lease.renewing = false
 	switch reply.Code {
 	case result.OK:
-		r.renewalLanded(call.record, reply.Object.Version)
+		r.extendLease(call.record, reply.Object.Version)
 	case result.PlatformUnavailable, result.PlatformReadersFull:
-		r.lease.renewAt = r.now + r.renewalRetry()
+		r.lease.renewAt = r.now + r.renewalRetryDelay()
 	default:
 		r.lease.mustRead = true
 		r.lease.renewAt = r.now
 	}
 }
 
-// renewalRetry returns the wait before a renewal is retried. It is short,
+// renewalRetryDelay returns the wait before a renewal is retried. It is short,
 // because the lease must be renewed before it expires.
-func (r *Reader) renewalRetry() time.Duration {
-	return jitter(r.random, r.config.LeaseDuration/clockMargin)
+func (r *Reader) renewalRetryDelay() time.Duration {
+	return jitter(r.random, r.config.LeaseDuration/clockMarginDivisor)
 }
 
-// renewalLanded extends the lease, counted from when the write that was applied
+// extendLease extends the lease, counted from when the write that was applied
 // had been sent.
-func (r *Reader) renewalLanded(record leaseRecord, version object.Version) {
+func (r *Reader) extendLease(record leaseRecord, version object.Version) {
 	r.lease.version = version
 	r.lease.record = record
-	index := slices.IndexFunc(r.lease.sent, func(sent sentRenewal) bool { return sent.renewals == record.Renewals })
+	index := slices.IndexFunc(r.lease.sentRenewals, func(sent sentRenewal) bool { return sent.renewals == record.Renewals })
 	if index < 0 {
 		return
 	}
-	sent := r.lease.sent[index].at
-	r.lease.sent = r.lease.sent[index+1:]
+	sent := r.lease.sentRenewals[index].sentAt
+	r.lease.sentRenewals = r.lease.sentRenewals[index+1:]
 	r.lease.expires = max(r.lease.expires, r.holdUntil(sent))
 	r.lease.renewAt = max(r.now, sent+r.config.LeaseDuration/renewalsPerLease)
 }
 
-// leaseRead handles a read of the lease after a write whose reply was lost or
-// reported a conflict.
-func (r *Reader) leaseRead(call pendingCall, reply object.Reply) {
+// handleLeaseRead handles a read of the lease after a write whose reply was
+// lost or reported a conflict.
+func (r *Reader) handleLeaseRead(call pendingCall, reply object.Reply) {
 	if !r.lease.held {
-		r.takeResolved(call, reply)
+		r.handleTakeOutcome(call, reply)
 		return
 	}
 	r.lease.renewing = false
 	if reply.Code != result.OK && reply.Code != result.PlatformNotFound {
-		r.lease.renewAt = r.now + r.renewalRetry()
+		r.lease.renewAt = r.now + r.renewalRetryDelay()
 		return
 	}
 	var record leaseRecord
-	if reply.Code != result.OK || json.Unmarshal(reply.Object.Data, &record) != nil || !r.isMine(record) {
+	if reply.Code != result.OK || json.Unmarshal(reply.Object.Data, &record) != nil || !r.isOwnRecord(record) {
 		r.loseLease("taken")
 		return
 	}
 	r.lease.mustRead = false
 	r.lease.renewAt = r.now
 	if reply.Object.Version > r.lease.version {
-		r.renewalLanded(record, reply.Object.Version)
+		r.extendLease(record, reply.Object.Version)
 	}
 }
 
-func (r *Reader) isMine(record leaseRecord) bool {
+func (r *Reader) isOwnRecord(record leaseRecord) bool {
 	return record.Holder == r.config.ID && record.Term == r.lease.record.Term
 }
 
-// takeResolved completes an acquisition whose reply was lost, with a read of the
-// lease. If the write is applied after that read, the lease names this daemon
-// as its holder, and isFree lets this daemon take it again.
-func (r *Reader) takeResolved(call pendingCall, reply object.Reply) {
-	r.lease.busy = false
+// handleTakeOutcome completes an acquisition whose reply was lost, with a read
+// of the lease. If the write is applied after that read, the lease names this
+// daemon as its holder, and isLeaseFree lets this daemon take it again.
+func (r *Reader) handleTakeOutcome(call pendingCall, reply object.Reply) {
+	r.lease.acquiring = false
 	var record leaseRecord
 	if reply.Code != result.OK || json.Unmarshal(reply.Object.Data, &record) != nil || record != call.record {
-		r.lease.attempt.fail(r.now, r.random)
+		r.lease.acquireRetry.fail(r.now, r.random)
 		return
 	}
-	call.sent = call.takeSent
+	call.sentAt = call.takeSentAt
 	r.gainLease(call, reply.Object.Version)
 }
--- a/internal/core/reader/script_test.go
+++ b/internal/core/reader/script_test.go
@@ -26,20 +26,20 @@
 // newScript returns a script whose reader has just acquired its lease.
 func newScript(t *testing.T) *script {
 	s := &script{is: is.New(t), reader: New(Config{ID: "one", Region: "windhoek", RandomSeed: 1}), world: newWorld(1)}
-	s.pass(0)
+	s.advance(0)
 	s.reply(LeasePrefix+"windhoek/", object.Reply{})
 	s.reply(s.calls[0].Call.Name, object.Reply{Object: object.Object{Version: 1}})
 	s.is.True(s.reader.IsReader())
 	return s
 }
 
-// pass advances the time and calls Tick.
-func (s *script) pass(duration time.Duration) {
+// advance advances the time and calls Tick.
+func (s *script) advance(duration time.Duration) {
 	s.now += duration
-	s.take(s.reader.Tick(s.now, Candidacy{Candidate: true}))
+	s.collect(s.reader.Tick(s.now, Candidacy{Candidate: true}))
 }
 
-func (s *script) take(outputs []Output) {
+func (s *script) collect(outputs []Output) {
 	for _, output := range outputs {
 		if call, is := output.(PlatformCall); is {
 			s.calls = append(s.calls, call)
@@ -55,21 +55,21 @@
 		panic("no pending call on " + name)
 	}
 	s.calls = append(s.calls[:index:index], s.calls[index+1:]...)
-	s.take(s.reader.HandlePlatformReply(s.now, call.Token, reply))
+	s.collect(s.reader.HandlePlatformReply(s.now, call.Token, reply))
 	return call
 }
 
-// head answers the oldest pending call on the head with an encoded head.
-func (s *script) head(version object.Version, data []byte) {
+// replyHead answers the oldest pending call on the head with an encoded head.
+func (s *script) replyHead(version object.Version, data []byte) {
 	s.reply(ledger.HeadObject, object.Reply{Object: object.Object{Name: ledger.HeadObject, Version: version, Data: data}})
 }
 
 func (s *script) submit(ticket Ticket, request *protocol.SubmitRequest) {
-	s.take(s.reader.Submit(s.now, time.UnixMilli(epoch), ticket, request))
+	s.collect(s.reader.Submit(s.now, time.UnixMilli(epoch), ticket, request))
 }
 
-// answers returns the result codes emitted for a ticket.
-func (s *script) answers(ticket Ticket) []result.Code {
+// resultCodes returns the result codes emitted for a ticket.
+func (s *script) resultCodes(ticket Ticket) []result.Code {
 	return lo.FilterMap(s.outputs, func(output Output, _ int) (result.Code, bool) {
 		done, is := output.(SubmitResult)
 		if !is || done.Ticket != ticket {
@@ -79,8 +79,8 @@
 	})
 }
 
-// waiting reports whether a call on an object is pending.
-func (s *script) waiting(name string) bool {
+// hasPendingCall reports whether a call on an object is pending.
+func (s *script) hasPendingCall(name string) bool {
 	return lo.ContainsBy(s.calls, func(call PlatformCall) bool { return call.Call.Name == name })
 }
 
@@ -95,7 +95,7 @@
 
 var (
 	notFound    = object.Reply{Code: result.PlatformNotFound}
-	lost        = object.Reply{Code: result.PlatformUnknown}
+	replyLost   = object.Reply{Code: result.PlatformUnknown}
 	conflict    = object.Reply{Code: result.PlatformExists}
 	unavailable = object.Reply{Code: result.PlatformUnavailable}
 )
@@ -103,7 +103,7 @@
 // sendChange submits a first change and returns its head update, still pending.
 func (s *script) sendChange() PlatformCall {
 	s.reply(ledger.HeadObject, notFound)
-	s.submit(1, s.world.change("op000001", "roastery", protocol.ActionSubmit))
+	s.submit(1, s.world.newRequest("op000001", "roastery", protocol.ActionSubmit))
 	s.writeContents()
 	return s.calls[len(s.calls)-1]
 }
@@ -112,7 +112,7 @@
 // other calls with PlatformUnavailable.
 func (s *script) renewOnly(duration time.Duration) {
 	for end := s.now + duration; s.now < end; {
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 		for _, call := range s.calls {
 			answer := unavailable
 			if call.Call.Name == s.reader.lease.slot {
@@ -123,37 +123,37 @@
 	}
 }
 
-func TestLostUpdateThatLandedIsAccepted(t *testing.T) {
+func TestLostUpdateThatWasAppliedIsAccepted(t *testing.T) {
 	s := newScript(t)
 	update := s.sendChange()
-	s.reply(ledger.HeadObject, lost)
-	s.pass(time.Second)
-	s.head(5, update.Call.Data)
-	s.is.Equal(s.answers(1), []result.Code{result.OK})
+	s.reply(ledger.HeadObject, replyLost)
+	s.advance(time.Second)
+	s.replyHead(5, update.Call.Data)
+	s.is.Equal(s.resultCodes(1), []result.Code{result.OK})
 }
 
 func TestLostUpdateIsSentAgainUnchanged(t *testing.T) {
 	s := newScript(t)
 	update := s.sendChange()
-	s.reply(ledger.HeadObject, lost)
-	s.pass(time.Second)
+	s.reply(ledger.HeadObject, replyLost)
+	s.advance(time.Second)
 	s.reply(ledger.HeadObject, notFound)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.is.Equal(s.reply(ledger.HeadObject, object.Reply{Object: object.Object{Version: 6}}).Call, update.Call)
-	s.is.Equal(s.answers(1), []result.Code{result.OK})
+	s.is.Equal(s.resultCodes(1), []result.Code{result.OK})
 }
 
-func TestLostUpdateThatMayLandIsNeverCalledNotAccepted(t *testing.T) {
-	for _, second := range []object.Reply{lost, unavailable, conflict} {
+func TestLostUpdateIsNeverReportedAsNotAccepted(t *testing.T) {
+	for _, second := range []object.Reply{replyLost, unavailable, conflict} {
 		s := newScript(t)
 		s.sendChange()
-		s.reply(ledger.HeadObject, lost)
-		s.pass(time.Second)
+		s.reply(ledger.HeadObject, replyLost)
+		s.advance(time.Second)
 		s.reply(ledger.HeadObject, notFound)
-		s.pass(time.Second)
+		s.advance(time.Second)
 		s.reply(ledger.HeadObject, second)
 		s.renewOnly(15 * time.Second)
-		s.is.Equal(s.answers(1), []result.Code{result.OutcomeUnknown})
+		s.is.Equal(s.resultCodes(1), []result.Code{result.OutcomeUnknown})
 	}
 }
 
@@ -161,34 +161,34 @@
 	s := newScript(t)
 	s.sendChange()
 	s.renewOnly(15 * time.Second)
-	s.is.Equal(s.answers(1), []result.Code{result.NotAccepted})
-	s.is.True(!s.waiting(ledger.HeadObject))
+	s.is.Equal(s.resultCodes(1), []result.Code{result.NotAccepted})
+	s.is.True(!s.hasPendingCall(ledger.HeadObject))
 }
 
-func TestPausedHolderStopsBeforeItDoesAnything(t *testing.T) {
+func TestPausedHolderDropsExpiredLeaseBeforeActing(t *testing.T) {
 	s := newScript(t)
 	s.sendChange()
-	s.submit(2, s.world.change("op000002", "plans", protocol.ActionSubmit))
+	s.submit(2, s.world.newRequest("op000002", "plans", protocol.ActionSubmit))
 	s.now += time.Minute
 	s.outputs, s.calls = nil, nil
-	s.take(s.reader.RequestFreshHead(s.now, 9))
+	s.collect(s.reader.RequestFreshHead(s.now, 9))
 	s.is.True(!s.reader.IsReader())
-	s.is.Equal(s.answers(1), []result.Code{result.OutcomeUnknown}) // its update was sent
-	s.is.Equal(s.answers(2), []result.Code{result.NotAccepted})
+	s.is.Equal(s.resultCodes(1), []result.Code{result.OutcomeUnknown}) // its update was sent
+	s.is.Equal(s.resultCodes(2), []result.Code{result.NotAccepted})
 	s.is.Equal(len(s.calls), 0)
 }
 
-func TestLeaseCountsFromTheSendingOfTheRenewal(t *testing.T) {
+func TestLeaseExpiryCountsFromSendingOfRenewal(t *testing.T) {
 	s := newScript(t)
 	s.reply(ledger.HeadObject, notFound)
-	s.pass(2 * time.Second)
+	s.advance(2 * time.Second)
 	sent := s.now
 	s.now += 1900 * time.Millisecond
 	s.reply(s.reader.lease.slot, object.Reply{Object: object.Object{Version: 2}})
 	s.is.Equal(s.reader.lease.expires, sent+5400*time.Millisecond)
 }
 
-func TestFreshHeadNeedsAReadSentAfterTheQuestion(t *testing.T) {
+func TestFreshHeadNeedsAReadSentAfterTheRequest(t *testing.T) {
 	s := newScript(t)
 	read := func() (answers []FreshHeadResult) {
 		return lo.FilterMap(s.outputs, func(output Output, _ int) (FreshHeadResult, bool) {
@@ -196,23 +196,23 @@
 			return answer, is
 		})
 	}
-	s.take(s.reader.RequestFreshHead(s.now, 1)) // the first read is already in flight
-	s.take(s.reader.RequestFreshHead(s.now, 2))
+	s.collect(s.reader.RequestFreshHead(s.now, 1)) // the first read is already in flight
+	s.collect(s.reader.RequestFreshHead(s.now, 2))
 	s.reply(ledger.HeadObject, notFound)
 	s.is.Equal(len(read()), 0)
-	s.head(3, ledger.Encode(ledger.NewHead()))
+	s.replyHead(3, ledger.Encode(ledger.NewHead()))
 	s.is.Equal(read(), []FreshHeadResult{{Ticket: 1, OK: true}, {Ticket: 2, OK: true}})
 }
 
-func TestChangeThatNeedsAnotherIsNotBatchedWithIt(t *testing.T) {
+func TestDependentChangesAreNotBatched(t *testing.T) {
 	s := newScript(t)
 	s.reply(ledger.HeadObject, notFound)
-	s.submit(1, s.world.change("op000001", "plans", protocol.ActionSubmit))
-	s.submit(2, s.world.change("op000002", "roastery", protocol.ActionSubmit))
-	s.submit(3, s.world.change("op000003", "labels", protocol.ActionSubmit))
-	s.submit(4, s.world.change("op000004", "roastery", protocol.ActionReplace))
+	s.submit(1, s.world.newRequest("op000001", "plans", protocol.ActionSubmit))
+	s.submit(2, s.world.newRequest("op000002", "roastery", protocol.ActionSubmit))
+	s.submit(3, s.world.newRequest("op000003", "labels", protocol.ActionSubmit))
+	s.submit(4, s.world.newRequest("op000004", "roastery", protocol.ActionReplace))
 	s.writeContents()
-	s.head(5, s.calls[len(s.calls)-1].Call.Data) // the first change is sent alone
+	s.replyHead(5, s.calls[len(s.calls)-1].Call.Data) // the first change is sent alone
 	s.writeContents()
 	update, err := ledger.Decode(s.calls[len(s.calls)-1].Call.Data)
 	s.is.NoErr(err)
@@ -220,10 +220,10 @@
 	s.is.Equal(update.Version, protocol.Version(3))
 }
 
-func TestOlderAndRepeatedEventsChangeNothing(t *testing.T) {
+func TestOlderAndDuplicateEventsAreIgnored(t *testing.T) {
 	s := newScript(t)
 	empty := ledger.NewHead()
-	s.head(7, ledger.Encode(empty))
+	s.replyHead(7, ledger.Encode(empty))
 	watch := lo.FilterMap(s.outputs, func(output Output, _ int) (Token, bool) {
 		start, is := output.(StartWatch)
 		return start.Token, is
@@ -232,13 +232,13 @@
 		changed := *empty
 		changed.Term = uint64(version)
 		event := object.Event{Kind: object.EventPut, Object: object.Object{Name: ledger.HeadObject, Version: version, Data: ledger.Encode(&changed)}}
-		s.take(s.reader.HandleEvent(s.now, watch[0], event))
+		s.collect(s.reader.HandleEvent(s.now, watch[0], event))
 	}
 	s.is.Equal(s.reader.head.version, object.Version(9))
 	s.is.Equal(s.reader.head.head.Term, uint64(9))
 }
 
-func TestCandidatesOnlyTouchThePlatform(t *testing.T) {
+func TestOnlyCandidatesCallThePlatform(t *testing.T) {
 	is := is.New(t)
 	reader := New(Config{ID: "one", Region: "windhoek", RandomSeed: 1})
 	for now := time.Duration(0); now < time.Minute; now += 50 * time.Millisecond {
--- a/internal/core/reader/world_test.go
+++ b/internal/core/reader/world_test.go
@@ -17,36 +17,36 @@
 // world simulates readers against the store of the fake platform, in virtual
 // time.
 type world struct {
-	now         time.Duration
-	random      *rand.Rand
-	store       *standin.Store
-	faults      standin.Faults
-	late        float64
-	queue       schedule
-	order       int
-	clients     []*client
-	headCache   *ledger.Head
-	headVersion object.Version
-	// changed, if set, is called after each scheduled event.
-	changed func()
+	now             time.Duration
+	random          *rand.Rand
+	store           *standin.Store
+	faults          standin.Faults
+	lateProbability float64
+	queue           schedule
+	lastOrder       int
+	clients         []*client
+	headCache       *ledger.Head
+	headVersion     object.Version
+	// afterEvent, if set, is called after each scheduled event.
+	afterEvent func()
 }
 
 // client is one reader with a simulated owner, which carries out its outputs.
 type client struct {
-	world     *world
-	name      string
-	reader    *Reader
-	candidate bool
-	paused    bool
-	held      []func()
-	watches   map[Token]object.Version
-	ready     []CatalogueReady
-	done      map[Ticket]*protocol.SubmitReply
-	heads     map[Ticket]FreshHeadResult
-	// rate is how fast the client's clock runs; 1 is true time.
-	rate  float64
-	names map[string]int
-	calls int
+	world        *world
+	name         string
+	reader       *Reader
+	candidate    bool
+	paused       bool
+	queuedInputs []func()
+	watches      map[Token]object.Version
+	published    []CatalogueReady
+	results      map[Ticket]*protocol.SubmitReply
+	freshHeads   map[Ticket]FreshHeadResult
+	// clockRate is how fast the client's clock runs; 1 is true time.
+	clockRate   float64
+	eventCounts map[string]int
+	callCount   int
 }
 
 type scheduled struct {
@@ -77,9 +77,9 @@
 	return &world{random: rand.New(rand.NewPCG(seed, 1)), store: standin.NewStore(limits)}
 }
 
-func (w *world) after(delay time.Duration, run func()) {
-	w.order++
-	heap.Push(&w.queue, scheduled{at: w.now + delay, order: w.order, run: run})
+func (w *world) scheduleAfter(delay time.Duration, run func()) {
+	w.lastOrder++
+	heap.Push(&w.queue, scheduled{at: w.now + delay, order: w.lastOrder, run: run})
 }
 
 // run advances the time and runs the events that become due.
@@ -89,8 +89,8 @@
 		next := heap.Pop(&w.queue).(scheduled)
 		w.now = next.at
 		next.run()
-		if w.changed != nil {
-			w.changed()
+		if w.afterEvent != nil {
+			w.afterEvent()
 		}
 	}
 	w.now = end
@@ -98,7 +98,7 @@
 
 func (w *world) add(region string) *client {
 	name := fmt.Sprintf("%s-%d", region, len(w.clients))
-	c := &client{world: w, name: name, candidate: true, rate: 1}
+	c := &client{world: w, name: name, candidate: true, clockRate: 1}
 	w.clients = append(w.clients, c)
 	c.restart(region)
 	c.tick()
@@ -109,26 +109,26 @@
 func (c *client) restart(region string) {
 	c.reader = New(Config{ID: protocol.NodeID(c.name), Region: region, RandomSeed: c.world.random.Uint64()})
 	c.watches = map[Token]object.Version{}
-	c.done = map[Ticket]*protocol.SubmitReply{}
-	c.heads = map[Ticket]FreshHeadResult{}
-	c.names = map[string]int{}
-	c.ready = nil
+	c.results = map[Ticket]*protocol.SubmitReply{}
+	c.freshHeads = map[Ticket]FreshHeadResult{}
+	c.eventCounts = map[string]int{}
+	c.published = nil
 }
 
 // clock is the client's own clock.
 func (c *client) clock() time.Duration {
-	return time.Duration(float64(c.world.now)*c.rate) + time.Hour
+	return time.Duration(float64(c.world.now)*c.clockRate) + time.Hour
 }
 
 func (c *client) tick() {
 	c.input(func(now time.Duration) []Output { return c.reader.Tick(now, Candidacy{Candidate: c.candidate}) })
-	c.world.after(50*time.Millisecond, c.tick)
+	c.world.scheduleAfter(50*time.Millisecond, c.tick)
 }
 
 // input steps the reader; while the client is paused it queues the input.
 func (c *client) input(step func(now time.Duration) []Output) {
 	if c.paused {
-		c.held = append(c.held, func() { c.input(step) })
+		c.queuedInputs = append(c.queuedInputs, func() { c.input(step) })
 		return
 	}
 	for _, output := range step(c.clock()) {
@@ -136,10 +136,10 @@
 	}
 }
 
-func (c *client) wake() {
+func (c *client) resume() {
 	c.paused = false
-	held := c.held
-	c.held = nil
+	held := c.queuedInputs
+	c.queuedInputs = nil
 	for _, run := range held {
 		run()
 	}
@@ -148,36 +148,36 @@
 func (c *client) carryOut(output Output) {
 	switch output := output.(type) {
 	case PlatformCall:
-		c.platform(output)
+		c.callPlatform(output)
 	case StartWatch:
 		c.watches[output.Token] = output.From
 		if !c.world.store.OpenWatch(c.world.now, c.name) {
 			c.endWatch(output.Token, result.PlatformReadersFull)
 			return
 		}
-		c.world.after(time.Millisecond, c.world.deliver)
+		c.world.scheduleAfter(time.Millisecond, c.world.deliver)
 	case StopWatch:
 		delete(c.watches, output.Token)
 		c.world.store.CloseWatch(c.world.now, c.name)
 	case SubmitResult:
-		if c.done[output.Ticket] != nil {
+		if c.results[output.Ticket] != nil {
 			panic("two results for one ticket")
 		}
-		c.done[output.Ticket] = output.Reply
+		c.results[output.Ticket] = output.Reply
 	case FreshHeadResult:
-		c.heads[output.Ticket] = output
+		c.freshHeads[output.Ticket] = output
 	case CatalogueReady:
-		c.ready = append(c.ready, output)
+		c.published = append(c.published, output)
 	case LogEvent:
-		c.names[output.Name]++
+		c.eventCounts[output.Name]++
 	}
 }
 
-// platform carries out one call under the configured faults. The reader gets one
-// reply: in time, or PlatformUnknown at the call's timeout.
-func (c *client) platform(call PlatformCall) {
+// callPlatform carries out one call under the configured faults. The reader
+// gets one reply: in time, or PlatformUnknown at the call's timeout.
+func (c *client) callPlatform(call PlatformCall) {
 	w := c.world
-	c.calls++
+	c.callCount++
 	reader := c.reader
 	answered := false
 	answer := func(reply object.Reply) {
@@ -189,22 +189,22 @@
 	}
 	decision := w.faults.Decide(w.random, call.Call)
 	before, after := decision.Before+time.Millisecond, decision.After+time.Millisecond
-	if w.random.Float64() < w.late {
+	if w.random.Float64() < w.lateProbability {
 		before += time.Duration(w.random.Int64N(int64(20 * time.Second)))
 	}
-	w.after(call.Timeout, func() { answer(object.Reply{Code: result.PlatformUnknown}) })
+	w.scheduleAfter(call.Timeout, func() { answer(object.Reply{Code: result.PlatformUnknown}) })
 	if decision.Refuse {
-		w.after(after, func() { answer(object.Reply{Code: result.PlatformUnavailable}) })
+		w.scheduleAfter(after, func() { answer(object.Reply{Code: result.PlatformUnavailable}) })
 		return
 	}
 	if decision.LoseRequest {
 		return
 	}
-	w.after(before, func() {
+	w.scheduleAfter(before, func() {
 		reply := w.store.Apply(w.now, c.name, call.Call, decision.Lag)
 		w.deliver()
 		if !decision.LoseAnswer {
-			w.after(after, func() { answer(reply) })
+			w.scheduleAfter(after, func() { answer(reply) })
 		}
 	})
 }
@@ -233,7 +233,7 @@
 	reader := c.reader
 	for _, event := range w.faults.Deliver(w.random, fresh, w.store.Recent(ledger.HeadObject, from, standin.ReplayDepth)) {
 		delay := time.Duration(w.random.Int64N(int64(10 * time.Millisecond)))
-		w.after(delay, func() {
+		w.scheduleAfter(delay, func() {
 			c.input(func(now time.Duration) []Output { return reader.HandleEvent(now, token, event) })
 		})
 	}
@@ -243,7 +243,7 @@
 	delete(c.watches, token)
 	c.world.store.CloseWatch(c.world.now, c.name)
 	reader := c.reader
-	c.world.after(time.Millisecond, func() {
+	c.world.scheduleAfter(time.Millisecond, func() {
 		c.input(func(now time.Duration) []Output { return reader.HandleWatchEnded(now, token, code) })
 	})
 }
@@ -257,8 +257,9 @@
 // epoch is the wall clock at the start of virtual time, in Unix milliseconds.
 const epoch = 1_750_000_000_000
 
-// change returns a request for a file with one service, or for its withdrawal.
-func (w *world) change(operation, file string, action protocol.Action) *protocol.SubmitRequest {
+// newRequest returns a request for a file with one service, or for its
+// withdrawal.
+func (w *world) newRequest(operation, file string, action protocol.Action) *protocol.SubmitRequest {
 	id := fmt.Sprintf("%d-%016x", epoch+w.now.Milliseconds()+1, []byte(operation)[:8])
 	content := ""
 	if action != protocol.ActionWithdraw {
