--- a/internal/core/floor/floor_test.go
+++ b/internal/core/floor/floor_test.go
@@ -17,7 +17,7 @@
 	daemons  map[string]*daemon
 	releaser *Releaser
 	set      protocol.KeeperSet
-	waiting  []SendStoreRequest
+	pending  []SendStoreRequest
 }
 
 // newRegion returns a region of MaxKeepers keepers that store version 1.
@@ -26,37 +26,37 @@
 	for len(m.daemons) != MaxKeepers {
 		m = newModel(m.random.Uint64(), 1)
 	}
-	g := &region{daemons: map[string]*daemon{}, releaser: m.roots[0].releaser, set: m.heads[0]}
+	g := &region{daemons: map[string]*daemon{}, releaser: m.roots[0].releaser, set: m.keeperSets[0]}
 	for _, d := range m.daemons {
 		g.daemons[d.member.ControlAddress] = d
 	}
 	return g
 }
 
-// release makes a version the target of the releaser.
-func (g *region) release(version protocol.Version) {
-	g.take(g.releaser.SetTarget(0, 1, version, g.set))
+// setTarget makes a version the target of the releaser.
+func (g *region) setTarget(version protocol.Version) {
+	g.collect(g.releaser.SetTarget(0, 1, version, g.set))
 }
 
-func (g *region) take(outputs []Output) {
+func (g *region) collect(outputs []Output) {
 	for _, output := range outputs {
-		g.waiting = append(g.waiting, output.(SendStoreRequest))
+		g.pending = append(g.pending, output.(SendStoreRequest))
 	}
 }
 
 // deliver lets the keepers at the addresses answer the requests sent so far.
 func (g *region) deliver(addresses ...string) {
-	sent := g.waiting
-	g.waiting = nil
-	for _, store := range sent {
-		if !lo.Contains(addresses, store.Address) {
-			g.waiting = append(g.waiting, store)
+	sent := g.pending
+	g.pending = nil
+	for _, request := range sent {
+		if !lo.Contains(addresses, request.Address) {
+			g.pending = append(g.pending, request)
 			continue
 		}
-		d := g.daemons[store.Address]
-		reply := d.keeper.HandleStoreRequest(store.Request)
+		d := g.daemons[request.Address]
+		reply := d.keeper.HandleStoreRequest(request.Request)
 		reply.From, reply.Incarnation = d.member.ID, d.incarnation
-		g.take(g.releaser.HandleReply(0, store.Token, reply))
+		g.collect(g.releaser.HandleReply(0, request.Token, reply))
 	}
 }
 
@@ -68,11 +68,11 @@
 	d.keeper = NewKeeper(d.member.ID, "region")
 	learner := NewLearner(LearnerConfig{ID: d.member.ID, Region: "region", Seeds: from})
 	for _, output := range append(learner.Tick(0), learner.Tick(time.Minute)...) {
-		if ask, is := output.(SendFloorRequest); is && lo.Contains(from, ask.Address) {
-			other := g.daemons[ask.Address]
-			reply := other.keeper.HandleFloorRequest(ask.Request)
+		if request, is := output.(SendFloorRequest); is && lo.Contains(from, request.Address) {
+			other := g.daemons[request.Address]
+			reply := other.keeper.HandleFloorRequest(request.Request)
 			reply.From = other.member.ID
-			learner.HandleReply(0, ask.Token, reply)
+			learner.HandleReply(0, request.Token, reply)
 		}
 	}
 	if floor, known := learner.Floor(); known {
@@ -80,10 +80,10 @@
 	}
 }
 
-func TestReleaseNeedsAMomentWhenAQuorumHoldsTheVersion(t *testing.T) {
+func TestReleaseNeedsSimultaneousQuorum(t *testing.T) {
 	is := is.New(t)
 	g := newRegion()
-	g.release(2)
+	g.setTarget(2)
 	g.deliver("0", "1", "2", "3", "4")
 	g.restart("0", "5", "6", "7") // none of them holds version 2
 	is.True(g.daemons["0"].keeper.IsValid())
@@ -101,84 +101,84 @@
 	is := is.New(t)
 	g := newRegion()
 	g.restart("0")
-	g.release(2)
+	g.setTarget(2)
 	for range 3 {
 		g.deliver("0", "1", "2", "3", "4", "5")
 	}
 	is.Equal(g.releaser.Released(), protocol.Version(0)) // five valid replies, six needed
 	g.daemons["0"].keeper.Validate(1, g.set)
-	g.take(g.releaser.Tick(time.Second))
+	g.collect(g.releaser.Tick(time.Second))
 	g.deliver("0")
 	g.deliver("0", "1", "2", "3", "4", "5")
 	is.Equal(g.releaser.Released(), protocol.Version(2))
 }
 
-func TestOnlyQuestionsOfTheRoundConfirm(t *testing.T) {
+func TestOnlyRequestsOfTheRoundConfirm(t *testing.T) {
 	is := is.New(t)
 	g := newRegion()
-	g.release(2)
-	g.take(g.releaser.Tick(time.Second)) // each keeper gets a second request
-	late := g.waiting[MaxKeepers:]
-	g.waiting = g.waiting[:MaxKeepers]
+	g.setTarget(2)
+	g.collect(g.releaser.Tick(time.Second)) // each keeper gets a second request
+	late := g.pending[MaxKeepers:]
+	g.pending = g.pending[:MaxKeepers]
 	g.deliver("0", "1", "2", "3", "4", "5")
-	for _, store := range late { // answered before the confirmation round, received after its start
-		d := g.daemons[store.Address]
+	for _, request := range late { // answered before the confirmation round, received after its start
+		d := g.daemons[request.Address]
 		reply := &protocol.StoreReply{Code: result.OK, From: d.member.ID, Incarnation: d.incarnation, Stored: 2}
-		g.take(g.releaser.HandleReply(0, store.Token, reply))
+		g.collect(g.releaser.HandleReply(0, request.Token, reply))
 	}
 	is.Equal(g.releaser.Released(), protocol.Version(0))
 }
 
-// all are the addresses of the keepers of newRegion.
-var all = []string{"0", "1", "2", "3", "4", "5", "6", "7"}
+// allAddresses are the addresses of the keepers of newRegion.
+var allAddresses = []string{"0", "1", "2", "3", "4", "5", "6", "7"}
 
-func TestKeepersRestartInTurnWithoutThePlatform(t *testing.T) {
+func TestRollingRestartKeepsFloorWithoutThePlatform(t *testing.T) {
 	is := is.New(t)
 	g := newRegion()
-	g.release(2)
-	g.deliver(all[:6]...)
-	g.deliver(all[:6]...)
+	g.setTarget(2)
+	g.deliver(allAddresses[:6]...)
+	g.deliver(allAddresses[:6]...)
 	is.Equal(g.releaser.Released(), protocol.Version(2))
-	for _, address := range all {
-		g.restart(address, lo.Without(all, address)...)
+	for _, address := range allAddresses {
+		g.restart(address, lo.Without(allAddresses, address)...)
 		is.Equal(g.daemons[address].keeper.Stored(), protocol.Version(2))
 	}
 }
 
-func TestZoneLossStopsNeitherReleasesNorStarts(t *testing.T) {
+func TestZoneLossBlocksNeitherReleasesNorStarts(t *testing.T) {
 	is := is.New(t)
 	g := newRegion()
-	left := all[2:]
-	g.release(2)
-	g.deliver(left...)
-	g.deliver(left...)
+	remaining := allAddresses[2:]
+	g.setTarget(2)
+	g.deliver(remaining...)
+	g.deliver(remaining...)
 	is.Equal(g.releaser.Released(), protocol.Version(2))
-	g.restart("2", left[1:]...)
+	g.restart("2", remaining[1:]...)
 	is.Equal(g.daemons["2"].keeper.Stored(), protocol.Version(2))
 }
 
-func TestHerdWaitsForThePlatform(t *testing.T) {
+func TestMassRestartWaitsForThePlatform(t *testing.T) {
 	is := is.New(t)
 	g := newRegion()
-	for _, address := range all[:6] {
+	for _, address := range allAddresses[:6] {
 		g.restart(address)
 	}
-	for _, address := range all[:6] {
+	for _, address := range allAddresses[:6] {
 		g.restart(address, "6", "7") // two replies are no read quorum
 		is.True(!g.daemons[address].keeper.IsValid())
 	}
 }
 
-func TestKeeperRemembersTheNewest(t *testing.T) {
+func TestKeeperKeepsNewestVersionAndSet(t *testing.T) {
 	is := is.New(t)
 	older, newer := keeperSet(3, "a", "b", "c"), keeperSet(9, "d", "e", "f")
 	keeper := NewKeeper("a", "region")
-	ask := &protocol.FloorRequest{Region: "region"}
+	request := &protocol.FloorRequest{Region: "region"}
 	is.Equal(keeper.HandleStoreRequest(&protocol.StoreRequest{Version: 10, Keepers: newer}).Code, result.NotReadyYet)
-	is.Equal(keeper.HandleFloorRequest(ask).Code, result.NotReadyYet)
+	is.Equal(keeper.HandleFloorRequest(request).Code, result.NotReadyYet)
 	keeper.Validate(4, older)
 	is.Equal(keeper.HandleStoreRequest(&protocol.StoreRequest{Version: 5, Keepers: older}), &protocol.StoreReply{Code: result.OK, Stored: 10})
-	is.Equal(keeper.HandleFloorRequest(ask), &protocol.FloorReply{Code: result.NotKeeper, Floor: 10, Keepers: newer})
+	is.Equal(keeper.HandleFloorRequest(request), &protocol.FloorReply{Code: result.NotKeeper, Floor: 10, Keepers: newer})
 	is.Equal(keeper.HandleFloorRequest(&protocol.FloorRequest{Region: "other"}), &protocol.FloorReply{Code: result.NotKeeper})
 	is.Equal(keeper.HandleStoreRequest(&protocol.StoreRequest{Version: 99, Keepers: protocol.KeeperSet{Region: "other"}}).Code, result.NotKeeper)
 	is.Equal(keeper.Stored(), protocol.Version(10))
@@ -187,20 +187,20 @@
 func TestNewerTargetWaitsUnlessTheSetHasChanged(t *testing.T) {
 	is := is.New(t)
 	g := newRegion()
-	g.release(2)
-	g.release(3)
-	is.Equal(len(g.waiting), MaxKeepers)
+	g.setTarget(2)
+	g.setTarget(3)
+	is.Equal(len(g.pending), MaxKeepers)
 	g.set.Revision = 4
-	g.release(4)
-	is.Equal(g.waiting[len(g.waiting)-1].Request.Version, protocol.Version(4))
+	g.setTarget(4)
+	is.Equal(g.pending[len(g.pending)-1].Request.Version, protocol.Version(4))
 	for range 2 {
 		g.deliver("0", "1", "2", "3", "4", "5")
 	}
 	is.Equal(g.releaser.Released(), protocol.Version(4))
 }
 
-// answer returns the reply of a valid keeper.
-func answer(from protocol.NodeID, floor protocol.Version, set protocol.KeeperSet) *protocol.FloorReply {
+// floorReply returns the reply of a valid keeper.
+func floorReply(from protocol.NodeID, floor protocol.Version, set protocol.KeeperSet) *protocol.FloorReply {
 	return &protocol.FloorReply{Code: result.OK, From: from, Floor: floor, Keepers: set}
 }
 
@@ -223,13 +223,13 @@
 		floor   protocol.Version
 		known   bool
 	}{
-		{"one reply of two", []*protocol.FloorReply{answer("a", 7, older)}, 0, false},
-		{"the same keeper twice", []*protocol.FloorReply{answer("a", 7, older), answer("a", 7, older)}, 0, false},
-		{"a read quorum", []*protocol.FloorReply{answer("a", 5, older), answer("c", 7, older)}, 7, true},
-		{"a reply with a newer set", []*protocol.FloorReply{answer("a", 5, older), answer("c", 10, newer)}, 0, false},
-		{"a quorum of the newer set that knows only the older set", []*protocol.FloorReply{answer("a", 5, newer), answer("d", 5, older), answer("e", 5, older)}, 9, true},
-		{"only the newer set during the change", []*protocol.FloorReply{answer("d", 5, joint), answer("e", 5, joint)}, 0, false},
-		{"both sets during the change", []*protocol.FloorReply{answer("d", 5, joint), answer("e", 5, joint), answer("a", 12, older), answer("b", 5, older)}, 12, true},
+		{"one reply of two", []*protocol.FloorReply{floorReply("a", 7, older)}, 0, false},
+		{"the same keeper twice", []*protocol.FloorReply{floorReply("a", 7, older), floorReply("a", 7, older)}, 0, false},
+		{"a read quorum", []*protocol.FloorReply{floorReply("a", 5, older), floorReply("c", 7, older)}, 7, true},
+		{"a reply with a newer set", []*protocol.FloorReply{floorReply("a", 5, older), floorReply("c", 10, newer)}, 0, false},
+		{"a quorum of the newer set that knows only the older set", []*protocol.FloorReply{floorReply("a", 5, newer), floorReply("d", 5, older), floorReply("e", 5, older)}, 9, true},
+		{"only the newer set during the change", []*protocol.FloorReply{floorReply("d", 5, joint), floorReply("e", 5, joint)}, 0, false},
+		{"both sets during the change", []*protocol.FloorReply{floorReply("d", 5, joint), floorReply("e", 5, joint), floorReply("a", 12, older), floorReply("b", 5, older)}, 12, true},
 		{"keepers that are not ready", []*protocol.FloorReply{{Code: result.NotReadyYet, From: "a", Keepers: older}, {Code: result.NotReadyYet, From: "b", Keepers: older}}, 0, false},
 		{"a fresh head", []*protocol.FloorReply{{Code: result.OK, FromHead: true, Floor: 11, Keepers: newer}}, 11, true},
 		{"no head on the platform", []*protocol.FloorReply{{Code: result.OK, FromHead: true}}, 0, true},
@@ -251,7 +251,7 @@
 	}
 }
 
-func TestQuorumsMeet(t *testing.T) {
+func TestQuorumsOverlap(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= MaxKeepers; size++ {
 		write, read := QuorumSizes(size)
@@ -261,19 +261,20 @@
 	is.Equal(write+read, 0)
 }
 
-// live returns members in state alive. The first letter of a name is the zone.
-func live(names ...string) []protocol.Member {
+// aliveMembers returns members in state alive. The first letter of a name is
+// the zone.
+func aliveMembers(names ...string) []protocol.Member {
 	return lo.Map(names, func(name string, _ int) protocol.Member {
 		return protocol.Member{ID: protocol.NodeID(name), Region: "region", Zone: name[:1], ControlAddress: name, State: protocol.MemberAlive}
 	})
 }
 
-func TestKeepersAreSpreadOverZonesAndKept(t *testing.T) {
+func TestKeepersAreSpreadOverZonesAndStable(t *testing.T) {
 	is := is.New(t)
-	members := live("a1", "a2", "a3", "a4", "b1", "b2", "b3", "c1", "c2", "c3", "d1", "d2", "d3")
+	members := aliveMembers("a1", "a2", "a3", "a4", "b1", "b2", "b3", "c1", "c2", "c3", "d1", "d2", "d3")
 	first, changed := ChooseKeepers("region", protocol.KeeperSet{}, members, 0)
 	is.True(changed)
-	is.Equal(zones(first), map[string]int{"a": 2, "b": 2, "c": 2, "d": 2})
+	is.Equal(keepersByZone(first), map[string]int{"a": 2, "b": 2, "c": 2, "d": 2})
 	is.Equal(first.Write, 6)
 	is.True(first.Previous == nil)
 	first.Revision = 1
@@ -282,27 +283,27 @@
 	_, changed = ChooseKeepers("region", first, reversed, 0)
 	is.True(!changed)
 
-	gone := string(first.Members[0].ID)
-	left := lo.Reject(members, func(member protocol.Member, _ int) bool { return string(member.ID) == gone })
-	second, changed := ChooseKeepers("region", first, left, 0)
+	lostKeeper := string(first.Members[0].ID)
+	remaining := lo.Reject(members, func(member protocol.Member, _ int) bool { return string(member.ID) == lostKeeper })
+	second, changed := ChooseKeepers("region", first, remaining, 0)
 	is.True(changed)
 	is.Equal(second.Previous.Members, first.Members)
 	is.Equal(len(lo.Intersect(ids(first), ids(second))), MaxKeepers-1) // only the lost one is replaced
-	is.Equal(zones(second), zones(first))
+	is.Equal(keepersByZone(second), keepersByZone(first))
 
 	second.Revision = 5
-	_, changed = ChooseKeepers("region", second, left, 4)
+	_, changed = ChooseKeepers("region", second, remaining, 4)
 	is.True(!changed) // not released with both sets in the head yet
-	again, changed := ChooseKeepers("region", second, left[1:], 4)
-	is.Equal(changed, lo.Contains(ids(second), left[0].ID))
-	is.Equal(again.Previous.Members, first.Members) // the older set stays until the change is complete
-	third, changed := ChooseKeepers("region", second, left, 5)
+	changedAgain, changed := ChooseKeepers("region", second, remaining[1:], 4)
+	is.Equal(changed, lo.Contains(ids(second), remaining[0].ID))
+	is.Equal(changedAgain.Previous.Members, first.Members) // the older set stays until the change is complete
+	third, changed := ChooseKeepers("region", second, remaining, 5)
 	is.True(changed)
 	is.True(third.Previous == nil)
 	is.Equal(third.Members, second.Members)
 }
 
-func zones(set protocol.KeeperSet) map[string]int {
+func keepersByZone(set protocol.KeeperSet) map[string]int {
 	return lo.CountValuesBy(set.Members, func(member protocol.KeeperMember) string { return string(member.ID)[:1] })
 }
 
--- a/internal/core/floor/keeper.go
+++ b/internal/core/floor/keeper.go
@@ -10,71 +10,72 @@
 // store requests. The stored version only grows, so that requests of a root
 // that resumes after a pause can't lower it.
 type Keeper struct {
-	id     protocol.NodeID
-	region string
-	valid  bool
-	stored protocol.Version
-	set    protocol.KeeperSet
+	id        protocol.NodeID
+	region    string
+	isValid   bool
+	stored    protocol.Version
+	keeperSet protocol.KeeperSet
 }
 
 // NewKeeper returns a keeper that is not valid yet.
 func NewKeeper(id protocol.NodeID, region string) *Keeper {
-	return &Keeper{id: id, region: region, set: protocol.KeeperSet{Region: region}}
+	return &Keeper{id: id, region: region, keeperSet: protocol.KeeperSet{Region: region}}
 }
 
 // Validate makes the keeper valid once the daemon knows its own floor. It is
 // called again with each newer keeper set.
 func (k *Keeper) Validate(floor protocol.Version, set protocol.KeeperSet) {
-	k.valid = true
+	k.isValid = true
 	k.stored = max(k.stored, floor)
-	k.follow(set)
+	k.updateKeeperSet(set)
 }
 
-// follow replaces the keeper set by a newer one of the keeper's region.
-func (k *Keeper) follow(set protocol.KeeperSet) {
-	if set.Region == k.region && set.Revision > k.set.Revision {
-		k.set = set
+// updateKeeperSet replaces the keeper set by a newer one of the keeper's region.
+func (k *Keeper) updateKeeperSet(set protocol.KeeperSet) {
+	if set.Region == k.region && set.Revision > k.keeperSet.Revision {
+		k.keeperSet = set
 	}
 }
 
-// Valid reports whether the keeper's answers count.
-func (k *Keeper) IsValid() bool { return k.valid }
+// IsValid reports whether the keeper's replies count towards a quorum.
+func (k *Keeper) IsValid() bool { return k.isValid }
 
 // Stored returns the highest version stored.
 func (k *Keeper) Stored() protocol.Version { return k.stored }
 
 // Set returns the newest keeper set known.
-func (k *Keeper) Set() protocol.KeeperSet { return k.set }
+func (k *Keeper) Set() protocol.KeeperSet { return k.keeperSet }
 
-// Store stores a version and the keeper set in the head at that version. A
-// keeper that is not valid stores them too, but its reply does not count towards
-// a quorum: it may have stored a released version before it restarted and lost
-// its state.
+// HandleStoreRequest stores a version and the keeper set in the head at that
+// version. A keeper that is not valid stores them too, but its reply does not
+// count towards a quorum: it may have stored a released version before it
+// restarted and lost its state.
 func (k *Keeper) HandleStoreRequest(request *protocol.StoreRequest) *protocol.StoreReply {
 	if request.Keepers.Region != k.region {
 		return &protocol.StoreReply{Code: result.NotKeeper}
 	}
 	k.stored = max(k.stored, request.Version)
-	k.follow(request.Keepers)
+	k.updateKeeperSet(request.Keepers)
 	reply := &protocol.StoreReply{Code: result.OK, Stored: k.stored}
-	if !k.valid {
+	if !k.isValid {
 		reply.Code = result.NotReadyYet
 	}
 	return reply
 }
 
-// Answer answers a request for the floor from memory, never from the platform.
-// NotKeeper means that the daemon is valid but not a member of the newest set it
-// knows. The caller sets From, Peers and Incarnation of the reply.
+// HandleFloorRequest answers a request for the floor from memory, never from
+// the platform. NotKeeper means that the daemon is valid but not a member of
+// the newest set it knows. The caller sets From, Peers and Incarnation of the
+// reply.
 func (k *Keeper) HandleFloorRequest(request *protocol.FloorRequest) *protocol.FloorReply {
 	if request.Region != k.region {
 		return &protocol.FloorReply{Code: result.NotKeeper}
 	}
-	if !k.valid {
-		return &protocol.FloorReply{Code: result.NotReadyYet, Keepers: k.set}
+	if !k.isValid {
+		return &protocol.FloorReply{Code: result.NotReadyYet, Keepers: k.keeperSet}
 	}
-	reply := &protocol.FloorReply{Code: result.OK, Floor: k.stored, Keepers: k.set}
-	if !isMember(k.set, k.id) {
+	reply := &protocol.FloorReply{Code: result.OK, Floor: k.stored, Keepers: k.keeperSet}
+	if !isMember(k.keeperSet, k.id) {
 		reply.Code = result.NotKeeper
 	}
 	return reply
--- a/internal/core/floor/learner.go
+++ b/internal/core/floor/learner.go
@@ -13,20 +13,20 @@
 
 // Time-outs and limits of a Learner.
 const (
-	// askTimeout bounds a request that a daemon answers from memory.
-	askTimeout = time.Second
-	// headTimeout bounds a request for which a reader first reads the head.
-	headTimeout = 3 * time.Second
-	// askBase and askCap are the first and the largest limit of the jittered
-	// wait between rounds; the limit doubles with each round.
-	askBase = 200 * time.Millisecond
-	askCap  = 3 * time.Second
-	// strangersAsked is how many daemons outside the keeper set are queried in a
+	// floorRequestTimeout bounds a request that a daemon answers from memory.
+	floorRequestTimeout = time.Second
+	// freshHeadTimeout bounds a request for which a reader first reads the head.
+	freshHeadTimeout = 3 * time.Second
+	// roundWaitBase and roundWaitCap are the first and the largest limit of the
+	// jittered wait between rounds; the limit doubles with each round.
+	roundWaitBase = 200 * time.Millisecond
+	roundWaitCap  = 3 * time.Second
+	// othersPerRound is how many daemons outside the keeper set are queried in a
 	// round.
-	strangersAsked = 3
-	// roundsBeforeHead is the number of rounds before a reader is asked for a
-	// fresh head.
-	roundsBeforeHead = 2
+	othersPerRound = 3
+	// roundsBeforeFreshHead is the number of rounds before a reader is asked
+	// for a fresh head.
+	roundsBeforeFreshHead = 2
 	// maxPeers bounds the number of known peers.
 	maxPeers = 64
 )
@@ -52,17 +52,17 @@
 	config LearnerConfig
 	random *rand.Rand
 
-	set     protocol.KeeperSet
-	answers map[protocol.NodeID]bool
-	highest protocol.Version
-	peers   map[protocol.NodeID]protocol.Member
+	keeperSet    protocol.KeeperSet
+	validReplies map[protocol.NodeID]bool
+	highestFloor protocol.Version
+	peers        map[protocol.NodeID]protocol.Member
 
-	lastToken Token
-	pending   map[Token]bool
-	rounds    int
-	askAt     time.Duration
+	lastToken   Token
+	pending     map[Token]bool
+	roundCount  int
+	nextRoundAt time.Duration
 
-	known       bool
+	isKnown     bool
 	floor       protocol.Version
 	incarnation protocol.Incarnation
 }
@@ -70,51 +70,51 @@
 // NewLearner returns a Learner whose floor is not known yet.
 func NewLearner(config LearnerConfig) *Learner {
 	return &Learner{
-		config:  config,
-		random:  rand.New(rand.NewPCG(config.RandomSeed, config.RandomSeed)),
-		set:     protocol.KeeperSet{Region: config.Region},
-		answers: map[protocol.NodeID]bool{},
-		peers:   map[protocol.NodeID]protocol.Member{},
-		pending: map[Token]bool{},
+		config:       config,
+		random:       rand.New(rand.NewPCG(config.RandomSeed, config.RandomSeed)),
+		keeperSet:    protocol.KeeperSet{Region: config.Region},
+		validReplies: map[protocol.NodeID]bool{},
+		peers:        map[protocol.NodeID]protocol.Member{},
+		pending:      map[Token]bool{},
 	}
 }
 
 // Tick starts a round of requests when one is due.
 func (l *Learner) Tick(now time.Duration) []Output {
-	if l.known || now < l.askAt {
+	if l.isKnown || now < l.nextRoundAt {
 		return nil
 	}
-	return l.round(now)
+	return l.startRound(now)
 }
 
-// round queries the keepers without a valid reply and some other daemons and,
-// after roundsBeforeHead rounds, also asks a reader for a fresh head.
-func (l *Learner) round(now time.Duration) []Output {
-	limit := min(askCap, askBase<<min(l.rounds, 8))
-	l.askAt = now + limit/4 + time.Duration(l.random.Int64N(int64(limit)))
-	l.rounds++
+// startRound queries the keepers without a valid reply and some other daemons
+// and, after roundsBeforeFreshHead rounds, also asks a reader for a fresh head.
+func (l *Learner) startRound(now time.Duration) []Output {
+	limit := min(roundWaitCap, roundWaitBase<<min(l.roundCount, 8))
+	l.nextRoundAt = now + limit/4 + time.Duration(l.random.Int64N(int64(limit)))
+	l.roundCount++
 	outputs := []Output{ReadHead{}}
 	for _, address := range l.keeperAddresses() {
-		outputs = append(outputs, l.ask(address, false))
+		outputs = append(outputs, l.newRequest(address, false))
 	}
-	for _, address := range l.strangers() {
-		outputs = append(outputs, l.ask(address, false))
+	for _, address := range l.otherAddresses() {
+		outputs = append(outputs, l.newRequest(address, false))
 	}
-	if l.rounds > roundsBeforeHead {
+	if l.roundCount > roundsBeforeFreshHead {
 		if address, found := l.readerAddress(); found {
-			outputs = append(outputs, l.ask(address, true))
+			outputs = append(outputs, l.newRequest(address, true))
 		}
 	}
 	return outputs
 }
 
-func (l *Learner) ask(address string, freshHead bool) Output {
+func (l *Learner) newRequest(address string, freshHead bool) Output {
 	l.lastToken++
 	l.pending[l.lastToken] = true
 	return SendFloorRequest{
 		Token:   l.lastToken,
 		Address: address,
-		Timeout: lo.Ternary(freshHead, headTimeout, askTimeout),
+		Timeout: lo.Ternary(freshHead, freshHeadTimeout, floorRequestTimeout),
 		Request: &protocol.FloorRequest{
 			Format:    protocol.Format,
 			Region:    l.config.Region,
@@ -127,8 +127,8 @@
 // keeperAddresses returns the addresses of the keepers without a valid reply.
 func (l *Learner) keeperAddresses() []string {
 	var addresses []string
-	for _, member := range allMembers(l.set) {
-		if l.answers[member.ID] || member.ID == l.config.ID {
+	for _, member := range allMembers(l.keeperSet) {
+		if l.validReplies[member.ID] || member.ID == l.config.ID {
 			continue
 		}
 		address := member.ControlAddress
@@ -140,13 +140,13 @@
 	return addresses
 }
 
-// strangers returns some random addresses of other daemons and seeds. Their
+// otherAddresses returns some random addresses of other daemons and seeds. Their
 // replies may contain newer keeper sets, readers and other members.
-func (l *Learner) strangers() []string {
+func (l *Learner) otherAddresses() []string {
 	addresses := l.knownAddresses(func(protocol.Member) bool { return true })
 	addresses = lo.Without(lo.Uniq(append(addresses, l.config.Seeds...)), l.keeperAddresses()...)
 	l.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	return addresses[:min(len(addresses), strangersAsked)]
+	return addresses[:min(len(addresses), othersPerRound)]
 }
 
 // readerAddress returns the address of a random reader, or of a random seed if
@@ -163,59 +163,60 @@
 }
 
 // knownAddresses returns the addresses of the wanted peers, ordered by id.
-func (l *Learner) knownAddresses(wanted func(protocol.Member) bool) []string {
+func (l *Learner) knownAddresses(isWanted func(protocol.Member) bool) []string {
 	members := lo.Filter(l.Peers(), func(member protocol.Member, _ int) bool {
-		return wanted(member) && member.ID != l.config.ID
+		return isWanted(member) && member.ID != l.config.ID
 	})
 	return lo.Map(members, func(member protocol.Member, _ int) string { return member.ControlAddress })
 }
 
-// HandleReply handles the reply to an AskFloor; nil means that it timed out or
-// failed.
+// HandleReply handles the reply to a SendFloorRequest; nil means that it timed
+// out or failed.
 func (l *Learner) HandleReply(now time.Duration, token Token, reply *protocol.FloorReply) []Output {
 	if !l.pending[token] {
 		return nil
 	}
 	delete(l.pending, token)
-	if reply == nil || l.known {
+	if reply == nil || l.isKnown {
 		return nil
 	}
 	l.AddPeers(reply.Peers)
 	l.incarnation = max(l.incarnation, reply.Incarnation)
-	newSet := l.follow(reply.Keepers)
+	isNewSet := l.updateKeeperSet(reply.Keepers)
 	if reply.FromHead && reply.Code == result.OK {
-		l.conclude(reply.Floor)
+		l.setFloor(reply.Floor)
 		return nil
 	}
-	l.count(reply)
+	l.countReply(reply)
 	if l.hasQuorum() {
-		l.conclude(max(l.highest, l.set.Revision))
+		l.setFloor(max(l.highestFloor, l.keeperSet.Revision))
 		return nil
 	}
-	if newSet {
-		return l.round(now)
+	if isNewSet {
+		return l.startRound(now)
 	}
 	return nil
 }
 
-// follow replaces the keeper set by a newer one and reports whether it did.
-func (l *Learner) follow(set protocol.KeeperSet) bool {
-	if set.Region != l.config.Region || set.Revision <= l.set.Revision {
+// updateKeeperSet replaces the keeper set by a newer one and reports whether it
+// did.
+func (l *Learner) updateKeeperSet(set protocol.KeeperSet) bool {
+	if set.Region != l.config.Region || set.Revision <= l.keeperSet.Revision {
 		return false
 	}
-	l.set = set
+	l.keeperSet = set
 	return true
 }
 
-// count records the reply of a valid keeper. NotKeeper counts as well: such a
-// daemon is valid, and may not have received the set yet that it is in.
-func (l *Learner) count(reply *protocol.FloorReply) {
-	valid := reply.Code == result.OK || reply.Code == result.NotKeeper
-	if !valid || reply.From == "" || reply.From == l.config.ID {
+// countReply records the reply of a valid keeper. NotKeeper counts as well:
+// such a daemon is valid, and may not have received the set yet that it is in.
+func (l *Learner) countReply(reply *protocol.FloorReply) {
+	isValid := reply.Code == result.OK || reply.Code == result.NotKeeper
+	if !isValid || reply.From == "" || reply.From == l.config.ID {
 		return
 	}
-	l.answers[reply.From] = true
-	l.highest = max(l.highest, reply.Floor)
+	l.validReplies[reply.From] = true
+	l.highestFloor = max(l.highestFloor, reply.Floor)
 }
 
 // hasQuorum reports whether the replies form a read quorum of the newest set
@@ -223,14 +224,14 @@
 // revision of that set, which is itself a version: every version released with
 // an older set in the head is below it.
 func (l *Learner) hasQuorum() bool {
-	if l.set.Revision == 0 {
+	if l.keeperSet.Revision == 0 {
 		return false
 	}
-	return HasReadQuorum(l.set, func(id protocol.NodeID) bool { return l.answers[id] })
+	return HasReadQuorum(l.keeperSet, func(id protocol.NodeID) bool { return l.validReplies[id] })
 }
 
-func (l *Learner) conclude(floor protocol.Version) {
-	l.known = true
+func (l *Learner) setFloor(floor protocol.Version) {
+	l.isKnown = true
 	l.floor = floor
 	l.pending = map[Token]bool{}
 }
@@ -238,13 +239,13 @@
 // HandleHead handles a head that the daemon's own reader has read after
 // ReadHead.
 func (l *Learner) HandleHead(now time.Duration, version protocol.Version, sets []protocol.KeeperSet) []Output {
-	if l.known {
+	if l.isKnown {
 		return nil
 	}
 	for _, set := range sets {
-		l.follow(set)
+		l.updateKeeperSet(set)
 	}
-	l.conclude(version)
+	l.setFloor(version)
 	return nil
 }
 
@@ -262,10 +263,10 @@
 }
 
 // Floor returns the floor, and false while it is not known.
-func (l *Learner) Floor() (protocol.Version, bool) { return l.floor, l.known }
+func (l *Learner) Floor() (protocol.Version, bool) { return l.floor, l.isKnown }
 
 // Keepers returns the newest keeper set of the region received so far.
-func (l *Learner) Keepers() protocol.KeeperSet { return l.set }
+func (l *Learner) Keepers() protocol.KeeperSet { return l.keeperSet }
 
 // Incarnation returns the highest incarnation of this daemon that any reply
 // contained.
--- a/internal/core/floor/model_test.go
+++ b/internal/core/floor/model_test.go
@@ -20,17 +20,17 @@
 	// random draws the steps, so that the drawn number of steps can shrink.
 	random *rand.Rand
 	now    time.Duration
-	// heads holds the keeper set in the head at each version from 1 on.
-	heads   []protocol.KeeperSet
-	daemons []*daemon
-	roots   []*root
-	network []message
-	// held is the set of routes on which messages are delayed.
-	held map[route]bool
+	// keeperSets holds the keeper set in the head at each version from 1 on.
+	keeperSets []protocol.KeeperSet
+	daemons    []*daemon
+	roots      []*root
+	network    []message
+	// delayed is the set of routes on which messages are delayed.
+	delayed map[route]bool
 	// released is the highest version that any root has released.
 	released protocol.Version
-	// floors counts the floors learnt from keepers alone.
-	floors int
+	// floorsLearnt counts the floors that daemons have obtained.
+	floorsLearnt int
 }
 
 // route is a kind of message to or from one daemon.
@@ -43,8 +43,8 @@
 type messageKind int
 
 const (
-	kindAsk messageKind = iota
-	kindStore
+	kindFloorRequest messageKind = iota
+	kindStoreRequest
 )
 
 // message is a request or reply in flight.
@@ -60,41 +60,41 @@
 	incarnation protocol.Incarnation
 	keeper      *Keeper
 	learner     *Learner
-	// atStart is the highest version released when the learner was created: the
-	// highest that this daemon may have used before it restarted.
-	atStart protocol.Version
-	// headAt is set once the learner has requested a fresh head.
-	headAt bool
+	// releasedAtStart is the highest version released when the learner was
+	// created: the highest that this daemon may have used before it restarted.
+	releasedAtStart protocol.Version
+	// freshHeadRequested is set once the learner has requested a fresh head.
+	freshHeadRequested bool
 }
 
 // root is a daemon in the root role; several may be active at the same time.
 type root struct {
 	releaser *Releaser
-	// seen is the version of the newest head that it has read.
-	seen protocol.Version
+	// seenVersion is the version of the newest head that it has read.
+	seenVersion protocol.Version
 }
 
 func newModel(seed uint64, roots int) *model {
-	m := &model{random: rand.New(rand.NewPCG(seed, seed)), held: map[route]bool{}}
+	m := &model{random: rand.New(rand.NewPCG(seed, seed)), delayed: map[route]bool{}}
 	daemons := 1 + m.random.IntN(10)
 	for i := range daemons {
-		d := &daemon{number: i, incarnation: 1, keeper: NewKeeper(name(i), "region")}
-		d.member = protocol.Member{ID: name(i), Region: "region", Zone: fmt.Sprint(i % 3), ControlAddress: fmt.Sprint(i), State: protocol.MemberAlive}
+		d := &daemon{number: i, incarnation: 1, keeper: NewKeeper(daemonID(i), "region")}
+		d.member = protocol.Member{ID: daemonID(i), Region: "region", Zone: fmt.Sprint(i % 3), ControlAddress: fmt.Sprint(i), State: protocol.MemberAlive}
 		m.daemons = append(m.daemons, d)
 	}
 	first, _ := ChooseKeepers("region", protocol.KeeperSet{}, m.members(daemons), 0)
 	first.Revision = 1
-	m.heads = []protocol.KeeperSet{first}
+	m.keeperSets = []protocol.KeeperSet{first}
 	for _, d := range m.daemons {
 		d.keeper.Validate(1, first)
 	}
 	for range roots {
-		m.roots = append(m.roots, &root{releaser: NewReleaser("root", "region"), seen: 1})
+		m.roots = append(m.roots, &root{releaser: NewReleaser("root", "region"), seenVersion: 1})
 	}
 	return m
 }
 
-func name(i int) protocol.NodeID { return protocol.NodeID(fmt.Sprintf("daemon-%d", i)) }
+func daemonID(i int) protocol.NodeID { return protocol.NodeID(fmt.Sprintf("daemon-%d", i)) }
 
 func (m *model) members(count int) []protocol.Member {
 	var members []protocol.Member
@@ -104,16 +104,16 @@
 	return members
 }
 
-func (m *model) head() protocol.Version { return protocol.Version(len(m.heads)) }
+func (m *model) headVersion() protocol.Version { return protocol.Version(len(m.keeperSets)) }
 
-func (m *model) setAt(version protocol.Version) protocol.KeeperSet { return m.heads[version-1] }
+func (m *model) setAt(version protocol.Version) protocol.KeeperSet { return m.keeperSets[version-1] }
 
 // restart restarts a daemon without any of its state.
 func (m *model) restart(d *daemon) {
 	d.incarnation++
 	d.keeper = NewKeeper(d.member.ID, "region")
-	d.atStart = m.released
-	d.headAt = false
+	d.releasedAtStart = m.released
+	d.freshHeadRequested = false
 	d.learner = NewLearner(LearnerConfig{
 		ID:         d.member.ID,
 		Region:     "region",
@@ -125,31 +125,31 @@
 // accept appends a head. A keeper set derived from an older set is dropped, as
 // update-if-version would do.
 func (m *model) accept(proposed *protocol.KeeperSet) {
-	set := m.setAt(m.head())
+	set := m.setAt(m.headVersion())
 	if proposed != nil {
 		if proposed.Revision != set.Revision {
 			return
 		}
 		set = *proposed
-		set.Revision = m.head() + 1
+		set.Revision = m.headVersion() + 1
 	}
-	m.heads = append(m.heads, set)
+	m.keeperSets = append(m.keeperSets, set)
 }
 
 func (m *model) carryOut(t *rapid.T, d *daemon, r *root, outputs []Output) {
 	for _, output := range outputs {
 		switch output := output.(type) {
 		case SendFloorRequest:
-			m.ask(t, d, output)
+			m.sendFloorRequest(t, d, output)
 		case SendStoreRequest:
-			m.store(t, r, output)
+			m.sendStoreRequest(t, r, output)
 		case ReadHead:
-			d.headAt = true
+			d.freshHeadRequested = true
 		}
 	}
 }
 
-func (m *model) at(address string) *daemon {
+func (m *model) daemonAt(address string) *daemon {
 	for _, d := range m.daemons {
 		if d.member.ControlAddress == address {
 			return d
@@ -158,51 +158,51 @@
 	return nil
 }
 
-func (m *model) ask(t *rapid.T, from *daemon, ask SendFloorRequest) {
+func (m *model) sendFloorRequest(t *rapid.T, from *daemon, request SendFloorRequest) {
 	learner := from.learner
-	to := m.at(ask.Address)
+	to := m.daemonAt(request.Address)
 	if to == nil {
 		return
 	}
-	way := route{kind: kindAsk, daemon: to.number}
-	m.send(way, func() {
-		reply := to.keeper.HandleFloorRequest(ask.Request)
+	path := route{kind: kindFloorRequest, daemon: to.number}
+	m.send(path, func() {
+		reply := to.keeper.HandleFloorRequest(request.Request)
 		reply.From = to.member.ID
-		m.send(way, func() {
+		m.send(path, func() {
 			if from.learner != learner {
 				return
 			}
-			m.carryOut(t, from, nil, learner.HandleReply(m.now, ask.Token, reply))
-			m.learnt(t, from)
+			m.carryOut(t, from, nil, learner.HandleReply(m.now, request.Token, reply))
+			m.checkFloor(t, from)
 		})
 	})
 }
 
-func (m *model) store(t *rapid.T, r *root, store SendStoreRequest) {
+func (m *model) sendStoreRequest(t *rapid.T, r *root, request SendStoreRequest) {
 	releaser := r.releaser
-	to := m.at(store.Address)
-	way := route{kind: kindStore, daemon: to.number}
-	m.send(way, func() {
-		reply := to.keeper.HandleStoreRequest(store.Request)
+	to := m.daemonAt(request.Address)
+	path := route{kind: kindStoreRequest, daemon: to.number}
+	m.send(path, func() {
+		reply := to.keeper.HandleStoreRequest(request.Request)
 		reply.From = to.member.ID
 		reply.Incarnation = to.incarnation
-		m.send(way, func() {
+		m.send(path, func() {
 			if r.releaser != releaser {
 				return
 			}
-			m.carryOut(t, nil, r, releaser.HandleReply(m.now, store.Token, reply))
+			m.carryOut(t, nil, r, releaser.HandleReply(m.now, request.Token, reply))
 			m.released = max(m.released, releaser.Released())
 		})
 	})
 }
 
-func (m *model) send(way route, deliver func()) {
-	m.network = append(m.network, message{route: way, deliver: deliver})
+func (m *model) send(path route, deliver func()) {
+	m.network = append(m.network, message{route: path, deliver: deliver})
 }
 
-// learnt checks a daemon's floor once it is known: it must not be below any
+// checkFloor checks a daemon's floor once it is known: it must not be below any
 // version released before the daemon restarted.
-func (m *model) learnt(t *rapid.T, d *daemon) {
+func (m *model) checkFloor(t *rapid.T, d *daemon) {
 	if d.learner == nil {
 		return
 	}
@@ -210,23 +210,23 @@
 	if !known {
 		return
 	}
-	if floor < d.atStart {
-		t.Fatalf("%s has floor %d but may have used version %d before its restart", d.member.ID, floor, d.atStart)
+	if floor < d.releasedAtStart {
+		t.Fatalf("%s has floor %d but may have used version %d before its restart", d.member.ID, floor, d.releasedAtStart)
 	}
 	d.keeper.Validate(floor, d.learner.Keepers())
 	d.learner = nil
-	m.floors++
+	m.floorsLearnt++
 }
 
 // checkQuorums checks that no learner could conclude a floor that is too low,
 // even if none is learning now: no recent keeper set has a read quorum of valid
 // keepers that know neither the released version nor a newer set.
 func (m *model) checkQuorums(t *rapid.T) {
-	for _, set := range m.configurations() {
+	for _, set := range m.recentSets() {
 		if set.Revision > m.released {
 			continue
 		}
-		ignorant := func(id protocol.NodeID) bool {
+		lacksVersion := func(id protocol.NodeID) bool {
 			for _, d := range m.daemons {
 				if d.member.ID == id {
 					return d.keeper.IsValid() && d.keeper.Stored() < m.released && d.keeper.Set().Revision <= set.Revision
@@ -234,15 +234,15 @@
 			}
 			return false
 		}
-		if HasReadQuorum(set, ignorant) {
+		if HasReadQuorum(set, lacksVersion) {
 			t.Fatalf("version %d is released, but a read quorum of set %d may not have stored it", m.released, set.Revision)
 		}
 	}
 }
 
-// configurations returns the last six distinct keeper sets of the heads.
-func (m *model) configurations() []protocol.KeeperSet {
-	sets := lo.UniqBy(m.heads, func(set protocol.KeeperSet) protocol.Version { return set.Revision })
+// recentSets returns the last six distinct keeper sets of the heads.
+func (m *model) recentSets() []protocol.KeeperSet {
+	sets := lo.UniqBy(m.keeperSets, func(set protocol.KeeperSet) protocol.Version { return set.Revision })
 	return sets[max(0, len(sets)-6):]
 }
 
@@ -256,12 +256,12 @@
 	r := m.roots[m.random.IntN(len(m.roots))]
 	switch action := m.random.IntN(100); {
 	case action < 10:
-		m.held[route{kind: messageKind(m.random.IntN(2)), daemon: d.number}] = m.random.IntN(2) == 0
+		m.delayed[route{kind: messageKind(m.random.IntN(2)), daemon: d.number}] = m.random.IntN(2) == 0
 	case action < 13:
-		m.held = map[route]bool{}
+		m.delayed = map[route]bool{}
 	case action < 17:
 		if d.keeper.IsValid() { // learns the keeper set of some head from a peer
-			d.keeper.Validate(0, m.setAt(1+protocol.Version(m.random.IntN(len(m.heads)))))
+			d.keeper.Validate(0, m.setAt(1+protocol.Version(m.random.IntN(len(m.keeperSets)))))
 		}
 	case action < 30:
 		m.tick(t)
@@ -271,18 +271,18 @@
 		m.accept(nil)
 	case action < 74:
 		live := max(1+m.random.IntN(len(m.daemons)), 1+m.random.IntN(len(m.daemons)))
-		if next, changed := ChooseKeepers("region", m.setAt(r.seen), m.members(live), r.releaser.Released()); changed {
+		if next, changed := ChooseKeepers("region", m.setAt(r.seenVersion), m.members(live), r.releaser.Released()); changed {
 			m.accept(&next)
 		}
 	case action < 94:
-		r.seen = m.head()
-		m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seen, m.setAt(r.seen)))
+		r.seenVersion = m.headVersion()
+		m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seenVersion, m.setAt(r.seenVersion)))
 	case action < 96:
-		*r = root{releaser: NewReleaser("root", "region"), seen: r.seen}
+		*r = root{releaser: NewReleaser("root", "region"), seenVersion: r.seenVersion}
 	case action < 99:
-		if d.learner != nil && d.headAt {
-			d.learner.HandleHead(m.now, m.head(), []protocol.KeeperSet{m.setAt(m.head())})
-			m.learnt(t, d)
+		if d.learner != nil && d.freshHeadRequested {
+			d.learner.HandleHead(m.now, m.headVersion(), []protocol.KeeperSet{m.setAt(m.headVersion())})
+			m.checkFloor(t, d)
 		}
 	default:
 		m.network = nil
@@ -296,7 +296,7 @@
 	if m.random.IntN(2) == 0 {
 		i = m.random.IntN(min(4, max(1, len(m.network))))
 	}
-	for i < len(m.network) && m.held[m.network[i].route] {
+	for i < len(m.network) && m.delayed[m.network[i].route] {
 		i++
 	}
 	if i >= len(m.network) {
@@ -327,17 +327,17 @@
 // recover ends all faults and expects that within 40 rounds every daemon obtains
 // its floor and the newest version is released.
 func (m *model) recover(t *rapid.T) {
-	m.held = map[route]bool{}
+	m.delayed = map[route]bool{}
 	for range 40 {
 		m.tick(t)
 		for _, r := range m.roots {
-			r.seen = m.head()
-			m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seen, m.setAt(r.seen)))
+			r.seenVersion = m.headVersion()
+			m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seenVersion, m.setAt(r.seenVersion)))
 		}
 		for _, d := range m.daemons {
-			if d.learner != nil && d.headAt {
-				d.learner.HandleHead(m.now, m.head(), []protocol.KeeperSet{m.setAt(m.head())})
-				m.learnt(t, d)
+			if d.learner != nil && d.freshHeadRequested {
+				d.learner.HandleHead(m.now, m.headVersion(), []protocol.KeeperSet{m.setAt(m.headVersion())})
+				m.checkFloor(t, d)
 			}
 		}
 		for len(m.network) > 0 {
@@ -352,15 +352,15 @@
 			t.Fatalf("%s does not know its floor after the faults ended", d.member.ID)
 		}
 	}
-	if m.released != m.head() {
-		t.Fatalf("released version %d after the faults ended, want %d", m.released, m.head())
+	if m.released != m.headVersion() {
+		t.Fatalf("released version %d after the faults ended, want %d", m.released, m.headVersion())
 	}
 }
 
 // modelSteps is the maximum number of steps in one run of the model.
 const modelSteps = 1500
 
-func TestFloorIsNeverBelowWhatWasReleased(t *testing.T) {
+func TestFloorIsNeverBelowReleasedVersion(t *testing.T) {
 	var floors, released int
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "seed")), 2)
@@ -369,7 +369,7 @@
 			m.checkQuorums(t)
 		}
 		m.recover(t)
-		floors += m.floors
+		floors += m.floorsLearnt
 		released += int(m.released)
 	})
 	t.Logf("floors learnt: %d, versions released: %d", floors, released)
--- a/internal/core/floor/output.go
+++ b/internal/core/floor/output.go
@@ -12,8 +12,8 @@
 // Output is an action that the owner of a Learner or Releaser must carry out.
 type Output interface{ output() }
 
-// AskFloor sends the request to the daemon at Address. The reply, or nil after
-// Timeout, must be passed to Learner.HandleReply.
+// SendFloorRequest sends the request to the daemon at Address. The reply, or
+// nil after Timeout, must be passed to Learner.HandleReply.
 type SendFloorRequest struct {
 	Token   Token
 	Address string
@@ -25,7 +25,7 @@
 // lease. The head's version must be passed to Learner.HandleHead.
 type ReadHead struct{}
 
-// StoreVersion sends the request to the keeper at Address. The reply, or nil
+// SendStoreRequest sends the request to the keeper at Address. The reply, or nil
 // after Timeout, must be passed to Releaser.HandleReply.
 type SendStoreRequest struct {
 	Token   Token
@@ -34,6 +34,6 @@
 	Timeout time.Duration
 }
 
-func (SendFloorRequest) output()     {}
-func (ReadHead) output()     {}
+func (SendFloorRequest) output() {}
+func (ReadHead) output()         {}
 func (SendStoreRequest) output() {}
--- a/internal/core/floor/releaser.go
+++ b/internal/core/floor/releaser.go
@@ -12,10 +12,12 @@
 const (
 	// storeTimeout bounds a store request.
 	storeTimeout = time.Second
-	// storeRetry is the interval at which requests without a reply are repeated.
-	storeRetry = 250 * time.Millisecond
-	// patience is how long a release may run before a newer target replaces it.
-	patience = 500 * time.Millisecond
+	// storeRetryInterval is the interval at which requests without a reply are
+	// repeated.
+	storeRetryInterval = 250 * time.Millisecond
+	// supersedeAfter is how long a release may run before a newer target
+	// replaces it.
+	supersedeAfter = 500 * time.Millisecond
 )
 
 // Releaser runs on the root daemon of a region: it stores versions at the
@@ -52,17 +54,17 @@
 
 // release is the state of releasing one target.
 type release struct {
-	target  target
-	started time.Duration
+	target    target
+	startedAt time.Duration
 	// stored maps each keeper that has stored the version to its incarnation.
 	stored map[protocol.NodeID]protocol.Incarnation
 	// round counts the confirmation rounds; 0 while storing.
 	round int
-	// asked are the keepers that had stored the version at the start of the
-	// confirmation round; confirmed are those that have replied in this round
-	// with the same incarnation.
-	asked     map[protocol.NodeID]protocol.Incarnation
-	confirmed map[protocol.NodeID]bool
+	// roundKeepers are the keepers that had stored the version at the start of
+	// the confirmation round; confirmed are those that have replied in this
+	// round with the same incarnation.
+	roundKeepers map[protocol.NodeID]protocol.Incarnation
+	confirmed    map[protocol.NodeID]bool
 }
 
 // pendingStore is a store request without a reply yet.
@@ -93,26 +95,26 @@
 
 // SetTarget sets the newest version and the region's keeper set at it. The
 // target waits for a release in progress, unless the set has changed or that
-// release takes longer than patience: the new set may replace keepers whose
-// loss blocks it.
+// release takes longer than supersedeAfter: the new set may replace keepers
+// whose loss blocks it.
 func (r *Releaser) SetTarget(now time.Duration, term uint64, version protocol.Version, set protocol.KeeperSet) []Output {
 	next := target{term: term, version: version, set: set}
 	if version <= r.released || r.current != nil && version <= r.current.target.version {
 		return nil
 	}
-	wait := r.current != nil && r.current.target.set.Revision == set.Revision && now < r.current.started+patience
-	if wait {
+	mustWait := r.current != nil && r.current.target.set.Revision == set.Revision && now < r.current.startedAt+supersedeAfter
+	if mustWait {
 		r.next = &next
 		return nil
 	}
-	return r.start(now, next)
+	return r.startRelease(now, next)
 }
 
-func (r *Releaser) start(now time.Duration, next target) []Output {
+func (r *Releaser) startRelease(now time.Duration, next target) []Output {
 	r.next = nil
 	r.pending = map[Token]pendingStore{}
-	r.current = &release{target: next, started: now, stored: map[protocol.NodeID]protocol.Incarnation{}}
-	return r.ask(now)
+	r.current = &release{target: next, startedAt: now, stored: map[protocol.NodeID]protocol.Incarnation{}}
+	return r.sendRequests(now)
 }
 
 // Tick repeats store requests that are due, and abandons a release that takes
@@ -121,32 +123,32 @@
 	if r.current == nil {
 		return nil
 	}
-	if r.next != nil && now >= r.current.started+patience {
-		return r.start(now, *r.next)
+	if r.next != nil && now >= r.current.startedAt+supersedeAfter {
+		return r.startRelease(now, *r.next)
 	}
 	if now < r.retryAt {
 		return nil
 	}
-	if r.current.round > 0 && len(r.current.stored) > len(r.current.asked) {
+	if r.current.round > 0 && len(r.current.stored) > len(r.current.roundKeepers) {
 		r.current.startRound()
 	}
-	return r.ask(now)
+	return r.sendRequests(now)
 }
 
-// ask sends a store request to each keeper whose reply is still needed.
-func (r *Releaser) ask(now time.Duration) []Output {
-	r.retryAt = now + storeRetry
+// sendRequests sends a store request to each keeper whose reply is still needed.
+func (r *Releaser) sendRequests(now time.Duration) []Output {
+	r.retryAt = now + storeRetryInterval
 	var outputs []Output
 	for _, member := range allMembers(r.current.target.set) {
-		if !r.current.needs(member.ID) {
+		if !r.current.needsReply(member.ID) {
 			continue
 		}
-		outputs = append(outputs, r.store(member))
+		outputs = append(outputs, r.newRequest(member))
 	}
 	return outputs
 }
 
-func (r *Releaser) store(member protocol.KeeperMember) Output {
+func (r *Releaser) newRequest(member protocol.KeeperMember) Output {
 	r.lastToken++
 	r.pending[r.lastToken] = pendingStore{keeper: member.ID, release: r.current, round: r.current.round}
 	address, known := r.addresses[member.ID]
@@ -167,60 +169,61 @@
 	}
 }
 
-// HandleReply handles the reply to a StoreVersion; nil means that it timed out
-// or failed.
+// HandleReply handles the reply to a SendStoreRequest; nil means that it timed
+// out or failed.
 func (r *Releaser) HandleReply(now time.Duration, token Token, reply *protocol.StoreReply) []Output {
-	asked, known := r.pending[token]
+	request, known := r.pending[token]
 	delete(r.pending, token)
-	if !known || asked.release != r.current || reply == nil {
+	if !known || request.release != r.current || reply == nil {
 		return nil
 	}
-	usable := reply.Code == result.OK && reply.From == asked.keeper && reply.Stored >= r.current.target.version
-	if !usable {
+	isUsable := reply.Code == result.OK && reply.From == request.keeper && reply.Stored >= r.current.target.version
+	if !isUsable {
 		return nil
 	}
-	changed := r.current.take(asked, reply)
-	if r.current.confirmedQuorum() {
-		return r.finish(now)
+	roundStarted := r.current.countReply(request, reply)
+	if r.current.isConfirmed() {
+		return r.finishRelease(now)
 	}
-	if !changed {
+	if !roundStarted {
 		return nil
 	}
-	return r.ask(now)
+	return r.sendRequests(now)
 }
 
-// finish releases the current target and starts the next one.
-func (r *Releaser) finish(now time.Duration) []Output {
+// finishRelease releases the current target and starts the next one.
+func (r *Releaser) finishRelease(now time.Duration) []Output {
 	r.released = r.current.target.version
 	r.current = nil
 	r.pending = map[Token]pendingStore{}
 	if r.next == nil {
 		return nil
 	}
-	return r.start(now, *r.next)
+	return r.startRelease(now, *r.next)
 }
 
 // Released returns the highest version that proxies may use.
 func (r *Releaser) Released() protocol.Version { return r.released }
 
-// take counts a reply and reports whether a confirmation round starts.
-func (c *release) take(asked pendingStore, reply *protocol.StoreReply) bool {
-	before, had := c.stored[asked.keeper]
-	c.stored[asked.keeper] = reply.Incarnation
-	restarted := had && before != reply.Incarnation
+// countReply counts a reply and reports whether a confirmation round starts.
+func (c *release) countReply(request pendingStore, reply *protocol.StoreReply) bool {
+	previous, found := c.stored[request.keeper]
+	c.stored[request.keeper] = reply.Incarnation
+	restarted := found && previous != reply.Incarnation
 	if c.round == 0 || restarted {
-		return c.tryRound()
+		return c.startRoundIfQuorum()
 	}
-	if asked.round == c.round && c.asked[asked.keeper] == reply.Incarnation {
-		c.confirmed[asked.keeper] = true
+	if request.round == c.round && c.roundKeepers[request.keeper] == reply.Incarnation {
+		c.confirmed[request.keeper] = true
 	}
 	return false
 }
 
-// tryRound starts a confirmation round if a write quorum has stored the version.
-func (c *release) tryRound() bool {
-	quorum := HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { _, has := c.stored[id]; return has })
-	if !quorum {
+// startRoundIfQuorum starts a confirmation round if a write quorum has stored
+// the version.
+func (c *release) startRoundIfQuorum() bool {
+	hasQuorum := HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { _, found := c.stored[id]; return found })
+	if !hasQuorum {
 		return false
 	}
 	c.startRound()
@@ -231,12 +234,12 @@
 // version before its start count in it.
 func (c *release) startRound() {
 	c.round++
-	c.asked = maps.Clone(c.stored)
+	c.roundKeepers = maps.Clone(c.stored)
 	c.confirmed = map[protocol.NodeID]bool{}
 }
 
-// needs reports whether a keeper's reply is still needed for a quorum.
-func (c *release) needs(id protocol.NodeID) bool {
+// needsReply reports whether a keeper's reply is still needed for a quorum.
+func (c *release) needsReply(id protocol.NodeID) bool {
 	_, stored := c.stored[id]
 	if c.round == 0 {
 		return !stored
@@ -244,6 +247,6 @@
 	return !c.confirmed[id]
 }
 
-func (c *release) confirmedQuorum() bool {
+func (c *release) isConfirmed() bool {
 	return c.round > 0 && HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { return c.confirmed[id] })
 }
--- a/internal/core/floor/sets.go
+++ b/internal/core/floor/sets.go
@@ -15,10 +15,11 @@
 // writeQuorums is the size of the write quorum, indexed by the size of the set.
 var writeQuorums = [MaxKeepers + 1]int{0, 1, 2, 2, 3, 4, 5, 6, 6}
 
-// Quorums returns the quorums of a keeper set of the size: how many keepers must
-// store a version before its release, and how many replies suffice to determine
-// the floor. Their sum always exceeds the size, so that any two of them share a
-// keeper. It returns zeros if the size is out of range.
+// QuorumSizes returns the quorums of a keeper set of the size: how many keepers
+// must store a version before its release, and how many replies suffice to
+// determine the floor. Their sum always exceeds the size, so that every read
+// quorum shares a keeper with every write quorum. It returns zeros if the size
+// is out of range.
 func QuorumSizes(size int) (write, read int) {
 	if size < 1 || size > MaxKeepers {
 		return 0, 0
@@ -27,9 +28,9 @@
 	return write, size - write + 1
 }
 
-// Sets returns the active sets, whose quorums are all required while the given
-// set is the newest: the set itself and, until its change is complete, the set
-// that it replaces.
+// ActiveSets returns the active sets, whose quorums are all required while the
+// given set is the newest: the set itself and, until its change is complete,
+// the set that it replaces.
 func ActiveSets(set protocol.KeeperSet) []protocol.KeeperSet {
 	sets := []protocol.KeeperSet{set}
 	if set.Previous != nil {
@@ -38,29 +39,29 @@
 	return sets
 }
 
-// HasWrite reports whether the members for which counted returns true form a
-// write quorum of each active set.
-func HasWriteQuorum(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
-	return lo.EveryBy(ActiveSets(set), func(one protocol.KeeperSet) bool {
-		return one.Write > 0 && countMembers(one, counted) >= one.Write
+// HasWriteQuorum reports whether the members for which isCounted returns true
+// form a write quorum of each active set.
+func HasWriteQuorum(set protocol.KeeperSet, isCounted func(protocol.NodeID) bool) bool {
+	return lo.EveryBy(ActiveSets(set), func(active protocol.KeeperSet) bool {
+		return active.Write > 0 && countMembers(active, isCounted) >= active.Write
 	})
 }
 
-// HasRead reports whether the members for which counted returns true form a
-// read quorum of each active set.
-func HasReadQuorum(set protocol.KeeperSet, counted func(protocol.NodeID) bool) bool {
-	return lo.EveryBy(ActiveSets(set), func(one protocol.KeeperSet) bool {
-		return one.Read > 0 && countMembers(one, counted) >= one.Read
+// HasReadQuorum reports whether the members for which isCounted returns true form
+// a read quorum of each active set.
+func HasReadQuorum(set protocol.KeeperSet, isCounted func(protocol.NodeID) bool) bool {
+	return lo.EveryBy(ActiveSets(set), func(active protocol.KeeperSet) bool {
+		return active.Read > 0 && countMembers(active, isCounted) >= active.Read
 	})
 }
 
-func countMembers(set protocol.KeeperSet, counted func(protocol.NodeID) bool) int {
-	return lo.CountBy(set.Members, func(member protocol.KeeperMember) bool { return counted(member.ID) })
+func countMembers(set protocol.KeeperSet, isCounted func(protocol.NodeID) bool) int {
+	return lo.CountBy(set.Members, func(member protocol.KeeperMember) bool { return isCounted(member.ID) })
 }
 
 // allMembers returns the members of all active sets, each once.
 func allMembers(set protocol.KeeperSet) []protocol.KeeperMember {
-	members := lo.FlatMap(ActiveSets(set), func(one protocol.KeeperSet, _ int) []protocol.KeeperMember { return one.Members })
+	members := lo.FlatMap(ActiveSets(set), func(active protocol.KeeperSet, _ int) []protocol.KeeperMember { return active.Members })
 	return lo.UniqBy(members, func(member protocol.KeeperMember) protocol.NodeID { return member.ID })
 }
 
@@ -81,8 +82,8 @@
 // The result has the revision of current, so that it is written only if current
 // is still in the head.
 func ChooseKeepers(region string, current protocol.KeeperSet, live []protocol.Member, released protocol.Version) (protocol.KeeperSet, bool) {
-	settled := current.Revision > 0 && released >= current.Revision
-	if current.Previous != nil && settled {
+	isReleased := current.Revision > 0 && released >= current.Revision
+	if current.Previous != nil && isReleased {
 		current.Previous = nil
 		return current, true
 	}
@@ -127,17 +128,17 @@
 	isKeeper := func(id protocol.NodeID) bool {
 		return lo.ContainsBy(current, func(keeper protocol.KeeperMember) bool { return keeper.ID == id })
 	}
-	choice := &zoneChoice{zones: map[string]int{}}
+	choice := &keeperChoice{countByZone: map[string]int{}}
 	for _, member := range candidates {
 		if isKeeper(member.ID) {
 			choice.add(member)
 			continue
 		}
 		if member.State == protocol.MemberAlive {
-			choice.spare = append(choice.spare, member)
+			choice.spares = append(choice.spares, member)
 		}
 	}
-	choice.fill(keeperCount(len(choice.chosen) + len(choice.spare)))
+	choice.resize(keeperCount(len(choice.chosen) + len(choice.spares)))
 	choice.balance()
 	return choice.keepers()
 }
@@ -146,74 +147,74 @@
 // independent of the naming scheme.
 func rankOf(id protocol.NodeID) uint64 { return xxhash.Sum64String(string(id)) }
 
-// zoneChoice is the state of choosing keepers: those chosen, the members that
+// keeperChoice is the state of choosing keepers: those chosen, the members that
 // may be added, and the number of chosen keepers by zone.
-type zoneChoice struct {
-	chosen []protocol.Member
-	spare  []protocol.Member
-	zones  map[string]int
+type keeperChoice struct {
+	chosen      []protocol.Member
+	spares      []protocol.Member
+	countByZone map[string]int
 }
 
-func (c *zoneChoice) add(member protocol.Member) {
+func (c *keeperChoice) add(member protocol.Member) {
 	c.chosen = append(c.chosen, member)
-	c.zones[member.Zone]++
+	c.countByZone[member.Zone]++
 }
 
-// fill drops the last chosen keepers beyond the size, or adds spares up to the
+// resize drops the last chosen keepers beyond the size, or adds spares up to the
 // size, each from the zone with the fewest keepers.
-func (c *zoneChoice) fill(size int) {
+func (c *keeperChoice) resize(size int) {
 	for len(c.chosen) > size {
-		c.drop(len(c.chosen) - 1)
+		c.removeChosen(len(c.chosen) - 1)
 	}
-	for len(c.chosen) < size && len(c.spare) > 0 {
-		c.take(c.emptiest())
+	for len(c.chosen) < size && len(c.spares) > 0 {
+		c.addSpare(c.spareOfEmptiestZone())
 	}
 }
 
 // balance replaces keepers of the fullest zones by spares of the emptiest one,
 // as long as the counts of the two zones differ by two or more.
-func (c *zoneChoice) balance() {
-	for len(c.spare) > 0 {
-		next := c.emptiest()
-		zone := c.spare[next].Zone
-		crowded := -1
+func (c *keeperChoice) balance() {
+	for len(c.spares) > 0 {
+		spare := c.spareOfEmptiestZone()
+		zone := c.spares[spare].Zone
+		fullest := -1
 		for i, member := range c.chosen {
-			if c.zones[member.Zone] >= c.zones[zone]+2 && (crowded < 0 || c.zones[member.Zone] > c.zones[c.chosen[crowded].Zone]) {
-				crowded = i
+			if c.countByZone[member.Zone] >= c.countByZone[zone]+2 && (fullest < 0 || c.countByZone[member.Zone] > c.countByZone[c.chosen[fullest].Zone]) {
+				fullest = i
 			}
 		}
-		if crowded < 0 {
+		if fullest < 0 {
 			return
 		}
-		c.drop(crowded)
-		c.take(next)
+		c.removeChosen(fullest)
+		c.addSpare(spare)
 	}
 }
 
-// emptiest returns the index of the spare whose zone has the fewest keepers;
-// among several, the first in rank.
-func (c *zoneChoice) emptiest() int {
+// spareOfEmptiestZone returns the index of the spare whose zone has the fewest
+// keepers; among several, the first in rank.
+func (c *keeperChoice) spareOfEmptiestZone() int {
 	best := 0
-	for i, member := range c.spare {
-		if c.zones[member.Zone] < c.zones[c.spare[best].Zone] {
+	for i, member := range c.spares {
+		if c.countByZone[member.Zone] < c.countByZone[c.spares[best].Zone] {
 			best = i
 		}
 	}
 	return best
 }
 
-func (c *zoneChoice) take(spare int) {
-	c.add(c.spare[spare])
-	c.spare = slices.Delete(c.spare, spare, spare+1)
+func (c *keeperChoice) addSpare(spare int) {
+	c.add(c.spares[spare])
+	c.spares = slices.Delete(c.spares, spare, spare+1)
 }
 
-func (c *zoneChoice) drop(index int) {
-	c.zones[c.chosen[index].Zone]--
+func (c *keeperChoice) removeChosen(index int) {
+	c.countByZone[c.chosen[index].Zone]--
 	c.chosen = slices.Delete(c.chosen, index, index+1)
 }
 
 // keepers returns the chosen members sorted by id.
-func (c *zoneChoice) keepers() []protocol.KeeperMember {
+func (c *keeperChoice) keepers() []protocol.KeeperMember {
 	keepers := lo.Map(c.chosen, func(member protocol.Member, _ int) protocol.KeeperMember {
 		return protocol.KeeperMember{ID: member.ID, ControlAddress: member.ControlAddress}
 	})
--- a/internal/sim/mutant/configuration.go
+++ b/internal/sim/mutant/configuration.go
@@ -5,8 +5,8 @@
 // configurationMutants are faults in how configuration is accepted and spread.
 var configurationMutants = []Mutant{
 	{Name: "floor_from_one_answer", Breaks: oracle.NoOlderVersion, Simulation: Mesh, File: "floor/learner.go",
-		Old: "	return HasReadQuorum(l.set, func(id protocol.NodeID) bool { return l.answers[id] })",
-		New: "	return len(l.answers) > 0"},
+		Old: "	return HasReadQuorum(l.keeperSet, func(id protocol.NodeID) bool { return l.validReplies[id] })",
+		New: "	return len(l.validReplies) > 0"},
 	{Name: "keeper_forgets", Breaks: oracle.NoOlderVersion, Simulation: Mesh, File: "floor/keeper.go",
 		Old: "	reply := &protocol.StoreReply{Code: result.OK, Stored: k.stored}",
 		New: "	reply := &protocol.StoreReply{Code: result.OK, Stored: k.stored}; k.stored = 0"},
