--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -37,10 +37,10 @@
 func Prepare(request *protocol.SubmitRequest, now time.Time, term uint64) (*Change, *protocol.SubmitReply) {
 	change := &Change{Request: request, Now: now, Term: term}
 	if request.Format != protocol.Format {
-		return nil, refuse(result.UnknownFormat, "request format %d; this build knows %d", request.Format, protocol.Format)
+		return nil, newRefusal(result.UnknownFormat, "request format %d; this build knows %d", request.Format, protocol.Format)
 	}
 	if _, err := OperationTime(request.Operation); err != nil {
-		return nil, refuse(result.UsageError, "the operation id is not <unix milliseconds>-<random hex>")
+		return nil, newRefusal(result.UsageError, "the operation id is not <unix milliseconds>-<random hex>")
 	}
 	switch request.Action {
 	case protocol.ActionWithdraw:
@@ -48,7 +48,7 @@
 	case protocol.ActionSubmit, protocol.ActionReplace:
 		return change.parse()
 	default:
-		return nil, refuse(result.UsageError, "action %q is not known", request.Action)
+		return nil, newRefusal(result.UsageError, "action %q is not known", request.Action)
 	}
 }
 
@@ -59,10 +59,10 @@
 		return nil, &protocol.SubmitReply{Code: problems[0].Code, Errors: errors}
 	}
 	if file.Partner != c.Request.Partner {
-		return nil, refuse(result.FileNotYours, "the file belongs to partner %s", file.Partner)
+		return nil, newRefusal(result.FileNotYours, "the file belongs to partner %s", file.Partner)
 	}
 	if file.Name != c.Request.File {
-		return nil, refuse(result.FileBadValue, "the file calls itself %s, not %s", file.Name, c.Request.File)
+		return nil, newRefusal(result.FileBadValue, "the file calls itself %s, not %s", file.Name, c.Request.File)
 	}
 	c.File = file
 	c.Text = resource.EncodeFile(file)
@@ -80,29 +80,29 @@
 // the caller writes the change's content and then the new head by
 // update-if-version; the reply is valid only once that update has succeeded.
 func Apply(head *Head, contents Contents, change *Change) (*Head, Contents, *protocol.SubmitReply) {
-	if known := FindOperation(head, change.Request); known != nil {
-		return head, contents, known
+	if recorded := FindOperation(head, change.Request); recorded != nil {
+		return head, contents, recorded
 	}
-	if !complete(head, contents) {
-		return head, contents, refuse(result.NotAccepted, "the reader does not have all contents at hand")
+	if !isComplete(head, contents) {
+		return head, contents, newRefusal(result.NotAccepted, "the reader does not have all contents at hand")
 	}
-	if refused := checkOperation(head, change.Request.Operation, change.Now); refused != nil {
-		return head, contents, refused
+	if refusal := checkOperationID(head, change.Request.Operation, change.Now); refusal != nil {
+		return head, contents, refusal
 	}
-	if refused := checkRevision(head, change); refused != nil {
-		return head, contents, refused
+	if refusal := checkRevision(head, change); refusal != nil {
+		return head, contents, refusal
 	}
 	draft := newDraft(head, contents, change)
-	if refused := draft.change(); refused != nil {
-		return head, contents, refused
+	if refusal := draft.applyChange(); refusal != nil {
+		return head, contents, refusal
 	}
-	reply := draft.settle()
+	reply := draft.promoteHeldFiles()
 	if reply.Code != result.OK && reply.Code != result.Held {
 		return head, contents, reply
 	}
-	draft.record(reply)
-	if size := sizeWithin(draft.head, HeadBudget); size > HeadBudget {
-		return head, contents, refuse(result.HeadTooLarge, "the head would have %d bytes; its budget is %d", size, HeadBudget)
+	draft.recordOperation(reply)
+	if size := boundOrSize(draft.head, HeadBudget); size > HeadBudget {
+		return head, contents, newRefusal(result.HeadTooLarge, "the head would have %d bytes; its budget is %d", size, HeadBudget)
 	}
 	return draft.head, draft.contents, reply
 }
@@ -113,24 +113,24 @@
 	entry, found := head.File(change.Key())
 	expect := change.Request.Expect
 	if !found && expect.Given && expect.Revision != 0 {
-		return lostTo(head, entry, "the file is not there; revision %d was expected", expect.Revision)
+		return newRevisionMismatch(head, entry, "the file is not there; revision %d was expected", expect.Revision)
 	}
 	if !found && change.Request.Action != protocol.ActionSubmit {
-		return refuse(result.NoSuchFile, "there is no file %s", change.Key())
+		return newRefusal(result.NoSuchFile, "there is no file %s", change.Key())
 	}
 	if found && expect.Given && expect.Revision != entry.Revision() {
-		return lostTo(head, entry, "the file has revision %d; revision %d was expected", entry.Revision(), expect.Revision)
+		return newRevisionMismatch(head, entry, "the file has revision %d; revision %d was expected", entry.Revision(), expect.Revision)
 	}
 	if found && !expect.Given && change.Request.Action == protocol.ActionSubmit {
-		return lostTo(head, entry, "the file is there already, with revision %d", entry.Revision())
+		return newRevisionMismatch(head, entry, "the file is there already, with revision %d", entry.Revision())
 	}
 	return nil
 }
 
-// lostTo refuses a change that conflicts with an earlier one, and returns the
-// current revision and version of the file.
-func lostTo(head *Head, entry FileEntry, format string, arguments ...any) *protocol.SubmitReply {
-	reply := refuse(result.RevisionMismatch, format, arguments...)
+// newRevisionMismatch refuses a change that conflicts with an earlier one, and
+// returns the current revision and version of the file.
+func newRevisionMismatch(head *Head, entry FileEntry, format string, arguments ...any) *protocol.SubmitReply {
+	reply := newRefusal(result.RevisionMismatch, format, arguments...)
 	reply.Revision = entry.Revision()
 	reply.Version = head.Version
 	if entry.Accepted != nil {
@@ -139,8 +139,8 @@
 	return reply
 }
 
-// refuse returns a reply with one error.
-func refuse(code result.Code, format string, arguments ...any) *protocol.SubmitReply {
+// newRefusal returns a reply with one error.
+func newRefusal(code result.Code, format string, arguments ...any) *protocol.SubmitReply {
 	problem := result.New(code, format, arguments...)
 	entry, _ := result.Lookup(code)
 	problem.Mend = entry.Mend
@@ -155,19 +155,19 @@
 	next.Term = max(next.Term, term)
 	changed := false
 	for _, set := range sets {
-		if next.setKeepers(set) {
+		if next.setKeeperSet(set) {
 			changed = true
 		}
 	}
 	if !changed {
 		return head
 	}
-	next.advance(now)
+	next.advanceVersion(now)
 	return next
 }
 
 // Catalogue returns all accepted resources, sorted by key. The contents must
-// include all that the head refers to; see Lacking.
+// include all that the head refers to; see MissingContents.
 func Catalogue(head *Head, contents Contents) []resource.Encoded {
 	var catalogue []resource.Encoded
 	for _, entry := range head.Files {
@@ -190,21 +190,21 @@
 	return pruned
 }
 
-// complete reports whether contents includes all that the head refers to.
-func complete(head *Head, contents Contents) bool {
+// isComplete reports whether contents includes all that the head refers to.
+func isComplete(head *Head, contents Contents) bool {
 	return lo.EveryBy(head.Files, func(entry FileEntry) bool {
 		return lo.EveryBy(entry.digests(), func(digest resource.Digest) bool { return contents[digest] != nil })
 	})
 }
 
-// Lacking returns the digests in the head that are missing from contents.
+// MissingContents returns the digests in the head that are missing from contents.
 func MissingContents(head *Head, contents Contents) []resource.Digest {
 	return lo.Filter(head.Digests(), func(digest resource.Digest, _ int) bool {
 		return contents[digest] == nil
 	})
 }
 
-func with(contents Contents, digest resource.Digest, file *resource.File) Contents {
+func withContent(contents Contents, digest resource.Digest, file *resource.File) Contents {
 	next := maps.Clone(contents)
 	if next == nil {
 		next = Contents{}
--- a/internal/core/ledger/codec.go
+++ b/internal/core/ledger/codec.go
@@ -15,7 +15,7 @@
 const (
 	// HeadBudget is the largest head that a change may produce.
 	HeadBudget = 768 << 10
-	// MaxHead is the largest head that Decode accepts.
+	// MaxHeadSize is the largest head that Decode accepts.
 	MaxHeadSize = 1 << 20
 )
 
@@ -30,22 +30,22 @@
 
 // Upper bounds of the encoded size of parts of the head, in bytes.
 const (
-	// fixedSize covers the head's own fields.
-	fixedSize = 512
+	// headBaseSize covers the head's own fields.
+	headBaseSize = 512
 	// entrySize covers the fields of a file, operation, keeper set or member
 	// besides its texts.
 	entrySize = 640
-	// textSize covers the quotes and comma of one text.
-	textSize = 3
-	// escapedSize is the largest number of bytes that JSON uses for one byte.
-	escapedSize = 6
+	// textOverhead covers the quotes and comma of one text.
+	textOverhead = 3
+	// maxEscapedSize is the largest number of bytes that JSON uses for one byte.
+	maxEscapedSize = 6
 )
 
-// sizeWithin returns an upper bound of the encoded size of a head if that bound
-// is within the budget, and the exact size otherwise. The bound is far cheaper
-// to compute.
-func sizeWithin(head *Head, budget int) int {
-	bound := fixedSize
+// boundOrSize returns an upper bound of the encoded size of a head if that bound
+// is within the budget, and otherwise the exact size, which is far more
+// expensive to compute.
+func boundOrSize(head *Head, budget int) int {
+	bound := headBaseSize
 	for _, entry := range head.Files {
 		bound += entrySize + len(entry.Partner) + len(entry.Name)
 		if entry.Held != nil {
@@ -56,7 +56,7 @@
 		bound += entrySize + len(operation.ID) + textsSize(operation.WaitsFor) + textsSize(operation.Promoted)
 	}
 	for _, set := range head.Keepers {
-		bound += keepersSize(&set)
+		bound += keeperSetSize(&set)
 	}
 	if bound <= budget {
 		return bound
@@ -67,20 +67,20 @@
 func textsSize(texts []string) int {
 	size := 0
 	for _, text := range texts {
-		size += textSize + escapedSize*len(text)
+		size += textOverhead + maxEscapedSize*len(text)
 	}
 	return size
 }
 
-func keepersSize(set *protocol.KeeperSet) int {
+func keeperSetSize(set *protocol.KeeperSet) int {
 	if set == nil {
 		return 0
 	}
-	size := entrySize + escapedSize*len(set.Region)
+	size := entrySize + maxEscapedSize*len(set.Region)
 	for _, member := range set.Members {
-		size += entrySize + escapedSize*(len(member.ID)+len(member.ControlAddress))
+		size += entrySize + maxEscapedSize*(len(member.ID)+len(member.ControlAddress))
 	}
-	return size + keepersSize(set.Previous)
+	return size + keeperSetSize(set.Previous)
 }
 
 // Decode decodes and checks a head. It returns UnknownFormat for a format or
@@ -105,51 +105,51 @@
 	if err := decoder.Decode(head); err != nil {
 		return nil, result.New(result.UnknownFormat, "the head has a part that this build does not know")
 	}
-	if err := head.check(); err != nil {
+	if err := head.validate(); err != nil {
 		return nil, errors.Trace(err)
 	}
 	return head, nil
 }
 
-// check verifies the order of the head's lists and the consistency of its
+// validate verifies the order of the head's lists and the consistency of its
 // revisions and versions.
-func (h *Head) check() error {
+func (h *Head) validate() error {
 	for i, entry := range h.Files {
 		if i > 0 && h.Files[i-1].Key().Compare(entry.Key()) >= 0 {
-			return inconsistent("files are not sorted")
+			return newInconsistencyError("files are not sorted")
 		}
-		if err := h.checkEntry(entry); err != nil {
+		if err := h.validateEntry(entry); err != nil {
 			return errors.Trace(err)
 		}
 	}
 	for _, operation := range h.Operations {
 		if _, err := OperationTime(operation.ID); err != nil {
-			return inconsistent("an operation id is malformed")
+			return newInconsistencyError("an operation id is malformed")
 		}
 	}
 	for i, set := range h.Keepers {
 		if i > 0 && h.Keepers[i-1].Region >= set.Region {
-			return inconsistent("keeper sets are not sorted")
+			return newInconsistencyError("keeper sets are not sorted")
 		}
 		if set.Revision > h.Version {
-			return inconsistent("a keeper set is newer than the head")
+			return newInconsistencyError("a keeper set is newer than the head")
 		}
 	}
 	return nil
 }
 
-func (h *Head) checkEntry(entry FileEntry) error {
+func (h *Head) validateEntry(entry FileEntry) error {
 	if entry.Accepted == nil && entry.Held == nil {
-		return inconsistent("a file is neither accepted nor held")
+		return newInconsistencyError("a file is neither accepted nor held")
 	}
 	if entry.Revision() > h.LastRevision {
-		return inconsistent("a file's revision was never given out")
+		return newInconsistencyError("a file's revision was never given out")
 	}
 	digests := []resource.Digest{}
 	if entry.Accepted != nil {
 		digests = append(digests, entry.Accepted.Digest)
 		if entry.Accepted.Version > h.Version {
-			return inconsistent("a file's version is newer than the head")
+			return newInconsistencyError("a file's version is newer than the head")
 		}
 	}
 	if entry.Held != nil {
@@ -157,12 +157,12 @@
 	}
 	for _, digest := range digests {
 		if !digest.Valid() {
-			return inconsistent("a digest is malformed")
+			return newInconsistencyError("a digest is malformed")
 		}
 	}
 	return nil
 }
 
-func inconsistent(detail string) error {
+func newInconsistencyError(detail string) error {
 	return result.New(result.DigestMismatch, "the head is inconsistent: %s", detail)
 }
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -15,115 +15,116 @@
 
 // draft is a head under construction.
 type draft struct {
-	before   *Head
+	previous *Head
 	head     *Head
 	contents Contents
-	request  *Change
+	change   *Change
 	// version is the version of the new head if accepted content changes.
-	version protocol.Version
-	changed bool
-	// touched are the files whose accepted revision may have changed: first the
-	// request's own file, then the promoted ones.
-	touched []resource.FileKey
+	version         protocol.Version
+	acceptedChanged bool
+	// changedFiles are the files whose accepted revision may have changed:
+	// first the request's own file, then the promoted ones.
+	changedFiles []resource.FileKey
 }
 
 func newDraft(head *Head, contents Contents, change *Change) *draft {
 	next := head.clone()
 	next.Term = max(next.Term, change.Term)
-	return &draft{before: head, head: next, contents: contents, request: change, version: head.Version + 1, touched: []resource.FileKey{change.Key()}}
+	return &draft{previous: head, head: next, contents: contents, change: change, version: head.Version + 1, changedFiles: []resource.FileKey{change.Key()}}
 }
 
-// change applies the request to the head: a withdrawn file is removed, and any
-// other content becomes the file's held revision, which settle may promote.
-func (d *draft) change() *protocol.SubmitReply {
-	key := d.request.Key()
-	if d.request.File == nil {
+// applyChange applies the request to the head: a withdrawn file is removed, and
+// any other content becomes the file's held revision, which promoteHeldFiles may
+// promote.
+func (d *draft) applyChange() *protocol.SubmitReply {
+	key := d.change.Key()
+	if d.change.File == nil {
 		entry, _ := d.head.File(key)
-		d.changed = entry.Accepted != nil
-		d.head.remove(key)
+		d.acceptedChanged = entry.Accepted != nil
+		d.head.removeFile(key)
 		return nil
 	}
-	if taken := resource.NameConflicts(d.request.File, d.claims(key)); len(taken) > 0 {
-		return &protocol.SubmitReply{Code: result.NameTaken, Errors: taken}
+	if conflicts := resource.NameConflicts(d.change.File, d.contentsOfOtherFiles(key)); len(conflicts) > 0 {
+		return &protocol.SubmitReply{Code: result.NameTaken, Errors: conflicts}
 	}
 	d.head.LastRevision++
 	entry, found := d.head.File(key)
 	if !found {
 		entry = FileEntry{Partner: key.Partner, Name: key.Name}
 	}
-	entry.Held = &HeldRevision{Revision: d.head.LastRevision, Digest: d.request.Digest, At: d.request.Now}
-	d.head.put(entry)
-	d.contents = with(d.contents, d.request.Digest, d.request.File)
+	entry.Held = &HeldRevision{Revision: d.head.LastRevision, Digest: d.change.Digest, At: d.change.Now}
+	d.head.putFile(entry)
+	d.contents = withContent(d.contents, d.change.Digest, d.change.File)
 	return nil
 }
 
-// claims returns the accepted and held contents of the partner's other files.
-// The resource names in both are taken, so that a promotion never introduces a
-// duplicate name.
-func (d *draft) claims(key resource.FileKey) []*resource.File {
-	var claims []*resource.File
+// contentsOfOtherFiles returns the accepted and held contents of the partner's
+// other files. The resource names in both are taken, so that a promotion never
+// introduces a duplicate name.
+func (d *draft) contentsOfOtherFiles(key resource.FileKey) []*resource.File {
+	var contents []*resource.File
 	for _, entry := range d.head.Files {
 		if entry.Partner != key.Partner || entry.Name == key.Name {
 			continue
 		}
 		if entry.Accepted != nil {
-			claims = append(claims, d.contents[entry.Accepted.Digest])
+			contents = append(contents, d.contents[entry.Accepted.Digest])
 		}
 		if entry.Held != nil {
-			claims = append(claims, d.contents[entry.Held.Digest])
+			contents = append(contents, d.contents[entry.Held.Digest])
 		}
 	}
-	return claims
+	return contents
 }
 
-// settle promotes every held file that can be promoted, all in one version, and
-// returns the reply to the request.
-func (d *draft) settle() *protocol.SubmitReply {
-	for d.promote() {
+// promoteHeldFiles promotes every held file that can be promoted, all in one
+// version, and returns the reply to the request.
+func (d *draft) promoteHeldFiles() *protocol.SubmitReply {
+	for d.promoteOldest() {
 	}
-	broken := d.missing(nil)
-	if len(broken) > 0 {
-		return d.stillNeeded(broken)
+	missing := d.missingReferences(nil)
+	if len(missing) > 0 {
+		return d.newStillNeededRefusal(missing)
 	}
-	if refused := d.blockers(); refused != nil {
-		return refused
+	if refusal := d.checkStillNeeded(); refusal != nil {
+		return refusal
 	}
-	if d.changed {
-		d.head.advance(d.request.Now)
+	if d.acceptedChanged {
+		d.head.advanceVersion(d.change.Now)
 	}
-	d.noteWaits()
-	return d.answer()
+	d.updateWaitsFor()
+	return d.newReply()
 }
 
-// promote accepts the oldest held file whose references can all be satisfied,
-// together with the held files needed for that, and reports whether there was
-// one.
-func (d *draft) promote() bool {
-	for _, key := range d.heldKeys() {
-		set, stands := d.closure(key)
-		if !stands {
+// promoteOldest accepts the oldest held file whose references can all be
+// satisfied, together with the held files needed for that, and reports whether
+// there was one.
+func (d *draft) promoteOldest() bool {
+	for _, key := range d.heldFiles() {
+		set, isPromotable := d.promotionSet(key)
+		if !isPromotable {
 			continue
 		}
 		for _, member := range set {
-			d.accept(member)
+			d.acceptHeldRevision(member)
 		}
 		return true
 	}
 	return false
 }
 
-// closure returns a held file with the other held files that must be accepted
-// together with it so that no reference is missing, or false if that is not
-// possible. Files that refer to each other are thus accepted in one version, and
-// a held file that can't be accepted does not block others.
-func (d *draft) closure(key resource.FileKey) ([]resource.FileKey, bool) {
+// promotionSet returns a held file with the other held files that must be
+// accepted together with it so that no reference is missing, or false if that
+// is not possible. Files that refer to each other are thus accepted in one
+// version, and a held file that can't be accepted does not block others.
+func (d *draft) promotionSet(key resource.FileKey) ([]resource.FileKey, bool) {
 	set := []resource.FileKey{key}
 	for {
-		missing := d.missing(set)
+		missing := d.missingReferences(set)
 		if len(missing) == 0 {
 			return set, true
 		}
-		next, found := d.remedy(missing[0], set)
+		next, found := d.resolvingFile(missing[0], set)
 		if !found {
 			return nil, false
 		}
@@ -131,28 +132,29 @@
 	}
 }
 
-// remedy returns a held file outside the set that resolves a missing reference:
-// one that declares the target or, if the reference is in an accepted file
-// outside the set, the held replacement of that file.
-func (d *draft) remedy(missing resource.MissingReference, set []resource.FileKey) (resource.FileKey, bool) {
-	candidates := lo.Without(d.heldKeys(), set...)
-	supplier, found := lo.Find(candidates, func(key resource.FileKey) bool {
+// resolvingFile returns a held file outside the set that resolves a missing
+// reference: one that declares the target or, if the reference is in an
+// accepted file outside the set, the held replacement of that file.
+func (d *draft) resolvingFile(missing resource.MissingReference, set []resource.FileKey) (resource.FileKey, bool) {
+	candidates := lo.Without(d.heldFiles(), set...)
+	declaringFile, found := lo.Find(candidates, func(key resource.FileKey) bool {
 		entry, _ := d.head.File(key)
 		return slices.Contains(d.contents[entry.Held.Digest].Keys(), missing.To)
 	})
 	if found {
-		return supplier, true
+		return declaringFile, true
 	}
 	return missing.File, slices.Contains(candidates, missing.File)
 }
 
-// missing returns the unsatisfied references among the accepted files, with the
-// held revisions of the files in trial in place of their accepted ones. There
-// were none before the change, so only the differences since then are checked.
-func (d *draft) missing(trial []resource.FileKey) []resource.MissingReference {
+// missingReferences returns the unsatisfied references among the accepted
+// files, with the held revisions of the files in trial in place of their
+// accepted ones. There were none before the change, so only the differences
+// since then are checked.
+func (d *draft) missingReferences(trial []resource.FileKey) []resource.MissingReference {
 	files := make([]*resource.File, 0, len(d.head.Files))
 	for _, entry := range d.head.Files {
-		digest := inForce(entry)
+		digest := acceptedDigest(entry)
 		if entry.Held != nil && slices.Contains(trial, entry.Key()) {
 			digest = entry.Held.Digest
 		}
@@ -160,119 +162,120 @@
 			files = append(files, d.contents[digest])
 		}
 	}
-	added, removed := d.difference(trial)
+	added, removed := d.acceptedDifference(trial)
 	return resource.MissingReferencesAfter(files, added, removed)
 }
 
-// difference returns the accepted contents added and removed by the change, with
-// the held revisions of the files in trial in place of their accepted ones.
-func (d *draft) difference(trial []resource.FileKey) (added, removed []*resource.File) {
-	for _, key := range lo.Union(d.touched, trial) {
-		now, _ := d.head.File(key)
-		digest := inForce(now)
-		if now.Held != nil && slices.Contains(trial, key) {
-			digest = now.Held.Digest
+// acceptedDifference returns the accepted contents added and removed by the
+// change, with the held revisions of the files in trial in place of their
+// accepted ones.
+func (d *draft) acceptedDifference(trial []resource.FileKey) (added, removed []*resource.File) {
+	for _, key := range lo.Union(d.changedFiles, trial) {
+		entry, _ := d.head.File(key)
+		digest := acceptedDigest(entry)
+		if entry.Held != nil && slices.Contains(trial, key) {
+			digest = entry.Held.Digest
 		}
-		earlier, _ := d.before.File(key)
-		before := inForce(earlier)
-		if before == digest {
+		previousEntry, _ := d.previous.File(key)
+		previousDigest := acceptedDigest(previousEntry)
+		if previousDigest == digest {
 			continue
 		}
 		if digest != "" {
 			added = append(added, d.contents[digest])
 		}
-		if before != "" {
-			removed = append(removed, d.contents[before])
+		if previousDigest != "" {
+			removed = append(removed, d.contents[previousDigest])
 		}
 	}
 	return added, removed
 }
 
-// inForce returns the digest of an entry's accepted revision, or "".
-func inForce(entry FileEntry) resource.Digest {
+// acceptedDigest returns the digest of an entry's accepted revision, or "".
+func acceptedDigest(entry FileEntry) resource.Digest {
 	if entry.Accepted == nil {
 		return ""
 	}
 	return entry.Accepted.Digest
 }
 
-// heldKeys returns the files with a held revision, the oldest revision first.
-func (d *draft) heldKeys() []resource.FileKey {
+// heldFiles returns the files with a held revision, the oldest revision first.
+func (d *draft) heldFiles() []resource.FileKey {
 	held := lo.Filter(d.head.Files, func(entry FileEntry, _ int) bool { return entry.Held != nil })
 	slices.SortFunc(held, func(a, b FileEntry) int { return cmp.Compare(a.Held.Revision, b.Held.Revision) })
 	return lo.Map(held, func(entry FileEntry, _ int) resource.FileKey { return entry.Key() })
 }
 
-// accept makes the held revision of a file the accepted one. If its content
-// equals the accepted one, it keeps that version, as nothing changes on any
-// proxy.
-func (d *draft) accept(key resource.FileKey) {
+// acceptHeldRevision makes the held revision of a file the accepted one. If its
+// content equals the accepted one, it keeps that version, as nothing changes on
+// any proxy.
+func (d *draft) acceptHeldRevision(key resource.FileKey) {
 	entry, _ := d.head.File(key)
 	accepted := &AcceptedRevision{
 		Revision: entry.Held.Revision,
 		Digest:   entry.Held.Digest,
 		Version:  d.version,
-		At:       d.request.Now,
+		At:       d.change.Now,
 	}
 	if entry.Accepted != nil && entry.Accepted.Digest == entry.Held.Digest {
 		accepted.Version = entry.Accepted.Version
 		accepted.At = entry.Accepted.At
 	} else {
-		d.changed = true
+		d.acceptedChanged = true
 	}
 	entry.Accepted = accepted
 	entry.Held = nil
-	d.head.put(entry)
-	d.touched = lo.Union(d.touched, []resource.FileKey{key})
+	d.head.putFile(entry)
+	d.changedFiles = lo.Union(d.changedFiles, []resource.FileKey{key})
 }
 
-// blockers refuses a replacement that would remove resources that other accepted
-// files need, even if it would be held for other reasons: otherwise it could
-// stay held without end.
-func (d *draft) blockers() *protocol.SubmitReply {
-	key := d.request.Key()
+// checkStillNeeded refuses a replacement that would remove resources that other
+// accepted files need, even if it would be held for other reasons: otherwise it
+// could stay held without end.
+func (d *draft) checkStillNeeded() *protocol.SubmitReply {
+	key := d.change.Key()
 	entry, found := d.head.File(key)
 	if !found || entry.Held == nil || entry.Accepted == nil {
 		return nil
 	}
-	others := lo.Filter(d.missing([]resource.FileKey{key}), func(missing resource.MissingReference, _ int) bool {
+	otherReferences := lo.Filter(d.missingReferences([]resource.FileKey{key}), func(missing resource.MissingReference, _ int) bool {
 		return missing.File != key
 	})
-	if len(others) == 0 {
+	if len(otherReferences) == 0 {
 		return nil
 	}
-	return d.stillNeeded(others)
+	return d.newStillNeededRefusal(otherReferences)
 }
 
-// stillNeeded refuses the change with one error for each resource that needs
-// something that the change would remove.
-func (d *draft) stillNeeded(broken []resource.MissingReference) *protocol.SubmitReply {
-	errors := lo.Map(broken[:min(len(broken), MaxWaitsFor)], func(missing resource.MissingReference, _ int) result.Error {
+// stillNeededRefusal refuses the change with one error for each resource that
+// needs something that the change would remove.
+func (d *draft) newStillNeededRefusal(references []resource.MissingReference) *protocol.SubmitReply {
+	errors := lo.Map(references[:min(len(references), MaxWaitsFor)], func(missing resource.MissingReference, _ int) result.Error {
 		problem := result.New(result.StillNeeded, "%s of file %s needs %s", missing.From, missing.File, missing.To)
-		problem.File = d.request.Request.File
+		problem.File = d.change.Request.File
 		problem.Mend = fmt.Sprintf("Change %s first.", missing.From)
 		return *problem
 	})
-	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.before.Version}
+	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.previous.Version}
 }
 
-// noteWaits updates WaitsFor of each held file.
-func (d *draft) noteWaits() {
-	for _, key := range d.heldKeys() {
+// updateWaitsFor updates WaitsFor of each held file.
+func (d *draft) updateWaitsFor() {
+	for _, key := range d.heldFiles() {
 		entry, _ := d.head.File(key)
-		lines := lo.Map(d.missing([]resource.FileKey{key}), func(missing resource.MissingReference, _ int) string {
+		lines := lo.Map(d.missingReferences([]resource.FileKey{key}), func(missing resource.MissingReference, _ int) string {
 			return missing.String()
 		})
 		held := *entry.Held
 		held.WaitsFor = lines[:min(len(lines), MaxWaitsFor)]
 		entry.Held = &held
-		d.head.put(entry)
+		d.head.putFile(entry)
 	}
 }
 
-func (d *draft) answer() *protocol.SubmitReply {
+func (d *draft) newReply() *protocol.SubmitReply {
 	reply := &protocol.SubmitReply{Code: result.OK, Version: d.head.Version}
-	entry, found := d.head.File(d.request.Key())
+	entry, found := d.head.File(d.change.Key())
 	if found {
 		reply.Revision = entry.Revision()
 	}
@@ -280,38 +283,38 @@
 		reply.Code = result.Held
 		reply.WaitsFor = slices.Clone(entry.Held.WaitsFor)
 	}
-	names := lo.Map(d.touched[1:], func(key resource.FileKey, _ int) string { return key.String() })
+	names := lo.Map(d.changedFiles[1:], func(key resource.FileKey, _ int) string { return key.String() })
 	slices.Sort(names)
 	reply.Promoted = names[:min(len(names), MaxWaitsFor)]
 	return reply
 }
 
-// record adds the operation to the head and drops unreferenced contents.
-func (d *draft) record(reply *protocol.SubmitReply) {
+// recordOperation adds the operation to the head and drops unreferenced contents.
+func (d *draft) recordOperation(reply *protocol.SubmitReply) {
 	operation := Operation{
-		ID:          d.request.Request.Operation,
-		At:          d.request.Now.UnixMilli(),
-		Fingerprint: fingerprint(d.request.Request),
+		ID:          d.change.Request.Operation,
+		At:          d.change.Now.UnixMilli(),
+		Fingerprint: fingerprint(d.change.Request),
 		Code:        reply.Code,
 		Version:     reply.Version,
 		Revision:    reply.Revision,
 		WaitsFor:    reply.WaitsFor,
 		Promoted:    reply.Promoted,
 	}
-	d.head.remember(operation, d.request.Now)
-	d.contents = d.pruned()
+	d.head.addOperation(operation, d.change.Now)
+	d.contents = d.prunedContents()
 }
 
-// pruned returns the contents without those that only the previous head refers
-// to. A content includes the key of its file, so the entries of two files never
-// share a digest.
-func (d *draft) pruned() Contents {
+// prunedContents returns the contents without those that only the previous head
+// refers to. A content includes the key of its file, so the entries of two
+// files never share a digest.
+func (d *draft) prunedContents() Contents {
 	pruned := maps.Clone(d.contents)
-	for _, key := range d.touched {
-		earlier, _ := d.before.File(key)
-		now, _ := d.head.File(key)
-		for _, digest := range earlier.digests() {
-			if !slices.Contains(now.digests(), digest) {
+	for _, key := range d.changedFiles {
+		previousEntry, _ := d.previous.File(key)
+		entry, _ := d.head.File(key)
+		for _, digest := range previousEntry.digests() {
+			if !slices.Contains(entry.digests(), digest) {
 				delete(pruned, digest)
 			}
 		}
--- a/internal/core/ledger/head.go
+++ b/internal/core/ledger/head.go
@@ -17,13 +17,14 @@
 // Format is the version of the head's encoding.
 const Format = 1
 
-// HeadObject is the name of the head on the platform.
+// HeadObject is the name of the platform object that holds the head.
 const HeadObject = "head"
 
 // ContentPrefix is the prefix of the names of content objects.
 const ContentPrefix = "content/"
 
-// ContentObject returns the name of the object that holds a file's canonical text.
+// ContentObject returns the name of the object that holds a file's canonical
+// text.
 func ContentObject(digest resource.Digest) string {
 	return ContentPrefix + string(digest)
 }
@@ -59,13 +60,13 @@
 // FileEntry is one file. At least one of Accepted and Held is set; both are set
 // if a replacement is held while the accepted revision stays in force.
 type FileEntry struct {
-	Partner  resource.Partner `json:"partner"`
-	Name     string           `json:"name"`
-	Accepted *AcceptedRevision        `json:"accepted,omitempty"`
-	Held     *HeldRevision    `json:"held,omitempty"`
+	Partner  resource.Partner  `json:"partner"`
+	Name     string            `json:"name"`
+	Accepted *AcceptedRevision `json:"accepted,omitempty"`
+	Held     *HeldRevision     `json:"held,omitempty"`
 }
 
-// Accepted is the accepted revision of a file.
+// AcceptedRevision is the accepted revision of a file.
 type AcceptedRevision struct {
 	Revision uint64           `json:"revision"`
 	Digest   resource.Digest  `json:"digest"`
@@ -121,7 +122,7 @@
 
 // File returns the entry of a file.
 func (h *Head) File(key resource.FileKey) (FileEntry, bool) {
-	position, found := h.search(key)
+	position, found := h.searchFile(key)
 	if !found {
 		return FileEntry{}, false
 	}
@@ -149,7 +150,7 @@
 	return slices.Compact(digests)
 }
 
-func (h *Head) search(key resource.FileKey) (int, bool) {
+func (h *Head) searchFile(key resource.FileKey) (int, bool) {
 	return slices.BinarySearchFunc(h.Files, key, func(entry FileEntry, key resource.FileKey) int {
 		return entry.Key().Compare(key)
 	})
@@ -165,9 +166,9 @@
 	return &next
 }
 
-// put inserts or replaces the entry of a file.
-func (h *Head) put(entry FileEntry) {
-	position, found := h.search(entry.Key())
+// putFile inserts or replaces the entry of a file.
+func (h *Head) putFile(entry FileEntry) {
+	position, found := h.searchFile(entry.Key())
 	if found {
 		h.Files[position] = entry
 		return
@@ -175,30 +176,30 @@
 	h.Files = slices.Insert(h.Files, position, entry)
 }
 
-// remove deletes the entry of a file.
-func (h *Head) remove(key resource.FileKey) {
-	position, found := h.search(key)
+// removeFile deletes the entry of a file.
+func (h *Head) removeFile(key resource.FileKey) {
+	position, found := h.searchFile(key)
 	if found {
 		h.Files = slices.Delete(h.Files, position, position+1)
 	}
 }
 
-// advance increments the version. AcceptedAt never decreases, even if the clocks
-// of two readers differ.
-func (h *Head) advance(now time.Time) {
+// advanceVersion increments the version. AcceptedAt never decreases, even if
+// the clocks of two readers differ.
+func (h *Head) advanceVersion(now time.Time) {
 	h.Version++
 	if now.After(h.AcceptedAt) {
 		h.AcceptedAt = now
 	}
 }
 
-// setKeepers replaces the keeper set of one region and reports whether it
+// setKeeperSet replaces the keeper set of one region and reports whether it
 // changed.
-func (h *Head) setKeepers(set protocol.KeeperSet) bool {
+func (h *Head) setKeeperSet(set protocol.KeeperSet) bool {
 	position, found := slices.BinarySearchFunc(h.Keepers, set, func(a, b protocol.KeeperSet) int {
 		return strings.Compare(a.Region, b.Region)
 	})
-	if found && sameKeepers(h.Keepers[position], set) {
+	if found && equalKeeperSets(h.Keepers[position], set) {
 		return false
 	}
 	set.Revision = h.Version + 1
@@ -211,11 +212,11 @@
 	return true
 }
 
-func sameKeepers(a, b protocol.KeeperSet) bool {
+func equalKeeperSets(a, b protocol.KeeperSet) bool {
 	if (a.Previous == nil) != (b.Previous == nil) {
 		return false
 	}
-	if a.Previous != nil && !sameKeepers(*a.Previous, *b.Previous) {
+	if a.Previous != nil && !equalKeeperSets(*a.Previous, *b.Previous) {
 		return false
 	}
 	return a.Write == b.Write && a.Read == b.Read && slices.Equal(a.Members, b.Members)
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -14,32 +14,32 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// failer is the part of testing.TB and rapid.T that a chain uses.
-type failer interface {
+// fataler is the part of testing.TB and rapid.T that a chain uses.
+type fataler interface {
 	Fatalf(format string, arguments ...any)
 }
 
 // chain applies changes in sequence as a reader would, one per second.
 type chain struct {
-	t        failer
-	now      time.Time
-	head     *ledger.Head
-	contents ledger.Contents
-	made     int
+	t            fataler
+	now          time.Time
+	head         *ledger.Head
+	contents     ledger.Contents
+	requestCount int
 }
 
-func newChain(t failer) *chain {
-	return &chain{t: t, now: start, head: ledger.NewHead(), contents: ledger.Contents{}}
+func newChain(t fataler) *chain {
+	return &chain{t: t, now: startTime, head: ledger.NewHead(), contents: ledger.Contents{}}
 }
 
-func (c *chain) request(action protocol.Action, key string, body string) *protocol.SubmitRequest {
-	c.made++
+func (c *chain) newRequest(action protocol.Action, key string, body string) *protocol.SubmitRequest {
+	c.requestCount++
 	partner, name, _ := strings.Cut(key, "/")
 	request := &protocol.SubmitRequest{
 		Format:    protocol.Format,
-		Operation: ledger.NewOperationID(c.now, fmt.Appendf(nil, "%08d", c.made)),
+		Operation: ledger.NewOperationID(c.now, fmt.Appendf(nil, "%08d", c.requestCount)),
 		Partner:   resource.Partner(partner),
 		Action:    action,
 		File:      name,
@@ -52,32 +52,32 @@
 
 func (c *chain) send(request *protocol.SubmitRequest) *protocol.SubmitReply {
 	c.now = c.now.Add(time.Second)
-	change, refused := ledger.Prepare(request, c.now, 1)
-	if refused != nil {
-		return refused
+	change, refusal := ledger.Prepare(request, c.now, 1)
+	if refusal != nil {
+		return refusal
 	}
 	var reply *protocol.SubmitReply
 	c.head, c.contents, reply = ledger.Apply(c.head, c.contents, change)
 	return reply
 }
 
-func (c *chain) do(action protocol.Action, key string, body string) *protocol.SubmitReply {
-	return c.send(c.request(action, key, body))
+func (c *chain) apply(action protocol.Action, key string, body string) *protocol.SubmitReply {
+	return c.send(c.newRequest(action, key, body))
 }
 
 func (c *chain) submit(key, body string) *protocol.SubmitReply {
-	return c.do(protocol.ActionSubmit, key, body)
+	return c.apply(protocol.ActionSubmit, key, body)
 }
 
 func (c *chain) replace(key, body string) *protocol.SubmitReply {
-	return c.do(protocol.ActionReplace, key, body)
+	return c.apply(protocol.ActionReplace, key, body)
 }
 
 func (c *chain) withdraw(key string) *protocol.SubmitReply {
-	return c.do(protocol.ActionWithdraw, key, "")
+	return c.apply(protocol.ActionWithdraw, key, "")
 }
 
-func (c *chain) keys() string {
+func (c *chain) catalogueKeys() string {
 	var keys []string
 	for _, encoded := range ledger.Catalogue(c.head, c.contents) {
 		keys = append(keys, encoded.Key.String())
@@ -106,10 +106,10 @@
 	is.Equal(reply.Promoted, []string{"a/routes"})
 	is.Equal(reply.Version, protocol.Version(2))
 	is.Equal(c.head.Files[0].Accepted.Version, protocol.Version(2))
-	is.Equal(c.keys(), "a/route/r b/service/s")
+	is.Equal(c.catalogueKeys(), "a/route/r b/service/s")
 }
 
-func TestAllThatAChangeMendsIsPromotedWithIt(t *testing.T) {
+func TestAllFilesUnblockedByAChangeArePromoted(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	is.Equal(c.submit("a/chained", route("r", "b/middle")).Code, result.Held)
@@ -130,10 +130,10 @@
 	is.Equal(c.head.Version, protocol.Version(1))
 }
 
-// TestHeldFileThatCannotStandKeepsNobodyBack guards against a held file that
+// TestUnresolvableHeldFileDoesNotBlockOthers guards against a held file that
 // blocks unrelated ones: the replacement of b/f removes the service that its
 // own route needs, while all that a/g refers to is accepted.
-func TestHeldFileThatCannotStandKeepsNobodyBack(t *testing.T) {
+func TestUnresolvableHeldFileDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	c.submit("b/f", service("z", "a"))
@@ -141,10 +141,10 @@
 	is.Equal(c.submit("a/g", route("r", "b/z")).Code, result.OK)
 }
 
-// TestHeldFilesInEachOthersWay guards against a deadlock of two held
+// TestConflictingHeldFilesDoNotDeadlock guards against a deadlock of two held
 // replacements, each of which removes what the other needs: once each could be
 // accepted alone, one of them is.
-func TestHeldFilesInEachOthersWay(t *testing.T) {
+func TestConflictingHeldFilesDoNotDeadlock(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	c.submit("a/f", service("p", "b"))
@@ -157,7 +157,7 @@
 	is.Equal(len(reply.Promoted), 1)
 }
 
-func TestWhatIsNeededCannotGoAway(t *testing.T) {
+func TestReferencedResourcesCannotBeRemoved(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	c.submit("b/s", service("s", "a"))
@@ -175,7 +175,7 @@
 	}
 	is.Equal(c.withdraw("a/r").Code, result.OK)
 	is.Equal(c.withdraw("b/s").Code, result.OK)
-	is.Equal(c.keys(), "")
+	is.Equal(c.catalogueKeys(), "")
 }
 
 func TestHeldReplacementLeavesTheAcceptedRevisionInForce(t *testing.T) {
@@ -185,7 +185,7 @@
 	reply := c.replace("a/f", service("s")+route("r", "later"))
 	is.Equal(reply.Code, result.Held)
 	is.Equal(c.head.Version, protocol.Version(1))
-	is.Equal(c.keys(), "a/route/r a/service/s")
+	is.Equal(c.catalogueKeys(), "a/route/r a/service/s")
 	is.Equal(c.submit("a/later", service("later")).Promoted, []string{"a/f"})
 }
 
@@ -195,16 +195,16 @@
 	first := c.submit("a/f", service("s"))
 	is.Equal(c.submit("a/f", service("s2")).Code, result.RevisionMismatch)
 	expect := func(revision uint64, body string) *protocol.SubmitReply {
-		request := c.request(protocol.ActionReplace, "a/f", body)
+		request := c.newRequest(protocol.ActionReplace, "a/f", body)
 		request.Expect = protocol.ExpectationOf(&revision)
 		return c.send(request)
 	}
 	second := expect(first.Revision, service("s2"))
 	is.Equal(second.Code, result.OK)
-	lost := expect(first.Revision, service("s3"))
-	is.Equal(lost.Code, result.RevisionMismatch)
-	is.Equal(lost.Revision, second.Revision)
-	is.Equal(lost.Version, second.Version)
+	conflicting := expect(first.Revision, service("s3"))
+	is.Equal(conflicting.Code, result.RevisionMismatch)
+	is.Equal(conflicting.Revision, second.Revision)
+	is.Equal(conflicting.Version, second.Version)
 	c.withdraw("a/f")
 	is.Equal(expect(second.Revision, service("s4")).Code, result.RevisionMismatch)
 	is.True(c.submit("a/f", service("s")).Revision > second.Revision)
@@ -216,7 +216,7 @@
 	c.submit("a/f", service("s"))
 	is.Equal(c.submit("a/g", service("s")).Code, result.NameTaken)
 	is.Equal(c.submit("b/f", service("s")).Code, result.OK)
-	request := c.request(protocol.ActionSubmit, "a/h", service("t"))
+	request := c.newRequest(protocol.ActionSubmit, "a/h", service("t"))
 	request.Partner = "b"
 	is.Equal(c.send(request).Code, result.FileNotYours)
 	is.Equal(c.withdraw("b/none").Code, result.NoSuchFile)
@@ -226,26 +226,26 @@
 func TestResendsGetTheFirstAnswer(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
-	request := c.request(protocol.ActionSubmit, "a/f", service("s"))
+	request := c.newRequest(protocol.ActionSubmit, "a/f", service("s"))
 	first := c.send(request)
 	c.replace("a/f", service("s2"))
 	head := c.head
 	is.Equal(c.send(request), first)
 	is.Equal(c.head, head)
-	other := c.request(protocol.ActionSubmit, "a/g", service("t"))
+	other := c.newRequest(protocol.ActionSubmit, "a/g", service("t"))
 	other.Operation = request.Operation
 	is.Equal(c.send(other).Code, result.OperationReused)
 	other.Operation = "nonsense"
 	is.Equal(c.send(other).Code, result.UsageError)
 }
 
-// TestDroppedOperationIsNeverTakenAsNew guards against a second run of an
+// TestDroppedOperationIsNeverAppliedAgain guards against a second run of an
 // operation that was dropped by count and age, after the reader's clock has
 // jumped back.
-func TestDroppedOperationIsNeverTakenAsNew(t *testing.T) {
+func TestDroppedOperationIsNeverAppliedAgain(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
-	first := c.request(protocol.ActionSubmit, "a/f", service("s"))
+	first := c.newRequest(protocol.ActionSubmit, "a/f", service("s"))
 	is.Equal(c.send(first).Code, result.OK)
 	is.Equal(c.withdraw("a/f").Code, result.OK)
 	c.now = c.now.Add(2 * ledger.MinOperationAge)
@@ -253,23 +253,23 @@
 		c.submit(fmt.Sprintf("a/f%d", i), service(fmt.Sprintf("s%d", i)))
 	}
 	is.Equal(len(c.head.Operations), ledger.MinOperationCount+2) // the first two exceeded both bounds
-	c.now = start
+	c.now = startTime
 	is.Equal(c.send(first).Code, result.OutcomeUnknown)
 	_, found := c.head.File(resource.FileKey{Partner: "a", Name: "f"})
 	is.True(!found)
 }
 
-func TestSameContentIsNoNewVersion(t *testing.T) {
+func TestSameContentKeepsItsVersion(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	first := c.submit("a/f", service("s"))
-	again := c.replace("a/f", "# the same\n"+service("s"))
-	is.Equal(again.Code, result.OK)
-	is.Equal(again.Version, first.Version)
-	is.True(again.Revision > first.Revision)
+	replaced := c.replace("a/f", "# the same\n"+service("s"))
+	is.Equal(replaced.Code, result.OK)
+	is.Equal(replaced.Version, first.Version)
+	is.True(replaced.Revision > first.Revision)
 }
 
-func TestKeepersAreAVersion(t *testing.T) {
+func TestKeeperSetChangeIsANewVersion(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	c.submit("a/f", service("s"))
@@ -291,7 +291,7 @@
 	decoded, err := ledger.Decode(encoded)
 	is.NoErr(err)
 	is.Equal(ledger.Encode(decoded), encoded)
-	for _, spoiled := range []string{
+	for _, corrupted := range []string{
 		"", "null", "{}", `{"format":2}`,
 		strings.Replace(string(encoded), `"term"`, `"newer":1,"term"`, 1),
 		strings.Replace(string(encoded), `"last_revision":2`, `"last_revision":1`, 1),
@@ -299,15 +299,15 @@
 		string(encoded) + strings.Repeat(" ", ledger.MaxHeadSize),
 		string(encoded) + "{}",
 	} {
-		_, err := ledger.Decode([]byte(spoiled))
+		_, err := ledger.Decode([]byte(corrupted))
 		is.True(err != nil)
 	}
 }
 
-// TestHeadRefusesToOutgrowItsBudget fills a head from just below its budget. It
+// TestHeadStaysWithinItsBudget fills a head from just below its budget. It
 // guards against a full head that can't shrink because withdrawals are refused
 // too.
-func TestHeadRefusesToOutgrowItsBudget(t *testing.T) {
+func TestHeadStaysWithinItsBudget(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	c.submit("a/f", service("s"))
--- a/internal/core/ledger/operation.go
+++ b/internal/core/ledger/operation.go
@@ -14,7 +14,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Operation records an applied change, so that a resend gets the same answer.
+// Operation records an applied change, so that a resend gets the same reply.
 type Operation struct {
 	ID string `json:"id"`
 	// At is when the change was applied, by the reader's clock, in Unix
@@ -31,14 +31,15 @@
 
 // Limits of operation ids.
 const (
-	// OperationAge is the minimum time for which an id is kept.
+	// MinOperationAge is the minimum time for which an id is kept.
 	MinOperationAge = 15 * time.Minute
-	// OperationCount is the number of newest ids that are kept at any age.
+	// MinOperationCount is the number of newest ids that are kept at any age.
 	MinOperationCount = 64
-	// OperationAhead is how far an id's time may be ahead of the reader's clock.
+	// MaxOperationSkew is how far an id's time may be ahead of the reader's
+	// clock.
 	MaxOperationSkew = 5 * time.Minute
-	// randomDigits is the minimum number of random digits in an id.
-	randomDigits = 16
+	// minRandomDigits is the minimum number of random digits in an id.
+	minRandomDigits = 16
 	// maxOperationLength is the maximum length of an id in bytes.
 	maxOperationLength = 64
 	// fingerprintBytes is the number of bytes of the request's hash that are
@@ -46,7 +47,7 @@
 	fingerprintBytes = 8
 )
 
-// NewOperation returns an operation id: the time in Unix milliseconds, a dash
+// NewOperationID returns an operation id: the time in Unix milliseconds, a dash
 // and random in hexadecimal. random must have at least 8 bytes.
 func NewOperationID(now time.Time, random []byte) string {
 	return fmt.Sprintf("%d-%s", now.UnixMilli(), hex.EncodeToString(random))
@@ -57,7 +58,7 @@
 func OperationTime(id string) (int64, error) {
 	malformed := result.New(result.UsageError, "the operation id is not <unix milliseconds>-<random hex>")
 	digits, random, found := strings.Cut(id, "-")
-	if !found || len(id) > maxOperationLength || len(random) < randomDigits {
+	if !found || len(id) > maxOperationLength || len(random) < minRandomDigits {
 		return 0, malformed
 	}
 	if _, err := hex.DecodeString(random); err != nil {
@@ -86,16 +87,16 @@
 	return hex.EncodeToString(hash.Sum(nil)[:fingerprintBytes])
 }
 
-// FindOperation returns the answer recorded in the head for a request, nil if
-// its id is not listed, or OperationReused if the id was used for another
-// change. After a lost reply it shows whether the update was applied.
+// FindOperation returns the reply recorded in the head for a request, nil if its
+// id is not listed, or OperationReused if the id was used for another change.
+// After a lost reply it shows whether the update was applied.
 func FindOperation(head *Head, request *protocol.SubmitRequest) *protocol.SubmitReply {
 	for _, operation := range head.Operations {
 		if operation.ID != request.Operation {
 			continue
 		}
 		if operation.Fingerprint != fingerprint(request) {
-			return refuse(result.OperationReused, "the operation id was used for another change")
+			return newRefusal(result.OperationReused, "the operation id was used for another change")
 		}
 		return operation.reply()
 	}
@@ -112,36 +113,36 @@
 	}
 }
 
-// checkOperation refuses an id that is not in the head but can't be treated as
+// checkOperationID refuses an id that is not in the head but can't be treated as
 // new. If it is not newer than OperationFloor, it may have been dropped, and the
-// outcome of its change is unknown. If it is too far ahead of the clock, dropping
-// it later would raise OperationFloor above the ids of other changes.
-func checkOperation(head *Head, id string, now time.Time) *protocol.SubmitReply {
+// outcome of its change is unknown. If it is too far ahead of the clock,
+// dropping it later would raise OperationFloor above the ids of other changes.
+func checkOperationID(head *Head, id string, now time.Time) *protocol.SubmitReply {
 	milliseconds, err := OperationTime(id)
 	if err != nil {
-		return refuse(result.UsageError, "the operation id is not <unix milliseconds>-<random hex>")
+		return newRefusal(result.UsageError, "the operation id is not <unix milliseconds>-<random hex>")
 	}
 	if milliseconds <= head.OperationFloor {
-		reply := refuse(result.OutcomeUnknown, "the operation id is too old to tell whether it was used")
+		reply := newRefusal(result.OutcomeUnknown, "the operation id is too old to tell whether it was used")
 		reply.Errors[0].Mend = "Look at status, then use a new operation id."
 		return reply
 	}
 	if milliseconds > now.Add(MaxOperationSkew).UnixMilli() {
-		reply := refuse(result.OperationReused, "the operation id's time is too far ahead of the reader's clock")
+		reply := newRefusal(result.OperationReused, "the operation id's time is too far ahead of the reader's clock")
 		reply.Errors[0].Mend = "Set the clock of the machine that made the id."
 		return reply
 	}
 	return nil
 }
 
-// remember adds an operation and drops the oldest ones that exceed both the
+// addOperation adds an operation and drops the oldest ones that exceed both the
 // count and the age. OperationFloor is raised to the time in a dropped id, so
 // that a resend of it is never treated as new, whatever the readers' clocks
 // show; the clock only affects how soon ids are dropped.
-func (h *Head) remember(operation Operation, now time.Time) {
+func (h *Head) addOperation(operation Operation, now time.Time) {
 	h.Operations = append(h.Operations, operation)
 	dropped := 0
-	for dropped < len(h.Operations)-MinOperationCount && expired(h.Operations[dropped], now) {
+	for dropped < len(h.Operations)-MinOperationCount && isExpired(h.Operations[dropped], now) {
 		milliseconds, err := OperationTime(h.Operations[dropped].ID)
 		if err == nil {
 			h.OperationFloor = max(h.OperationFloor, milliseconds)
@@ -151,10 +152,10 @@
 	h.Operations = slices.Delete(h.Operations, 0, dropped)
 }
 
-// expired reports whether an operation is older than OperationAge. One too far
-// in the future counts as expired as well: the clock that dated it has jumped,
-// and the operation must not keep later ones from being dropped.
-func expired(operation Operation, now time.Time) bool {
+// isExpired reports whether an operation is older than MinOperationAge. One too
+// far in the future counts as expired as well: the clock that dated it has
+// jumped, and the operation must not keep later ones from being dropped.
+func isExpired(operation Operation, now time.Time) bool {
 	oldest := now.Add(-MinOperationAge).UnixMilli()
 	newest := now.Add(MaxOperationSkew).UnixMilli()
 	return operation.At < oldest || operation.At > newest
--- a/internal/core/ledger/property_test.go
+++ b/internal/core/ledger/property_test.go
@@ -38,10 +38,10 @@
 		strings.Join(services, ", "), strings.Join(secrets, ", "), strings.Join(routes, ", "))
 }
 
-// TestAcceptanceHoldsItsRules applies random changes and checks the whole state
+// TestAcceptanceInvariants applies random changes and checks the whole state
 // after each. It uses the full reference check, whereas Apply checks only what
 // has changed.
-func TestAcceptanceHoldsItsRules(t *testing.T) {
+func TestAcceptanceInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newChain(t)
 		for range rapid.IntRange(1, 25).Draw(t, "changes") {
@@ -49,7 +49,7 @@
 			key := partner + "/" + rapid.SampledFrom([]string{"f", "g", "h"}).Draw(t, "file")
 			action := rapid.SampledFrom([]protocol.Action{protocol.ActionSubmit, protocol.ActionReplace, protocol.ActionWithdraw}).Draw(t, "action")
 			before, catalogue := c.head, ledger.Catalogue(c.head, c.contents)
-			reply := c.do(action, key, drawBody(t, partner))
+			reply := c.apply(action, key, drawBody(t, partner))
 			checkStep(t, c, before, catalogue, reply)
 			checkState(t, c)
 		}
@@ -64,9 +64,9 @@
 	if accepted != (len(reply.Errors) == 0) {
 		t.Fatalf("code %d with errors %v", reply.Code, reply.Errors)
 	}
-	step := c.head.Version - before.Version
+	increase := c.head.Version - before.Version
 	changed := !reflect.DeepEqual(catalogue, ledger.Catalogue(c.head, c.contents))
-	if step > 1 || changed && step != 1 {
+	if increase > 1 || changed && increase != 1 {
 		t.Fatalf("version %d follows version %d; catalogue changed: %v", c.head.Version, before.Version, changed)
 	}
 }
--- a/internal/core/ledger/status.go
+++ b/internal/core/ledger/status.go
@@ -17,7 +17,7 @@
 	var statuses []protocol.FileStatus
 	for _, entry := range head.Files {
 		if entry.Accepted != nil {
-			accepted := describe(entry, contents[entry.Accepted.Digest])
+			accepted := newFileStatus(entry, contents[entry.Accepted.Digest])
 			accepted.Revision = entry.Accepted.Revision
 			accepted.Digest = entry.Accepted.Digest
 			accepted.AcceptedAt = entry.Accepted.At
@@ -25,7 +25,7 @@
 			statuses = append(statuses, accepted)
 		}
 		if entry.Held != nil {
-			held := describe(entry, contents[entry.Held.Digest])
+			held := newFileStatus(entry, contents[entry.Held.Digest])
 			held.Revision = entry.Held.Revision
 			held.Digest = entry.Held.Digest
 			held.Held = true
@@ -36,9 +36,9 @@
 	return statuses
 }
 
-// describe returns a status with the fields that follow from the content of a
-// file, which is nil if it is not loaded.
-func describe(entry FileEntry, file *resource.File) protocol.FileStatus {
+// newFileStatus returns a status with the fields that follow from the content
+// of a file, which is nil if it is not loaded.
+func newFileStatus(entry FileEntry, file *resource.File) protocol.FileStatus {
 	status := protocol.FileStatus{Partner: entry.Partner, Name: entry.Name}
 	if file == nil {
 		return status
--- a/internal/core/ledger/year_test.go
+++ b/internal/core/ledger/year_test.go
@@ -17,85 +17,86 @@
 // The workload: 190 services of two partners, one file each, and 2,300 changes
 // a day for a year.
 const (
-	yearServices  = 190
-	changesPerDay = 2_300
-	yearOfChanges = 365 * changesPerDay
-	shortOfYear   = 2_000
-	// measureEach is the number of changes between two measurements of the head.
-	measureEach = 10
+	yearServices    = 190
+	changesPerDay   = 2_300
+	yearOfChanges   = 365 * changesPerDay
+	shortRunChanges = 2_000
+	// measureInterval is the number of changes between two measurements of the
+	// head.
+	measureInterval = 10
 )
 
-// year applies random changes from a fixed seed and records the size of the
+// yearRun applies random changes from a fixed seed and records the size of the
 // largest head.
-type year struct {
+type yearRun struct {
 	chain
-	random  *rand.Rand
-	sent    int
-	largest int
-	codes   map[result.Code]int
+	random      *rand.Rand
+	changeCount int
+	largestHead int
+	countByCode map[result.Code]int
 }
 
 // body returns the file of one service: the service, its back ends, a secret and
 // a route. Some routes lead to another service, which may not exist.
-func (y *year) body(service int) string {
+func (y *yearRun) body(service int) string {
 	target := service
 	if y.random.IntN(20) == 0 {
 		target = y.random.IntN(yearServices + 1)
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "services: [{name: s%d, export_to: [%s]}]\nbackends:\n", service, otherOf(service))
+	fmt.Fprintf(&text, "services: [{name: s%d, export_to: [%s]}]\nbackends:\n", service, otherPartner(service))
 	for backend := range 6 {
 		fmt.Fprintf(&text, "  - {name: s%d-%d, service: s%d, address: '10.0.%d.%d:8080', region: windhoek, zone: klein-hall, slots: %d}\n",
 			service, backend, service, service, backend+1, 1+y.random.IntN(1000))
 	}
 	fmt.Fprintf(&text, "secrets: [{name: s%d, value: v%d}]\n", service, y.random.IntN(1_000_000))
-	fmt.Fprintf(&text, "routes: [{name: s%d, match: {path_prefix: /s%d}, split: [{service: %s/s%d}]}]\n", service, service, ownerOf(target), target)
+	fmt.Fprintf(&text, "routes: [{name: s%d, match: {path_prefix: /s%d}, split: [{service: %s/s%d}]}]\n", service, service, owningPartner(target), target)
 	return text.String()
 }
 
-func ownerOf(service int) string { return [...]string{"adomako", "kameeldoring"}[service%2] }
+func owningPartner(service int) string { return [...]string{"adomako", "kameeldoring"}[service%2] }
 
-func otherOf(service int) string { return ownerOf(service + 1) }
+func otherPartner(service int) string { return owningPartner(service + 1) }
 
 // step applies one change: mostly replacements, some withdrawals and first
 // submissions. Some changes are sent twice.
-func (y *year) step() {
+func (y *yearRun) step() {
 	service := y.random.IntN(yearServices)
-	key := fmt.Sprintf("%s/f%d", ownerOf(service), service)
-	_, found := y.head.File(resource.FileKey{Partner: resource.Partner(ownerOf(service)), Name: fmt.Sprintf("f%d", service)})
+	key := fmt.Sprintf("%s/f%d", owningPartner(service), service)
+	_, found := y.head.File(resource.FileKey{Partner: resource.Partner(owningPartner(service)), Name: fmt.Sprintf("f%d", service)})
 	var request *protocol.SubmitRequest
 	switch {
 	case !found:
-		request = y.request(protocol.ActionSubmit, key, y.body(service))
+		request = y.newRequest(protocol.ActionSubmit, key, y.body(service))
 	case y.random.IntN(50) == 0:
-		request = y.request(protocol.ActionWithdraw, key, "")
+		request = y.newRequest(protocol.ActionWithdraw, key, "")
 	default:
-		request = y.request(protocol.ActionReplace, key, y.body(service))
+		request = y.newRequest(protocol.ActionReplace, key, y.body(service))
 	}
 	reply := y.send(request)
-	y.codes[reply.Code]++
+	y.countByCode[reply.Code]++
 	if y.random.IntN(50) == 0 {
-		again := y.send(request)
-		if reply.Code == result.OK && (again.Version != reply.Version || again.Revision != reply.Revision) {
-			y.t.Fatalf("reply %+v to a resend, want the first reply %+v", again, reply)
+		resent := y.send(request)
+		if reply.Code == result.OK && (resent.Version != reply.Version || resent.Revision != reply.Revision) {
+			y.t.Fatalf("reply %+v to a resend, want the first reply %+v", resent, reply)
 		}
 	}
 	y.now = y.now.Add(24*time.Hour/changesPerDay - time.Second)
-	y.sent++
-	if y.sent%measureEach == 0 {
+	y.changeCount++
+	if y.changeCount%measureInterval == 0 {
 		y.measure()
 	}
 }
 
 // measure records the size of the encoded head, checks it against the budget
 // and, every 1,000 changes, decodes it and checks the contents.
-func (y *year) measure() {
+func (y *yearRun) measure() {
 	encoded := ledger.Encode(y.head)
-	y.largest = max(y.largest, len(encoded))
+	y.largestHead = max(y.largestHead, len(encoded))
 	if len(encoded) > ledger.HeadBudget {
-		y.t.Fatalf("the head has %d bytes after %d changes, which exceeds its budget", len(encoded), y.sent)
+		y.t.Fatalf("the head has %d bytes after %d changes, which exceeds its budget", len(encoded), y.changeCount)
 	}
-	if y.sent%1000 != 0 {
+	if y.changeCount%1000 != 0 {
 		return
 	}
 	if _, err := ledger.Decode(encoded); err != nil {
@@ -106,20 +107,20 @@
 	}
 }
 
-func runYear(t failer, changes int) *year {
-	y := &year{chain: *newChain(t), random: rand.New(rand.NewPCG(1, 2)), codes: map[result.Code]int{}}
-	for y.sent < changes {
+func runYear(t fataler, changes int) *yearRun {
+	y := &yearRun{chain: *newChain(t), random: rand.New(rand.NewPCG(1, 2)), countByCode: map[result.Code]int{}}
+	for y.changeCount < changes {
 		y.step()
 	}
 	return y
 }
 
 func TestHeadStaysBounded(t *testing.T) {
-	y := runYear(t, shortOfYear)
-	if y.codes[result.OK] < shortOfYear/2 || y.codes[result.Held] == 0 || y.codes[result.StillNeeded] == 0 {
-		t.Fatalf("the workload has too few of some result codes: %v", y.codes)
+	y := runYear(t, shortRunChanges)
+	if y.countByCode[result.OK] < shortRunChanges/2 || y.countByCode[result.Held] == 0 || y.countByCode[result.StillNeeded] == 0 {
+		t.Fatalf("the workload has too few of some result codes: %v", y.countByCode)
 	}
-	t.Logf("%d changes, largest head %d bytes, answers %v", y.sent, y.largest, y.codes)
+	t.Logf("%d changes, largest head %d bytes, answers %v", y.changeCount, y.largestHead, y.countByCode)
 }
 
 // yearChanges is how many changes the benchmark runs.
@@ -131,9 +132,9 @@
 func BenchmarkYearOfChanges(b *testing.B) {
 	for b.Loop() {
 		y := runYear(b, *yearChanges)
-		b.ReportMetric(float64(y.largest), "largest_head_bytes")
+		b.ReportMetric(float64(y.largestHead), "largest_head_bytes")
 		b.ReportMetric(float64(y.head.Version), "versions")
 		b.ReportMetric(float64(len(y.head.Operations)), "operations_at_end")
-		b.Logf("answers by code: %v", y.codes)
+		b.Logf("answers by code: %v", y.countByCode)
 	}
 }
--- a/internal/sim/mutant/configuration.go
+++ b/internal/sim/mutant/configuration.go
@@ -50,8 +50,8 @@
 		Old: "	return newRefusal(result.OutcomeUnknown, ",
 		New: "	return newRefusal(result.NotAccepted, "},
 	{Name: "apply_twice", Breaks: oracle.AtMostOnce, Simulation: Mesh, File: "ledger/apply.go",
-		Old: "	if known := FindOperation(head, change.Request); known != nil {",
-		New: "	if known := FindOperation(head, change.Request); known != nil && known.Code == result.Held {"},
+		Old: "	if recorded := FindOperation(head, change.Request); recorded != nil {",
+		New: "	if recorded := FindOperation(head, change.Request); recorded != nil && recorded.Code == result.Held {"},
 
 	{Name: "claim_what_is_released", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "node/root.go",
 		Old: "	claimed := min(holding, n.root.claims.DeclarableVersion(n.now))",
