--- a/internal/core/purity_test.go
+++ b/internal/core/purity_test.go
@@ -1,6 +1,6 @@
-// Package core_test holds all packages below to the rule that the core does no
-// input or output, reads no clock, draws no unseeded randomness and starts no
-// goroutine.
+// Package core_test checks that the packages below internal/core are pure: they
+// do no input or output, read no clock, use no unseeded randomness and start no
+// goroutines.
 package core_test
 
 import (
@@ -18,9 +18,10 @@
 
 var (
 	forbiddenImports = []string{"net", "os", "log", "io/ioutil", "crypto/rand", "math/rand", "github.com/apex/log"}
-	// pureImports lie below a forbidden path but hold values only.
-	pureImports = []string{"net/netip", "net/textproto", "math/rand/v2"}
-	// forbiddenCalls are functions of packages that are allowed otherwise.
+	// allowedImports are exceptions below a forbidden path: packages that are
+	// pure, at least without forbiddenCalls.
+	allowedImports = []string{"net/netip", "net/textproto", "math/rand/v2"}
+	// forbiddenCalls are forbidden functions of allowed packages, by package name.
 	forbiddenCalls = map[string][]string{
 		"time":      {"Now", "Since", "Until", "Sleep", "After", "AfterFunc", "Tick", "NewTimer", "NewTicker"},
 		"textproto": {"Dial", "NewConn", "NewReader", "NewWriter"},
@@ -28,20 +29,20 @@
 	}
 )
 
-func TestTheCoreIsPure(t *testing.T) {
+func TestCoreIsPure(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir(".", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		files++
-		set := token.NewFileSet()
-		parsed, err := parser.ParseFile(set, path, nil, 0)
+		fileSet := token.NewFileSet()
+		parsed, err := parser.ParseFile(fileSet, path, nil, 0)
 		if err != nil {
 			return err
 		}
-		for _, fault := range faultsOf(parsed) {
-			t.Errorf("%s: %s", set.Position(fault.at), fault.text)
+		for _, found := range findViolations(parsed) {
+			t.Errorf("%s: %s", fileSet.Position(found.position), found.text)
 		}
 		return nil
 	})
@@ -50,39 +51,39 @@
 	}
 }
 
-// fault is one breach of the rule.
-type fault struct {
-	at   token.Pos
-	text string
+// violation is one impure import, call or statement.
+type violation struct {
+	position token.Pos
+	text     string
 }
 
-func faultsOf(file *ast.File) []fault {
-	var faults []fault
+func findViolations(file *ast.File) []violation {
+	var violations []violation
 	for _, imported := range file.Imports {
 		path, _ := strconv.Unquote(imported.Path.Value)
-		below := slices.ContainsFunc(forbiddenImports, func(name string) bool {
+		isForbidden := slices.ContainsFunc(forbiddenImports, func(name string) bool {
 			return path == name || strings.HasPrefix(path, name+"/")
 		})
-		if below && !slices.Contains(pureImports, path) {
-			faults = append(faults, fault{imported.Pos(), "imports " + path})
+		if isForbidden && !slices.Contains(allowedImports, path) {
+			violations = append(violations, violation{imported.Pos(), "imports " + path})
 		}
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch found := node.(type) {
 		case *ast.GoStmt:
-			faults = append(faults, fault{found.Pos(), "starts a goroutine"})
+			violations = append(violations, violation{found.Pos(), "starts a goroutine"})
 		case *ast.SelectorExpr:
 			base, isName := found.X.(*ast.Ident)
 			if isName && base.Obj == nil && slices.Contains(forbiddenCalls[base.Name], found.Sel.Name) {
-				faults = append(faults, fault{found.Pos(), fmt.Sprintf("uses %s.%s", base.Name, found.Sel.Name)})
+				violations = append(violations, violation{found.Pos(), fmt.Sprintf("uses %s.%s", base.Name, found.Sel.Name)})
 			}
 		}
 		return true
 	})
-	return faults
+	return violations
 }
 
-func TestThePurityCheckBites(t *testing.T) {
+func TestPurityCheckFindsViolations(t *testing.T) {
 	const impure = `package p
 import ("net"; "net/netip"; "os/exec"; "time"; "math/rand/v2")
 func f() { go f(); _ = time.Now; _ = rand.IntN(3); _ = rand.New; _ = time.Second }`
@@ -90,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if faults := faultsOf(parsed); len(faults) != 5 {
-		t.Fatalf("found %v", faults)
+	if violations := findViolations(parsed); len(violations) != 5 {
+		t.Fatalf("found %v", violations)
 	}
 }
--- a/internal/result/document_test.go
+++ b/internal/result/document_test.go
@@ -33,7 +33,7 @@
 
 var entryName = regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 
-func TestEntriesAreWhole(t *testing.T) {
+func TestEntriesAreComplete(t *testing.T) {
 	is := is.New(t)
 	names := map[string]bool{}
 	previous := Code(-1)
@@ -66,9 +66,9 @@
 	is.Equal(declared, len(Entries()))
 }
 
-func TestErrorNamesPlaceAndMend(t *testing.T) {
+func TestErrorTextContainsPlaceAndRemedy(t *testing.T) {
 	is := is.New(t)
-	mistake := &Error{Code: FileBadValue, File: "a.yaml", Line: 3, Field: "routes[0].timeout", Detail: "too long", Mend: "give less"}
-	is.Equal(mistake.Error(), "springstack-104 file_bad_value a.yaml:3 routes[0].timeout: too long (give less)")
+	problem := &Error{Code: FileBadValue, File: "a.yaml", Line: 3, Field: "routes[0].timeout", Detail: "too long", Mend: "give less"}
+	is.Equal(problem.Error(), "springstack-104 file_bad_value a.yaml:3 routes[0].timeout: too long (give less)")
 	is.Equal(Code(12345).Name(), "unlisted")
 }
