--- a/internal/core/floor/keeper.go
+++ b/internal/core/floor/keeper.go
@@ -7,8 +7,9 @@
 
 // Keeper is the state that a daemon holds as a possible keeper of its region.
 // Every daemon has one; only those of the members of the keeper set receive
-// store requests. The stored version only grows, so that requests of a root
-// that resumes after a pause can't lower it.
+// store requests. It is valid, that is, its replies count towards quorums, once
+// the daemon knows its own floor. The stored version only grows, so that
+// requests of a root that resumes after a pause can't lower it.
 type Keeper struct {
 	id        protocol.NodeID
 	region    string
@@ -43,7 +44,7 @@
 // Stored returns the highest version stored.
 func (k *Keeper) Stored() protocol.Version { return k.stored }
 
-// Set returns the newest keeper set known.
+// Set returns the newest keeper set of the region that the keeper knows.
 func (k *Keeper) Set() protocol.KeeperSet { return k.keeperSet }
 
 // HandleStoreRequest stores a version and the keeper set in the head at that
--- a/internal/core/floor/learner.go
+++ b/internal/core/floor/learner.go
@@ -21,9 +21,9 @@
 	// jittered wait between rounds; the limit doubles with each round.
 	roundWaitBase = 200 * time.Millisecond
 	roundWaitCap  = 3 * time.Second
-	// othersPerRound is how many daemons outside the keeper set are queried in a
-	// round.
-	othersPerRound = 3
+	// otherDaemonsPerRound is how many daemons outside the keeper set are queried
+	// in a round.
+	otherDaemonsPerRound = 3
 	// roundsBeforeFreshHead is the number of rounds before a reader is asked
 	// for a fresh head.
 	roundsBeforeFreshHead = 2
@@ -35,7 +35,8 @@
 type LearnerConfig struct {
 	ID     protocol.NodeID
 	Region string
-	// Seeds are the control addresses queried before any peer is known.
+	// Seeds are control addresses that are queried in addition to the known
+	// peers. At the start no peer is known.
 	Seeds []string
 	// RandomSeed makes the Learner's random choices repeatable.
 	RandomSeed uint64
@@ -62,9 +63,9 @@
 	roundCount  int
 	nextRoundAt time.Duration
 
-	isKnown     bool
-	floor       protocol.Version
-	incarnation protocol.Incarnation
+	isFloorKnown bool
+	floor        protocol.Version
+	incarnation  protocol.Incarnation
 }
 
 // NewLearner returns a Learner whose floor is not known yet.
@@ -81,7 +82,7 @@
 
 // Tick starts a round of requests when one is due.
 func (l *Learner) Tick(now time.Duration) []Output {
-	if l.isKnown || now < l.nextRoundAt {
+	if l.isFloorKnown || now < l.nextRoundAt {
 		return nil
 	}
 	return l.startRound(now)
@@ -146,7 +147,7 @@
 	addresses := l.knownAddresses(func(protocol.Member) bool { return true })
 	addresses = lo.Without(lo.Uniq(append(addresses, l.config.Seeds...)), l.keeperAddresses()...)
 	l.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	return addresses[:min(len(addresses), othersPerRound)]
+	return addresses[:min(len(addresses), otherDaemonsPerRound)]
 }
 
 // readerAddress returns the address of a random reader, or of a random seed if
@@ -177,7 +178,7 @@
 		return nil
 	}
 	delete(l.pending, token)
-	if reply == nil || l.isKnown {
+	if reply == nil || l.isFloorKnown {
 		return nil
 	}
 	l.AddPeers(reply.Peers)
@@ -220,9 +221,9 @@
 }
 
 // hasQuorum reports whether the replies form a read quorum of the newest set
-// and, while it is being changed, of the previous one. The floor also covers the
-// revision of that set, which is itself a version: every version released with
-// an older set in the head is below it.
+// and, while it is being changed, of the previous one. The floor is then at least
+// the newest set's Revision, the version that put that set into the head: every
+// version released with an older set in the head is below that version.
 func (l *Learner) hasQuorum() bool {
 	if l.keeperSet.Revision == 0 {
 		return false
@@ -231,15 +232,15 @@
 }
 
 func (l *Learner) setFloor(floor protocol.Version) {
-	l.isKnown = true
+	l.isFloorKnown = true
 	l.floor = floor
 	l.pending = map[Token]bool{}
 }
 
 // HandleHead handles a head that the daemon's own reader has read after
-// ReadHead.
+// ReadHead. No request follows, so it never returns an output.
 func (l *Learner) HandleHead(now time.Duration, version protocol.Version, sets []protocol.KeeperSet) []Output {
-	if l.isKnown {
+	if l.isFloorKnown {
 		return nil
 	}
 	for _, set := range sets {
@@ -263,7 +264,7 @@
 }
 
 // Floor returns the floor, and false while it is not known.
-func (l *Learner) Floor() (protocol.Version, bool) { return l.floor, l.isKnown }
+func (l *Learner) Floor() (protocol.Version, bool) { return l.floor, l.isFloorKnown }
 
 // Keepers returns the newest keeper set of the region received so far.
 func (l *Learner) Keepers() protocol.KeeperSet { return l.keeperSet }
--- a/internal/core/floor/model_test.go
+++ b/internal/core/floor/model_test.go
@@ -24,7 +24,7 @@
 	keeperSets []protocol.KeeperSet
 	daemons    []*daemon
 	roots      []*root
-	network    []message
+	inFlight   []message
 	// delayed is the set of routes on which messages are delayed.
 	delayed map[route]bool
 	// released is the highest version that any root has released.
@@ -106,7 +106,9 @@
 
 func (m *model) headVersion() protocol.Version { return protocol.Version(len(m.keeperSets)) }
 
-func (m *model) setAt(version protocol.Version) protocol.KeeperSet { return m.keeperSets[version-1] }
+func (m *model) keeperSetAt(version protocol.Version) protocol.KeeperSet {
+	return m.keeperSets[version-1]
+}
 
 // restart restarts a daemon without any of its state.
 func (m *model) restart(d *daemon) {
@@ -125,7 +127,7 @@
 // accept appends a head. A keeper set derived from an older set is dropped, as
 // update-if-version would do.
 func (m *model) accept(proposed *protocol.KeeperSet) {
-	set := m.setAt(m.headVersion())
+	set := m.keeperSetAt(m.headVersion())
 	if proposed != nil {
 		if proposed.Revision != set.Revision {
 			return
@@ -197,7 +199,7 @@
 }
 
 func (m *model) send(path route, deliver func()) {
-	m.network = append(m.network, message{route: path, deliver: deliver})
+	m.inFlight = append(m.inFlight, message{route: path, deliver: deliver})
 }
 
 // checkFloor checks a daemon's floor once it is known: it must not be below any
@@ -249,7 +251,7 @@
 // step draws and runs one action. The more messages are in flight, the more
 // likely it delivers one, so that exchanges complete.
 func (m *model) step(t *rapid.T) {
-	if m.random.IntN(len(m.network)+6) >= 4 && m.deliver() {
+	if m.random.IntN(len(m.inFlight)+6) >= 4 && m.deliver() {
 		return
 	}
 	d := m.daemons[m.random.IntN(len(m.daemons))]
@@ -261,7 +263,7 @@
 		m.delayed = map[route]bool{}
 	case action < 17:
 		if d.keeper.IsValid() { // learns the keeper set of some head from a peer
-			d.keeper.Validate(0, m.setAt(1+protocol.Version(m.random.IntN(len(m.keeperSets)))))
+			d.keeper.Validate(0, m.keeperSetAt(1+protocol.Version(m.random.IntN(len(m.keeperSets)))))
 		}
 	case action < 30:
 		m.tick(t)
@@ -271,40 +273,40 @@
 		m.accept(nil)
 	case action < 74:
 		live := max(1+m.random.IntN(len(m.daemons)), 1+m.random.IntN(len(m.daemons)))
-		if next, changed := ChooseKeepers("region", m.setAt(r.seenVersion), m.members(live), r.releaser.Released()); changed {
+		if next, changed := ChooseKeepers("region", m.keeperSetAt(r.seenVersion), m.members(live), r.releaser.Released()); changed {
 			m.accept(&next)
 		}
 	case action < 94:
 		r.seenVersion = m.headVersion()
-		m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seenVersion, m.setAt(r.seenVersion)))
+		m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seenVersion, m.keeperSetAt(r.seenVersion)))
 	case action < 96:
 		*r = root{releaser: NewReleaser("root", "region"), seenVersion: r.seenVersion}
 	case action < 99:
 		if d.learner != nil && d.freshHeadRequested {
-			d.learner.HandleHead(m.now, m.headVersion(), []protocol.KeeperSet{m.setAt(m.headVersion())})
+			d.learner.HandleHead(m.now, m.headVersion(), []protocol.KeeperSet{m.keeperSetAt(m.headVersion())})
 			m.checkFloor(t, d)
 		}
 	default:
-		m.network = nil
+		m.inFlight = nil
 	}
 }
 
 // deliver delivers a message that is not delayed, often one of the oldest, and
 // sometimes duplicates or loses it. It reports whether there was one.
 func (m *model) deliver() bool {
-	i := m.random.IntN(max(1, len(m.network)))
+	i := m.random.IntN(max(1, len(m.inFlight)))
 	if m.random.IntN(2) == 0 {
-		i = m.random.IntN(min(4, max(1, len(m.network))))
+		i = m.random.IntN(min(4, max(1, len(m.inFlight))))
 	}
-	for i < len(m.network) && m.delayed[m.network[i].route] {
+	for i < len(m.inFlight) && m.delayed[m.inFlight[i].route] {
 		i++
 	}
-	if i >= len(m.network) {
+	if i >= len(m.inFlight) {
 		return false
 	}
-	next := m.network[i]
+	next := m.inFlight[i]
 	if m.random.IntN(20) > 0 {
-		m.network = append(m.network[:i:i], m.network[i+1:]...)
+		m.inFlight = append(m.inFlight[:i:i], m.inFlight[i+1:]...)
 	}
 	if m.random.IntN(20) > 0 {
 		next.deliver()
@@ -332,17 +334,17 @@
 		m.tick(t)
 		for _, r := range m.roots {
 			r.seenVersion = m.headVersion()
-			m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seenVersion, m.setAt(r.seenVersion)))
+			m.carryOut(t, nil, r, r.releaser.SetTarget(m.now, 1, r.seenVersion, m.keeperSetAt(r.seenVersion)))
 		}
 		for _, d := range m.daemons {
 			if d.learner != nil && d.freshHeadRequested {
-				d.learner.HandleHead(m.now, m.headVersion(), []protocol.KeeperSet{m.setAt(m.headVersion())})
+				d.learner.HandleHead(m.now, m.headVersion(), []protocol.KeeperSet{m.keeperSetAt(m.headVersion())})
 				m.checkFloor(t, d)
 			}
 		}
-		for len(m.network) > 0 {
-			next := m.network[0]
-			m.network = m.network[1:]
+		for len(m.inFlight) > 0 {
+			next := m.inFlight[0]
+			m.inFlight = m.inFlight[1:]
 			next.deliver()
 		}
 		m.checkQuorums(t)
--- a/internal/core/floor/releaser.go
+++ b/internal/core/floor/releaser.go
@@ -24,14 +24,14 @@
 // keepers and determines which version may be released to proxies.
 //
 // Invariant: before a version is released, there was one moment at which a
-// write quorum of every active set held it. Keepers lose their state when they
-// restart, so counting replies is not enough: a keeper could restart and obtain
-// its floor from keepers that have not stored the version yet, while its
-// earlier reply still counts. Hence there are two rounds. Once a write quorum
-// has stored the version, these keepers are queried again, and only those with
-// the same incarnation as before count; all of them held the version at the
-// moment between the rounds. Two roots at the same time do no harm, as each
-// release has its own quorum and stored versions only grow.
+// write quorum of every active keeper set (see ActiveSets) held it. Keepers
+// lose their state when they restart, so counting replies is not enough: a
+// keeper could restart and obtain its floor from keepers that have not stored
+// the version yet, while its earlier reply still counts. Hence there are two
+// rounds. Once a write quorum has stored the version, these keepers are queried
+// again, and only those with the same incarnation as before count; all of them
+// held the version at the moment between the rounds. Two roots at the same time
+// do no harm, as each release has its own quorum and stored versions only grow.
 type Releaser struct {
 	id        protocol.NodeID
 	region    string
@@ -56,8 +56,9 @@
 type release struct {
 	target    target
 	startedAt time.Duration
-	// stored maps each keeper that has stored the version to its incarnation.
-	stored map[protocol.NodeID]protocol.Incarnation
+	// storedBy maps each keeper that has stored the version to its incarnation
+	// in the latest such reply.
+	storedBy map[protocol.NodeID]protocol.Incarnation
 	// round counts the confirmation rounds; 0 while storing.
 	round int
 	// roundKeepers are the keepers that had stored the version at the start of
@@ -113,7 +114,7 @@
 func (r *Releaser) startRelease(now time.Duration, next target) []Output {
 	r.next = nil
 	r.pending = map[Token]pendingStore{}
-	r.current = &release{target: next, startedAt: now, stored: map[protocol.NodeID]protocol.Incarnation{}}
+	r.current = &release{target: next, startedAt: now, storedBy: map[protocol.NodeID]protocol.Incarnation{}}
 	return r.sendRequests(now)
 }
 
@@ -129,7 +130,7 @@
 	if now < r.retryAt {
 		return nil
 	}
-	if r.current.round > 0 && len(r.current.stored) > len(r.current.roundKeepers) {
+	if r.current.round > 0 && len(r.current.storedBy) > len(r.current.roundKeepers) {
 		r.current.startRound()
 	}
 	return r.sendRequests(now)
@@ -207,8 +208,8 @@
 
 // countReply counts a reply and reports whether a confirmation round starts.
 func (c *release) countReply(request pendingStore, reply *protocol.StoreReply) bool {
-	previous, found := c.stored[request.keeper]
-	c.stored[request.keeper] = reply.Incarnation
+	previous, found := c.storedBy[request.keeper]
+	c.storedBy[request.keeper] = reply.Incarnation
 	restarted := found && previous != reply.Incarnation
 	if c.round == 0 || restarted {
 		return c.startRoundIfQuorum()
@@ -222,7 +223,7 @@
 // startRoundIfQuorum starts a confirmation round if a write quorum has stored
 // the version.
 func (c *release) startRoundIfQuorum() bool {
-	hasQuorum := HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { _, found := c.stored[id]; return found })
+	hasQuorum := HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { _, found := c.storedBy[id]; return found })
 	if !hasQuorum {
 		return false
 	}
@@ -234,15 +235,15 @@
 // version before its start count in it.
 func (c *release) startRound() {
 	c.round++
-	c.roundKeepers = maps.Clone(c.stored)
+	c.roundKeepers = maps.Clone(c.storedBy)
 	c.confirmed = map[protocol.NodeID]bool{}
 }
 
 // needsReply reports whether a keeper's reply is still needed for a quorum.
 func (c *release) needsReply(id protocol.NodeID) bool {
-	_, stored := c.stored[id]
+	_, hasStored := c.storedBy[id]
 	if c.round == 0 {
-		return !stored
+		return !hasStored
 	}
 	return !c.confirmed[id]
 }
--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -26,7 +26,7 @@
 	// be written before the head; empty for a withdrawal.
 	Digest resource.Digest
 	Text   []byte
-	// Now is the reader's wall clock.
+	// Now is the reader's wall clock when it received the request.
 	Now time.Time
 	// Term is the reader's fencing term, written into the head.
 	Term uint64
@@ -83,7 +83,7 @@
 	if recorded := FindOperation(head, change.Request); recorded != nil {
 		return head, contents, recorded
 	}
-	if !isComplete(head, contents) {
+	if !hasAllContents(head, contents) {
 		return head, contents, newRefusal(result.NotAccepted, "the reader does not have all contents at hand")
 	}
 	if refusal := checkOperationID(head, change.Request.Operation, change.Now); refusal != nil {
@@ -96,7 +96,7 @@
 	if refusal := draft.applyChange(); refusal != nil {
 		return head, contents, refusal
 	}
-	reply := draft.promoteHeldFiles()
+	reply := draft.promoteAndCheckReferences()
 	if reply.Code != result.OK && reply.Code != result.Held {
 		return head, contents, reply
 	}
@@ -190,8 +190,8 @@
 	return pruned
 }
 
-// isComplete reports whether contents includes all that the head refers to.
-func isComplete(head *Head, contents Contents) bool {
+// hasAllContents reports whether contents includes all that the head refers to.
+func hasAllContents(head *Head, contents Contents) bool {
 	return lo.EveryBy(head.Files, func(entry FileEntry) bool {
 		return lo.EveryBy(entry.digests(), func(digest resource.Digest) bool { return contents[digest] != nil })
 	})
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -34,8 +34,8 @@
 }
 
 // applyChange applies the request to the head: a withdrawn file is removed, and
-// any other content becomes the file's held revision, which promoteHeldFiles may
-// promote.
+// any other content becomes the file's held revision, which
+// promoteAndCheckReferences may promote.
 func (d *draft) applyChange() *protocol.SubmitReply {
 	key := d.change.Key()
 	if d.change.File == nil {
@@ -77,9 +77,12 @@
 	return contents
 }
 
-// promoteHeldFiles promotes every held file that can be promoted, all in one
-// version, and returns the reply to the request.
-func (d *draft) promoteHeldFiles() *protocol.SubmitReply {
+// promoteAndCheckReferences promotes every held file that can be promoted, all
+// in one version, and returns the reply to the request. It refuses the change
+// with StillNeeded if accepted files need resources that the change removes.
+// Otherwise it advances the version if accepted content has changed, and updates
+// WaitsFor of the files that stay held.
+func (d *draft) promoteAndCheckReferences() *protocol.SubmitReply {
 	for d.promoteOldest() {
 	}
 	missing := d.missingReferences(nil)
@@ -101,11 +104,11 @@
 // there was one.
 func (d *draft) promoteOldest() bool {
 	for _, key := range d.heldFiles() {
-		set, isPromotable := d.promotionSet(key)
+		group, isPromotable := d.promotionGroup(key)
 		if !isPromotable {
 			continue
 		}
-		for _, member := range set {
+		for _, member := range group {
 			d.acceptHeldRevision(member)
 		}
 		return true
@@ -113,30 +116,30 @@
 	return false
 }
 
-// promotionSet returns a held file with the other held files that must be
+// promotionGroup returns a held file with the other held files that must be
 // accepted together with it so that no reference is missing, or false if that
 // is not possible. Files that refer to each other are thus accepted in one
 // version, and a held file that can't be accepted does not block others.
-func (d *draft) promotionSet(key resource.FileKey) ([]resource.FileKey, bool) {
-	set := []resource.FileKey{key}
+func (d *draft) promotionGroup(key resource.FileKey) ([]resource.FileKey, bool) {
+	group := []resource.FileKey{key}
 	for {
-		missing := d.missingReferences(set)
+		missing := d.missingReferences(group)
 		if len(missing) == 0 {
-			return set, true
+			return group, true
 		}
-		next, found := d.resolvingFile(missing[0], set)
+		next, found := d.resolvingFile(missing[0], group)
 		if !found {
 			return nil, false
 		}
-		set = append(set, next)
+		group = append(group, next)
 	}
 }
 
-// resolvingFile returns a held file outside the set that resolves a missing
+// resolvingFile returns a held file outside the group that resolves a missing
 // reference: one that declares the target or, if the reference is in an
-// accepted file outside the set, the held replacement of that file.
-func (d *draft) resolvingFile(missing resource.MissingReference, set []resource.FileKey) (resource.FileKey, bool) {
-	candidates := lo.Without(d.heldFiles(), set...)
+// accepted file outside the group, the held replacement of that file.
+func (d *draft) resolvingFile(missing resource.MissingReference, group []resource.FileKey) (resource.FileKey, bool) {
+	candidates := lo.Without(d.heldFiles(), group...)
 	declaringFile, found := lo.Find(candidates, func(key resource.FileKey) bool {
 		entry, _ := d.head.File(key)
 		return slices.Contains(d.contents[entry.Held.Digest].Keys(), missing.To)
@@ -148,32 +151,31 @@
 }
 
 // missingReferences returns the unsatisfied references among the accepted
-// files, with the held revisions of the files in trial in place of their
-// accepted ones. There were none before the change, so only the differences
-// since then are checked.
-func (d *draft) missingReferences(trial []resource.FileKey) []resource.MissingReference {
+// files, with the held revisions of triedFiles in place of their accepted ones.
+// There were none before the change, so only the differences since then are
+// checked.
+func (d *draft) missingReferences(triedFiles []resource.FileKey) []resource.MissingReference {
 	files := make([]*resource.File, 0, len(d.head.Files))
 	for _, entry := range d.head.Files {
 		digest := acceptedDigest(entry)
-		if entry.Held != nil && slices.Contains(trial, entry.Key()) {
+		if entry.Held != nil && slices.Contains(triedFiles, entry.Key()) {
 			digest = entry.Held.Digest
 		}
 		if digest != "" {
 			files = append(files, d.contents[digest])
 		}
 	}
-	added, removed := d.acceptedDifference(trial)
+	added, removed := d.acceptedDifference(triedFiles)
 	return resource.MissingReferencesAfter(files, added, removed)
 }
 
 // acceptedDifference returns the accepted contents added and removed by the
-// change, with the held revisions of the files in trial in place of their
-// accepted ones.
-func (d *draft) acceptedDifference(trial []resource.FileKey) (added, removed []*resource.File) {
-	for _, key := range lo.Union(d.changedFiles, trial) {
+// change, with the held revisions of triedFiles in place of their accepted ones.
+func (d *draft) acceptedDifference(triedFiles []resource.FileKey) (added, removed []*resource.File) {
+	for _, key := range lo.Union(d.changedFiles, triedFiles) {
 		entry, _ := d.head.File(key)
 		digest := acceptedDigest(entry)
-		if entry.Held != nil && slices.Contains(trial, key) {
+		if entry.Held != nil && slices.Contains(triedFiles, key) {
 			digest = entry.Held.Digest
 		}
 		previousEntry, _ := d.previous.File(key)
@@ -247,7 +249,7 @@
 	return d.newStillNeededRefusal(otherReferences)
 }
 
-// stillNeededRefusal refuses the change with one error for each resource that
+// newStillNeededRefusal refuses the change with one error for each resource that
 // needs something that the change would remove.
 func (d *draft) newStillNeededRefusal(references []resource.MissingReference) *protocol.SubmitReply {
 	errors := lo.Map(references[:min(len(references), MaxWaitsFor)], func(missing resource.MissingReference, _ int) result.Error {
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -194,19 +194,19 @@
 	c := newChain(t)
 	first := c.submit("a/f", service("s"))
 	is.Equal(c.submit("a/f", service("s2")).Code, result.RevisionMismatch)
-	expect := func(revision uint64, body string) *protocol.SubmitReply {
+	replaceExpecting := func(revision uint64, body string) *protocol.SubmitReply {
 		request := c.newRequest(protocol.ActionReplace, "a/f", body)
 		request.Expect = protocol.ExpectationOf(&revision)
 		return c.send(request)
 	}
-	second := expect(first.Revision, service("s2"))
+	second := replaceExpecting(first.Revision, service("s2"))
 	is.Equal(second.Code, result.OK)
-	conflicting := expect(first.Revision, service("s3"))
+	conflicting := replaceExpecting(first.Revision, service("s3"))
 	is.Equal(conflicting.Code, result.RevisionMismatch)
 	is.Equal(conflicting.Revision, second.Revision)
 	is.Equal(conflicting.Version, second.Version)
 	c.withdraw("a/f")
-	is.Equal(expect(second.Revision, service("s4")).Code, result.RevisionMismatch)
+	is.Equal(replaceExpecting(second.Revision, service("s4")).Code, result.RevisionMismatch)
 	is.True(c.submit("a/f", service("s")).Revision > second.Revision)
 }
 
@@ -311,14 +311,14 @@
 	is := is.New(t)
 	c := newChain(t)
 	c.submit("a/f", service("s"))
-	pattern := *c.head.Files[0].Accepted
-	file := c.contents[pattern.Digest]
+	template := *c.head.Files[0].Accepted
+	file := c.contents[template.Digest]
 	size := len(ledger.Encode(c.head))
 	for i := 0; size < ledger.HeadBudget-2_000; i++ {
-		entry := ledger.FileEntry{Partner: "z", Name: fmt.Sprintf("f%06d", i), Accepted: &pattern}
+		entry := ledger.FileEntry{Partner: "z", Name: fmt.Sprintf("f%06d", i), Accepted: &template}
 		copied := *file
 		copied.Partner, copied.Name, copied.Services = entry.Partner, entry.Name, nil
-		accepted := pattern
+		accepted := template
 		accepted.Digest = resource.FileDigest(&copied)
 		entry.Accepted = &accepted
 		c.contents[accepted.Digest] = &copied
--- a/internal/core/ledger/operation.go
+++ b/internal/core/ledger/operation.go
@@ -17,7 +17,7 @@
 // Operation records an applied change, so that a resend gets the same reply.
 type Operation struct {
 	ID string `json:"id"`
-	// At is when the change was applied, by the reader's clock, in Unix
+	// At is the reader's wall clock when it received the change, in Unix
 	// milliseconds.
 	At int64 `json:"at"`
 	// Fingerprint distinguishes a resend from another change with the same id.
@@ -38,7 +38,8 @@
 	// MaxOperationSkew is how far an id's time may be ahead of the reader's
 	// clock.
 	MaxOperationSkew = 5 * time.Minute
-	// minRandomDigits is the minimum number of random digits in an id.
+	// minRandomDigits is the minimum number of random hexadecimal digits in
+	// an id.
 	minRandomDigits = 16
 	// maxOperationLength is the maximum length of an id in bytes.
 	maxOperationLength = 64
@@ -57,15 +58,15 @@
 // UsageError if the id is malformed.
 func OperationTime(id string) (int64, error) {
 	malformed := result.New(result.UsageError, "the operation id is not <unix milliseconds>-<random hex>")
-	digits, random, found := strings.Cut(id, "-")
-	if !found || len(id) > maxOperationLength || len(random) < minRandomDigits {
+	timeText, randomText, found := strings.Cut(id, "-")
+	if !found || len(id) > maxOperationLength || len(randomText) < minRandomDigits {
 		return 0, malformed
 	}
-	if _, err := hex.DecodeString(random); err != nil {
+	if _, err := hex.DecodeString(randomText); err != nil {
 		return 0, malformed
 	}
-	milliseconds, err := strconv.ParseInt(digits, 10, 64)
-	if err != nil || milliseconds <= 0 || strconv.FormatInt(milliseconds, 10) != digits {
+	milliseconds, err := strconv.ParseInt(timeText, 10, 64)
+	if err != nil || milliseconds <= 0 || strconv.FormatInt(milliseconds, 10) != timeText {
 		return 0, malformed
 	}
 	return milliseconds, nil
--- a/internal/core/ledger/property_test.go
+++ b/internal/core/ledger/property_test.go
@@ -103,13 +103,13 @@
 // references missing, and it lists what it waits for.
 func checkHeld(t *rapid.T, c *chain, entry ledger.FileEntry, accepted []*resource.File) {
 	file := c.contents[entry.Held.Digest]
-	trial := []*resource.File{file}
+	acceptedWithFile := []*resource.File{file}
 	for _, other := range accepted {
 		if other.Key() != file.Key() {
-			trial = append(trial, other)
+			acceptedWithFile = append(acceptedWithFile, other)
 		}
 	}
-	if len(resource.MissingReferences(trial)) == 0 {
+	if len(resource.MissingReferences(acceptedWithFile)) == 0 {
 		t.Fatalf("%s is held but has no missing references", entry.Key())
 	}
 	if len(entry.Held.WaitsFor) == 0 {
--- a/internal/core/object/object.go
+++ b/internal/core/object/object.go
@@ -39,13 +39,16 @@
 // CallKind selects the operation of a Call.
 type CallKind int
 
-// The operations of the platform's object API.
+// The operations of the platform's API.
 const (
 	CallGet CallKind = iota + 1
+	// CallList lists the objects with a prefix.
 	CallList
+	// CallCreate fails with PlatformExists if the object exists.
 	CallCreate
 	CallUpdate
 	CallDelete
+	// CallMachines returns the platform's machine list.
 	CallMachines
 )
 
@@ -54,7 +57,8 @@
 	Kind CallKind
 	// Name is the name of the object, or the prefix for CallList.
 	Name string
-	// Expect is the version that CallUpdate and CallDelete require.
+	// Expect is the version that the object must have: CallUpdate and CallDelete
+	// fail with PlatformConflict if it has another one.
 	Expect Version
 	// Data is the value for CallCreate and CallUpdate.
 	Data []byte
@@ -65,7 +69,7 @@
 type Machine struct {
 	// ID is the identity of the machine, equal to the daemon's node id.
 	ID string
-	// Address is the control address, an IP number and port.
+	// Address is the control address, an IP address and port.
 	Address string
 	Region  string
 	Zone    string
@@ -83,8 +87,8 @@
 	Object Object
 	// Objects is the result of CallList.
 	Objects []Object
-	// ListVersion is the version at which a list or machine list was taken; a
-	// watch may start from it.
+	// ListVersion is the version at which a list of objects or machines was
+	// taken; a watch may start from it.
 	ListVersion Version
 	// Machines is the result of CallMachines.
 	Machines []Machine
--- a/internal/core/reader/attempt.go
+++ b/internal/core/reader/attempt.go
@@ -65,8 +65,9 @@
 // or may have been applied without this reader having seen it.
 func (a *attempt) mayBeApplied() bool { return a.replyLost || a.phase == phaseWriting }
 
-// advanceAttempt runs the next step of the attempt, or starts one, and reports
-// whether it has to be called again.
+// advanceAttempt runs the next step of the attempt, or starts one. It returns
+// true after it started an attempt or handled queued input that needs none; it
+// has to be called again then, to run the next step.
 func (r *Reader) advanceAttempt() bool {
 	if r.changes.attempt == nil {
 		return r.startAttempt()
@@ -210,7 +211,7 @@
 		return
 	}
 	r.changes.unbatched = false
-	r.changes.retry.succeed()
+	r.changes.retry.reset()
 	current.submissions = slices.DeleteFunc(current.submissions, func(item *submission) bool {
 		reply := ledger.FindOperation(r.head.head, item.request)
 		if reply == nil {
@@ -274,14 +275,15 @@
 }
 
 // retryUpdate schedules the update again after its reply was lost and the head
-// was found unchanged. Both copies expect the same object version, so at most
-// one of them is applied. If no reply was lost, the read contradicts the
-// conflict that the platform reported, and another read is scheduled.
+// was found unchanged. All copies of the update expect the same object version,
+// so at most one of them is applied. If no reply was lost, the read
+// contradicts the conflict that the platform reported, and another read is
+// scheduled.
 func (r *Reader) retryUpdate(current *attempt) {
 	if current.replyLost {
 		current.phase = phaseWrite
 		return
 	}
 	current.phase = phaseResolve
-	r.changes.retry.fail(r.now, r.random)
+	r.changes.retry.recordFailure(r.now, r.random)
 }
--- a/internal/core/reader/attemptwrite.go
+++ b/internal/core/reader/attemptwrite.go
@@ -20,25 +20,25 @@
 			continue
 		}
 		current.writing[digest] = true
-		r.call(pendingCall{purpose: purposeContentWrite, digest: digest, attempt: current.number},
+		r.call(pendingCall{purpose: purposeContentWrite, digest: digest, attemptNumber: current.number},
 			object.Call{Kind: object.CallCreate, Name: ledger.ContentObject(digest), Data: current.unwritten[digest]})
 	}
 }
 
 func (r *Reader) handleContentWrite(call pendingCall, reply object.Reply) {
 	current := r.changes.attempt
-	if current == nil || current.number != call.attempt {
+	if current == nil || current.number != call.attemptNumber {
 		return
 	}
 	delete(current.writing, call.digest)
 	switch reply.Code {
 	case result.OK, result.PlatformExists:
-		r.changes.retry.succeed()
+		r.changes.retry.reset()
 		delete(current.unwritten, call.digest)
 	case result.PlatformTooLarge:
-		r.refuseTooLarge(current, result.FileTooLarge)
+		r.handleTooLarge(current, result.FileTooLarge)
 	default:
-		r.changes.retry.fail(r.now, r.random)
+		r.changes.retry.recordFailure(r.now, r.random)
 	}
 }
 
@@ -49,41 +49,41 @@
 	if current.baseVersion == 0 {
 		write.Kind = object.CallCreate
 	}
-	r.call(pendingCall{purpose: purposeHeadWrite, attempt: current.number}, write)
+	r.call(pendingCall{purpose: purposeHeadWrite, attemptNumber: current.number}, write)
 }
 
 // handleHeadWrite handles the reply to a head update. Only OK or a newer head
 // ends the attempt; see attempt.
 func (r *Reader) handleHeadWrite(call pendingCall, reply object.Reply) {
 	current := r.changes.attempt
-	if current == nil || current.number != call.attempt {
+	if current == nil || current.number != call.attemptNumber {
 		return
 	}
 	switch reply.Code {
 	case result.OK:
-		r.changes.retry.succeed()
+		r.changes.retry.reset()
 		r.adoptHead(object.Object{Name: ledger.HeadObject, Version: reply.Object.Version, Data: current.headData})
 	case result.PlatformUnavailable, result.PlatformReadersFull:
-		r.changes.retry.fail(r.now, r.random)
+		r.changes.retry.recordFailure(r.now, r.random)
 		current.phase = phaseWrite
 		if current.replyLost {
 			current.phase = phaseResolve
 		}
 	case result.PlatformTooLarge:
-		r.refuseTooLarge(current, result.HeadTooLarge)
+		r.handleTooLarge(current, result.HeadTooLarge)
 	case result.PlatformConflict, result.PlatformExists, result.PlatformNotFound:
 		current.phase = phaseResolve
 	default:
 		current.replyLost = true
 		current.phase = phaseResolve
-		r.changes.retry.fail(r.now, r.random)
+		r.changes.retry.recordFailure(r.now, r.random)
 	}
 }
 
-// refuseTooLarge ends an attempt with an object above the platform's size
-// limit. The changes of a batch are retried one by one; a single change is
-// refused.
-func (r *Reader) refuseTooLarge(current *attempt, code result.Code) {
+// handleTooLarge ends an attempt whose content or head exceeds the platform's
+// size limit. The changes of a batch are queued again, to be tried one by one; a
+// single change is refused; keeper sets are dropped.
+func (r *Reader) handleTooLarge(current *attempt, code result.Code) {
 	if len(current.submissions) != 1 {
 		r.changes.unbatched = true
 		current.replyLost = false
--- a/internal/core/reader/backoff.go
+++ b/internal/core/reader/backoff.go
@@ -19,8 +19,8 @@
 	until    time.Duration
 }
 
-// fail records a failure at now and draws the next wait.
-func (b *backoff) fail(now time.Duration, random *rand.Rand) {
+// recordFailure records a failure at now and draws the next wait.
+func (b *backoff) recordFailure(now time.Duration, random *rand.Rand) {
 	limit := backoffCap
 	if b.failures < 6 {
 		limit = min(backoffCap, backoffBase<<b.failures)
@@ -29,8 +29,8 @@
 	b.until = now + jitter(random, limit)
 }
 
-// succeed resets the backoff.
-func (b *backoff) succeed() { *b = backoff{} }
+// reset ends the wait and clears the count of failures.
+func (b *backoff) reset() { *b = backoff{} }
 
 // isDue reports whether the wait is over.
 func (b *backoff) isDue(now time.Duration) bool { return now >= b.until }
--- a/internal/core/reader/changes.go
+++ b/internal/core/reader/changes.go
@@ -34,8 +34,8 @@
 type changeState struct {
 	queue   []*submission
 	attempt *attempt
-	// lastAttemptNumber numbers the attempts, so that late replies to calls of
-	// an earlier attempt are recognised.
+	// lastAttemptNumber is the number of the newest attempt. Numbers identify
+	// late replies to calls of an earlier attempt.
 	lastAttemptNumber uint64
 	retry             backoff
 	// unbatched limits the next attempts to one change each, after a batch
@@ -129,11 +129,11 @@
 	return &protocol.SubmitReply{Code: code, Errors: []result.Error{*problem}}
 }
 
-func notAccepted() *protocol.SubmitReply {
+func newNotAccepted() *protocol.SubmitReply {
 	return newRefusal(result.NotAccepted, "the platform did not show the present head in time; no update was sent")
 }
 
-func outcomeUnknown() *protocol.SubmitReply {
+func newOutcomeUnknown() *protocol.SubmitReply {
 	return newRefusal(result.OutcomeUnknown, "an update with the change was sent and its answer was lost")
 }
 
@@ -153,7 +153,7 @@
 		if r.now < item.deadline {
 			return false
 		}
-		r.answerAll(item, notAccepted())
+		r.answerAll(item, newNotAccepted())
 		return true
 	})
 	current := r.changes.attempt
@@ -172,7 +172,7 @@
 	for _, item := range current.submissions {
 		if r.now >= item.deadline && !item.abandoned {
 			item.abandoned = true
-			r.answerAll(item, outcomeUnknown())
+			r.answerAll(item, newOutcomeUnknown())
 		}
 	}
 }
@@ -189,13 +189,13 @@
 func (r *Reader) abandonChanges() {
 	if current := r.changes.attempt; current != nil && current.mayBeApplied() {
 		for _, item := range current.submissions {
-			r.answerAll(item, outcomeUnknown())
+			r.answerAll(item, newOutcomeUnknown())
 		}
 	} else if current != nil {
 		r.requeue(current)
 	}
 	for _, item := range r.changes.queue {
-		r.answerAll(item, notAccepted())
+		r.answerAll(item, newNotAccepted())
 	}
 	r.changes = changeState{lastAttemptNumber: r.changes.lastAttemptNumber}
 }
--- a/internal/core/reader/contents.go
+++ b/internal/core/reader/contents.go
@@ -31,7 +31,7 @@
 	c.announcedVersion = 0
 	c.announcedHead = nil
 	c.loading = map[resource.Digest]bool{}
-	c.retry.succeed()
+	c.retry.reset()
 }
 
 // advanceContents loads the contents that the head refers to, and announces the
@@ -65,16 +65,16 @@
 func (r *Reader) handleContentRead(call pendingCall, reply object.Reply) {
 	delete(r.contents.loading, call.digest)
 	if reply.Code != result.OK {
-		r.contents.retry.fail(r.now, r.random)
+		r.contents.retry.recordFailure(r.now, r.random)
 		return
 	}
 	file, err := decodeContent(call.digest, reply.Object.Data)
 	if err != nil {
-		r.contents.retry.fail(r.now, r.random)
+		r.contents.retry.recordFailure(r.now, r.random)
 		r.logEvent("content_unreadable", LogField{"digest", string(call.digest)}, LogField{"error", err.Error()})
 		return
 	}
-	r.contents.retry.succeed()
+	r.contents.retry.reset()
 	r.cacheContents(ledger.Contents{call.digest: file})
 }
 
--- a/internal/core/reader/head.go
+++ b/internal/core/reader/head.go
@@ -18,9 +18,9 @@
 	version object.Version
 	head    *ledger.Head
 
-	// watchFrom is an object version at which the head was still at version: a
-	// watch that starts there misses no change. pendingWatchFrom replaces it
-	// when the read in flight succeeds.
+	// watchFrom is an object version up to which the head is known not to have
+	// changed since the field version: a watch that starts there misses no
+	// change. pendingWatchFrom replaces it when the read in flight succeeds.
 	watchFrom        object.Version
 	pendingWatchFrom object.Version
 
@@ -30,14 +30,15 @@
 	readRequested bool
 	readRetry     backoff
 	resyncAt      time.Duration
-	// outdatedReads counts consecutive reads that found no head, or one older
-	// than the version known to the mesh.
+	// outdatedReads counts consecutive reads that found no head or an outdated
+	// one; see countOutdatedRead.
 	outdatedReads int
 
-	// waiters are the requests for a fresh head that need a read sent after them;
-	// readWaiters are those that the read in flight will answer.
-	waiters     []headWaiter
-	readWaiters []headWaiter
+	// waitersForNextRead are the requests for a fresh head that need a read sent
+	// after them; waitersForCurrentRead are those that the read in flight will
+	// answer.
+	waitersForNextRead    []headWaiter
+	waitersForCurrentRead []headWaiter
 
 	watch      Token
 	watchRetry backoff
@@ -57,13 +58,13 @@
 		return
 	}
 	waiter := headWaiter{ticket: ticket, deadline: r.now + r.config.CallTimeout}
-	r.head.waiters = append(r.head.waiters, waiter)
+	r.head.waitersForNextRead = append(r.head.waitersForNextRead, waiter)
 }
 
 // advanceHead reads the head and starts the watch when they are due.
 func (r *Reader) advanceHead() {
-	r.head.waiters = r.expireWaiters(r.head.waiters)
-	due := !r.head.known || r.head.readRequested || len(r.head.waiters) > 0 || r.now >= r.head.resyncAt
+	r.head.waitersForNextRead = r.expireWaiters(r.head.waitersForNextRead)
+	due := !r.head.known || r.head.readRequested || len(r.head.waitersForNextRead) > 0 || r.now >= r.head.resyncAt
 	if due && !r.head.reading && r.head.readRetry.isDue(r.now) {
 		r.readHead()
 	}
@@ -90,8 +91,8 @@
 	r.head.reading = true
 	r.head.readRequested = false
 	r.head.pendingWatchFrom = r.lease.version
-	r.head.readWaiters = r.head.waiters
-	r.head.waiters = nil
+	r.head.waitersForCurrentRead = r.head.waitersForNextRead
+	r.head.waitersForNextRead = nil
 	r.changes.markReadSent()
 	r.call(pendingCall{purpose: purposeHeadRead}, object.Call{Kind: object.CallGet, Name: ledger.HeadObject})
 }
@@ -109,18 +110,18 @@
 		isCurrent = r.head.version == 0
 	}
 	if !isCurrent {
-		r.head.readRetry.fail(r.now, r.random)
+		r.head.readRetry.recordFailure(r.now, r.random)
 		r.head.readRequested = true
-		r.head.waiters = append(r.head.readWaiters, r.head.waiters...)
-		r.head.readWaiters = nil
+		r.head.waitersForNextRead = append(r.head.waitersForCurrentRead, r.head.waitersForNextRead...)
+		r.head.waitersForCurrentRead = nil
 		r.changes.markReadFailed()
 		return
 	}
 	r.head.known = true
 	r.head.watchFrom = max(r.head.version, r.head.pendingWatchFrom)
-	r.head.readRetry.succeed()
+	r.head.readRetry.reset()
 	r.head.resyncAt = call.sentAt + r.config.ResyncInterval
-	r.answerReadWaiters()
+	r.answerWaitersForCurrentRead()
 	r.handleUnchangedHead()
 }
 
@@ -130,12 +131,14 @@
 	return r.head.known && r.head.head.Version >= r.floor
 }
 
-// outdatedReadsBeforeEvent is how many consecutive reads must find an older
-// head or none before an event is logged; fewer can be due to replication lag.
+// outdatedReadsBeforeEvent is how many consecutive reads must find an outdated
+// head (see countOutdatedRead) or none before an event is logged; fewer can
+// be due to replication lag.
 const outdatedReadsBeforeEvent = 5
 
 // countOutdatedRead logs an event when outdatedReadsBeforeEvent consecutive
-// reads have found no head, or one older than the version known to the mesh.
+// reads have found no head, or one that is older than the head known to this
+// reader or the version known to the mesh.
 func (r *Reader) countOutdatedRead(reply object.Reply) {
 	isMissing := reply.Code == result.PlatformNotFound
 	if reply.Code != result.OK && !isMissing {
@@ -157,8 +160,8 @@
 	r.logEvent(name, LogField{"object_version", fmt.Sprint(reply.Object.Version)}, LogField{"known", fmt.Sprint(max(r.floor, r.head.head.Version))})
 }
 
-func (r *Reader) answerReadWaiters() {
-	for _, waiter := range r.head.readWaiters {
+func (r *Reader) answerWaitersForCurrentRead() {
+	for _, waiter := range r.head.waitersForCurrentRead {
 		r.emit(FreshHeadResult{
 			Ticket:  waiter.ticket,
 			OK:      r.isHeadUsable(),
@@ -166,7 +169,7 @@
 			Keepers: r.head.head.Keepers,
 		})
 	}
-	r.head.readWaiters = nil
+	r.head.waitersForCurrentRead = nil
 }
 
 // adoptHead replaces the known head by a newer one. It reports whether the known
@@ -205,7 +208,7 @@
 	if token != r.head.watch || token == 0 || event.Object.Name != ledger.HeadObject {
 		return
 	}
-	r.head.watchRetry.succeed()
+	r.head.watchRetry.reset()
 	if event.Kind == object.EventDelete {
 		r.logEvent("head_deleted", LogField{"object_version", fmt.Sprint(event.Object.Version)})
 		return
@@ -221,7 +224,7 @@
 	}
 	r.head.watch = 0
 	r.head.readRequested = true
-	r.head.watchRetry.fail(r.now, r.random)
+	r.head.watchRetry.recordFailure(r.now, r.random)
 	r.logEvent("watch_ended", LogField{"code", code.Name()})
 }
 
@@ -231,7 +234,7 @@
 	if r.head.watch != 0 {
 		r.emit(StopWatch{Token: r.head.watch})
 	}
-	for _, waiter := range append(r.head.readWaiters, r.head.waiters...) {
+	for _, waiter := range append(r.head.waitersForCurrentRead, r.head.waitersForNextRead...) {
 		r.emit(FreshHeadResult{Ticket: waiter.ticket})
 	}
 	r.head = headState{version: r.head.version, head: r.head.head, outdatedReads: r.head.outdatedReads}
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -17,9 +17,9 @@
 // leaseFormat is the version of the encoding of leases.
 const leaseFormat = 1
 
-// clockMarginDivisor allows for clocks that run at different rates, as a
-// divisor of the lease duration: a holder stops a tenth of it early, and others
-// wait a tenth of it longer.
+// clockMarginDivisor allows for clocks that run at different rates. The lease
+// duration divided by it is how much earlier a holder stops using the lease, and
+// how much longer others wait before they take it.
 const clockMarginDivisor = 10
 
 // renewalsPerLease is how many times a lease is renewed within its duration.
@@ -48,12 +48,15 @@
 // leaseState is the reader's view of the leases of its region.
 type leaseState struct {
 	isCandidate bool
-	observed    map[string]leaseObservation
+	// observed is the newest version seen of each lease, by slot.
+	observed map[string]leaseObservation
 	// acquiring is set while a call of an acquisition is in flight.
 	acquiring    bool
 	acquireRetry backoff
 
-	held    bool
+	held bool
+	// slot is the name of the held lease object. A region has Config.LeaseSlots
+	// lease objects, also called slots.
 	slot    string
 	version object.Version
 	record  leaseRecord
@@ -64,9 +67,9 @@
 	// in flight.
 	renewing bool
 	renewAt  time.Duration
-	// mustRead is set when the lease must be read because the outcome of a
-	// renewal is unknown or it met a conflict.
-	mustRead bool
+	// mustReadLease is set when the lease must be read because a renewal had an
+	// unknown outcome or was refused, for example with a conflict.
+	mustReadLease bool
 	// sentRenewals lists the renewals not known to be applied, newest last.
 	sentRenewals []sentRenewal
 }
@@ -100,6 +103,7 @@
 
 func (r *Reader) leasePrefix() string { return LeasePrefix + r.config.Region + "/" }
 
+// slotNames returns the names of all lease objects of the region.
 func (r *Reader) slotNames() []string {
 	slots := make([]string, r.config.LeaseSlots)
 	for i := range slots {
@@ -115,16 +119,16 @@
 func (r *Reader) handleLeaseList(reply object.Reply) {
 	r.lease.acquiring = false
 	if reply.Code != result.OK {
-		r.lease.acquireRetry.fail(r.now, r.random)
+		r.lease.acquireRetry.recordFailure(r.now, r.random)
 		return
 	}
 	for _, found := range reply.Objects {
 		r.observeLease(found)
 	}
 	slots := r.slotNames()
-	first := r.random.IntN(len(slots))
+	start := r.random.IntN(len(slots))
 	for i := range slots {
-		slot := slots[(first+i)%len(slots)]
+		slot := slots[(start+i)%len(slots)]
 		if r.isLeaseFree(slot) {
 			r.takeLease(slot)
 			return
@@ -147,9 +151,9 @@
 	r.lease.observed[found.Name] = observation
 }
 
-// isLeaseFree reports whether a lease may be taken: it was never taken, its
-// holder resigned, this daemon held it before a restart, or it has not changed
-// for longer than its duration by this daemon's own clock.
+// isLeaseFree reports whether the lease in a slot may be taken: it was never
+// taken, its holder resigned, this daemon held it before a restart, or it has
+// not changed for longer than its duration by this daemon's own clock.
 func (r *Reader) isLeaseFree(slot string) bool {
 	observation, found := r.lease.observed[slot]
 	if !found || observation.record.Holder == "" || observation.record.Holder == r.config.ID {
@@ -210,7 +214,7 @@
 			object.Call{Kind: object.CallGet, Name: call.slot})
 	default:
 		r.lease.acquiring = false
-		r.lease.acquireRetry.fail(r.now, r.random)
+		r.lease.acquireRetry.recordFailure(r.now, r.random)
 	}
 }
 
@@ -220,17 +224,17 @@
 	expires := r.holdUntil(call.sentAt)
 	r.observeLease(object.Object{Name: call.slot, Version: version, Data: call.record.encode()})
 	if r.now >= expires {
-		r.lease.acquireRetry.fail(r.now, r.random)
+		r.lease.acquireRetry.recordFailure(r.now, r.random)
 		return
 	}
 	r.lease.held = true
-	r.lease.acquireRetry.succeed()
+	r.lease.acquireRetry.reset()
 	r.lease.slot = call.slot
 	r.lease.version = version
 	r.lease.record = call.record
 	r.lease.expires = expires
 	r.lease.renewing = false
-	r.lease.mustRead = false
+	r.lease.mustReadLease = false
 	r.lease.sentRenewals = nil
 	r.lease.renewAt = call.sentAt + r.config.LeaseDuration/renewalsPerLease
 	r.emit(LeaseGained{Term: call.record.Term})
@@ -254,7 +258,7 @@
 func (r *Reader) loseLease(reason string) {
 	r.lease.held = false
 	r.lease.acquiring = false
-	r.lease.acquireRetry.fail(r.now, r.random)
+	r.lease.acquireRetry.recordFailure(r.now, r.random)
 	r.calls = map[Token]pendingCall{}
 	r.resetHead()
 	r.contents.reset()
--- a/internal/core/reader/model_test.go
+++ b/internal/core/reader/model_test.go
@@ -102,9 +102,10 @@
 	}
 }
 
-// collectReplies assigns replies to their requests and checks the fresh heads
-// and the versions published since the last call.
-func (o *oracle) collectReplies() {
+// collectAndCheckReplies assigns replies to their requests, and checks the
+// answers to requests for a fresh head and the versions published since the
+// last call.
+func (o *oracle) collectAndCheckReplies() {
 	for _, sent := range o.sentRequests {
 		if sent.reply == nil && sent.client.reader == sent.reader {
 			sent.reply = sent.client.results[sent.ticket]
@@ -208,7 +209,7 @@
 		o.changeFaults()
 	}
 	w.run(time.Duration(w.random.Int64N(int64(maxWaits[w.random.IntN(len(maxWaits))]))))
-	o.collectReplies()
+	o.collectAndCheckReplies()
 }
 
 // maxWaits are upper bounds of the wait between two actions.
@@ -253,7 +254,8 @@
 	c.input(func(now time.Duration) []Output { return c.reader.SetKeepers(now, wall, []protocol.KeeperSet{set}) })
 }
 
-// changeFaults draws the platform's faults until the next call.
+// changeFaults replaces the platform's faults by randomly drawn ones, which
+// apply until it is called again.
 func (o *oracle) changeFaults() {
 	w := o.world
 	chance := func() float64 { return float64(w.random.IntN(3)) * w.random.Float64() / 3 }
@@ -268,19 +270,19 @@
 		ReplayedEvent:  chance(),
 		BrokenWatch:    chance(),
 	}
-	w.lateProbability = chance()
+	w.lateRequestProbability = chance()
 	if w.random.IntN(5) == 0 {
 		w.faults.Outage = []standin.Outage{standin.OutageRefusing, standin.OutageSilent}[w.random.IntN(2)]
 	}
 	if w.random.IntN(6) == 0 {
-		w.faults, w.lateProbability = standin.Faults{}, 0
+		w.faults, w.lateRequestProbability = standin.Faults{}, 0
 	}
 }
 
 // recover disables all faults and expects the next change to be accepted.
 func (o *oracle) recover() {
 	w := o.world
-	w.faults, w.lateProbability = standin.Faults{}, 0
+	w.faults, w.lateRequestProbability = standin.Faults{}, 0
 	for _, c := range w.clients {
 		c.resume()
 	}
@@ -292,7 +294,7 @@
 		o.lastTicket++
 		o.send(c, w.newRequest(string(binary.BigEndian.AppendUint64(nil, uint64(o.lastTicket))), "last", protocol.ActionSubmit))
 		w.run(5 * time.Second)
-		o.collectReplies()
+		o.collectAndCheckReplies()
 		if reply := o.sentRequests[len(o.sentRequests)-1].reply; reply == nil || reply.Code != result.OK && reply.Code != result.RevisionMismatch {
 			o.t.Fatalf("reply to a change after the faults: %+v", reply)
 		}
--- a/internal/core/reader/output.go
+++ b/internal/core/reader/output.go
@@ -57,7 +57,8 @@
 
 // CatalogueReady publishes a complete version: all contents were loaded and
 // their digests verified. It is emitted once per version, in ascending order,
-// and again when held files change at the same version.
+// and again when held files change at the same version or the lease was lost and
+// acquired again.
 type CatalogueReady struct {
 	Version     protocol.Version
 	Resources   []resource.Encoded
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -128,8 +128,9 @@
 	// sentAt is when the call was sent. Its reply holds as of that time: leases
 	// and the next resync are counted from it.
 	sentAt time.Duration
-	// slot is the name of the lease object, for calls on one lease; record is
-	// the lease that the call writes, or whose write it resolves.
+	// slot is the name of the lease object, for calls on one lease; record is the
+	// value that the call writes to it, or that an earlier write had when a read
+	// resolves the outcome of that write.
 	record leaseRecord
 	slot   string
 	// takeSentAt is when the acquiring write was sent whose outcome a lease read
@@ -137,9 +138,9 @@
 	takeSentAt time.Duration
 	// digest is set for content calls.
 	digest resource.Digest
-	// attempt is the number of the attempt that made the call, for writes of
+	// attemptNumber identifies the attempt that made the call, for writes of
 	// contents and the head.
-	attempt uint64
+	attemptNumber uint64
 }
 
 // SetFloor sets the newest version known to the daemon. Invariant: no change is
@@ -173,7 +174,7 @@
 			return
 		}
 		delete(r.calls, token)
-		r.dispatch(call, reply)
+		r.dispatchReply(call, reply)
 	})
 }
 
@@ -236,8 +237,10 @@
 	return outputs
 }
 
-// dispatch passes a reply to the handler for the purpose of the call.
-func (r *Reader) dispatch(call pendingCall, reply object.Reply) {
+// dispatchReply passes a reply to the handler for the purpose of the call. The
+// reply to purposeLeaseResign is ignored: if the write fails, the lease expires
+// by itself.
+func (r *Reader) dispatchReply(call pendingCall, reply object.Reply) {
 	switch call.purpose {
 	case purposeLeaseList:
 		r.handleLeaseList(reply)
--- a/internal/core/reader/reader_test.go
+++ b/internal/core/reader/reader_test.go
@@ -73,8 +73,8 @@
 	candidate := w.add("windhoek")
 	w.run(time.Minute)
 	is.True(!candidate.reader.IsReader())
-	const most = 60
-	if candidate.callCount > most {
-		t.Errorf("%d platform calls in a minute; at most %d allowed", candidate.callCount, most)
+	const maxCalls = 60
+	if candidate.callCount > maxCalls {
+		t.Errorf("%d platform calls in a minute; at most %d allowed", candidate.callCount, maxCalls)
 	}
 }
--- a/internal/core/reader/renewal.go
+++ b/internal/core/reader/renewal.go
@@ -9,17 +9,18 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// sentRenewal is the renewal count of a write and when it was sent.
+// sentRenewal is a renewal that was sent: the value of leaseRecord.Renewals in
+// the write, and when it was sent.
 type sentRenewal struct {
-	renewals uint64
-	sentAt   time.Duration
+	count  uint64
+	sentAt time.Duration
 }
 
 // holdUntil returns when the holder must stop using a lease that was written by
 // a call sent at the given time. That is before anyone else may take it: others
-// wait for a tenth more than the duration, from when they saw the write.
-func (r *Reader) holdUntil(sent time.Duration) time.Duration {
-	return sent + r.config.LeaseDuration - r.config.LeaseDuration/clockMarginDivisor
+// wait for longer than the duration, from when they saw the write; see freeAt.
+func (r *Reader) holdUntil(sentAt time.Duration) time.Duration {
+	return sentAt + r.config.LeaseDuration - r.config.LeaseDuration/clockMarginDivisor
 }
 
 // advanceRenewal sends a renewal that is due, or a read of the lease if the
@@ -29,22 +30,23 @@
 		return
 	}
 	r.lease.renewing = true
-	if r.lease.mustRead {
+	if r.lease.mustReadLease {
 		r.call(pendingCall{purpose: purposeLeaseRead, slot: r.lease.slot}, object.Call{Kind: object.CallGet, Name: r.lease.slot})
 		return
 	}
 	record := r.lease.record
-	record.Renewals = r.nextRenewal()
-	r.lease.sentRenewals = append(r.lease.sentRenewals, sentRenewal{renewals: record.Renewals, sentAt: r.now})
+	record.Renewals = r.nextRenewalCount()
+	r.lease.sentRenewals = append(r.lease.sentRenewals, sentRenewal{count: record.Renewals, sentAt: r.now})
 	r.call(pendingCall{purpose: purposeLeaseRenew, record: record, slot: r.lease.slot},
 		object.Call{Kind: object.CallUpdate, Name: r.lease.slot, Expect: r.lease.version, Data: record.encode()})
 }
 
-// nextRenewal returns a renewal count not used by any write of this term.
-func (r *Reader) nextRenewal() uint64 {
+// nextRenewalCount returns a value of leaseRecord.Renewals not used by any
+// write of this term.
+func (r *Reader) nextRenewalCount() uint64 {
 	highest := r.lease.record.Renewals
 	for _, sent := range r.lease.sentRenewals {
-		highest = max(highest, sent.renewals)
+		highest = max(highest, sent.count)
 	}
 	return highest + 1
 }
@@ -57,7 +59,7 @@
 	case result.PlatformUnavailable, result.PlatformReadersFull:
 		r.lease.renewAt = r.now + r.renewalRetryDelay()
 	default:
-		r.lease.mustRead = true
+		r.lease.mustReadLease = true
 		r.lease.renewAt = r.now
 	}
 }
@@ -73,18 +75,18 @@
 func (r *Reader) extendLease(record leaseRecord, version object.Version) {
 	r.lease.version = version
 	r.lease.record = record
-	index := slices.IndexFunc(r.lease.sentRenewals, func(sent sentRenewal) bool { return sent.renewals == record.Renewals })
+	index := slices.IndexFunc(r.lease.sentRenewals, func(sent sentRenewal) bool { return sent.count == record.Renewals })
 	if index < 0 {
 		return
 	}
-	sent := r.lease.sentRenewals[index].sentAt
+	sentAt := r.lease.sentRenewals[index].sentAt
 	r.lease.sentRenewals = r.lease.sentRenewals[index+1:]
-	r.lease.expires = max(r.lease.expires, r.holdUntil(sent))
-	r.lease.renewAt = max(r.now, sent+r.config.LeaseDuration/renewalsPerLease)
+	r.lease.expires = max(r.lease.expires, r.holdUntil(sentAt))
+	r.lease.renewAt = max(r.now, sentAt+r.config.LeaseDuration/renewalsPerLease)
 }
 
 // handleLeaseRead handles a read of the lease after a write whose reply was
-// lost or reported a conflict.
+// lost or reported an error such as a conflict.
 func (r *Reader) handleLeaseRead(call pendingCall, reply object.Reply) {
 	if !r.lease.held {
 		r.handleTakeOutcome(call, reply)
@@ -100,7 +102,7 @@
 		r.loseLease("taken")
 		return
 	}
-	r.lease.mustRead = false
+	r.lease.mustReadLease = false
 	r.lease.renewAt = r.now
 	if reply.Object.Version > r.lease.version {
 		r.extendLease(record, reply.Object.Version)
@@ -118,7 +120,7 @@
 	r.lease.acquiring = false
 	var record leaseRecord
 	if reply.Code != result.OK || json.Unmarshal(reply.Object.Data, &record) != nil || record != call.record {
-		r.lease.acquireRetry.fail(r.now, r.random)
+		r.lease.acquireRetry.recordFailure(r.now, r.random)
 		return
 	}
 	call.sentAt = call.takeSentAt
--- a/internal/core/reader/script_test.go
+++ b/internal/core/reader/script_test.go
@@ -100,8 +100,9 @@
 	unavailable = object.Reply{Code: result.PlatformUnavailable}
 )
 
-// sendChange submits a first change and returns its head update, still pending.
-func (s *script) sendChange() PlatformCall {
+// submitFirstChange answers the first read of the head with notFound, submits a
+// change, writes its content and returns its head update, which is still pending.
+func (s *script) submitFirstChange() PlatformCall {
 	s.reply(ledger.HeadObject, notFound)
 	s.submit(1, s.world.newRequest("op000001", "roastery", protocol.ActionSubmit))
 	s.writeContents()
@@ -125,7 +126,7 @@
 
 func TestLostUpdateThatWasAppliedIsAccepted(t *testing.T) {
 	s := newScript(t)
-	update := s.sendChange()
+	update := s.submitFirstChange()
 	s.reply(ledger.HeadObject, replyLost)
 	s.advance(time.Second)
 	s.replyHead(5, update.Call.Data)
@@ -134,7 +135,7 @@
 
 func TestLostUpdateIsSentAgainUnchanged(t *testing.T) {
 	s := newScript(t)
-	update := s.sendChange()
+	update := s.submitFirstChange()
 	s.reply(ledger.HeadObject, replyLost)
 	s.advance(time.Second)
 	s.reply(ledger.HeadObject, notFound)
@@ -146,7 +147,7 @@
 func TestLostUpdateIsNeverReportedAsNotAccepted(t *testing.T) {
 	for _, second := range []object.Reply{replyLost, unavailable, conflict} {
 		s := newScript(t)
-		s.sendChange()
+		s.submitFirstChange()
 		s.reply(ledger.HeadObject, replyLost)
 		s.advance(time.Second)
 		s.reply(ledger.HeadObject, notFound)
@@ -159,7 +160,7 @@
 
 func TestUpdateNeverSentIsNotAccepted(t *testing.T) {
 	s := newScript(t)
-	s.sendChange()
+	s.submitFirstChange()
 	s.renewOnly(15 * time.Second)
 	s.is.Equal(s.resultCodes(1), []result.Code{result.NotAccepted})
 	s.is.True(!s.hasPendingCall(ledger.HeadObject))
@@ -167,7 +168,7 @@
 
 func TestPausedHolderDropsExpiredLeaseBeforeActing(t *testing.T) {
 	s := newScript(t)
-	s.sendChange()
+	s.submitFirstChange()
 	s.submit(2, s.world.newRequest("op000002", "plans", protocol.ActionSubmit))
 	s.now += time.Minute
 	s.outputs, s.calls = nil, nil
@@ -190,7 +191,7 @@
 
 func TestFreshHeadNeedsAReadSentAfterTheRequest(t *testing.T) {
 	s := newScript(t)
-	read := func() (answers []FreshHeadResult) {
+	freshHeads := func() (answers []FreshHeadResult) {
 		return lo.FilterMap(s.outputs, func(output Output, _ int) (FreshHeadResult, bool) {
 			answer, is := output.(FreshHeadResult)
 			return answer, is
@@ -199,9 +200,9 @@
 	s.collect(s.reader.RequestFreshHead(s.now, 1)) // the first read is already in flight
 	s.collect(s.reader.RequestFreshHead(s.now, 2))
 	s.reply(ledger.HeadObject, notFound)
-	s.is.Equal(len(read()), 0)
+	s.is.Equal(len(freshHeads()), 0)
 	s.replyHead(3, ledger.Encode(ledger.NewHead()))
-	s.is.Equal(read(), []FreshHeadResult{{Ticket: 1, OK: true}, {Ticket: 2, OK: true}})
+	s.is.Equal(freshHeads(), []FreshHeadResult{{Ticket: 1, OK: true}, {Ticket: 2, OK: true}})
 }
 
 func TestDependentChangesAreNotBatched(t *testing.T) {
--- a/internal/core/reader/world_test.go
+++ b/internal/core/reader/world_test.go
@@ -17,16 +17,18 @@
 // world simulates readers against the store of the fake platform, in virtual
 // time.
 type world struct {
-	now             time.Duration
-	random          *rand.Rand
-	store           *standin.Store
-	faults          standin.Faults
-	lateProbability float64
-	queue           schedule
-	lastOrder       int
-	clients         []*client
-	headCache       *ledger.Head
-	headVersion     object.Version
+	now    time.Duration
+	random *rand.Rand
+	store  *standin.Store
+	faults standin.Faults
+	// lateRequestProbability is how likely a call reaches the store late, perhaps
+	// after its timeout.
+	lateRequestProbability float64
+	queue                  schedule
+	lastOrder              int
+	clients                []*client
+	headCache              *ledger.Head
+	headVersion            object.Version
 	// afterEvent, if set, is called after each scheduled event.
 	afterEvent func()
 }
@@ -138,9 +140,9 @@
 
 func (c *client) resume() {
 	c.paused = false
-	held := c.queuedInputs
+	queued := c.queuedInputs
 	c.queuedInputs = nil
-	for _, run := range held {
+	for _, run := range queued {
 		run()
 	}
 }
@@ -188,23 +190,23 @@
 		c.input(func(now time.Duration) []Output { return reader.HandlePlatformReply(now, call.Token, reply) })
 	}
 	decision := w.faults.Decide(w.random, call.Call)
-	before, after := decision.Before+time.Millisecond, decision.After+time.Millisecond
-	if w.random.Float64() < w.lateProbability {
-		before += time.Duration(w.random.Int64N(int64(20 * time.Second)))
+	requestDelay, replyDelay := decision.Before+time.Millisecond, decision.After+time.Millisecond
+	if w.random.Float64() < w.lateRequestProbability {
+		requestDelay += time.Duration(w.random.Int64N(int64(20 * time.Second)))
 	}
 	w.scheduleAfter(call.Timeout, func() { answer(object.Reply{Code: result.PlatformUnknown}) })
 	if decision.Refuse {
-		w.scheduleAfter(after, func() { answer(object.Reply{Code: result.PlatformUnavailable}) })
+		w.scheduleAfter(replyDelay, func() { answer(object.Reply{Code: result.PlatformUnavailable}) })
 		return
 	}
 	if decision.LoseRequest {
 		return
 	}
-	w.scheduleAfter(before, func() {
+	w.scheduleAfter(requestDelay, func() {
 		reply := w.store.Apply(w.now, c.name, call.Call, decision.Lag)
 		w.deliver()
 		if !decision.LoseAnswer {
-			w.scheduleAfter(after, func() { answer(reply) })
+			w.scheduleAfter(replyDelay, func() { answer(reply) })
 		}
 	})
 }
--- a/internal/result/codes.go
+++ b/internal/result/codes.go
@@ -1,7 +1,7 @@
 package result
 
-// The result codes; entries describes each. New codes are added at the end of
-// their group.
+// The result codes. The table entries, in entries.go, describes each of them.
+// New codes are added at the end of their group.
 const (
 	OK Code = 0
 	// Held means that a file is stored but not accepted yet, because resources
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -16,11 +16,12 @@
 
 // The values of Execution.
 const (
-	// RanYes means that it ran and the reply is complete.
+	// RanYes means that it was executed.
 	RanYes Execution = "yes"
-	// RanNo means that it did not run; sending it again is safe.
+	// RanNo means that it was not executed, so sending it again can't execute it
+	// twice.
 	RanNo Execution = "no"
-	// RanUnknown means that it may have run.
+	// RanUnknown means that it may have been executed.
 	RanUnknown Execution = "unknown"
 )
 
@@ -95,7 +96,8 @@
 	return Entry{}, false
 }
 
-// Name returns the stable identifier of a code, or "unlisted".
+// Name returns the stable identifier of a code, or "unlisted" if the code
+// has no entry.
 func (c Code) Name() string {
 	entry, found := Lookup(c)
 	if !found {
