--- a/internal/core/floor/learner.go
+++ b/internal/core/floor/learner.go
@@ -11,107 +11,111 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The periods of a Learner.
+// Time-outs and limits of a Learner.
 const (
-	// askTimeout is how long a daemon may take to answer.
-	askTimeout = time.Second
-	// headTimeout is how long a reader may take to read the head.
-	headTimeout = 3 * time.Second
-	// askBase and askCap bound the full-jitter wait between rounds.
-	askBase = 200 * time.Millisecond
-	askCap  = 3 * time.Second
-	// strangersAsked is how many daemons outside the set are asked in a round.
-	strangersAsked = 3
-	// roundsBeforeHead is how many rounds only keepers are asked.
-	roundsBeforeHead = 2
-	// maxPeers bounds the members remembered.
+	// floorRequestTimeout bounds a request that a daemon answers from memory.
+	floorRequestTimeout = time.Second
+	// freshHeadTimeout bounds a request for which a reader first reads the head.
+	freshHeadTimeout = 3 * time.Second
+	// roundWaitBase and roundWaitCap are the first and the largest limit of the
+	// jittered wait between rounds; the limit doubles with each round.
+	roundWaitBase = 200 * time.Millisecond
+	roundWaitCap  = 3 * time.Second
+	// otherDaemonsPerRound is how many daemons outside the keeper set are queried
+	// in a round.
+	otherDaemonsPerRound = 3
+	// roundsBeforeFreshHead is the number of rounds before a reader is asked
+	// for a fresh head.
+	roundsBeforeFreshHead = 2
+	// maxPeers bounds the number of known peers.
 	maxPeers = 64
 )
 
-// LearnerConfig is what a Learner is told at its start.
+// LearnerConfig holds the settings of a Learner.
 type LearnerConfig struct {
 	ID     protocol.NodeID
 	Region string
-	// Seeds are control addresses to start from.
+	// Seeds are control addresses that are queried in addition to the known
+	// peers. At the start no peer is known.
 	Seeds []string
-	// RandomSeed makes random choices repeatable.
+	// RandomSeed makes the Learner's random choices repeatable.
 	RandomSeed uint64
 }
 
-// Learner finds the version floor of a daemon that has just started.
+// Learner determines the version floor of a daemon that has just started.
 //
-// What must hold: the floor is at least every version released in the region
-// before the Learner was made. It concludes only from a head that was read
-// from the platform after that, or from answers, given after that, of read
-// quorums of the newest keeper set that any answer told of. See docs/FLOOR.md
-// for why that suffices while sets change and keepers restart.
+// Invariant: the floor is at least every version released in the region before
+// the Learner was created. It is derived only from a head read from the platform
+// after that, or from replies, sent after that, of a read quorum of the newest
+// keeper set in any reply. docs/FLOOR.md explains why that suffices while
+// keeper sets change and keepers restart.
 type Learner struct {
 	config LearnerConfig
 	random *rand.Rand
 
-	set     protocol.KeeperSet
-	answers map[protocol.NodeID]bool
-	highest protocol.Version
-	peers   map[protocol.NodeID]protocol.Member
+	keeperSet    protocol.KeeperSet
+	validReplies map[protocol.NodeID]bool
+	highestFloor protocol.Version
+	peers        map[protocol.NodeID]protocol.Member
 
-	lastToken Token
-	pending   map[Token]bool
-	rounds    int
-	askAt     time.Duration
+	lastToken   Token
+	pending     map[Token]bool
+	roundCount  int
+	nextRoundAt time.Duration
 
-	known       bool
-	floor       protocol.Version
-	incarnation protocol.Incarnation
+	isFloorKnown bool
+	floor        protocol.Version
+	incarnation  protocol.Incarnation
 }
 
-// NewLearner returns a Learner that knows nothing yet.
+// NewLearner returns a Learner whose floor is not known yet.
 func NewLearner(config LearnerConfig) *Learner {
 	return &Learner{
-		config:  config,
-		random:  rand.New(rand.NewPCG(config.RandomSeed, config.RandomSeed)),
-		set:     protocol.KeeperSet{Region: config.Region},
-		answers: map[protocol.NodeID]bool{},
-		peers:   map[protocol.NodeID]protocol.Member{},
-		pending: map[Token]bool{},
+		config:       config,
+		random:       rand.New(rand.NewPCG(config.RandomSeed, config.RandomSeed)),
+		keeperSet:    protocol.KeeperSet{Region: config.Region},
+		validReplies: map[protocol.NodeID]bool{},
+		peers:        map[protocol.NodeID]protocol.Member{},
+		pending:      map[Token]bool{},
 	}
 }
 
-// Tick lets time pass and asks whom it is time to ask.
+// Tick starts a round of requests when one is due.
 func (l *Learner) Tick(now time.Duration) []Output {
-	if l.known || now < l.askAt {
+	if l.isFloorKnown || now < l.nextRoundAt {
 		return nil
 	}
-	return l.round(now)
+	return l.startRound(now)
 }
 
-// round asks the keepers that have not answered and some strangers, and, when
-// keepers alone did not do, a reader.
-func (l *Learner) round(now time.Duration) []Output {
-	limit := min(askCap, askBase<<min(l.rounds, 8))
-	l.askAt = now + limit/4 + time.Duration(l.random.Int64N(int64(limit)))
-	l.rounds++
+// startRound queries the keepers without a valid reply and some other daemons
+// and, after roundsBeforeFreshHead rounds, also asks a reader for a fresh head.
+func (l *Learner) startRound(now time.Duration) []Output {
+	limit := min(roundWaitCap, roundWaitBase<<min(l.roundCount, 8))
+	l.nextRoundAt = now + limit/4 + time.Duration(l.random.Int64N(int64(limit)))
+	l.roundCount++
 	outputs := []Output{ReadHead{}}
 	for _, address := range l.keeperAddresses() {
-		outputs = append(outputs, l.ask(address, false))
+		outputs = append(outputs, l.newRequest(address, false))
 	}
-	for _, address := range l.strangers() {
-		outputs = append(outputs, l.ask(address, false))
+	for _, address := range l.otherAddresses() {
+		outputs = append(outputs, l.newRequest(address, false))
 	}
-	if l.rounds > roundsBeforeHead {
+	if l.roundCount > roundsBeforeFreshHead {
 		if address, found := l.readerAddress(); found {
-			outputs = append(outputs, l.ask(address, true))
+			outputs = append(outputs, l.newRequest(address, true))
 		}
 	}
 	return outputs
 }
 
-func (l *Learner) ask(address string, freshHead bool) Output {
+func (l *Learner) newRequest(address string, freshHead bool) Output {
 	l.lastToken++
 	l.pending[l.lastToken] = true
 	return SendFloorRequest{
 		Token:   l.lastToken,
 		Address: address,
-		Timeout: lo.Ternary(freshHead, headTimeout, askTimeout),
+		Timeout: lo.Ternary(freshHead, freshHeadTimeout, floorRequestTimeout),
 		Request: &protocol.FloorRequest{
 			Format:    protocol.Format,
 			Region:    l.config.Region,
@@ -121,11 +125,11 @@
 	}
 }
 
-// keeperAddresses returns where the keepers without an answer are.
+// keeperAddresses returns the addresses of the keepers without a valid reply.
 func (l *Learner) keeperAddresses() []string {
 	var addresses []string
-	for _, member := range allMembers(l.set) {
-		if l.answers[member.ID] || member.ID == l.config.ID {
+	for _, member := range allMembers(l.keeperSet) {
+		if l.validReplies[member.ID] || member.ID == l.config.ID {
 			continue
 		}
 		address := member.ControlAddress
@@ -137,16 +141,17 @@
 	return addresses
 }
 
-// strangers returns some addresses at random, from which newer sets, readers
-// and other members are learnt.
-func (l *Learner) strangers() []string {
+// otherAddresses returns some random addresses of other daemons and seeds. Their
+// replies may contain newer keeper sets, readers and other members.
+func (l *Learner) otherAddresses() []string {
 	addresses := l.knownAddresses(func(protocol.Member) bool { return true })
 	addresses = lo.Without(lo.Uniq(append(addresses, l.config.Seeds...)), l.keeperAddresses()...)
 	l.random.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	return addresses[:min(len(addresses), strangersAsked)]
+	return addresses[:min(len(addresses), otherDaemonsPerRound)]
 }
 
-// readerAddress returns a reader at random; a seed when none is known.
+// readerAddress returns the address of a random reader, or of a random seed if
+// no reader is known.
 func (l *Learner) readerAddress() (string, bool) {
 	addresses := l.knownAddresses(func(member protocol.Member) bool { return member.Reader })
 	if len(addresses) == 0 {
@@ -158,90 +163,94 @@
 	return addresses[l.random.IntN(len(addresses))], true
 }
 
-// knownAddresses returns the addresses of peers, in a fixed order.
-func (l *Learner) knownAddresses(wanted func(protocol.Member) bool) []string {
+// knownAddresses returns the addresses of the wanted peers, ordered by id.
+func (l *Learner) knownAddresses(isWanted func(protocol.Member) bool) []string {
 	members := lo.Filter(l.Peers(), func(member protocol.Member, _ int) bool {
-		return wanted(member) && member.ID != l.config.ID
+		return isWanted(member) && member.ID != l.config.ID
 	})
 	return lo.Map(members, func(member protocol.Member, _ int) string { return member.ControlAddress })
 }
 
-// HandleReply takes the answer to an AskFloor; nil when none came.
+// HandleReply handles the reply to a SendFloorRequest; nil means that it timed
+// out or failed.
 func (l *Learner) HandleReply(now time.Duration, token Token, reply *protocol.FloorReply) []Output {
 	if !l.pending[token] {
 		return nil
 	}
 	delete(l.pending, token)
-	if reply == nil || l.known {
+	if reply == nil || l.isFloorKnown {
 		return nil
 	}
 	l.AddPeers(reply.Peers)
 	l.incarnation = max(l.incarnation, reply.Incarnation)
-	newSet := l.follow(reply.Keepers)
+	isNewSet := l.updateKeeperSet(reply.Keepers)
 	if reply.FromHead && reply.Code == result.OK {
-		l.conclude(reply.Floor)
+		l.setFloor(reply.Floor)
 		return nil
 	}
-	l.count(reply)
+	l.countReply(reply)
 	if l.hasQuorum() {
-		l.conclude(max(l.highest, l.set.Revision))
+		l.setFloor(max(l.highestFloor, l.keeperSet.Revision))
 		return nil
 	}
-	if newSet {
-		return l.round(now)
+	if isNewSet {
+		return l.startRound(now)
 	}
 	return nil
 }
 
-// follow takes a newer keeper set and reports whether it was newer.
-func (l *Learner) follow(set protocol.KeeperSet) bool {
-	if set.Region != l.config.Region || set.Revision <= l.set.Revision {
+// updateKeeperSet replaces the keeper set by a newer one and reports whether it
+// did.
+func (l *Learner) updateKeeperSet(set protocol.KeeperSet) bool {
+	if set.Region != l.config.Region || set.Revision <= l.keeperSet.Revision {
 		return false
 	}
-	l.set = set
+	l.keeperSet = set
 	return true
 }
 
-// count notes the answer of a valid keeper. NotKeeper counts as well: the
-// daemon is valid, and has only not heard yet of the set that it is in.
-func (l *Learner) count(reply *protocol.FloorReply) {
-	valid := reply.Code == result.OK || reply.Code == result.NotKeeper
-	if !valid || reply.From == "" || reply.From == l.config.ID {
+// countReply records the reply of a valid keeper. NotKeeper counts as well:
+// such a daemon is valid, and may not have received the set yet that it is in.
+func (l *Learner) countReply(reply *protocol.FloorReply) {
+	isValid := reply.Code == result.OK || reply.Code == result.NotKeeper
+	if !isValid || reply.From == "" || reply.From == l.config.ID {
 		return
 	}
-	l.answers[reply.From] = true
-	l.highest = max(l.highest, reply.Floor)
+	l.validReplies[reply.From] = true
+	l.highestFloor = max(l.highestFloor, reply.Floor)
 }
 
-// hasQuorum reports whether the answers are read quorums of the newest set.
-// The revision of that set is itself a version, and part of the floor: all
-// that was released with older sets in the head is below it.
+// hasQuorum reports whether the replies form a read quorum of the newest set
+// and, while it is being changed, of the previous one. The floor is then at least
+// the newest set's Revision, the version that put that set into the head: every
+// version released with an older set in the head is below that version.
 func (l *Learner) hasQuorum() bool {
-	if l.set.Revision == 0 {
+	if l.keeperSet.Revision == 0 {
 		return false
 	}
-	return HasReadQuorum(l.set, func(id protocol.NodeID) bool { return l.answers[id] })
+	return HasReadQuorum(l.keeperSet, func(id protocol.NodeID) bool { return l.validReplies[id] })
 }
 
-func (l *Learner) conclude(floor protocol.Version) {
-	l.known = true
+func (l *Learner) setFloor(floor protocol.Version) {
+	l.isFloorKnown = true
 	l.floor = floor
 	l.pending = map[Token]bool{}
 }
 
-// HandleHead takes a head that the daemon's own reader read after ReadHead.
+// HandleHead handles a head that the daemon's own reader has read after
+// ReadHead. No request follows, so it never returns an output.
 func (l *Learner) HandleHead(now time.Duration, version protocol.Version, sets []protocol.KeeperSet) []Output {
-	if l.known {
+	if l.isFloorKnown {
 		return nil
 	}
 	for _, set := range sets {
-		l.follow(set)
+		l.updateKeeperSet(set)
 	}
-	l.conclude(version)
+	l.setFloor(version)
 	return nil
 }
 
-// AddPeers adds members that may be asked.
+// AddPeers adds or updates members that may be queried.
 func (l *Learner) AddPeers(peers []protocol.Member) {
 	for _, peer := range peers {
 		known, found := l.peers[peer.ID]
@@ -254,17 +263,17 @@
 	}
 }
 
-// Floor returns the floor; false while it is not known.
-func (l *Learner) Floor() (protocol.Version, bool) { return l.floor, l.known }
+// Floor returns the floor, and false while it is not known.
+func (l *Learner) Floor() (protocol.Version, bool) { return l.floor, l.isFloorKnown }
 
-// Keepers returns the newest keeper set of the region that was learnt.
-func (l *Learner) Keepers() protocol.KeeperSet { return l.set }
+// Keepers returns the newest keeper set of the region received so far.
+func (l *Learner) Keepers() protocol.KeeperSet { return l.keeperSet }
 
-// Incarnation returns the highest incarnation of this daemon that a peer
-// remembers.
+// Incarnation returns the highest incarnation of this daemon that any reply
+// contained.
 func (l *Learner) Incarnation() protocol.Incarnation { return l.incarnation }
 
-// Peers returns the live members that were learnt on the way, by id.
+// Peers returns the members received in replies or added, ordered by id.
 func (l *Learner) Peers() []protocol.Member {
 	members := lo.Values(l.peers)
 	slices.SortFunc(members, func(a, b protocol.Member) int { return lo.Ternary(a.ID < b.ID, -1, 1) })
--- a/internal/core/reader/attemptwrite.go
+++ b/internal/core/reader/attemptwrite.go
@@ -6,87 +6,90 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// writeContents creates the contents; one that exists already is as good.
+// writeContents creates the missing content objects, and sends the head update
+// once there are none. A content object that already exists counts as written,
+// as its name is the digest of its data.
 func (r *Reader) writeContents(current *attempt) {
 	if len(current.unwritten) == 0 {
 		r.writeHead(current)
 		return
 	}
-	for _, item := range current.items {
+	for _, item := range current.submissions {
 		digest := item.change.Digest
-		if current.unwritten[digest] == nil || current.writing[digest] || len(current.writing) >= parallelContents {
+		if current.unwritten[digest] == nil || current.writing[digest] || len(current.writing) >= maxConcurrentContents {
 			continue
 		}
 		current.writing[digest] = true
-		r.call(pendingCall{purpose: purposeContentWrite, digest: digest, attempt: current.number},
+		r.call(pendingCall{purpose: purposeContentWrite, digest: digest, attemptNumber: current.number},
 			object.Call{Kind: object.CallCreate, Name: ledger.ContentObject(digest), Data: current.unwritten[digest]})
 	}
 }
 
-func (r *Reader) contentWasWritten(call pendingCall, reply object.Reply) {
+func (r *Reader) handleContentWrite(call pendingCall, reply object.Reply) {
 	current := r.changes.attempt
-	if current == nil || current.number != call.attempt {
+	if current == nil || current.number != call.attemptNumber {
 		return
 	}
 	delete(current.writing, call.digest)
 	switch reply.Code {
 	case result.OK, result.PlatformExists:
-		r.changes.retry.succeed()
+		r.changes.retry.reset()
 		delete(current.unwritten, call.digest)
 	case result.PlatformTooLarge:
-		r.refuseTooLarge(current, result.FileTooLarge)
+		r.handleTooLarge(current, result.FileTooLarge)
 	default:
-		r.changes.retry.fail(r.now, r.random)
+		r.changes.retry.recordFailure(r.now, r.random)
 	}
 }
 
-// writeHead sends the update that accepts the batch.
+// writeHead sends the head update of the attempt.
 func (r *Reader) writeHead(current *attempt) {
 	current.phase = phaseWriting
-	write := object.Call{Kind: object.CallUpdate, Name: ledger.HeadObject, Expect: current.base, Data: current.data}
-	if current.base == 0 {
+	write := object.Call{Kind: object.CallUpdate, Name: ledger.HeadObject, Expect: current.baseVersion, Data: current.headData}
+	if current.baseVersion == 0 {
 		write.Kind = object.CallCreate
 	}
-	r.call(pendingCall{purpose: purposeHeadWrite, attempt: current.number}, write)
+	r.call(pendingCall{purpose: purposeHeadWrite, attemptNumber: current.number}, write)
 }
 
-// headWasWritten takes the answer to an update. Only an OK and a newer head
-// settle it; see attempt.
-func (r *Reader) headWasWritten(call pendingCall, reply object.Reply) {
+// handleHeadWrite handles the reply to a head update. Only OK or a newer head
+// ends the attempt; see attempt.
+func (r *Reader) handleHeadWrite(call pendingCall, reply object.Reply) {
 	current := r.changes.attempt
-	if current == nil || current.number != call.attempt {
+	if current == nil || current.number != call.attemptNumber {
 		return
 	}
 	switch reply.Code {
 	case result.OK:
-		r.changes.retry.succeed()
-		r.adopt(object.Object{Name: ledger.HeadObject, Version: reply.Object.Version, Data: current.data})
+		r.changes.retry.reset()
+		r.adoptHead(object.Object{Name: ledger.HeadObject, Version: reply.Object.Version, Data: current.headData})
 	case result.PlatformUnavailable, result.PlatformReadersFull:
-		r.changes.retry.fail(r.now, r.random)
+		r.changes.retry.recordFailure(r.now, r.random)
 		current.phase = phaseWrite
-		if current.lost {
+		if current.replyLost {
 			current.phase = phaseResolve
 		}
 	case result.PlatformTooLarge:
-		r.refuseTooLarge(current, result.HeadTooLarge)
+		r.handleTooLarge(current, result.HeadTooLarge)
 	case result.PlatformConflict, result.PlatformExists, result.PlatformNotFound:
 		current.phase = phaseResolve
 	default:
-		current.lost = true
+		current.replyLost = true
 		current.phase = phaseResolve
-		r.changes.retry.fail(r.now, r.random)
+		r.changes.retry.recordFailure(r.now, r.random)
 	}
 }
 
-// refuseTooLarge ends an attempt that the platform will never take. A batch is
-// taken apart; a single change is refused.
-func (r *Reader) refuseTooLarge(current *attempt, code result.Code) {
-	if len(current.items) != 1 {
-		r.changes.alone = true
-		current.lost = false
+// handleTooLarge ends an attempt whose content or head exceeds the platform's
+// size limit. The changes of a batch are queued again, to be tried one by one; a
+// single change is refused; keeper sets are dropped.
+func (r *Reader) handleTooLarge(current *attempt, code result.Code) {
+	if len(current.submissions) != 1 {
+		r.changes.unbatched = true
+		current.replyLost = false
 		r.requeue(current)
 		return
 	}
 	r.changes.attempt = nil
-	r.answerAll(current.items[0], refusal(code, "the platform refuses an object of this size"))
+	r.answerAll(current.submissions[0], newRefusal(code, "the platform refuses an object of this size"))
 }
--- a/internal/core/reader/backoff.go
+++ b/internal/core/reader/backoff.go
@@ -11,16 +11,16 @@
 	backoffCap  = 10 * time.Second
 )
 
-// backoff spaces retries: each wait is drawn between zero and a limit that
-// doubles with each failure in a row, so that readers that failed together do
-// not return together.
+// backoff is an exponential backoff with full jitter: each wait is drawn
+// between zero and a limit that doubles with each consecutive failure, so that
+// readers that failed at the same time do not retry at the same time.
 type backoff struct {
 	failures int
 	until    time.Duration
 }
 
-// fail notes a failure at now and draws the next wait.
-func (b *backoff) fail(now time.Duration, random *rand.Rand) {
+// recordFailure records a failure at now and draws the next wait.
+func (b *backoff) recordFailure(now time.Duration, random *rand.Rand) {
 	limit := backoffCap
 	if b.failures < 6 {
 		limit = min(backoffCap, backoffBase<<b.failures)
@@ -29,11 +29,11 @@
 	b.until = now + jitter(random, limit)
 }
 
-// succeed forgets the failures.
-func (b *backoff) succeed() { *b = backoff{} }
+// reset ends the wait and clears the count of failures.
+func (b *backoff) reset() { *b = backoff{} }
 
-// due reports whether the wait is over.
-func (b *backoff) due(now time.Duration) bool { return now >= b.until }
+// isDue reports whether the wait is over.
+func (b *backoff) isDue(now time.Duration) bool { return now >= b.until }
 
 // jitter draws a duration between 1 ns and limit.
 func jitter(random *rand.Rand, limit time.Duration) time.Duration {
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -11,93 +11,100 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// LeasePrefix starts the names of lease objects.
+// LeasePrefix is the prefix of the names of lease objects.
 const LeasePrefix = "lease/"
 
-// leaseFormat is the revision of the encoding of leases.
+// leaseFormat is the version of the encoding of leases.
 const leaseFormat = 1
 
-// clockMargin is by how much clocks of different machines may run apart, as a
-// divisor: a holder stops a tenth early and others wait a tenth longer.
-const clockMargin = 10
+// clockMarginDivisor allows for clocks that run at different rates. The lease
+// duration divided by it is how much earlier a holder stops using the lease, and
+// how much longer others wait before they take it.
+const clockMarginDivisor = 10
 
-// renewalsPerLease is how often a lease is renewed within its duration.
+// renewalsPerLease is how many times a lease is renewed within its duration.
 const renewalsPerLease = 3
 
 // leaseRecord is the value of a lease object.
 type leaseRecord struct {
 	Format int `json:"format"`
-	// Holder is empty when the lease was given back.
+	// Holder is empty after the holder has resigned.
 	Holder protocol.NodeID `json:"holder"`
 	Term   uint64          `json:"term"`
-	// Renewals grows with each write that a holder sends under one term, so a
-	// read tells which of several writes has landed.
+	// Renewals grows with each write of a holder within a term, so that a read
+	// shows which of several writes was applied.
 	Renewals uint64        `json:"renewals"`
 	Duration time.Duration `json:"duration_ns"`
 }
 
-// leaseObservation is a lease as it was first seen at its newest version.
+// leaseObservation is the newest version seen of a lease.
 type leaseObservation struct {
 	version object.Version
 	record  leaseRecord
-	// at is when this version was first seen, on this daemon's own clock.
-	at time.Duration
+	// seenAt is when this version was first seen, by this daemon's own clock.
+	seenAt time.Duration
 }
 
-// leaseState is all that the reader knows of leases.
+// leaseState is the reader's view of the leases of its region.
 type leaseState struct {
-	candidate bool
-	observed  map[string]leaseObservation
-	// busy is set while a call of the acquisition is under way.
-	busy    bool
-	attempt backoff
+	isCandidate bool
+	// observed is the newest version seen of each lease, by slot.
+	observed map[string]leaseObservation
+	// acquiring is set while a call of an acquisition is in flight.
+	acquiring    bool
+	acquireRetry backoff
 
-	held    bool
+	held bool
+	// slot is the name of the held lease object. A region has Config.LeaseSlots
+	// lease objects, also called slots.
 	slot    string
 	version object.Version
 	record  leaseRecord
-	// expires is when the holder stops, counted from the sending of the write
-	// that is known to have landed.
+	// expires is when the holder stops using the lease, counted from when the
+	// last write known to be applied was sent.
 	expires time.Duration
-	// renewing is set while a renewal, or the read that resolves it, runs.
+	// renewing is set while a renewal, or the read that resolves its outcome, is
+	// in flight.
 	renewing bool
 	renewAt  time.Duration
-	// mustRead is set when a renewal's fate is not known.
-	mustRead bool
-	// sent lists the renewals under way by count, newest last.
-	sent []sentRenewal
+	// mustReadLease is set when the lease must be read because a renewal had an
+	// unknown outcome or was refused, for example with a conflict.
+	mustReadLease bool
+	// sentRenewals lists the renewals not known to be applied, newest last.
+	sentRenewals []sentRenewal
 }
 
 func (r *Reader) setCandidacy(candidacy Candidacy) {
-	if candidacy.Candidate && !r.lease.candidate {
-		r.lease.attempt = backoff{until: r.now + candidacy.Delay}
+	if candidacy.Candidate && !r.lease.isCandidate {
+		r.lease.acquireRetry = backoff{until: r.now + candidacy.Delay}
 	}
-	r.lease.candidate = candidacy.Candidate
+	r.lease.isCandidate = candidacy.Candidate
 }
 
-// checkLease notices that the lease has run out while nothing was called.
-func (r *Reader) checkLease() {
+// expireLease drops the lease if it has expired since the last step.
+func (r *Reader) expireLease() {
 	if r.lease.held && r.now >= r.lease.expires {
 		r.loseLease("expired")
 	}
 }
 
-// advanceLease renews a held lease, or tries to get one.
+// advanceLease renews a held lease, or tries to acquire one.
 func (r *Reader) advanceLease() {
 	if r.lease.held {
 		r.advanceRenewal()
 		return
 	}
-	if !r.lease.candidate || r.lease.busy || !r.lease.attempt.due(r.now) {
+	if !r.lease.isCandidate || r.lease.acquiring || !r.lease.acquireRetry.isDue(r.now) {
 		return
 	}
-	r.lease.busy = true
+	r.lease.acquiring = true
 	r.call(pendingCall{purpose: purposeLeaseList}, object.Call{Kind: object.CallList, Name: r.leasePrefix()})
 }
 
 func (r *Reader) leasePrefix() string { return LeasePrefix + r.config.Region + "/" }
 
-func (r *Reader) slots() []string {
+// slotNames returns the names of all lease objects of the region.
+func (r *Reader) slotNames() []string {
 	slots := make([]string, r.config.LeaseSlots)
 	for i := range slots {
 		slots[i] = r.leasePrefix() + strconv.Itoa(i)
@@ -105,71 +112,73 @@
 	return slots
 }
 
-// leaseListed looks for a lease that is free. The list may lag: the write that
-// follows carries the version seen, so a stale view only makes it fail. Only a
-// look that finds no free lease ends the backoff: with a list that goes on
-// lagging, each attempt fails anew.
-func (r *Reader) leaseListed(reply object.Reply) {
-	r.lease.busy = false
+// handleLeaseList handles a list of the leases and tries to take a free one. The
+// list may be stale: the write expects the version listed, so that it fails if
+// the lease has changed. A list with a free lease does not reset the backoff,
+// as every attempt fails while the list stays stale.
+func (r *Reader) handleLeaseList(reply object.Reply) {
+	r.lease.acquiring = false
 	if reply.Code != result.OK {
-		r.lease.attempt.fail(r.now, r.random)
+		r.lease.acquireRetry.recordFailure(r.now, r.random)
 		return
 	}
 	for _, found := range reply.Objects {
-		r.observe(found)
+		r.observeLease(found)
 	}
-	slots := r.slots()
-	first := r.random.IntN(len(slots))
+	slots := r.slotNames()
+	start := r.random.IntN(len(slots))
 	for i := range slots {
-		slot := slots[(first+i)%len(slots)]
-		if r.isFree(slot) {
+		slot := slots[(start+i)%len(slots)]
+		if r.isLeaseFree(slot) {
 			r.takeLease(slot)
 			return
 		}
 	}
-	r.lease.attempt = backoff{until: r.nextLook()}
+	r.lease.acquireRetry = backoff{until: r.nextListAt()}
 }
 
-// observe notes a lease object; only a new version restarts its time.
-func (r *Reader) observe(found object.Object) {
+// observeLease records a lease object. Only a newer version restarts its
+// duration.
+func (r *Reader) observeLease(found object.Object) {
 	known, seen := r.lease.observed[found.Name]
 	if seen && found.Version <= known.version {
 		return
 	}
-	observation := leaseObservation{version: found.Version, at: r.now}
+	observation := leaseObservation{version: found.Version, seenAt: r.now}
 	if err := json.Unmarshal(found.Data, &observation.record); err != nil || observation.record.Duration <= 0 {
 		observation.record = leaseRecord{Holder: "unreadable", Duration: r.config.LeaseDuration}
 	}
 	r.lease.observed[found.Name] = observation
 }
 
-// isFree reports whether a lease may be taken: it was never taken, was given
-// back, was held by this daemon before it restarted, or has not changed for
-// longer than its duration by this daemon's own clock.
-func (r *Reader) isFree(slot string) bool {
-	seen, found := r.lease.observed[slot]
-	if !found || seen.record.Holder == "" || seen.record.Holder == r.config.ID {
+// isLeaseFree reports whether the lease in a slot may be taken: it was never
+// taken, its holder resigned, this daemon held it before a restart, or it has
+// not changed for longer than its duration by this daemon's own clock.
+func (r *Reader) isLeaseFree(slot string) bool {
+	observation, found := r.lease.observed[slot]
+	if !found || observation.record.Holder == "" || observation.record.Holder == r.config.ID {
 		return true
 	}
-	return r.now >= seen.freeAt()
+	return r.now >= observation.freeAt()
 }
 
-// freeAt is when others may take the lease unless it changes before.
+// freeAt returns when others may take the lease if it does not change before.
 func (o leaseObservation) freeAt() time.Duration {
-	return o.at + o.record.Duration + o.record.Duration/clockMargin
+	return o.seenAt + o.record.Duration + o.record.Duration/clockMarginDivisor
 }
 
-// nextLook returns when a lease could be free: none is now.
-func (r *Reader) nextLook() time.Duration {
+// nextListAt returns when to list the leases again, given that none is free now:
+// when the first of them could become free, plus jitter.
+func (r *Reader) nextListAt() time.Duration {
 	next := r.now + r.config.LeaseDuration
-	for _, slot := range r.slots() {
+	for _, slot := range r.slotNames() {
 		next = min(next, r.lease.observed[slot].freeAt())
 	}
 	return max(next, r.now) + jitter(r.random, r.config.LeaseDuration/4)
 }
 
 func (r *Reader) takeLease(slot string) {
-	seen, found := r.lease.observed[slot]
+	observation, found := r.lease.observed[slot]
 	record := leaseRecord{
 		Format:   leaseFormat,
 		Holder:   r.config.ID,
@@ -179,60 +188,62 @@
 	write := object.Call{Kind: object.CallCreate, Name: slot, Data: record.encode()}
 	if found {
 		write.Kind = object.CallUpdate
-		write.Expect = seen.version
+		write.Expect = observation.version
 	}
-	r.lease.busy = true
+	r.lease.acquiring = true
 	r.call(pendingCall{purpose: purposeLeaseTake, record: record, slot: slot}, write)
 }
 
-// highestTerm makes terms grow over all slots of the region that were seen.
+// highestTerm returns the highest term seen in any slot of the region, so that
+// terms grow across slots.
 func (r *Reader) highestTerm() uint64 {
 	highest := uint64(0)
-	for _, seen := range r.lease.observed {
-		highest = max(highest, seen.record.Term)
+	for _, observation := range r.lease.observed {
+		highest = max(highest, observation.record.Term)
 	}
 	return highest
 }
 
-func (r *Reader) leaseTaken(call pendingCall, reply object.Reply) {
+func (r *Reader) handleLeaseTake(call pendingCall, reply object.Reply) {
 	switch reply.Code {
 	case result.OK:
-		r.lease.busy = false
+		r.lease.acquiring = false
 		r.gainLease(call, reply.Object.Version)
 	case result.PlatformUnknown:
-		r.call(pendingCall{purpose: purposeLeaseRead, record: call.record, slot: call.slot, takeSent: call.sent},
+		r.call(pendingCall{purpose: purposeLeaseRead, record: call.record, slot: call.slot, takeSentAt: call.sentAt},
 			object.Call{Kind: object.CallGet, Name: call.slot})
 	default:
-		r.lease.busy = false
-		r.lease.attempt.fail(r.now, r.random)
+		r.lease.acquiring = false
+		r.lease.acquireRetry.recordFailure(r.now, r.random)
 	}
 }
 
-// gainLease starts to hold a lease that the call is known to have written.
+// gainLease starts to hold the lease that a successful call has written, unless
+// it has expired meanwhile.
 func (r *Reader) gainLease(call pendingCall, version object.Version) {
-	expires := r.holdUntil(call.sent)
-	r.observe(object.Object{Name: call.slot, Version: version, Data: call.record.encode()})
+	expires := r.holdUntil(call.sentAt)
+	r.observeLease(object.Object{Name: call.slot, Version: version, Data: call.record.encode()})
 	if r.now >= expires {
-		r.lease.attempt.fail(r.now, r.random)
+		r.lease.acquireRetry.recordFailure(r.now, r.random)
 		return
 	}
 	r.lease.held = true
-	r.lease.attempt.succeed()
+	r.lease.acquireRetry.reset()
 	r.lease.slot = call.slot
 	r.lease.version = version
 	r.lease.record = call.record
 	r.lease.expires = expires
 	r.lease.renewing = false
-	r.lease.mustRead = false
-	r.lease.sent = nil
-	r.lease.renewAt = call.sent + r.config.LeaseDuration/renewalsPerLease
+	r.lease.mustReadLease = false
+	r.lease.sentRenewals = nil
+	r.lease.renewAt = call.sentAt + r.config.LeaseDuration/renewalsPerLease
 	r.emit(LeaseGained{Term: call.record.Term})
-	r.event("reader_lease_gained", LogField{"slot", call.slot}, LogField{"term", fmt.Sprint(call.record.Term)})
+	r.logEvent("reader_lease_gained", LogField{"slot", call.slot}, LogField{"term", fmt.Sprint(call.record.Term)})
 }
 
-// resign gives the lease back.
+// resign releases the lease by writing a record without a holder.
 func (r *Reader) resign() {
-	r.lease.candidate = false
+	r.lease.isCandidate = false
 	if !r.lease.held {
 		return
 	}
@@ -242,18 +253,18 @@
 	r.call(pendingCall{purpose: purposeLeaseResign}, object.Call{Kind: object.CallUpdate, Name: slot, Expect: version, Data: record.encode()})
 }
 
-// loseLease stops everything that a reader does. Answers to calls under way
-// are ignored from now on.
+// loseLease ends the work of a lease holder. Replies to calls in flight are
+// ignored from then on.
 func (r *Reader) loseLease(reason string) {
 	r.lease.held = false
-	r.lease.busy = false
-	r.lease.attempt.fail(r.now, r.random)
+	r.lease.acquiring = false
+	r.lease.acquireRetry.recordFailure(r.now, r.random)
 	r.calls = map[Token]pendingCall{}
-	r.abandonHead()
+	r.resetHead()
 	r.contents.reset()
 	r.abandonChanges()
 	r.emit(LeaseLost{})
-	r.event("reader_lease_lost", LogField{"slot", r.lease.slot}, LogField{"reason", reason})
+	r.logEvent("reader_lease_lost", LogField{"slot", r.lease.slot}, LogField{"reason", reason})
 }
 
 func (l leaseRecord) encode() []byte {
