--- a/internal/core/dissemination/batch.go
+++ b/internal/core/dissemination/batch.go
@@ -7,26 +7,26 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Batch gathers the daemons whose records are to be broadcast. What comes after a
-// quiet time is sent at once; after that, one broadcast a period carries all that
-// came meanwhile. It is not safe for concurrent use.
+// Batch collects the IDs of daemons whose records are to be broadcast. After an idle
+// period the first broadcast is due at once; later ones are at least one period apart
+// and carry all IDs added in the meantime. It is not safe for concurrent use.
 type Batch struct {
 	period  time.Duration
 	pending map[protocol.NodeID]bool
-	// due is when the next broadcast may be sent.
+	// due is the earliest time of the next broadcast.
 	due time.Duration
-	// scheduled is set while a broadcast is waited for.
+	// scheduled is set while a broadcast is scheduled.
 	scheduled bool
 }
 
-// NewBatch returns an empty batch with the least time between two broadcasts.
+// NewBatch returns an empty batch. period is the minimum time between two broadcasts.
 func NewBatch(period time.Duration) *Batch {
 	return &Batch{period: period, pending: map[protocol.NodeID]bool{}}
 }
 
-// Add notes daemons whose records are news. It answers true when a broadcast has
-// to be scheduled, and how long it must wait; otherwise one is scheduled already
-// or there is nothing to send.
+// Add adds the IDs of daemons whose records changed. If schedule is true, the caller
+// must schedule a broadcast after wait. Otherwise one is already scheduled or there is
+// nothing to send.
 func (b *Batch) Add(now time.Duration, ids ...protocol.NodeID) (wait time.Duration, schedule bool) {
 	for _, id := range ids {
 		b.pending[id] = true
@@ -38,8 +38,8 @@
 	return max(0, b.due-now), true
 }
 
-// Take returns what is to be broadcast now, in ascending order of id, and begins
-// a new period.
+// Take empties the batch, starts a new period and returns the IDs to broadcast now, in
+// ascending order.
 func (b *Batch) Take(now time.Duration) []protocol.NodeID {
 	ids := make([]protocol.NodeID, 0, len(b.pending))
 	for id := range b.pending {
--- a/internal/core/dissemination/broadcast.go
+++ b/internal/core/dissemination/broadcast.go
@@ -1,12 +1,13 @@
 package dissemination
 
-// Fanout is how many daemons one daemon passes a broadcast on to. Seven reach a
-// zone of 56 in two steps; more would burden the relay, fewer take more steps.
+// Fanout is the maximum number of daemons to which a daemon forwards a broadcast. With
+// 7, a broadcast reaches a zone of 56 daemons in two steps. A larger fanout increases
+// the load of the relay, a smaller one the number of steps.
 const Fanout = 7
 
-// Branches divides the targets of a broadcast into at most Fanout parts of about
-// the same length. The first of each part is sent the message and the rest of
-// its part, to which it passes the message on in the same way.
+// Branches divides the targets of a broadcast into at most Fanout branches of about
+// equal length. The sender sends the message to the first target of each branch,
+// together with the rest of the branch, to which that target forwards it likewise.
 func Branches[Target any](targets []Target) [][]Target {
 	count := min(Fanout, len(targets))
 	branches := make([][]Target, 0, count)
--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -1,9 +1,9 @@
-// Package dissemination decides how news of member records reaches the daemons
-// of a mesh. News of one daemon goes to one relay a zone; the relay gathers what
-// comes within a moment and broadcasts it in its zone along a tree, so that the
-// messages grow with the daemons and not with the product of daemons and news.
-// Comparisons of sums (package membership) repair what a broadcast missed. The
-// package does no input or output and reads no clock.
+// Package dissemination decides how changes of member records reach the daemons of a
+// mesh. A daemon sends its change to one relay per zone. The relay batches the changes
+// of a short period and broadcasts them in its zone along a tree, so that the number of
+// messages grows with the number of daemons, not with daemons times changes. Checksum
+// comparisons (package membership) repair missed broadcasts. The package does no input
+// or output and reads no clock.
 package dissemination
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Peer is where another daemon takes control calls.
+// Peer is another daemon with its control address.
 type Peer struct {
 	ID      protocol.NodeID
 	Address string
 	Zone    string
 	Region  string
-	// Relays tells whether the daemon may be a relay: it is not known to be
-	// leaving.
+	// Relays is set if the daemon may be a relay. It is not set for a daemon that is
+	// known to be leaving.
 	Relays bool
 }
 
@@ -29,20 +29,20 @@
 type Directory struct {
 	self protocol.NodeID
 	zone string
-	// all is in ascending order of id.
+	// all holds the other daemons in ascending order of ID.
 	all   []Peer
 	byID  map[protocol.NodeID]int
 	zones map[string][]Peer
-	// far are those of other zones, in ascending order of id.
+	// far holds the daemons of other zones in ascending order of ID.
 	far []Peer
 }
 
-// relayPurpose names the ranking by which relays are chosen.
+// relayPurpose is the hash purpose of the ranking by which relays are chosen.
 const relayPurpose = "relay"
 
-// NewDirectory indexes the daemons known to a daemon of a zone. Those of each
-// zone are ranked by rendezvous hashing, so that daemons that know the same
-// daemons rank them in the same order.
+// NewDirectory indexes the daemons that a daemon in a zone knows. The daemons of each
+// zone are ranked by rendezvous hashing, so that all daemons with the same members
+// obtain the same order.
 func NewDirectory(self protocol.NodeID, zone string, peers []Peer) *Directory {
 	made := &Directory{
 		self:  self,
@@ -69,10 +69,10 @@
 	return made
 }
 
-// All returns the other daemons in ascending order of id.
+// All returns the other daemons in ascending order of ID.
 func (d *Directory) All() []Peer { return d.all }
 
-// Find returns a daemon by its id.
+// Find returns a daemon by its ID.
 func (d *Directory) Find(id protocol.NodeID) (Peer, bool) {
 	index, found := d.byID[id]
 	if !found {
@@ -84,10 +84,10 @@
 // Near returns the other daemons of the own zone, ranked.
 func (d *Directory) OwnZone() []Peer { return d.zones[d.zone] }
 
-// Far returns the daemons of all other zones in ascending order of id.
+// Far returns the daemons of all other zones in ascending order of ID.
 func (d *Directory) OtherZones() []Peer { return d.far }
 
-// Zones returns the names of all zones with another daemon, in order.
+// Zones returns the names of all zones that contain another daemon, in ascending order.
 func (d *Directory) Zones() []string {
 	names := make([]string, 0, len(d.zones))
 	for name := range d.zones {
@@ -100,8 +100,8 @@
 // InZone returns the other daemons of a zone, ranked.
 func (d *Directory) InZone(zone string) []Peer { return d.zones[zone] }
 
-// Relays returns the daemons of a zone that may be its relay, best first. Those
-// that do not answer are left out.
+// Relays returns the other daemons of a zone that may be its relay, best first, without
+// those for which lost returns true.
 func (d *Directory) Relays(zone string, lost func(protocol.NodeID) bool) []Peer {
 	var relays []Peer
 	for _, one := range d.zones[zone] {
@@ -112,7 +112,8 @@
 	return relays
 }
 
-// IsRelay tells whether the daemon itself ranks before all relays of its zone.
+// IsRelay reports whether the own daemon is the relay of its zone: it ranks before all
+// others that may be.
 func (d *Directory) IsRelay(lost func(protocol.NodeID) bool) bool {
 	relays := d.Relays(d.zone, lost)
 	if len(relays) == 0 {
--- a/internal/core/dissemination/dissemination_test.go
+++ b/internal/core/dissemination/dissemination_test.go
@@ -13,7 +13,7 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// sizes are the meshes that the tests play: daemons and zones.
+// sizes are the mesh sizes under test.
 var sizes = []struct{ daemons, zones int }{{13, 4}, {74, 4}, {295, 6}, {295, 7}, {1000, 8}}
 
 func answersAlways(protocol.NodeID) bool { return false }
@@ -37,8 +37,9 @@
 	return NewDirectory(peers[self].ID, peers[self].Zone, others)
 }
 
-// broadcast plays one along its tree. It counts the messages that each daemon
-// receives and the most that one sends, and returns the steps to the last one.
+// broadcast simulates a broadcast along its tree. It counts the messages that each daemon
+// receives, raises most to the largest number that one daemon sends, and returns the
+// number of steps to the last daemon.
 func broadcast(targets []Peer, received map[protocol.NodeID]int, most *int) int {
 	steps := 0
 	branches := Branches(targets)
@@ -63,7 +64,7 @@
 			check.Equal(count, 1)
 		}
 		check.True(most <= Fanout)
-		check.True(steps <= 3) // 125 daemons a zone at a thousand
+		check.True(steps <= 3) // up to 125 daemons per zone
 	}
 }
 
@@ -117,7 +118,7 @@
 	found, known := directory.Find("d0005")
 	check.True(known)
 	check.Equal(found.Zone, "z1")
-	_, known = directory.Find("d0002") // itself
+	_, known = directory.Find("d0002") // the own daemon
 	check.True(!known)
 }
 
@@ -125,21 +126,22 @@
 	check := is.New(t)
 	batch := NewBatch(200 * time.Millisecond)
 	_, schedule := batch.Add(time.Second)
-	check.True(!schedule) // nothing
+	check.True(!schedule) // nothing to send
 	wait, schedule := batch.Add(time.Second, "b")
 	check.True(schedule)
-	check.Equal(wait, time.Duration(0)) // after a quiet time at once
+	check.Equal(wait, time.Duration(0)) // at once after an idle period
 	check.Equal(batch.Take(time.Second), []protocol.NodeID{"b"})
 	wait, schedule = batch.Add(time.Second+50*time.Millisecond, "c")
 	check.True(schedule)
 	check.Equal(wait, 150*time.Millisecond)
 	_, schedule = batch.Add(time.Second+60*time.Millisecond, "a", "c")
-	check.True(!schedule) // rides along
+	check.True(!schedule) // sent with the scheduled broadcast
 	check.Equal(batch.Take(time.Second+200*time.Millisecond), []protocol.NodeID{"a", "c"})
 }
 
-// A mesh whose daemons all have news for some seconds sends no more messages
-// than its daemons and zones and the periods ask for, whatever the news.
+// The number of messages stays linear in changes, plus one broadcast per period: while
+// daemons report changes for some seconds, a zone's relay sends at most one broadcast
+// to its zone in each period.
 func TestMessagesDoNotGrowWithDaemonsTimesNews(t *testing.T) {
 	const period = 200 * time.Millisecond
 	const during = 3 * time.Second
@@ -162,7 +164,7 @@
 			if scheduled && now >= due {
 				send(due)
 			}
-			messages++ // to the relay
+			messages++ // one message to the relay
 			if wait, schedule := batch.Add(now, protocol.NodeID(fmt.Sprint(change))); schedule {
 				due, scheduled = now+wait, true
 			}
--- a/internal/core/distribution/admission.go
+++ b/internal/core/distribution/admission.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Admission limits the bytes of snapshots that a parent starts to send, as a
-// token bucket. After a herd restarts, children of a parent are answered in
-// turn instead of all at once.
+// Admission limits the bytes of snapshots that a parent starts to send, by a token
+// bucket. After a mass restart, a parent thus answers its children one after another
+// instead of all at once.
 type SendLimiter struct {
-	// perSecond is the refill in bytes a second, burst the size of the bucket.
+	// perSecond is the refill rate in bytes per second, burst the bucket size in bytes.
 	perSecond int
 	burst     int
 	tokens    float64
 	at        time.Duration
 }
 
-// The default limits: a burst of some whole snapshots and a rate that a small
-// machine's link carries beside its calls.
+// The default limits: a burst of several whole snapshots, and a rate that leaves room
+// for calls on the network link of a small machine.
 const (
 	DefaultBytesPerSecond = 8 << 20
 	DefaultBurstBytes     = 4 << 20
 )
 
-// NewAdmission returns a full bucket.
+// NewAdmission returns a limiter with a full bucket.
 func NewSendLimiter(perSecond, burst int) *SendLimiter {
 	return &SendLimiter{perSecond: perSecond, burst: burst, tokens: float64(burst)}
 }
 
-// Admit takes the bytes from the bucket. When they don't fit it takes nothing
-// and returns the wait after which they would. A message larger than the
-// bucket is admitted when the bucket is full.
+// Admit takes the bytes from the bucket. If it holds too few, Admit takes none and
+// returns the time until it holds enough. A message larger than the bucket is
+// admitted when the bucket is full.
 func (a *SendLimiter) Admit(now time.Duration, bytes int) (wait time.Duration, admitted bool) {
 	a.tokens = min(float64(a.burst), a.tokens+float64(a.perSecond)*(now-a.at).Seconds())
 	a.at = now
--- a/internal/core/distribution/backoff.go
+++ b/internal/core/distribution/backoff.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Backoff bounds the waits between attempts.
+// Backoff is an exponential backoff with full jitter.
 type Backoff struct {
-	// Base is the bound of the first wait; it doubles with each failure.
+	// Base is the upper bound of the first wait; the bound doubles with each failure.
 	Base time.Duration
-	// Max is the bound of every wait.
+	// Max is the upper bound of every wait.
 	Max time.Duration
 }
 
-// Wait returns a wait drawn evenly from (0, bound], called full jitter: after
-// a herd dies together, its members come back spread out.
+// Wait returns the wait before the next attempt, drawn uniformly from (0, bound]. The
+// full jitter spreads the attempts of daemons that failed at the same time.
 func (b Backoff) Wait(random *rand.Rand, failures int) time.Duration {
 	bound := b.Base
 	for i := 0; i < failures && bound < b.Max; i++ {
@@ -23,7 +23,7 @@
 	return Jitter(random, min(bound, b.Max))
 }
 
-// Jitter returns a time drawn evenly from (0, bound].
+// Jitter returns a duration drawn uniformly from (0, bound]; 0 if bound is not positive.
 func Jitter(random *rand.Rand, bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return 0
--- a/internal/core/distribution/distribution_test.go
+++ b/internal/core/distribution/distribution_test.go
@@ -28,15 +28,15 @@
 	return sum.List()
 }
 
-// TestHoldingNeedsExactlyTheExpected counts members twice, leaves some out,
-// adds unknown ones and an earlier life: nothing is held then.
+// No version is confirmed if a member is missing, duplicate, unknown or of another
+// incarnation.
 func TestHoldingNeedsExactlyTheExpected(t *testing.T) {
 	is := is.New(t)
 	a, b, c := member("x", "a", 1), member("x", "b", 1), member("y", "c", 1)
 	expected := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, b, c})
 	single := distribution.MemberAcknowledgement
 	is.Equal(expected.ConfirmedVersion(fold(single(a, 7), single(b, 8), single(c, 9))), protocol.Version(7))
-	is.Equal(expected.ConfirmedVersion(fold(fold(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // folds of folds
+	is.Equal(expected.ConfirmedVersion(fold(fold(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // aggregates of aggregates
 	wrong := [][]protocol.Acknowledgement{
 		fold(single(a, 7), single(c, 9)),
 		fold(single(a, 7), single(a, 7), single(c, 9)),
@@ -51,7 +51,7 @@
 	dead := b
 	dead.State = protocol.MemberDead
 	without := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, dead, c})
-	is.Equal(without.ConfirmedVersion(fold(single(a, 7), single(c, 9))), protocol.Version(7)) // the dead are not counted
+	is.Equal(without.ConfirmedVersion(fold(single(a, 7), single(c, 9))), protocol.Version(7)) // dead members are not expected
 }
 
 func TestFoldNamesThoseBehind(t *testing.T) {
@@ -67,15 +67,14 @@
 	is.Equal(len(list[0].Behind), protocol.MaxListedNodes)
 }
 
-// TestClaimsWaitForAnotherRoot claims at once only when the keepers knew of no
-// other root.
+// A version may be declared in force at once only if the keepers knew of no other root.
 func TestClaimsWaitForAnotherRoot(t *testing.T) {
 	is := is.New(t)
 	claims := distribution.NewReleaseTracker(lease)
 	claims.RecordRelease(0, 4, true)
 	claims.RecordRelease(time.Second, 5, false)
 	is.Equal(claims.DeclarableVersion(2*time.Second), protocol.Version(4))
-	is.Equal(claims.DeclarableVersion(time.Second+lease), protocol.Version(4)) // the margin for clocks is still open
+	is.Equal(claims.DeclarableVersion(time.Second+lease), protocol.Version(4)) // the clock margin has not passed yet
 	is.Equal(claims.DeclarableVersion(time.Second+distribution.LeaseWithMargin(lease)), protocol.Version(5))
 }
 
@@ -87,8 +86,7 @@
 	return set
 }
 
-// TestRootLeaseEndsWhenANewerVersionIsStored is the case of a root that is cut
-// off while another stores a newer version at a write quorum.
+// A root is partitioned while another root stores a newer version at a write quorum.
 func TestRootLeaseEndsWhenANewerVersionIsStored(t *testing.T) {
 	is := is.New(t)
 	set := keepers(3, "a", "b", "c", "d")
@@ -99,20 +97,20 @@
 	answer("a", 1*time.Second, 4, false)
 	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // no read quorum yet
 	answer("b", 2*time.Second, 4, false)
-	is.Equal(root.GrantUntil(4, set), time.Second+lease) // the oldest answer of the quorum counts
+	is.Equal(root.GrantUntil(4, set), time.Second+lease) // the oldest reply of the quorum counts
 	is.True(!root.IsOnlyRoot(time.Second, set))          // no write quorum yet
 	answer("c", 3*time.Second, 4, false)
 	answer("d", 4*time.Second, 4, true)
 	is.Equal(root.GrantUntil(4, set), 3*time.Second+lease)
 	is.True(root.IsOnlyRoot(time.Second, set))
-	is.True(!root.IsOnlyRoot(2*time.Second, set)) // d has heard another root
+	is.True(!root.IsOnlyRoot(2*time.Second, set)) // d knows of another root
 
 	answer("b", 5*time.Second, 5, false)
 	answer("c", 5*time.Second, 5, false)
 	answer("d", 5*time.Second, 5, false)
 	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // a newer version is stored at a quorum
 	answer("b", 2*time.Second, 4, false)
-	is.Equal(root.GrantUntil(4, set), time.Duration(0))                       // a late answer counts for nothing
+	is.Equal(root.GrantUntil(4, set), time.Duration(0))                       // a late reply to an older request is ignored
 	is.Equal(root.GrantUntil(5, set, keepers(2, "x", "y")), time.Duration(0)) // both sets must agree
 }
 
@@ -127,17 +125,17 @@
 	tree := distribution.NewTree(members[5], members, 24)
 	is.Equal(len(tree.Relays("zone-0")), 2)
 	is.Equal(len(tree.Relays("zone-1")), 2)
-	is.Equal(tree.RootCandidates()[0].ID, members[11].ID) // a reader before all others
+	is.Equal(tree.RootCandidates()[0].ID, members[11].ID) // readers rank first
 	newcomers := 0
 	for i := range 200 {
 		newcomer := member("zone-0", fmt.Sprint("new", i), 1)
 		joined := distribution.NewTree(members[5], append(slices.Clone(members), newcomer), 24)
-		is.Equal(tree.WouldBeRelay(newcomer), joined.IsRelay(newcomer)) // as it is once it has joined
+		is.Equal(tree.WouldBeRelay(newcomer), joined.IsRelay(newcomer)) // predicts the role after joining
 		newcomers += lo.Ternary(joined.IsRelay(newcomer), 1, 0)
 	}
 	is.True(newcomers > 0 && newcomers < 50)
 	parents := tree.ParentCandidates()
-	is.Equal(parents[0].Zone, "zone-1") // the own zone's relays first
+	is.Equal(parents[0].Zone, "zone-1") // relays of the own zone come first
 	is.Equal(parents[1].Zone, "zone-1")
 	for _, parent := range parents {
 		is.True(parent.ID != members[5].ID && parent.ID != members[12].ID)
--- a/internal/core/distribution/fold.go
+++ b/internal/core/distribution/fold.go
@@ -1,7 +1,7 @@
-// Package distribution holds the decisions of the distribution tree: who is
-// whose parent, how acknowledgements are folded, when a root may grant serving
-// leases and call a version in force, and what a parent admits. It does no
-// input or output.
+// Package distribution implements the decisions of the distribution tree: which
+// daemons are parents of which, how acknowledgements are aggregated, when a root may
+// grant serving leases and declare a version in force, and how fast a parent sends
+// snapshots. It does no input or output.
 package distribution
 
 import (
@@ -14,19 +14,19 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// zone names one zone of one region.
+// zone identifies a zone of a region.
 type zone struct {
 	region string
 	name   string
 }
 
-// Fold adds up acknowledgements by zone. Its size does not grow with the
-// number of members.
+// Fold aggregates acknowledgements by zone. Its size does not grow with the number
+// of members.
 type AcknowledgementAggregator struct {
 	zones map[zone]*protocol.Acknowledgement
 }
 
-// NewFold returns an empty fold.
+// NewFold returns an empty aggregate.
 func NewAcknowledgementAggregator() *AcknowledgementAggregator {
 	return &AcknowledgementAggregator{zones: map[zone]*protocol.Acknowledgement{}}
 }
@@ -43,7 +43,7 @@
 	}
 }
 
-// Add takes one acknowledgement into the fold.
+// Add adds an acknowledgement, which may itself be an aggregate.
 func (f *AcknowledgementAggregator) Add(one protocol.Acknowledgement) {
 	if one.Count == 0 {
 		return
@@ -68,7 +68,7 @@
 	sum.MemberSum += one.MemberSum
 }
 
-// List returns the fold in ascending order of region and zone.
+// List returns the aggregate of each zone in ascending order of region and zone.
 func (f *AcknowledgementAggregator) List() []protocol.Acknowledgement {
 	list := make([]protocol.Acknowledgement, 0, len(f.zones))
 	for _, one := range f.zones {
@@ -80,8 +80,7 @@
 	return list
 }
 
-// Minimum returns the lowest version of all zones; false when nothing is
-// counted.
+// Minimum returns the lowest version of all zones; false if the list is empty.
 func MinimumVersion(list []protocol.Acknowledgement) (protocol.Version, bool) {
 	if len(list) == 0 {
 		return 0, false
@@ -90,7 +89,7 @@
 	return lowest.Minimum, true
 }
 
-// Equal reports whether two lists say the same.
+// Equal reports whether two lists of acknowledgements are equal.
 func EqualAcknowledgements(a, b []protocol.Acknowledgement) bool {
 	return slices.EqualFunc(a, b, func(x, y protocol.Acknowledgement) bool {
 		return x.Region == y.Region && x.Zone == y.Zone && x.Minimum == y.Minimum &&
--- a/internal/core/distribution/inforce.go
+++ b/internal/core/distribution/inforce.go
@@ -7,8 +7,8 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Expected is who must hold a version before it is in force: every live member
-// of a region, by zone, as a count and a sum.
+// Expected describes the members that must hold a version before it is in force: all
+// live members of a region, as a count and a checksum per zone.
 type ExpectedMembers struct {
 	region string
 	zones  map[string]census
@@ -19,7 +19,7 @@
 	sum   uint64
 }
 
-// Expect counts the live members of a region.
+// Expect returns the count and checksum of the live members of a region.
 func NewExpectedMembers(region string, members []protocol.Member) ExpectedMembers {
 	expected := ExpectedMembers{region: region, zones: map[string]census{}}
 	for _, member := range members {
@@ -34,12 +34,11 @@
 	return expected
 }
 
-// Holding returns the lowest version in force on all expected members. It is 0
-// unless the acknowledgements cover exactly the expected members: a member
-// that is missing, unknown or counted twice changes a sum, and then nothing is
-// said to be in force. An extra member must not be dropped quietly, for it may
-// be one that the roster does not know yet and that still serves something
-// older.
+// Holding returns the lowest version that the expected members have acknowledged. It
+// is 0 unless the acknowledgements cover exactly the expected members: a missing,
+// unknown or duplicate member changes a checksum. An additional member must not be
+// ignored, because it may be one that the roster does not contain yet and that still
+// serves an older version.
 func (e ExpectedMembers) ConfirmedVersion(folded []protocol.Acknowledgement) protocol.Version {
 	covered := 0
 	for _, one := range folded {
@@ -59,52 +58,53 @@
 	return lowest
 }
 
-// Count returns how many members a zone must have.
+// Count returns the number of expected members of a zone.
 func (e ExpectedMembers) Count(zone string) uint32 { return e.zones[zone].count }
 
-// releasedVersion remembers when a version was released.
+// releasedVersion is a released version with the time of its release.
 type releasedVersion struct {
 	version protocol.Version
-	// storedAt is when it was stored at a write quorum of keepers.
+	// storedAt is when the version was stored at a write quorum of keepers.
 	storedAt time.Duration
-	// alone is set when the quorum knew of no other root that may still have
-	// granted leases at an older version.
+	// alone is set if the quorum knew of no other root that may have granted leases
+	// at an older version.
 	alone bool
 }
 
-// Claims says which released version a root may call in force, as far as
+// Claims determines which released version a root may declare in force, as far as
 // leases are concerned.
 //
-// What must hold: no daemon serves an older version once a newer is called in
-// force. Acknowledgements prove it for those below this root. Another root
-// (one that is cut off, or this one's predecessor) may have granted leases at
-// an older version. It could only do so after a round at a write quorum of
-// keepers that did not yet store the newer version, so each such lease ends
-// within one lease of the moment when the newer version was stored. A version
-// is therefore claimed at once only when the quorum that stored it had not
-// heard another root, and otherwise after the lease and a margin for clocks
-// that run at different rates.
+// The invariant is that no daemon serves an older version once a newer one has been
+// declared in force. For daemons below this root, acknowledgements prove it. Another
+// root (a partitioned one or a predecessor) may have granted leases at an older
+// version. It could only do so after a round to a quorum of keepers that did not yet
+// store the newer version, so each such lease ends at most one lease duration after
+// the newer version was stored. A version may therefore be declared at once only if
+// the quorum that stored it knew of no other root. Otherwise it must wait for the
+// lease plus a margin for clocks that run at different rates.
 type ReleaseTracker struct {
 	lease    time.Duration
 	released []releasedVersion
 }
 
-// claimHistory bounds the versions remembered; older ones are claimable.
+// claimHistory is the maximum number of versions kept. Older ones may always be
+// declared in force.
 const claimHistory = 16
 
-// NewClaims returns the claims of a new root.
+// NewClaims returns the claims of a new root. lease is the duration of serving leases.
 func NewReleaseTracker(lease time.Duration) *ReleaseTracker {
 	return &ReleaseTracker{lease: lease}
 }
 
-// clockMargin is the share of a lease, as a divisor, by which two clocks may
-// disagree over it: rates of 0.9 and 1.1 are covered.
+// clockMargin is the divisor for the fraction of a lease by which two clocks may
+// differ over its duration. A quarter covers clock rates from 0.9 to 1.1.
 const clockMargin = 4
 
-// Margin returns a lease with the margin for clocks of different rates.
+// Margin returns the lease duration plus the margin for clocks of different rates.
 func LeaseWithMargin(lease time.Duration) time.Duration { return lease + lease/clockMargin }
 
-// Released records that a version was stored at a write quorum at now.
+// Released records that a version was stored at a write quorum at now. alone is set if
+// the quorum knew of no other root.
 func (c *ReleaseTracker) RecordRelease(now time.Duration, version protocol.Version, alone bool) {
 	c.released = append(c.released, releasedVersion{version: version, storedAt: now, alone: alone})
 	if len(c.released) > claimHistory {
@@ -112,27 +112,29 @@
 	}
 }
 
-// Fenced returns the highest version that is in force at now whoever has
-// acknowledged it: it was stored at a write quorum a lease and a margin ago, so
-// every lease at an older version has ended, those of daemons that are silent,
-// cut off or forgotten included. A lease belongs to the version that came with
-// it, and no root earns one at an older version once the newer is stored.
+// Fenced returns the highest version that is in force at now regardless of
+// acknowledgements. It was stored at a write quorum at least a lease and a margin
+// ago, so all leases at older versions have expired, including those of daemons that
+// are silent, partitioned or removed from the roster. A lease is bound to the version
+// it was granted with, and no root can obtain one at an older version once the newer
+// one is stored.
 func (c *ReleaseTracker) FencedVersion(now time.Duration) protocol.Version {
 	return c.highest(func(one releasedVersion) bool { return c.fenced(one, now) })
 }
 
-// Highest returns the highest version that may be claimed at now, once it is
-// acknowledged.
+// Highest returns the highest version that may be declared in force at now, provided
+// that it is acknowledged.
 func (c *ReleaseTracker) DeclarableVersion(now time.Duration) protocol.Version {
 	return c.highest(func(one releasedVersion) bool { return one.alone || c.fenced(one, now) })
 }
 
-// fenced reports whether every lease at a version before this one has ended.
+// fenced reports whether all leases at versions older than this one have expired.
 func (c *ReleaseTracker) fenced(one releasedVersion, now time.Duration) bool {
 	return now-one.storedAt >= LeaseWithMargin(c.lease)
 }
 
-// highest returns the highest released version that fits; 0 when none does.
+// highest returns the highest released version that satisfies a condition; 0 if none
+// does.
 func (c *ReleaseTracker) highest(fits func(releasedVersion) bool) protocol.Version {
 	var highest protocol.Version
 	for _, one := range c.released {
--- a/internal/core/distribution/rootlease.go
+++ b/internal/core/distribution/rootlease.go
@@ -9,37 +9,38 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// RootLease is a root's right to grant serving leases. It is renewed by rounds
-// of StoreRequest to the keepers.
+// RootLease is a root's right to grant serving leases. It is renewed by rounds of
+// StoreRequest to the keepers.
 //
-// What must hold: a root grants leases at its released version only while no
-// newer version can have been stored a lease ago. A round counts when a read
-// quorum answers that it stores nothing newer. A read and a write quorum share
-// a keeper, so once a newer version is stored at a write quorum no further
-// round of an older root counts, and its last grant ends one lease after the
-// sending of its last round that did. A keeper that restarts answers only
-// after it has learnt its floor from a read quorum itself.
+// The invariant is that a root grants leases at its released version only while no
+// newer version can have been stored for longer than a lease. A round is valid if a
+// read quorum replies that it stores no newer version. Each read quorum shares a
+// keeper with each write quorum, so once a newer version is stored at a write quorum,
+// no later round of an older root is valid. Its last grant then ends one lease after
+// its last valid round was sent. A restarted keeper replies only after it has read
+// its version floor from a read quorum.
 type RootLease struct {
 	lease time.Duration
-	// answers holds the newest answer of each keeper.
+	// answers holds the latest reply of each keeper.
 	answers map[protocol.NodeID]keeperAnswer
 }
 
 type keeperAnswer struct {
-	// sentAt is when the question was sent: the answer may be older than its
-	// arrival, never older than the question.
+	// sentAt is when the request was sent. The keeper's state may have changed since
+	// it replied, but the reply is never older than the request.
 	sentAt time.Duration
 	stored protocol.Version
 	alone  bool
 }
 
-// NewRootLease returns a lease that is not held.
+// NewRootLease returns a root lease without replies, which allows no grants. lease is
+// the duration of serving leases.
 func NewRootLease(lease time.Duration) *RootLease {
 	return &RootLease{lease: lease, answers: map[protocol.NodeID]keeperAnswer{}}
 }
 
-// Answer takes a keeper's reply to a request sent at sentAt. Replies may
-// arrive crossed: the one to the newest question counts.
+// Answer records a keeper's reply to a request sent at sentAt. If replies arrive out of
+// order, the one to the latest request counts.
 func (l *RootLease) RecordReply(keeper protocol.NodeID, sentAt time.Duration, reply *protocol.StoreReply) {
 	if reply == nil || reply.Code != result.OK {
 		return
@@ -50,9 +51,9 @@
 	l.answers[keeper] = keeperAnswer{sentAt: sentAt, stored: reply.Stored, alone: !reply.OtherRoot}
 }
 
-// Until returns the time until which leases may be granted at the version: the
-// sending time of the oldest answer of the newest read quorum, plus the lease;
-// 0 when there is no such quorum. All sets given must agree.
+// Until returns the time until which leases at the version may be granted: the sending
+// time of the oldest request of the latest read quorum, plus the lease. It is 0 unless
+// each of the sets has such a quorum.
 func (l *RootLease) GrantUntil(version protocol.Version, sets ...protocol.KeeperSet) time.Duration {
 	if len(sets) == 0 {
 		return 0
@@ -66,9 +67,9 @@
 	}))
 }
 
-// Alone reports whether a write quorum of every set has answered, to questions
-// sent at or after since, that it knows of no other root: any other root's last
-// read quorum shares a keeper with it.
+// Alone reports whether a write quorum of every set has replied, to requests sent at or
+// after since, that it knows of no other root. The last read quorum of any other root
+// shares a keeper with it.
 func (l *RootLease) IsOnlyRoot(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return len(sets) > 0 && lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
 		oldest, found := l.quorum(set, set.Write, func(answer keeperAnswer) bool { return answer.alone })
@@ -76,10 +77,10 @@
 	})
 }
 
-// CanStore reports whether a write quorum of every set has answered questions
-// sent at or after since. To begin storing a version that can't reach a write
-// quorum would end this root's own lease: its rounds would hear of a version
-// newer than the one released.
+// CanStore reports whether a write quorum of every set has replied to requests sent at
+// or after since. A root must not begin to store a version that can't reach a write
+// quorum: its own rounds would then find a version newer than the released one, which
+// would end its lease.
 func (l *RootLease) CanStore(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
 		oldest, found := l.quorum(set, set.Write, func(keeperAnswer) bool { return true })
@@ -87,15 +88,15 @@
 	})
 }
 
-// Newest returns the highest version that any keeper of the set reported.
+// Newest returns the highest version that a keeper of the set has reported.
 func (l *RootLease) NewestReported(set protocol.KeeperSet) protocol.Version {
 	return lo.Max(lo.Map(set.Members, func(keeper protocol.KeeperMember, _ int) protocol.Version {
 		return l.answers[keeper.ID].stored
 	}))
 }
 
-// quorum returns the sending time of the oldest answer among the newest size
-// answers that fit.
+// quorum returns the oldest sending time among the latest size replies that satisfy a
+// condition; false if there are fewer.
 func (l *RootLease) quorum(set protocol.KeeperSet, size int, fits func(keeperAnswer) bool) (time.Duration, bool) {
 	var times []time.Duration
 	for _, keeper := range set.Members {
--- a/internal/core/distribution/rootlease_test.go
+++ b/internal/core/distribution/rootlease_test.go
@@ -12,9 +12,9 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// TestNoGrantBelowAStoredVersion lets a stale root read any keepers at any
-// time while a version is stored at a write quorum: a grant for a lower version
-// never reaches past the fence.
+// TestNoGrantBelowAStoredVersion lets a stale root query keepers at drawn times while a
+// newer version is being stored. Grants for the older version never extend beyond one
+// lease after the newer one is stored at a write quorum.
 func TestNoGrantBelowAStoredVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 8).Draw(t, "size")
--- a/internal/core/distribution/tree.go
+++ b/internal/core/distribution/tree.go
@@ -11,13 +11,14 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Tree is one daemon's view of its region's distribution tree, computed from
-// its roster. Daemons with different rosters only choose different parents.
+// Tree is a daemon's view of its region's distribution tree, computed from its roster.
+// The views need not agree: with different rosters, daemons only choose different
+// parents.
 type Tree struct {
 	self protocol.NodeID
-	// relays are the ranked relays by zone.
+	// relays holds the ranked relays of each zone.
 	relays map[string][]protocol.Member
-	// roots are the candidates for root, best first.
+	// roots holds the root candidates, best first.
 	roots []protocol.Member
 	zone  string
 }
@@ -29,12 +30,11 @@
 	classRelay
 )
 
-// NewTree computes the tree of a region. The first members of each zone by
-// rendezvous rank are its relays; members that are draining have
-// no role. Candidates for root are the
-// readers, then who already acts as root without a reader lease (the platform
-// may be down for long), then the relays, which hold everything that was
-// released.
+// NewTree computes the tree of the own daemon's region. The first members of each zone
+// by rendezvous rank are its relays; draining members have no role. Root candidates are
+// first the readers, then members that already act as root without a reader lease
+// (during a long platform outage), then the relays, which hold all released
+// configuration.
 func NewTree(self protocol.Member, members []protocol.Member, fanOut int) *Tree {
 	tree := &Tree{self: self.ID, zone: self.Zone, relays: map[string][]protocol.Member{}}
 	live := lo.Filter(members, func(member protocol.Member, _ int) bool {
@@ -49,9 +49,9 @@
 	return tree
 }
 
-// relayCount returns how many relays a zone has. A quarter of their places stay
-// free, so that a daemon that joins finds one soon although hashing spreads
-// leaves unevenly.
+// relayCount returns the number of relays of a zone. It leaves a quarter of their
+// capacity free, so that a joining daemon soon finds a parent although hashing
+// distributes leaves unevenly.
 func relayCount(members, fanOut int) int {
 	filled := max(1, fanOut*3/4)
 	return (members + filled - 1) / filled
@@ -84,8 +84,8 @@
 	return slices.ContainsFunc(t.relays[member.Zone], func(relay protocol.Member) bool { return relay.ID == member.ID })
 }
 
-// WouldRelay reports whether a member that may not have joined yet is a relay
-// of its zone, or would be once it has.
+// WouldRelay reports whether a member is a relay of its zone or, if it has not joined
+// yet, would become one by joining.
 func (t *Tree) WouldBeRelay(member protocol.Member) bool {
 	relays := t.relays[member.Zone]
 	if len(relays) == 0 || t.IsRelay(member) {
@@ -95,7 +95,7 @@
 	return membership.Score(purpose, member.ID) > membership.Score(purpose, relays[len(relays)-1].ID)
 }
 
-// relayPurpose is the purpose of the rank of a zone's relays.
+// relayPurpose returns the hash purpose of the ranking of a zone's relays.
 func relayPurpose(zone string) string { return "relay/" + zone }
 
 // Relays returns the relays of a zone, best first.
@@ -110,12 +110,12 @@
 	return all
 }
 
-// Roots returns the candidates for root, best first.
+// Roots returns the root candidates, best first.
 func (t *Tree) RootCandidates() []protocol.Member { return t.roots }
 
-// Parents returns the candidates of a leaf in its order of preference: the
-// relays of its zone, those of other zones, and the candidates for root, each
-// ranked by the leaf's own hash so that leaves spread evenly.
+// Parents returns the parent candidates of the own daemon in order of preference: the
+// relays of its zone, the relays of other zones, then the root candidates. Relays are
+// ranked by a hash of the own ID, so that leaves are distributed evenly.
 func (t *Tree) ParentCandidates() []protocol.Member {
 	purpose := "parent/" + string(t.self)
 	own := membership.Rank(purpose, t.relays[t.zone])
--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -3,46 +3,47 @@
 import "time"
 
 const (
-	// ejectionFloor is the share of a set that is always left in use: when more
-	// than that is ejected, ejections are not heeded.
+	// ejectionFloor is the share of a set that stays in use at least: while more
+	// than this share is ejected, ejections are ignored.
 	ejectionFloor = 0.5
-	// degradedLimit is the share of a set that may be degraded. When more is, the
-	// cause is likely common to all, such as a service that they call, and to
-	// leave some out would only burden the others.
+	// degradedLimit is the largest degraded share of a set whose endpoints are
+	// avoided. A larger share points to a common cause, such as a shared
+	// dependency; avoiding some endpoints would then only overload the others.
 	degradedLimit = 0.3
 )
 
-// Spill says how much load calls bear to stay near. Loads are calls by slots, so
-// that 1 is an endpoint whose slots are all taken.
+// Spill sets the load thresholds at which calls leave the own zone. Load is calls
+// divided by slots: at 1 all slots of an endpoint are occupied.
 type Spillover struct {
-	// Above is the load of the better choice in the own zone above which the
-	// next zone is looked at.
+	// Above is the load of the better candidate of the own zone above which
+	// endpoints of other zones are considered.
 	Above float64
-	// Zone and Region are how much less loaded an endpoint of another zone or
-	// region must be.
+	// Zone and Region are the load difference by which an endpoint of another
+	// zone or region must be less loaded to be preferred.
 	Zone   float64
 	Region float64
 }
 
-// DefaultSpill looks at the next zone before the slots of the own are full.
+// DefaultSpill returns thresholds that consider other zones before all slots of the
+// own zone are occupied.
 func DefaultSpillover() Spillover { return Spillover{Above: 0.75, Zone: 0.25, Region: 1} }
 
-// penalty is what an endpoint at a distance must be less loaded by.
+// penalty returns the load added to an endpoint at a distance.
 func (s Spillover) penalty(distance int) float64 {
 	return [tierCount]float64{0, s.Zone, s.Region}[distance]
 }
 
 // Choose picks the endpoint of a call: the less loaded of two drawn at random
-// in the own zone, or of two farther ones when those are close to full. Random
-// is a uniform random number. It answers nil when no endpoint may take the
-// call; those tried already are chosen again only if there is no other.
+// in the own zone or, when those are nearly full, of two in other zones. random
+// must be uniform. Choose returns nil when no endpoint may receive the call;
+// endpoints in tried are chosen again only if there is no other.
 func (s *Set) Choose(now time.Duration, random uint64, tried Tried) *Endpoint {
 	chosen := s.choose(now, random, tried, true)
 	if chosen == nil && s.ColdWait(now) > 0 {
-		return nil // soon a cold one has a start
+		return nil // a cold endpoint accepts a call soon
 	}
 	if chosen == nil {
-		// Everything left is ejected. Trying it beats refusing the call.
+		// All remaining endpoints are ejected; try one rather than refuse the call.
 		chosen = s.choose(now, random, tried, false)
 	}
 	if chosen == nil && len(tried) > 0 {
@@ -75,18 +76,18 @@
 	return best
 }
 
-// heeded says which evidence against endpoints is heeded in a choice.
+// heeded selects the reasons for which a choice skips endpoints.
 type heeded struct {
 	ejections bool
 	degraded  bool
 }
 
-// bars tells whether an endpoint is left out.
+// bars reports whether the endpoint is skipped.
 func (h heeded) bars(candidate *Endpoint, now time.Duration) bool {
 	return (h.ejections && candidate.Ejected(now)) || (h.degraded && candidate.degraded())
 }
 
-// heeds tells which evidence leaves enough of the set in use.
+// heeds returns the reasons that leave enough endpoints of the set in use.
 func (s *Set) heeds(now time.Duration) heeded {
 	ejected := 0
 	degraded := 0
@@ -106,8 +107,8 @@
 	}
 }
 
-// betterOfTwo draws two endpoints of a tier and returns the one that is expected
-// to be done sooner.
+// betterOfTwo draws two endpoints of a tier and returns the one with the shorter
+// expected completion time. It returns nil when the tier has no usable endpoint.
 func betterOfTwo(tier []*Endpoint, now time.Duration, random uint64, tried Tried, heed heeded) *Endpoint {
 	if len(tier) == 0 {
 		return nil
@@ -128,8 +129,8 @@
 	return second
 }
 
-// usableFrom returns the first endpoint that may be used, from a random place
-// on, other than one that was drawn already.
+// usableFrom returns the first usable endpoint at or after the start position,
+// wrapping around and skipping the one already drawn.
 func usableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, heed heeded, drawn *Endpoint) *Endpoint {
 	for step := range tier {
 		candidate := tier[(start+step)%len(tier)]
@@ -144,9 +145,9 @@
 	return nil
 }
 
-// ChooseKeyed picks by the hash of a request key, so that two sendings of one
-// operation meet at the same gate, which refuses the second. It heeds load no
-// more than ejection does. With membership changing it is a help only.
+// ChooseKeyed picks by the hash of a request key and ignores load and ejections,
+// so that two requests for one operation reach the same gate, which refuses the
+// second. This is best effort: a membership change can move a key.
 func (s *Set) ChooseByRequestKey(now time.Duration, key uint64, tried Tried) *Endpoint {
 	best := s.firstRanked(now, key, tried, heeded{})
 	if best == nil {
@@ -155,9 +156,9 @@
 	return best
 }
 
-// ChooseRanked picks by the hash of what is sent, so that all callers' sides send it to the
-// same gate, whatever the load there. Other than with a request key, a gate that does not
-// answer is passed over.
+// ChooseRanked picks by the hash of the request content and ignores load, so that all
+// daemons send equal requests to the same gate. Unlike with a request key, ejected
+// endpoints are skipped.
 func (s *Set) ChooseByContentHash(now time.Duration, key uint64, tried Tried) *Endpoint {
 	best := s.firstRanked(now, key, tried, heeded{ejections: true})
 	if best == nil {
@@ -166,8 +167,8 @@
 	return best
 }
 
-// firstRanked is the first by rendezvous hashing of those that may be used, outside of the
-// own region only if there is none inside.
+// firstRanked returns the usable endpoint with the highest rendezvous hash. Endpoints of
+// other regions are used only if the own region has none.
 func (s *Set) firstRanked(now time.Duration, key uint64, tried Tried, heed heeded) *Endpoint {
 	var best *Endpoint
 	var bestHash uint64
@@ -188,8 +189,8 @@
 	return best
 }
 
-// ChooseInTurn takes the endpoints one after the other, whatever their load
-// and place. It is for comparisons only.
+// ChooseInTurn picks endpoints round robin, regardless of load and distance. It
+// is a baseline for comparisons only.
 func (s *Set) ChooseRoundRobin(now time.Duration, turn uint64, tried Tried) *Endpoint {
 	if s.usable == 0 {
 		return nil
--- a/internal/core/endpoint/compare.go
+++ b/internal/core/endpoint/compare.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// serviceRatio bounds how far service times are believed to differ.
+	// serviceRatio caps the ratio of two service times in a comparison.
 	serviceRatio = 4
-	// knownTurns is for how many service times a load report says which calls run: a
-	// back end of some slots has begun others by then.
+	// knownTurns is the number of service times for which a load report is current.
+	// After that, a back end with several slots is running other calls.
 	knownTurns = 2
 )
 
-// goesBefore tells whether a call is better sent here than to another endpoint: where
-// it is expected to be done no later, by service times where both are known, and by
-// load. A call waits only where all slots are taken, so below that load costs no time.
+// goesBefore reports whether a call is better sent to this endpoint than to another:
+// by expected completion time if both service times are known, otherwise by load. A
+// call queues only when all slots are occupied, so load below that costs no time.
 //
-// An entry among many daemons seldom meets an endpoint, and then does not know the
-// load of the faster one. To send it each call that meets both would give the fastest
-// twice its part, whatever it can do. Such a call goes to either by chance, in the
-// proportion of the squares of the expected times: with two drawn at random each gets
-// about what its speed is worth.
+// In a large mesh a daemon seldom calls one endpoint, so its load report is often
+// outdated. If the faster of two endpoints then got every call, the fastest would
+// receive twice its share, whatever its capacity. Such a call is instead assigned at
+// random, with probabilities inversely proportional to the squares of the expected
+// times. With two candidates drawn at random, each endpoint then receives calls
+// roughly in proportion to its speed.
 func (e *Endpoint) goesBefore(other *Endpoint, now time.Duration, random uint64) bool {
 	myTime, theirTime, known := e.expectedTimes(other, now)
 	if !known || myTime == theirTime {
@@ -38,8 +39,8 @@
 	return unitOf(random) < theirs/(mine+theirs)
 }
 
-// expectedTimes are the relative times in which a call is expected to be done at two
-// endpoints; false means that a service time is not known.
+// expectedTimes returns the expected completion times of a call at two endpoints,
+// comparable only with each other; known is false if a service time is unknown.
 func (e *Endpoint) expectedTimes(other *Endpoint, now time.Duration) (mine, theirs float64, known bool) {
 	myService := e.stats.service.Load()
 	theirService := other.stats.service.Load()
@@ -51,17 +52,17 @@
 	return mine, theirs, true
 }
 
-// knowsLoad tells whether the last load report still says which calls run.
+// knowsLoad reports whether the last load report is current.
 func (e *Endpoint) knowsLoad(now time.Duration) bool {
 	age := now - time.Duration(e.stats.reportedAt.Load())
 	return age < knownTurns*time.Duration(e.stats.service.Load())
 }
 
-// unitOf makes a number from 0 to 1 of a uniform random one, independently of its
-// halves, which draw the endpoints.
+// unitOf maps a uniform random number to [0, 1). The multiplication makes the result
+// independent of the two halves of random, which select the endpoints.
 func unitOf(random uint64) float64 {
 	const odd = 0x9e3779b97f4a7c15
 	high, low := bits.Mul64(random, odd)
-	const precision = 53 // bits of a float64's fraction
+	const precision = 53 // bits of a float64 mantissa
 	return float64((high^low)>>(64-precision)) / (1 << precision)
 }
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -1,7 +1,7 @@
-// Package endpoint keeps what a callers' side knows of the back ends of a
-// service and chooses one for each call. A set is immutable and replaced
-// whole; the counts of an endpoint are atomics that outlive the sets. It reads
-// no clock and draws no random numbers; both are passed in.
+// Package endpoint keeps the calling daemon's view of the back ends of a service
+// and chooses one for each call. A set is immutable and replaced as a whole; the
+// statistics of an endpoint are atomics shared by successive sets. The package
+// reads no clock and draws no random numbers; both are passed in.
 package endpoint
 
 import (
@@ -14,118 +14,122 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// The rules by which evidence is weighed.
+// Limits for load, warm-up and ejection.
 const (
-	// warmUp is how long a cold endpoint takes to get its full share.
+	// warmUp is the time in which a new endpoint's share of calls rises to 1.
 	warmUp = 10 * time.Second
-	// coldShare is the share of an endpoint that has just come.
+	// coldShare is the share of calls of an endpoint that has just been added.
 	coldShare = 0.1
-	// warmingShare is the most that an endpoint gets while it says itself that
-	// it is warming.
+	// warmingShare is the largest share of an endpoint that reports that it is
+	// warming up.
 	warmingShare = 0.5
-	// reportLife is when a load report counts for nothing any more.
+	// reportLife is the age at which a load report is ignored.
 	reportLife = 2 * time.Second
-	// leavingLife is how long a gate's refusal to take new work stands against
-	// the member record known then. A newer record ends it earlier.
+	// leavingLife is how long an endpoint is avoided after its gate refused new
+	// calls. A newer member record ends it earlier.
 	leavingLife = 5 * time.Second
-	// refusalLife and refusalLoad keep calls from a gate that has just refused
-	// one for load while there are others. Its queue may be short because its
-	// back end is slow, and would draw the calls that it then refuses.
+	// refusalLife is how long refusalLoad is added to the load of an endpoint
+	// whose gate refused a call for load, so that other endpoints are preferred.
+	// The queue of a slow back end may be short; without the addition it would
+	// attract calls only to refuse them.
 	refusalLife = 200 * time.Millisecond
 	refusalLoad = 100
-	// brokenLimit and errorLimit are the consecutive broken calls, and answers
-	// of server error, after which an endpoint is ejected. One failure to
-	// connect is enough.
+	// brokenLimit and errorLimit are the numbers of broken calls and of server
+	// errors without a success in between after which an endpoint is ejected. A
+	// failure to connect ejects at once.
 	brokenLimit = 3
 	errorLimit  = 10
-	// ejectionUnit is the first ejection; each one after it without a success
-	// between doubles, up to ejectionLimit.
+	// ejectionUnit is the duration of the first ejection. It doubles with each
+	// further ejection, up to ejectionLimit, until a call succeeds.
 	ejectionUnit  = time.Second
 	ejectionLimit = 30 * time.Second
 )
 
-// Endpoint is one back end as a set knows it. It is immutable but for Stats.
+// Endpoint is one back end in a set. It is immutable except for its statistics.
 type Endpoint struct {
 	Service resource.ServiceRef
 	Backend string
-	// Address is the data address of the daemon beside it.
+	// Address is the data address of the back end's daemon.
 	Address string
 	Region  string
 	Zone    string
 	Slots   int
 	// Software is the version of the back end's software; empty when not known.
 	Software string
-	// Born is when the back end started by its own word; 0 when it does not tell.
+	// Born is the start time that the back end reports; 0 if it reports none.
 	Born int64
-	// Node, Incarnation and Sequence are those of the daemon's own record; zero
-	// when the daemon has not been heard of.
+	// Node, Incarnation and Sequence are taken from the daemon's member record;
+	// they are zero while no record is known.
 	Node        protocol.NodeID
 	Incarnation protocol.Incarnation
 	Sequence    uint64
-	// State is what the daemon says of its back end; EndpointNone when it has
-	// not been heard of.
+	// State is the state that the daemon reports for its back end; EndpointNone
+	// while no record is known.
 	State protocol.EndpointState
-	// ColdRate is how many calls a second it bears while it is cold; 0 when not stated.
+	// ColdRate is the calls per second that the back end can serve while it is cold; 0
+	// if not configured.
 	ColdRate float64
-	// Doubted is set while the daemon is silent or not heard of yet.
+	// Doubted is set while the daemon is suspected to have failed or has no member
+	// record yet.
 	Doubted bool
 
 	stats *stats
 }
 
-// stats is what the calls of this process have met at an endpoint. It belongs
-// to one incarnation of the daemon beside it. It fills two cache lines: neighbours on one
-// would slow each other down.
+// stats holds the statistics of this process's calls to an endpoint, for one
+// incarnation of the back end's daemon. It fills two cache lines, which avoids false
+// sharing between endpoints.
 type stats struct {
 	outstanding atomic.Int64
-	// others is the load of other callers when last reported, float64 bits.
+	// others is the last reported number of other callers' calls, as float64 bits.
 	others     atomic.Uint64
 	reportedAt atomic.Int64
 	// service is the gate's mean service time, in nanoseconds.
 	service atomic.Int64
-	// failures and errors count since the last success.
+	// failures and errors count broken calls and server errors since the last success.
 	failures     atomic.Int64
 	errors       atomic.Int64
 	ejections    atomic.Int64
 	ejectedUntil atomic.Int64
-	// leavingUntil and leavingSequence hold a refusal to take new work.
+	// leavingUntil is the end of a refusal of new calls, leavingSequence the sequence
+	// of the member record that was current when it was received.
 	leavingUntil    atomic.Int64
 	leavingSequence atomic.Uint64
-	// recordAt is when the present record of the daemon came.
+	// recordAt is when the daemon's current member record was received.
 	recordAt atomic.Int64
-	// noStartUntil is until when the gate of a cold back end has no start for calls of each class.
+	// noStartUntil is, for each class, until when the gate of a cold back end accepts no call.
 	noStartUntil [warmup.ClassCount]atomic.Int64
-	// refusingUntil holds a refusal for load.
+	// refusingUntil is until when refusalLoad is added after a refusal for load.
 	refusingUntil atomic.Int64
-	// readyAt is when the endpoint was first seen by this process.
+	// readyAt is the time from which the warm-up is counted.
 	readyAt atomic.Int64
 }
 
-// Outcome is how a call at an endpoint ended, as evidence.
+// Outcome is the result of a call as far as it concerns the health of the endpoint.
 type Outcome int
 
 // The outcomes of calls.
 const (
-	// Fine: an answer of the back end.
+	// Fine means that the back end answered.
 	Succeeded Outcome = iota + 1
-	// ServerError: an answer that the back end failed.
+	// ServerError means that the back end answered with a server error.
 	ServerError
-	// Unreachable: no connection could be made.
+	// Unreachable means that no connection could be made.
 	Unreachable
-	// Broken: the connection broke or the time ran out.
+	// Broken means that the connection broke or the call timed out.
 	Broken
-	// Leaving: the gate takes no new work or is not that back end.
+	// Leaving means that the gate accepts no new calls or belongs to another back end.
 	NotAccepting
-	// Full: the gate refused the call for load.
+	// Full means that the gate refused the call for load.
 	Overloaded
-	// Withdrawn: the caller hung up, which says nothing of the endpoint.
+	// Withdrawn means that the caller cancelled; it does not affect the endpoint.
 	Cancelled
 )
 
-// Begin counts a call sent to the endpoint; End must follow.
+// Begin counts a call sent to the endpoint. Each Begin must be followed by an End.
 func (e *Endpoint) Begin() { e.stats.outstanding.Add(1) }
 
-// End counts the end of a call and weighs its outcome.
+// End counts the end of a call and updates the endpoint's health by its outcome.
 func (e *Endpoint) End(now time.Duration, outcome Outcome) {
 	e.stats.outstanding.Add(-1)
 	switch outcome {
@@ -149,13 +153,13 @@
 	}
 }
 
-// RecordAge is how long ago the daemon's present record came.
+// RecordAge returns the time since the daemon's current member record was received.
 func (e *Endpoint) RecordAge(now time.Duration) time.Duration {
 	return now - time.Duration(e.stats.recordAt.Load())
 }
 
-// SetReachable says whether the daemon beside the back end answers its peers.
-// While it does not, calls go elsewhere, if there is an elsewhere.
+// SetReachable records whether the back end's daemon answers its peers. While it does
+// not, the endpoint is ejected.
 func (e *Endpoint) SetReachable(reachable bool) {
 	if reachable {
 		e.stats.success()
@@ -164,11 +168,11 @@
 	e.stats.ejectedUntil.Store(math.MaxInt64)
 }
 
-// Outstanding is the number of this process's calls at the endpoint.
+// Outstanding returns the number of this process's calls in flight to the endpoint.
 func (e *Endpoint) Outstanding() int { return int(e.stats.outstanding.Load()) }
 
-// success clears the counts of failure. It writes only what is not clear, so
-// that the usual case leaves the cache line shared.
+// success resets the failure counters and ends an ejection. It writes only non-zero
+// counters, so that the cache line usually stays shared between processors.
 func (s *stats) success() {
 	for _, counter := range [...]*atomic.Int64{&s.failures, &s.errors, &s.ejections, &s.ejectedUntil} {
 		if counter.Load() != 0 {
@@ -177,8 +181,8 @@
 	}
 }
 
-// eject keeps new calls away for a time that doubles with each ejection. Calls
-// that fail together count once.
+// eject keeps new calls away for a time that doubles with each ejection. Failures
+// during an ejection do not extend it.
 func (s *stats) eject(now time.Duration) {
 	until := s.ejectedUntil.Load()
 	if int64(now) < until {
@@ -191,21 +195,22 @@
 	}
 }
 
-// Report is a load report from the daemon beside the back end.
+// Report is a load report from the back end's daemon.
 type LoadReport struct {
-	// Running and Queued are the gate's own counts, at the sending.
+	// Running and Queued are the gate's counts of calls when the report was sent.
 	Running int
 	Queued  int
-	// Service is the gate's mean service time; 0 when not known.
+	// Service is the mean service time that the gate measured; 0 if unknown.
 	Service time.Duration
-	// Own is what the back end says of its load, in calls; negative when it
-	// says nothing. It may lie, so it only ever adds to what the gate counts.
+	// Own is the load that the back end itself reports, in calls; negative if it
+	// reports none. It is not trusted, so it can only raise the gate's count.
 	Own float64
-	// OwnAge is how old Own was at the sending.
+	// OwnAge is the age of Own when the report was sent.
 	OwnAge time.Duration
 }
 
-// Learn takes a load report that came with an answer, before End of that call.
+// Learn applies a load report received with the response to a call. It must be called
+// before End of that call.
 func (e *Endpoint) ApplyLoadReport(now time.Duration, report LoadReport) {
 	counted := float64(report.Running + report.Queued)
 	others := max(0, counted-float64(e.stats.outstanding.Load()))
@@ -218,13 +223,13 @@
 	}
 }
 
-// freshness falls from 1 to 0 over the life of a report.
+// freshness returns the weight of a load report, which falls from 1 to 0 over reportLife.
 func freshness(age time.Duration) float64 {
 	return min(1, max(0, 1-float64(age)/float64(reportLife)))
 }
 
-// load is the expected number of calls at the endpoint with one more, divided
-// by its slots and its share: the number that choices compare.
+// load returns the estimated number of calls at the endpoint, one more included,
+// divided by its slots and its share. Choices compare endpoints by it.
 func (e *Endpoint) load(now time.Duration) float64 {
 	load := (e.calls(now) + 1) / (float64(max(e.Slots, 1)) * e.share(now))
 	if e.Doubted {
@@ -236,7 +241,7 @@
 	return load
 }
 
-// calls is the expected number of calls at the endpoint.
+// calls returns the estimated number of calls at the endpoint, from all callers.
 func (e *Endpoint) calls(now time.Duration) float64 {
 	calls := float64(e.stats.outstanding.Load())
 	if age := now - time.Duration(e.stats.reportedAt.Load()); age < reportLife {
@@ -245,12 +250,13 @@
 	return calls
 }
 
-// refusing tells whether the gate has just refused a call for load.
+// refusing reports whether the gate refused a call for load within refusalLife.
 func (e *Endpoint) refusing(now time.Duration) bool {
 	return int64(now) < e.stats.refusingUntil.Load()
 }
 
-// share rises from coldShare to 1 while the endpoint warms up.
+// share returns the fraction of its slots that the endpoint counts for. It rises from
+// coldShare to 1 during the warm-up.
 func (e *Endpoint) share(now time.Duration) float64 {
 	age := now - time.Duration(e.stats.readyAt.Load())
 	if e.ColdRate > 0 {
@@ -266,17 +272,17 @@
 	return share
 }
 
-// leaving tells whether the gate refused new work and no newer word of its
-// own has come since.
+// leaving reports whether the gate refused new calls within leavingLife and no newer
+// member record has been received since.
 func (e *Endpoint) leaving(now time.Duration) bool {
 	return int64(now) < e.stats.leavingUntil.Load() && e.stats.leavingSequence.Load() >= e.Sequence
 }
 
-// Ejected tells whether this process keeps calls away since it has met too many failures
-// here lately, or since the daemon does not answer.
+// Ejected reports whether this process sends no calls to the endpoint because of recent
+// failures or because its daemon does not answer.
 func (e *Endpoint) Ejected(now time.Duration) bool {
 	return int64(now) < e.stats.ejectedUntil.Load()
 }
 
-// degraded tells whether the gate says that its back end fails many calls.
+// degraded reports whether the daemon reports that its back end fails many calls.
 func (e *Endpoint) degraded() bool { return e.State == protocol.EndpointDegraded }
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -13,8 +13,8 @@
 
 var home = Locality{Region: "windhoek", Zone: "eros-hall"}
 
-// fixture makes back ends b0, b1, ... with their members, one for each zone
-// named.
+// fixture returns back ends b0, b1, ... and their member records, one for each zone
+// listed.
 func fixture(zones ...string) ([]resource.Backend, []protocol.Member) {
 	var backends []resource.Backend
 	var members []protocol.Member
@@ -42,7 +42,7 @@
 	return zones
 }
 
-// spread chooses many times, ending each call before the next, and counts.
+// spread counts the choices by back end over a number of calls, without calls in flight.
 func spread(set *Set, now time.Duration, calls int) map[string]int {
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := map[string]int{}
@@ -67,7 +67,7 @@
 	returned.State = protocol.MemberAlive
 	set = Build(set, home, backends, append(members, returned), 0)
 	check.Equal(set.UsableCount(), 2)                                // the newer incarnation counts
-	check.Equal(Build(nil, home, backends, nil, 0).UsableCount(), 5) // none heard of yet
+	check.Equal(Build(nil, home, backends, nil, 0).UsableCount(), 5) // no records yet
 }
 
 func TestOwnCallsCountWhereNoLoadIsReported(t *testing.T) {
@@ -79,7 +79,7 @@
 		chosen := set.Choose(0, random.Uint64(), nil)
 		chosen.Begin()
 		if chosen.Backend == "b0" {
-			chosen.ApplyLoadReport(0, LoadReport{Own: -1}) // reports nothing, or zero for ever
+			chosen.ApplyLoadReport(0, LoadReport{Own: -1}) // always reports zero load
 		} else {
 			chosen.ApplyLoadReport(0, LoadReport{Running: chosen.Outstanding(), Own: -1})
 		}
@@ -96,7 +96,7 @@
 	set.All[0].ApplyLoadReport(0, LoadReport{Running: 6, Queued: 3, Own: -1})
 	check.Equal(spread(set, 0, 100)["b0"], 0)
 	check.True(spread(set, reportLife, 100)["b0"] > 20)
-	set.All[1].ApplyLoadReport(reportLife, LoadReport{Own: 1e9}) // a lie adds at most the slots
+	set.All[1].ApplyLoadReport(reportLife, LoadReport{Own: 1e9}) // a false report adds at most the slots
 	check.True(set.All[1].load(reportLife) < 1.2)
 }
 
@@ -113,8 +113,8 @@
 	check.Equal(set.All[0].Outstanding(), 10)
 }
 
-// TestFasterEndpointFillsFirst: a call waits only where all slots are taken, so the
-// faster one is better until then, and the less loaded of two alike.
+// A call queues only when all slots are occupied: until then the faster endpoint is
+// preferred, and of two equally fast ones the less loaded.
 func TestFasterEndpointFillsFirst(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
@@ -135,13 +135,13 @@
 	backends, members := fixture(home.Zone, "olympia-hall")
 	set := Build(nil, home, backends, members, 0)
 	for range 20 {
-		set.All[1].Begin() // busy, but it takes calls
+		set.All[1].Begin() // busy, but accepting calls
 	}
 	set.All[0].Begin()
 	set.All[0].End(0, Overloaded)
 	check.Equal(spread(set, 0, 50), map[string]int{"b1": 50})
 	check.Equal(spread(set, refusalLife, 50), map[string]int{"b0": 50})
-	check.Equal(set.Choose(0, 0, Tried{set.All[1]}).Backend, "b0") // rather than none
+	check.Equal(set.Choose(0, 0, Tried{set.All[1]}).Backend, "b0") // the only one left
 }
 
 func TestZoneSpillsOverBeforeItOverloads(t *testing.T) {
@@ -172,7 +172,7 @@
 	fail(1, Unreachable)
 	check.Equal(len(spread(set, 0, 100)), 2)
 	fail(2, Unreachable)
-	check.Equal(len(spread(set, 0, 200)), 4) // below the floor nothing is ejected
+	check.Equal(len(spread(set, 0, 200)), 4) // below the floor ejections are ignored
 }
 
 func TestRefusalToTakeWorkStandsUntilNewerWord(t *testing.T) {
@@ -183,7 +183,7 @@
 	set.All[0].End(0, NotAccepting)
 	check.Equal(spread(set, 0, 50)["b0"], 0)
 	set = Build(set, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50)["b0"], 0) // the same record again changes nothing
+	check.Equal(spread(set, 0, 50)["b0"], 0) // the record is unchanged
 	members[0].Sequence++
 	set = Build(set, home, backends, members, 0)
 	check.True(spread(set, 0, 50)["b0"] > 10)
@@ -211,7 +211,7 @@
 	rebuilt := Build(set, home, backends, members, 0)
 	check.Equal(rebuilt.Choose(0, 0, Tried{set.All[0]}).Backend, "b1")
 	check.True(!set.HasUntried(0, set.All))
-	check.True(set.Choose(0, 0, set.All) != nil) // rather again than not at all
+	check.True(set.Choose(0, 0, set.All) != nil) // all tried: one is tried again
 	check.True(Build(nil, home, nil, nil, 0).Choose(0, 0, nil) == nil)
 }
 
@@ -250,13 +250,13 @@
 	})
 }
 
-// BenchmarkChoose measures choice, begin and end, which write one counter of
-// the endpoint that was chosen.
+// BenchmarkChoose measures Choose, Begin and End, which write one counter of the chosen
+// endpoint.
 func BenchmarkChoose(b *testing.B) { benchmarkChoose(b, 7) }
 
 func BenchmarkChooseOf100(b *testing.B) { benchmarkChoose(b, 100) }
 
-// BenchmarkChooseOnly measures the choice alone, which writes nothing.
+// BenchmarkChooseOnly measures Choose alone, which writes nothing.
 func BenchmarkChooseOnly(b *testing.B) {
 	backends, members := fixture(sameZone(7)...)
 	set := Build(nil, home, backends, members, 0)
@@ -279,7 +279,7 @@
 	check.Equal(len(counts), 3)
 
 	tried := Tried{set.All[1], set.All[2], set.All[3]}
-	check.Equal(set.Choose(time.Hour, 1, tried).Backend, "b0") // better than no answer
+	check.Equal(set.Choose(time.Hour, 1, tried).Backend, "b0") // the only one untried
 }
 
 func TestTroubleThatIsCommonEjectsNobody(t *testing.T) {
@@ -291,12 +291,12 @@
 	set := Build(nil, home, backends, members, 0)
 	check.Equal(len(spread(set, time.Hour, 600)), 6)
 	set.All[5].Begin()
-	set.All[5].End(time.Hour, Unreachable) // what this process met itself is heeded all the same
+	set.All[5].End(time.Hour, Unreachable) // this process's own ejections still apply
 	check.Equal(len(spread(set, time.Hour, 600)), 5)
 }
 
-// TestOthersThatRefuseAreNotAsked: an endpoint that has just refused a call for load
-// counts as none that might take another, for a while.
+// An endpoint that has just refused a call for load does not count as able to accept
+// another one.
 func TestOthersThatRefuseAreNotAsked(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
@@ -310,8 +310,8 @@
 	check.True(set.HasUntriedWithCapacity(refusalLife, tried))
 }
 
-// Endpoints whose load nobody has told of lately get calls in about the proportion of
-// their speeds, and the fastest not all that meet it.
+// Endpoints with outdated load reports receive calls roughly in proportion to their speed.
+// The fastest does not receive every call for which it is drawn.
 func TestEndpointsOfUnknownLoadGetWhatTheirSpeedIsWorth(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(30)...)
@@ -333,7 +333,7 @@
 	}
 }
 
-// A back end that starts again has failed nobody yet.
+// Failures before a back end's restart do not count after it.
 func TestANewStartForgetsWhatCallsMet(t *testing.T) {
 	check := is.New(t)
 	trusting := home
@@ -345,13 +345,13 @@
 	set.All[0].End(0, Unreachable)
 	check.Equal(spread(set, 0, 100)["b0"], 0)
 	set = Build(set, trusting, backends, members, 0)
-	check.Equal(spread(set, 0, 100)["b0"], 0) // the same start
+	check.Equal(spread(set, 0, 100)["b0"], 0) // not restarted
 	members[0].Born = 200
 	set = Build(set, trusting, backends, members, 0)
 	check.True(spread(set, 0, 100)["b0"] > 10)
 }
 
-// Where the records of two daemons name a back end, it is where it started last.
+// If the records of two daemons name the same back end, the one with the later start is used.
 func TestTheNewerStartOfABackEndHolds(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone)
--- a/internal/core/endpoint/evacuation_load_test.go
+++ b/internal/core/endpoint/evacuation_load_test.go
@@ -11,29 +11,30 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The load of three zones with a gate each: 0.9 of what the three bear, so 1.35 of two.
+// The simulation has three zones with one gate each. The offered load is 0.9 of the capacity of
+// three zones and 1.35 of that of two.
 const (
-	loadSlots    = 6 // as fixture has it
+	loadSlots    = 6 // as in fixture
 	loadService  = 60 * time.Millisecond
 	loadDeadline = 500 * time.Millisecond
 	loadPerStep  = 0.27
 	loadStep     = time.Millisecond
 )
 
-// loadedZones is an entry and a gate in each of three zones, in virtual time.
+// loadedZones simulates, in virtual time, a calling daemon and a gate in each zone.
 type loadedZones struct {
 	random  *rand.Rand
 	now     time.Duration
 	entries []*Set
 	gates   map[string]*admission.Gate
 	running []*loadedCall
-	// started counts the calls that began by zone; done, refused and refusedLate those that
-	// ended so, the last after they had waited.
+	// started counts the calls started, by zone. done, refused and refusedLate count those that
+	// completed, found no gate, and were refused after they had queued.
 	started                    map[string]int
 	done, refused, refusedLate int
 }
 
-// loadedCall is a call on its way.
+// loadedCall is a call in flight.
 type loadedCall struct {
 	zones  *loadedZones
 	entry  *Set
@@ -57,7 +58,7 @@
 	return made
 }
 
-// build has each zone's entry know which zones are to be empty.
+// build rebuilds the endpoint set of each zone's calling daemon with the evacuated zones.
 func (z *loadedZones) build(names []string, emptied ...string) {
 	backends, members := fixture(names...)
 	for index, name := range names {
@@ -77,7 +78,7 @@
 	}
 }
 
-// endCalls ends the calls that have run for their time.
+// endCalls ends the calls whose service time has elapsed.
 func (z *loadedZones) endCalls() {
 	ending := z.running
 	z.running = nil
@@ -92,7 +93,7 @@
 	}
 }
 
-// send sends the call to a gate that it has not tried, or refuses it.
+// send sends the call to an untried gate or, if there is none, refuses it.
 func (c *loadedCall) send() {
 	z := c.zones
 	c.at = c.entry.Choose(z.now, z.random.Uint64(), c.tried)
@@ -108,7 +109,7 @@
 	}
 }
 
-// Settle is called for a call that has waited.
+// Settle receives the verdict on a call that was queued.
 func (c *loadedCall) Settle(verdict admission.Decision) {
 	if verdict.State == admission.StateRefused {
 		c.zones.refusedLate++
@@ -132,8 +133,8 @@
 	c.send()
 }
 
-// A zone of three is emptied at high load: the other two do all that they can bear and refuse
-// the rest at once, and when the zone is taken back nothing is refused any more.
+// One of three zones is evacuated at high load. The other two run at capacity and refuse the
+// excess at once, not after queueing. When the zone resumes, no call is refused any more.
 func TestTheOtherZonesBearAnEvacuationAtHighLoad(t *testing.T) {
 	check := is.New(t)
 	names := []string{"a", "b", "c"}
@@ -142,17 +143,17 @@
 	zones.build(names, "a")
 	zones.gates["a"].Evacuate()
 	startedThere := zones.started["a"]
-	zones.run(loadDeadline + loadService) // what waited or ran ends
+	zones.run(loadDeadline + loadService) // calls queued or running there end
 	done, refused, refusedLate := zones.done, zones.refused, zones.refusedLate
 	const measured = 20 * time.Second
 	zones.run(measured)
 	borne := 2 * loadSlots * int(measured/loadService)
-	check.Equal(zones.started["a"], startedThere)            // nothing arrives there
-	check.True(zones.done-done > borne*95/100)               // neither of the others falls over
-	check.True(zones.refused > refused)                      // the rest is refused,
-	check.Equal(zones.refusedLate, refusedLate)              // and at once
-	check.True(zones.gates["b"].Load().Queued < 6*loadSlots) // no queue outgrows the deadline
-	check.True(zones.gates["c"].Load().Queued < 6*loadSlots) // nor here
+	check.Equal(zones.started["a"], startedThere)            // no new calls in the evacuated zone
+	check.True(zones.done-done > borne*95/100)               // the other zones run at capacity
+	check.True(zones.refused > refused)                      // the excess is refused
+	check.Equal(zones.refusedLate, refusedLate)              // none of it after queueing
+	check.True(zones.gates["b"].Load().Queued < 6*loadSlots) // calls in the queue meet the deadline
+	check.True(zones.gates["c"].Load().Queued < 6*loadSlots) // the same here
 	zones.build(names)
 	zones.gates["a"].Resume()
 	zones.run(2 * time.Second)
--- a/internal/core/endpoint/evacuation_test.go
+++ b/internal/core/endpoint/evacuation_test.go
@@ -11,14 +11,14 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// evacuating is the place of a chooser that knows that zones are to be empty.
+// evacuating returns the home locality with zones evacuated.
 func evacuating(zones ...string) Locality {
 	self := home
 	self.Evacuations = evacuation.NewOrders(position.Position{Revision: 1}, zones)
 	return self
 }
 
-// All ways to choose inherit that a zone is to be empty.
+// None of the choosing methods returns an endpoint of an evacuated zone.
 func TestNoChoiceFallsOnAnEvacuatedZone(t *testing.T) {
 	backends, members := fixture(home.Zone, home.Zone, "other", "other")
 	set := Build(nil, evacuating(home.Zone), backends, members, 0)
@@ -37,7 +37,7 @@
 				first := choose(random*0x9e3779b97f4a7c15, nil)
 				check.True(first != nil)
 				check.True(!isIn(first))
-				check.True(!isIn(choose(random, Tried{first}))) // nor does a retry or a hedge
+				check.True(!isIn(choose(random, Tried{first}))) // nor for a retry or hedge
 			}
 			check.True(!set.HasUntried(0, Tried{set.All[2], set.All[3]}))
 		})
@@ -51,10 +51,11 @@
 	set := Build(nil, evacuating(home.Zone, "other"), backends, members, 0)
 	check.True(set.BlockedByEvacuation())
 	check.Equal(set.Choose(0, 1, nil), nil)
-	check.True(!Build(nil, evacuating(home.Zone), nil, nil, 0).BlockedByEvacuation()) // it has no endpoints at all
+	check.True(!Build(nil, evacuating(home.Zone), nil, nil, 0).BlockedByEvacuation()) // no endpoints at all
 }
 
-// An entry that has not heard of the order heeds the gate's own word.
+// The evacuated state in the member record applies even before the calling daemon has
+// received the evacuation order.
 func TestTheGatesWordOfAnEvacuationIsHeeded(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
@@ -66,7 +67,7 @@
 	check.Equal(Build(set, home, backends, members, 0).UsableCount(), 2)
 }
 
-// A gate's refusal is remembered until its next record, not longer.
+// A gate's refusal of new calls counts only until its next member record.
 func TestARefusalEndsWithTheNewerRecord(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
--- a/internal/core/endpoint/near.go
+++ b/internal/core/endpoint/near.go
@@ -6,8 +6,8 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// ChooseAt returns the endpoint beside a daemon, or nil when there is none that is ready
-// and has given no reason to go elsewhere.
+// ChooseAt returns the own-zone endpoint that belongs to a daemon. It returns nil unless
+// that endpoint is ready, untried, not ejected and has not just refused calls.
 func (s *Set) ChooseOnNode(now time.Duration, node protocol.NodeID, tried Tried) *Endpoint {
 	for _, candidate := range s.tiers[0] {
 		if candidate.Node == node && candidate.State == protocol.EndpointReady && !tried.has(candidate) &&
--- a/internal/core/endpoint/near_test.go
+++ b/internal/core/endpoint/near_test.go
@@ -8,7 +8,8 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// The endpoint beside a daemon is chosen only while nothing speaks against it.
+// ChooseAt returns a daemon's endpoint only while it is ready, untried, not ejected and has
+// not just refused a call.
 func TestTheEndpointBesideADaemonIsChosenWhileItIsWell(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(3)...)
@@ -28,7 +29,7 @@
 	check.Equal(set.ChooseOnNode(time.Second, "b0", nil), nil)
 }
 
-// A gate may say that its back end is cold before that is known by its record.
+// A gate may refuse a call as cold before the member record says so.
 func TestTheEndpointBesideADaemonIsNotChosenWhileItsGateIsCold(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(1)...)
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -12,49 +12,49 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// Locality is where the chooser itself is.
+// Locality is the location of the calling daemon, with the settings for its choices.
 type Locality struct {
 	Region string
 	Zone   string
-	// TrustStates says that back ends tell themselves when they are warm, so
-	// that one that has just come and is ready gets its full share.
+	// TrustStates is set if back ends report their own warm-up: an endpoint that
+	// is new and reports ready then gets its full share at once.
 	TrustStates bool
-	// ColdRate is how many calls a second a cold back end of the service bears; 0 when the
-	// service does not say.
+	// ColdRate is the calls per second that a cold back end of the service can serve; 0
+	// if not configured.
 	ColdRate float64
-	// Spill is when calls leave the own zone; the zero value means DefaultSpill.
+	// Spill sets when calls leave the own zone; the zero value means DefaultSpill.
 	Spill Spillover
-	// Evacuations are the zones to be empty: their endpoints take no new calls.
+	// Evacuations lists the evacuated zones, whose endpoints receive no new calls.
 	Evacuations evacuation.Orders
 }
 
-// tierCount is the number of distances: own zone, own region, elsewhere.
+// tierCount is the number of distances: own zone, own region, other regions.
 const tierCount = 3
 
-// Set is the endpoints of one service, immutable.
+// Set holds the endpoints of one service. It is immutable.
 type Set struct {
-	// All holds every endpoint of the configuration, in its order.
+	// All holds every configured endpoint, in the order of the configuration.
 	All []*Endpoint
-	// tiers holds those that may take new work, by distance.
+	// tiers holds the endpoints that may receive new calls, by distance.
 	tiers [tierCount][]*Endpoint
 	// usable is the number of endpoints in tiers.
 	usable int
 	spill  Spillover
 }
 
-// Index finds the record of the daemon beside a back end: that of its latest
-// incarnation. It is built once for the sets of all services.
-// It points into the records that it was built of.
+// Index maps a back end to the member record of its daemon's latest incarnation. It
+// is built once for the sets of all services and points into the records that it was
+// built from.
 type Index map[place]*protocol.Member
 
-// place names a back end.
+// place identifies a back end.
 type place struct {
 	service resource.ServiceRef
 	backend string
 }
 
-// NewIndex builds the index of the member records. Where two name a back end, as after it
-// has started again on another machine, that of its newer start holds.
+// NewIndex builds the index of the member records. If two records name the same back end,
+// for example after it restarted on another machine, the one with the later start is used.
 func NewIndex(members []protocol.Member) Index {
 	index := make(Index, len(members))
 	for position := range members {
@@ -70,7 +70,7 @@
 	return index
 }
 
-// newerRecord tells which of two records that name the same back end speaks of it now.
+// newerRecord reports whether the first of two records of the same back end is the newer.
 func newerRecord(one, other *protocol.Member) bool {
 	if one.Born != other.Born {
 		return one.Born > other.Born
@@ -78,15 +78,15 @@
 	return one.Incarnation > other.Incarnation
 }
 
-// Build makes the set of a service from the configuration and the member
-// records; see BuildIndexed.
+// Build builds the set of a service from the configuration and the member records. See
+// BuildIndexed.
 func Build(previous *Set, self Locality, backends []resource.Backend, members []protocol.Member, now time.Duration) *Set {
 	return BuildIndexed(previous, self, backends, NewIndex(members), now)
 }
 
-// BuildIndexed makes the set of a service from the configuration and the index
-// of the member records. Counts carry over from the previous set, which may be
-// nil, for endpoints of the same incarnation; a new incarnation starts cold.
+// BuildIndexed builds the set of a service from the configuration and the index of the
+// member records. Endpoints of the same incarnation keep their statistics from the
+// previous set, which may be nil; a new incarnation starts cold.
 func BuildIndexed(previous *Set, self Locality, backends []resource.Backend, index Index, now time.Duration) *Set {
 	set := &Set{spill: cmp.Or(self.Spill, DefaultSpillover())}
 	set.All = make([]*Endpoint, 0, len(backends))
@@ -122,10 +122,10 @@
 	return index
 }
 
-// describe joins a back end with the record of the daemon beside it, and tells
-// whether it may take new work. The daemon's own word on state, address and
-// place goes before the configuration's. Without one the endpoint counts as a
-// doubted one, for the records may not have come yet.
+// describe combines a back end's configuration with its daemon's member record and
+// reports whether it may receive new calls. State, address and location of the record
+// take precedence over the configuration. Without a record the endpoint is usable but
+// doubted, because the record may still arrive.
 func describe(backend resource.Backend, index Index) (Endpoint, bool) {
 	made := Endpoint{
 		Service: backend.ServiceRef(),
@@ -154,8 +154,8 @@
 	return made, made.State.AcceptsCalls()
 }
 
-// stateOf is the state of a back end behind its daemon: one whose daemon leaves
-// takes no more work either.
+// stateOf returns the state of a back end by its daemon's record. A back end whose daemon
+// is leaving or dead counts as draining.
 func stateOf(member *protocol.Member) protocol.EndpointState {
 	if member.State != protocol.MemberAlive && member.State != protocol.MemberSuspect {
 		return protocol.EndpointDraining
@@ -163,8 +163,8 @@
 	return member.Endpoint
 }
 
-// renew returns the endpoint as described: the one of the previous set where
-// nothing changed, or else a new one that takes over its counts.
+// renew returns the endpoint as described: the one of the previous set if nothing
+// changed, otherwise a new one with the statistics that carryOver returns.
 func renew(self Locality, previous *Set, old *Endpoint, described Endpoint, now time.Duration) *Endpoint {
 	if old != nil {
 		described.stats = old.stats
@@ -177,16 +177,16 @@
 	return &made
 }
 
-// carryOver takes the counts of an endpoint from the previous set. In a first
-// set everything counts as warm: the chooser is what is new, not the back
-// ends; those that say themselves that they are warming start cold.
+// carryOver returns the statistics for an endpoint: those of the previous set, or fresh
+// ones if it is new or has restarted. In the first set all endpoints count as warm,
+// because only the calling daemon is new; those that report warming up start cold.
 func carryOver(self Locality, previous *Set, old, made *Endpoint, now time.Duration) *stats {
-	restarted := old != nil && old.Born != made.Born // what the earlier start met says nothing of it
+	restarted := old != nil && old.Born != made.Born // earlier statistics do not apply
 	if old != nil && !restarted && (self.TrustStates || old.Incarnation == made.Incarnation || old.Incarnation == 0) {
 		if made.newerThan(old) {
 			old.stats.recordAt.Store(int64(now))
 			if self.TrustStates {
-				// Its daemon is heard again: what calls met before is old.
+				// The daemon is alive again, so earlier failures are outdated.
 				old.stats.success()
 			}
 		}
@@ -201,7 +201,7 @@
 	return fresh
 }
 
-// newerThan tells whether the daemon's record is newer than that of another
+// newerThan reports whether the daemon's member record is newer than that of another
 // endpoint.
 func (e *Endpoint) newerThan(old *Endpoint) bool {
 	if e.Incarnation != old.Incarnation {
@@ -220,8 +220,8 @@
 	return 0
 }
 
-// Only returns the set of the endpoints that satisfy a condition, which are those of
-// this set.
+// Only returns the set of those endpoints that satisfy a condition. The endpoints are
+// shared with this set, not copied.
 func (s *Set) Filter(fits func(*Endpoint) bool) *Set {
 	part := &Set{spill: s.spill}
 	for _, one := range s.All {
@@ -240,28 +240,28 @@
 	return part
 }
 
-// Within returns the set of the endpoints in allowed regions, which are those of this set.
+// Within returns the set of those endpoints that are in allowed regions; see Only.
 func (s *Set) InRegions(allowed region.Allowed) *Set {
 	return s.Filter(func(one *Endpoint) bool { return allowed.Has(one.Region) })
 }
 
-// Usable is the number of endpoints that may take new work by their daemons'
-// own word.
+// Usable returns the number of endpoints that may receive new calls by the state that
+// their daemons report.
 func (s *Set) UsableCount() int { return s.usable }
 
-// Evacuated tells whether no endpoint may take new work, and some would if their zones were
-// not to be empty.
+// Evacuated reports whether no endpoint may receive new calls and at least one is excluded
+// by the evacuation of its zone.
 func (s *Set) BlockedByEvacuation() bool {
 	return s.usable == 0 && slices.ContainsFunc(s.All, func(one *Endpoint) bool {
 		return one.State == protocol.EndpointEvacuated
 	})
 }
 
-// Tried is the short list of endpoints that a call was sent to already.
+// Tried lists the endpoints that a call has already been sent to.
 type Tried []*Endpoint
 
-// has compares by identity of the counts, for a set may have been replaced
-// between two attempts of a call.
+// has reports whether the endpoint is listed. It compares the statistics by identity,
+// because the set may be replaced between two attempts of a call.
 func (t Tried) has(candidate *Endpoint) bool {
 	for _, tried := range t {
 		if tried.stats == candidate.stats {
@@ -271,19 +271,18 @@
 	return false
 }
 
-// Others tells whether an endpoint is left that was not tried.
+// Others reports whether an untried endpoint accepts calls.
 func (s *Set) HasUntried(now time.Duration, tried Tried) bool {
 	return s.leaves(now, tried, func(*Endpoint) bool { return true })
 }
 
-// OthersTaking tells whether an endpoint is left that was not tried and has not
-// lately refused a call for load.
+// OthersTaking reports whether an untried endpoint accepts calls and has not just
+// refused one for load.
 func (s *Set) HasUntriedWithCapacity(now time.Duration, tried Tried) bool {
 	return s.leaves(now, tried, func(candidate *Endpoint) bool { return !candidate.refusing(now) })
 }
 
-// leaves tells whether an endpoint is left that was not tried, takes new work and
-// satisfies a condition.
+// leaves reports whether an untried endpoint accepts calls and satisfies a condition.
 func (s *Set) leaves(now time.Duration, tried Tried, condition func(*Endpoint) bool) bool {
 	for _, tier := range s.tiers {
 		for _, candidate := range tier {
@@ -295,7 +294,7 @@
 	return false
 }
 
-// keyedHash mixes a key with a back end's name for rendezvous hashing.
+// keyedHash returns the rendezvous hash of a key and a back end's name.
 func keyedHash(key uint64, backend string) uint64 {
 	mixed := xxhash.Sum64String(backend) ^ key
 	mixed ^= mixed >> 33
--- a/internal/core/endpoint/warmth.go
+++ b/internal/core/endpoint/warmth.go
@@ -8,15 +8,14 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// leastColdShare is the least part of its slots that a cold endpoint counts for: with none it
-// would look infinitely loaded.
+// leastColdShare is the minimum share of a cold endpoint. At zero its load would be infinite.
 const leastColdShare = 0.02
 
-// cold tells whether the endpoint is cold and its service states what one bears then.
+// cold reports whether the endpoint is warming up and its service configures a cold rate.
 func (e *Endpoint) cold() bool { return e.ColdRate > 0 && e.State == protocol.EndpointWarming }
 
-// RefusedAsCold is called when the gate has refused a call of a class because its back end is
-// cold, with the time until it has a start. It has none for calls of lower classes either.
+// RefusedAsCold records that the gate refused a call because its back end is cold, and the
+// time until it accepts one of the same class. Until then it refuses lower classes as well.
 func (e *Endpoint) RecordColdRefusal(now, wait time.Duration, class int) {
 	until := int64(now + min(max(wait, 0), leavingLife))
 	for refused := range warmup.ClampClass(class) + 1 {
@@ -24,17 +23,19 @@
 	}
 }
 
-// coldWait is how long the gate has no start for a call of a class; 0 when it may have one.
+// coldWait returns how long the gate of a cold back end refuses calls of a class; 0 if it
+// may accept one.
 func (e *Endpoint) coldWait(now time.Duration, class int) time.Duration {
 	return max(time.Duration(e.stats.noStartUntil[warmup.ClampClass(class)].Load())-now, 0)
 }
 
-// shut tells whether the gate has said that it takes no call now, or none but urgent ones.
+// shut reports whether the gate has announced that it accepts no calls, or only urgent ones.
 func (e *Endpoint) shut(now time.Duration) bool {
 	return e.leaving(now) || e.coldWait(now, 0) > 0
 }
 
-// shareWhileCold is what a cold endpoint bears of what its slots would run were it warm.
+// shareWhileCold returns the capacity of a cold endpoint as a fraction of its capacity when
+// warm.
 func (e *Endpoint) shareWhileCold() float64 {
 	if !e.cold() {
 		return 1
@@ -46,8 +47,8 @@
 	return min(max(e.ColdRate*service.Seconds()/float64(max(e.Slots, 1)), leastColdShare), 1)
 }
 
-// rate is how many calls a second the endpoint gets from all callers: by Little's law, the calls
-// there divided by the time that each runs. 0 means not known.
+// rate returns the calls per second that the endpoint receives from all callers, by Little's
+// law: the number of calls divided by the service time. 0 means unknown.
 func (e *Endpoint) rate(now time.Duration) float64 {
 	service := time.Duration(e.stats.service.Load())
 	if service <= 0 {
@@ -56,9 +57,9 @@
 	return e.calls(now) / service.Seconds()
 }
 
-// warmOrCold decides between a cold endpoint and a warm one. A pair of the two is drawn twice
-// as often as a warm endpoint is chosen, so the cold one gets its rate when it is taken in half
-// the proportion of its rate to what the warm one gets.
+// warmOrCold picks between a cold endpoint and a warm one. A cold endpoint is drawn together
+// with a warm one twice as often as a warm one is chosen. It therefore reaches its rate if it
+// is picked with half the ratio of its rate to the warm endpoint's.
 func warmOrCold(first, second *Endpoint, now time.Duration, random uint64) *Endpoint {
 	warm, cold := first, second
 	if first.cold() {
@@ -74,8 +75,8 @@
 	return warm
 }
 
-// ColdWait is how long no endpoint has a start, since all that answer and take work are cold;
-// 0 when one may have.
+// ColdWait returns the shortest time until a gate accepts a call of the lowest class, if all
+// endpoints that are not ejected or leaving refuse such calls as cold; otherwise 0.
 func (s *Set) ColdWait(now time.Duration) time.Duration {
 	least := time.Duration(0)
 	for _, tier := range s.tiers {
@@ -95,9 +96,10 @@
 	return least
 }
 
-// ChooseCold picks an endpoint of which the gate has refused only less urgent calls as cold:
-// it may hold a start for this one. It is for calls that no other endpoint may take, the
-// nearest first, from a random place on; nil when there is none.
+// ChooseCold picks a cold endpoint whose gate has refused only calls of lower classes and
+// may still accept one of this class. It is for calls that no other endpoint accepts. The
+// search runs by distance, within a tier from a random position. It returns nil if there
+// is none.
 func (s *Set) ChooseCold(now time.Duration, random uint64, tried Tried, class int) *Endpoint {
 	for _, tier := range s.tiers {
 		for step := range tier {
@@ -110,7 +112,8 @@
 	return nil
 }
 
-// keepsStart tells whether the gate has refused less urgent calls as cold, but none of a class.
+// keepsStart reports whether the gate has refused calls of lower classes as cold, but may
+// accept one of this class.
 func (e *Endpoint) keepsStart(now time.Duration, class int) bool {
 	return !e.leaving(now) && !e.Ejected(now) && e.coldWait(now, 0) > 0 && e.coldWait(now, class) == 0
 }
--- a/internal/core/endpoint/warmth_test.go
+++ b/internal/core/endpoint/warmth_test.go
@@ -11,13 +11,13 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// The lowest and the highest class of calls.
+// The lowest and highest classes of calls.
 const (
 	low    = 0
 	urgent = warmup.ClassCount - 1
 )
 
-// coldSet is a set of which the first endpoints are cold, of a service that states a rate.
+// coldSet returns a set whose first endpoints are cold, with a cold rate.
 func coldSet(count, cold int, rate float64) *Set {
 	backends, members := fixture(sameZone(count)...)
 	for index := range cold {
@@ -32,7 +32,7 @@
 	check := is.New(t)
 	const (
 		service = 200 * time.Millisecond
-		running = 4 // calls at each warm endpoint: 20 a second
+		running = 4 // calls at each warm endpoint: 20 per second
 		rate    = 4.5
 		calls   = 100000
 	)
@@ -41,7 +41,7 @@
 		one.ApplyLoadReport(0, LoadReport{Running: running, Service: service, Own: -1})
 	}
 	counts := spread(set, 0, calls)
-	wanted := rate / (running / service.Seconds()) // of what a warm one gets
+	wanted := rate / (running / service.Seconds()) // relative to a warm endpoint
 	warm := float64(calls-counts["b0"]) / 9
 	got := float64(counts["b0"]) / warm
 	check.True(got > wanted*0.8 && got < wanted*1.2)
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -8,38 +8,38 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// unit is one call or retry in the accounts, which count in thousandths.
+// unit is one call or retry in an account. Accounts count in thousandths.
 const unit = 1000
 
-// What is allowed is kept in part for those whom it matters to most.
+// Shares of the allowed retries that are reserved.
 const (
-	// keptForUrgent is the share that only urgent calls may use, so that a service whose
-	// ordinary calls fail can still save those that matter most.
+	// keptForUrgent is the share reserved for urgent calls, so that these can still be
+	// retried after failing ordinary calls have used up the rest.
 	keptForUrgent = 0.25
-	// keptFromTrials is the share that calls to a version on trial leave to all others:
-	// what such a version fails is not repeated at their cost.
+	// keptFromTrials is the share that calls to a version on trial may not use, so that
+	// retrying a faulty version's failures leaves retries for other calls.
 	keptFromTrials = 0.5
 )
 
-// Limits bounds the retries towards one service in every window.
+// Limits bounds the retries to one service in any window.
 type Limits struct {
-	// Ratio is the retries that each call allows.
+	// Ratio is the number of retries allowed per call.
 	Ratio float64
-	// Part is how many retries are allowed where the calls allow fewer.
+	// Part is the number of retries allowed when the calls allow fewer.
 	Part float64
-	// Window is the span in which calls and retries are counted.
+	// Window is the length of the window in which calls and retries are counted.
 	Window time.Duration
 }
 
-// safety is the share of a stated bound that is used, for attempts that arrive in
-// another window than the one they were counted in.
+// safety is the fraction of the configured ratio that is used. The rest covers attempts
+// that arrive in a later window than the one in which they were counted.
 const safety = 0.9
 
-// ForChain returns the limits of one of a number of daemons that together may repeat
-// a ratio of the calls to each service, and a slack, where calls go through at most
-// depth services, each of which is called by the one before it. Each of these adds its
-// own retries to what the last one gets, so that each may use a part. What the slack
-// allows at the first is multiplied by the calls that runs make further down.
+// ForChain returns the limits of one daemon, so that the retries of all daemons to each
+// service stay within ratio of its calls plus slack. Calls pass through at most depth
+// services, each called by the previous one. The last service receives the retries of all
+// of them, so each may use only a fraction. Retries allowed by the slack at the first
+// service are multiplied by the calls that each execution makes to later ones.
 func LimitsForChain(ratio, slack float64, depth, daemons int, window time.Duration) Limits {
 	services := float64(max(depth, 1))
 	return Limits{
@@ -49,29 +49,29 @@
 	}
 }
 
-// DefaultLimits lets retries be a tenth of the calls.
+// DefaultLimits returns limits that allow one retry per ten calls.
 func DefaultLimits() Limits {
 	return Limits{Ratio: 0.1, Part: 10, Window: 10 * time.Second}
 }
 
-// account counts the calls and retries of one service, or of one class of its calls.
+// account counts the calls and retries of one service or of one class of its calls.
 type account struct {
-	// calls are those that ran, retries those sent again.
+	// calls counts calls that ran or may have run, retries the retries withdrawn.
 	calls   window
 	retries window
 }
 
-// Budget bounds the retries towards one service to a share of its calls, in every
-// window that ends now. It is shared by all calls and takes no lock.
+// Budget limits the retries to one service to a ratio of its calls, in a sliding window.
+// It is shared by all calls and lock-free.
 //
-// What a daemon sends again in a window is at most Ratio of its calls in that window, or
-// Part where that is more. So the sum over many daemons is bounded by the calls of all of them.
+// The retries of a daemon in a window are at most Ratio of its calls in that window, or
+// Part if that is more. Over many daemons, the sum is therefore bounded by their calls.
 //
-// A run that was itself a retry makes calls, and these are repetitions at the services
-// called, though nobody there has sent them again and nobody can tell them from others.
-// So Ratio has to leave room for those of all services further up (see ForChain). For
-// that the bound holds for each class of calls as well: calls of a class that calls
-// nobody can't pay for retries of one that does.
+// A retry that runs makes calls to other services. These are repetitions there, but can't be
+// recognised as such. Ratio must therefore leave room for the retries of all services
+// earlier in the chain; see ForChain. For the same reason the limits also apply to each
+// class of calls: calls of a class that makes no further calls must not earn retries for
+// a class that does.
 type Budget struct {
 	ratio  int64
 	window time.Duration
@@ -81,11 +81,11 @@
 	classes callclass.Table[account]
 }
 
-// NewBudget returns a budget of the default limits.
+// NewBudget returns a budget with the default limits.
 func NewBudget() *Budget { return NewBudgetWithLimits(DefaultLimits()) }
 
-// NewBudgetWithin returns a budget of the limits; without a window that of the
-// default limits is taken.
+// NewBudgetWithin returns a budget with the limits. A zero window means that of the
+// default limits.
 func NewBudgetWithLimits(limits Limits) *Budget {
 	budget := &Budget{
 		ratio:  int64(limits.Ratio * unit),
@@ -95,20 +95,19 @@
 	return budget
 }
 
-// SetPart changes what is allowed whatever the calls are, as the number of daemons
-// that share the whole changes.
+// SetPart changes Limits.Part when the number of daemons that share the budget changes.
 func (b *Budget) SetMinimumRetries(part float64) { b.part.Store(int64(part * unit)) }
 
-// Deposit records a call that has run, or may have. One that back ends only turned
-// away allows no retries: it makes no calls itself, so that what it allowed would be
-// too much for the services that those which do run call.
+// Deposit records a call that ran or may have run. A call that back ends only refused
+// earns no retries: it causes no calls to the next service, so a retry earned by it could
+// exceed the ratio there.
 func (b *Budget) Deposit(now time.Duration, class callclass.Class) {
 	b.service.calls.add(now, b.window, unit)
 	b.classes.Get(class).calls.add(now, b.window, unit)
 }
 
-// Withdraw takes the cost of a retry, in retries, and answers false when there is
-// not so much. The last part of what is allowed is for urgent calls.
+// Withdraw charges the cost of a retry, in units of one retry. It returns false, and
+// charges nothing, if the budget does not allow it. A share is reserved for urgent calls.
 func (b *Budget) Withdraw(now time.Duration, class callclass.Class, cost int, urgent bool) bool {
 	kept := keptForUrgent
 	if urgent {
@@ -117,30 +116,30 @@
 	return b.withdraw(now, class, cost, kept)
 }
 
-// WithdrawForTrial takes the cost of one retry of a call that is sent to a version on
-// trial, ahead of its first attempt.
+// WithdrawForTrial charges one retry of a call to a version on trial, before its first
+// attempt.
 func (b *Budget) WithdrawForTrial(now time.Duration, class callclass.Class) bool {
 	return b.withdraw(now, class, 1, keptFromTrials)
 }
 
-// Refund gives back the cost of a retry that was withdrawn at a time and not made.
+// Refund returns the cost of one retry that was withdrawn at a given time and not sent.
 func (b *Budget) Refund(withdrawnAt time.Duration, class callclass.Class) {
 	for _, one := range b.accountsOf(class) {
 		one.retries.takeBack(withdrawnAt, b.window, unit)
 	}
 }
 
-// accountsOf are the accounts that a retry of a class is charged to.
+// accountsOf returns the accounts that a retry of a class is charged to.
 func (b *Budget) accountsOf(class callclass.Class) [2]*account {
 	return [...]*account{&b.service, b.classes.Get(class)}
 }
 
-// withdraw takes the cost of a retry where a share of what is allowed is left after it.
+// withdraw charges the cost of a retry unless that would use the reserved share.
 func (b *Budget) withdraw(now time.Duration, class callclass.Class, cost int, kept float64) bool {
 	price := int64(cost) * unit
 	accounts := b.accountsOf(class)
-	// It is taken first and given back where it was too much, so that two at the
-	// same moment never take more than there is.
+	// Charge first and refund if the limit is exceeded, so that concurrent
+	// withdrawals never exceed it together.
 	for _, one := range accounts {
 		one.retries.add(now, b.window, price)
 	}
@@ -155,8 +154,8 @@
 	return true
 }
 
-// left is what an account still allows beside a share that is kept; negative when it
-// has been exceeded.
+// left returns what an account still allows, without the reserved share. It is negative
+// if the limit is exceeded.
 func (b *Budget) left(now time.Duration, of *account, kept float64) int64 {
 	calls := of.calls.lowerBound(now, b.window)
 	retries := of.retries.upperBound(now, b.window)
@@ -164,13 +163,12 @@
 	return allowed - reserve(allowed, kept) - retries
 }
 
-// reserve is the share of what is allowed that is kept, but never so much that one retry
-// does not fit beside it.
+// reserve returns the reserved amount, limited so that at least one retry stays available.
 func reserve(allowed int64, kept float64) int64 {
 	return max(0, min(int64(float64(allowed)*kept), allowed-unit))
 }
 
-// Left is how many retries of urgent calls of a class are allowed now.
+// Left returns the number of retries that urgent calls of a class may make now.
 func (b *Budget) Remaining(now time.Duration, class callclass.Class) float64 {
 	left := min(b.left(now, &b.service, 0), b.left(now, b.classes.Get(class), 0))
 	return float64(max(left, 0)) / unit
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -9,31 +9,31 @@
 	"pgregory.net/rapid"
 )
 
-// meshSizes are the numbers of daemons that the tests divide a budget among.
+// meshSizes are the numbers of daemons among which the tests divide a budget.
 var meshSizes = []int{13, 74, 295, 1000}
 
 const (
 	testWindow = 10 * time.Second
-	// allowedRatio and allowedSlack are what all daemons may retry together in any
+	// allowedRatio and allowedSlack bound the retries of all daemons together in any
 	// window.
 	allowedRatio = 0.2
 	allowedSlack = 630
 )
 
-// partOf is the budget of one daemon among many.
+// partOf returns the limits of one of a number of daemons.
 func partOf(daemons int) Limits {
 	return LimitsForChain(allowedRatio, allowedSlack, 2, daemons, testWindow)
 }
 
-// A call that is not urgent can be sent again by a daemon among any number, once
-// the daemon has made some calls.
+// However many daemons share the budget, a daemon can retry a call that is not urgent
+// after a few seconds of calls.
 func TestADaemonAmongManyMayRetryCallsThatAreNotUrgent(t *testing.T) {
 	for _, daemons := range meshSizes {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			check := is.New(t)
 			budget := NewBudgetWithLimits(partOf(daemons))
 			now := time.Duration(0)
-			for range 40 { // four seconds of ten calls
+			for range 40 { // four seconds with ten calls each
 				now += 100 * time.Millisecond
 				budget.Deposit(now, 0)
 			}
@@ -42,7 +42,7 @@
 	}
 }
 
-// What calls have earned does not outlive the window.
+// Retries earned by calls expire with the window.
 func TestEarningsLapse(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Ratio: 0.5, Window: testWindow})
@@ -53,8 +53,8 @@
 	check.True(!budget.Withdraw(25*time.Second, 0, 1, true))
 }
 
-// meshRun is many daemons with a budget each, and what they have called and
-// retried in each tenth of a second.
+// meshRun simulates daemons with one budget each and counts their calls and retries in
+// each tick.
 type meshRun struct {
 	budgets []*Budget
 	calls   []int
@@ -63,8 +63,8 @@
 
 const testTick = 100 * time.Millisecond
 
-// step plays one tick: calls at drawn daemons, of which a share fails and is sent
-// again as often as the budget allows.
+// step simulates one tick with calls at drawn daemons. If they fail, each is retried as
+// often as the budget allows.
 func (m *meshRun) step(t *rapid.T, calls int, failing bool) {
 	now := time.Duration(len(m.calls)) * testTick
 	seed := rapid.IntRange(0, len(m.budgets)-1).Draw(t, "daemon")
@@ -88,9 +88,9 @@
 	return total
 }
 
-// All daemons together stay within the ratio and the slack in every window, with
-// whatever calls, failures and number of daemons. The calls of a window count as
-// those of the window before it where these are more.
+// The retries of all daemons together stay within the ratio and the slack in every window,
+// for any calls, failures and number of daemons. The window of calls that counts may be
+// up to one window earlier than that of the retries.
 func TestTheMeshStaysWithinTheBudgetInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
@@ -115,8 +115,8 @@
 	})
 }
 
-// Calls on trial leave half of what is allowed to others, and give back what they did
-// not need.
+// Calls to a version on trial leave half of the budget to other calls and refund unused
+// retries.
 func TestCallsOnTrialLeaveRetriesToOthers(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Part: 8, Window: testWindow})
@@ -132,19 +132,19 @@
 	}
 	check.True(!budget.Withdraw(time.Second, 0, 1, true))
 	failed := Outcome{Kind: Broken, Replayable: true, Others: true}
-	check.Equal(trials[0].Next(2*time.Second, failed).Action, Send) // paid for
+	check.Equal(trials[0].Next(2*time.Second, failed).Action, Send) // charged in advance
 	for _, trial := range trials {
 		trial.ReleaseTrialRetry()
-		trial.ReleaseTrialRetry() // once is enough
+		trial.ReleaseTrialRetry() // no second refund
 	}
-	for range 3 { // the fourth was used
+	for range 3 { // the fourth retry was used
 		check.True(budget.Withdraw(3*time.Second, 0, 1, true))
 	}
 	check.True(!budget.Withdraw(3*time.Second, 0, 1, true))
 }
 
-// A call that may not be repeated is put on trial without paying, one that has no second
-// attempt is not.
+// A call that is not repeatable may go to a version on trial without charge. A repeatable
+// one that can't be retried may not.
 func TestWhichCallsMayBePutOnTrial(t *testing.T) {
 	check := is.New(t)
 	empty := NewBudgetWithLimits(Limits{Window: testWindow})
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -1,6 +1,6 @@
-// Package retry decides, on the callers' side, what follows an attempt of a
-// call: another attempt, the answer, or a final refusal that tells the truth
-// about execution. It does no input or output and reads no clock.
+// Package retry decides in the calling daemon what follows an attempt of a call:
+// another attempt, delivery of the answer, or a final refusal that states correctly
+// whether the call ran. It does no input or output and reads no clock.
 package retry
 
 import (
@@ -11,41 +11,42 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Policy is what is allowed for one call.
+// Policy sets the limits for one call.
 type Policy struct {
-	// Repeatable says that running the call twice does no harm.
+	// Repeatable is set if the call is idempotent.
 	Repeatable bool
-	// Attempts is the most attempts, the first included.
+	// Attempts is the maximum number of attempts, including the first.
 	Attempts int
-	// Urgent calls may use the part of the budget that is kept for them.
+	// Urgent calls may use the share of the budget that is reserved for them.
 	Urgent bool
-	// NoRetry is the mark of a caller above that retries already.
+	// NoRetry is set if the request carries the no-retry mark: a caller further up
+	// already retries.
 	NoRetry bool
-	// RetryFailures sends repeatable calls again after a failure that the back
-	// end answered, and goes on from a gate's refusal without budget, since no
-	// back end has seen the call.
+	// RetryFailures retries repeatable calls after a failure that the back end
+	// answered. It also resends, without charging the budget, calls that a gate
+	// refused, because they did not reach a back end.
 	RetryFailures bool
-	// Deadline is on the caller's clock.
+	// Deadline is on the calling daemon's clock.
 	Deadline time.Duration
-	// Margin is the least time in which another attempt can be of use.
+	// Margin is the minimum time left for another attempt to be useful.
 	Margin time.Duration
-	// Class tells calls of like routes apart in the budget.
+	// Class is the class under which the budget counts the call.
 	Class callclass.Class
-	// Unbudgeted retries without budget and mark. It is for comparisons only.
+	// Unbudgeted retries without budget and no-retry mark. It is for comparisons only.
 	Unbudgeted bool
 }
 
-// relocationLimit bounds the attempts beyond Policy.Attempts of a call that
-// is only sent on because an endpoint is leaving or can't be reached.
+// relocationLimit is the maximum number of attempts beyond Policy.Attempts for a call
+// that is resent only because an endpoint does not accept calls or is unreachable.
 const relocationLimit = 4
 
 // sameEndpointWait is the pause before the only endpoint is tried again.
 const sameEndpointWait = 20 * time.Millisecond
 
-// defaultRetryAfter is told with refusals that pass with time.
+// defaultRetryAfter is sent with refusals for temporary conditions.
 const defaultRetryAfter = time.Second
 
-// Action tells what to do next.
+// Action is what to do next with a call.
 type Action int
 
 // The actions.
@@ -54,47 +55,47 @@
 	Send Action = iota + 1
 	// Deliver passes the answer on to the caller.
 	Deliver
-	// Refuse gives the caller the final refusal.
+	// Refuse sends the caller the final refusal.
 	Refuse
 )
 
-// Step is a decision.
+// Step is the decision on what follows an attempt.
 type Step struct {
 	Action Action
 	// Wait is the pause before the attempt.
 	Wait time.Duration
-	// Mark sets the mark against retries on the attempt.
+	// Mark sets the no-retry mark on the attempt.
 	Mark bool
-	// Code, Ran and RetryAfter are the final refusal.
+	// Code, Ran and RetryAfter describe the final refusal.
 	Code       result.Code
 	Ran        result.Execution
 	RetryAfter time.Duration
 }
 
-// Call is the state of one call on the callers' side. One goroutine uses it.
+// Call is the state of one call in the calling daemon. It must be used by one goroutine.
 type Call struct {
 	policy Policy
 	budget *Budget
-	// attempts counts those made; relocations those not counted as retries.
+	// attempts counts all attempts, relocations those that don't count as retries.
 	attempts    int
 	relocations int
-	// inDoubt counts the attempts that are not certain not to have run. A later "did
-	// not run" speaks of its own attempt only, and takes back no other one's doubt.
+	// inDoubt counts the attempts that may have run. A later "did not run" applies
+	// only to its own attempt.
 	inDoubt int
-	// disproof is the last outcome that Disprove was told.
+	// disproof is the last outcome that Disprove accepted.
 	disproof Outcome
-	// deposited says that the call has been recorded in the budget.
+	// deposited is set once the call is recorded in the budget.
 	deposited bool
 	// unknownCode is the code of the last attempt that may have run.
 	unknownCode result.Code
-	// prepaid says that the attempt after the present one is paid for.
+	// prepaid is set if the next attempt is already charged to the budget.
 	prepaid bool
-	// onTrial says that it was paid for by PayForTrial, at trialPaidAt.
+	// onTrial is set if PayForTrial charged it, at trialPaidAt.
 	onTrial     bool
 	trialPaidAt time.Duration
 }
 
-// NewCall starts the account of a call.
+// NewCall returns the state of a new call.
 func NewCall(policy Policy, budget *Budget) *Call {
 	return &Call{policy: policy, budget: budget}
 }
@@ -108,10 +109,10 @@
 	c.budget.Deposit(now, c.policy.Class)
 }
 
-// PayForTrial pays for a second attempt before the first one is sent to a version on
-// trial, and tells whether it may be sent there: what such a version fails is no fault of
-// its caller's, so a call that may be repeated is put on trial only if it will be. A call
-// that may not be repeated has no second attempt to pay for. Settle must follow.
+// PayForTrial charges a second attempt before the first is sent to a version on trial and
+// reports whether the call may be sent there. A caller must not suffer from a faulty
+// version on trial, so a repeatable call is sent there only if its retry is certain. A call
+// that is not repeatable has no retry to charge. Settle must be called when the call ends.
 func (c *Call) ReserveTrialRetry(now time.Duration) bool {
 	if !c.policy.Repeatable {
 		return true
@@ -123,8 +124,8 @@
 	return true
 }
 
-// Settle gives back what was paid for a second attempt that was not needed. It is called
-// when the call has ended.
+// Settle refunds the retry that PayForTrial charged if it was not used. It must be called
+// when the call ends.
 func (c *Call) ReleaseTrialRetry() {
 	if c.onTrial && c.prepaid {
 		c.prepaid = false
@@ -132,12 +133,12 @@
 	}
 }
 
-// BudgetLeft is how many retries the budget has left, as text for logs.
+// BudgetLeft returns the number of retries that the budget has left, as text for logs.
 func (c *Call) BudgetRemaining(now time.Duration) string {
 	return strconv.FormatFloat(c.budget.Remaining(now, c.policy.Class), 'f', 1, 64)
 }
 
-// First returns the mark for the first attempt.
+// First returns the step for the first attempt.
 func (c *Call) First() Step {
 	return Step{Action: Send, Mark: c.policy.NoRetry}
 }
@@ -152,8 +153,8 @@
 		return c.send(now, outcome)
 	}
 	if outcome.Kind == Answered {
-		// An answer is an answer, also one of failure: in a chain of calls every
-		// level would retry it, and the calls below would multiply.
+		// Other failures that the back end answered are delivered: if every service
+		// in a chain of calls retried them, the calls to the last would multiply.
 		return Step{Action: Deliver}
 	}
 	c.weigh(outcome)
@@ -168,7 +169,7 @@
 		c.relocations++
 		return c.send(now, outcome)
 	case isCold(outcome):
-		return c.giveUp(outcome) // to ask yet another gate would rather find it cold as well
+		return c.giveUp(outcome) // another gate is probably cold as well
 	case c.policy.NoRetry || c.attempts-c.relocations >= c.policy.Attempts:
 		return c.giveUp(outcome)
 	case !c.withdraw(now, c.attempts-c.relocations):
@@ -177,9 +178,9 @@
 	return c.send(now, outcome)
 }
 
-// Prepay pays for another attempt while the present one still runs, and tells
-// whether there will be one if the present one is broken off now with an outcome.
-// Without that promise, breaking it off would only lose its answer.
+// Prepay charges another attempt while the current one still runs, and reports whether
+// the call would be resent if the current attempt were cancelled now with the outcome.
+// If not, cancelling it would only lose its answer.
 func (c *Call) ReserveRetry(now time.Duration, outcome Outcome) bool {
 	if c.prepaid {
 		return true
@@ -190,8 +191,8 @@
 	return c.prepaid
 }
 
-// withdraw pays for the attempt after a number of attempts. A second retry of one
-// call costs two, for it helps less often and, in a chain of calls, multiplies more.
+// withdraw charges the retry that follows a number of attempts. The second retry of a call
+// costs two, because it succeeds less often and multiplies more in a chain of calls.
 func (c *Call) withdraw(now time.Duration, attempts int) bool {
 	if c.prepaid {
 		c.prepaid = false
@@ -200,9 +201,8 @@
 	return c.policy.Unbudgeted || c.budget.Withdraw(now, c.policy.Class, attempts, c.policy.Urgent)
 }
 
-// retriesAnswer tells whether a failure that the back end answered is worth
-// another attempt: for repeatable calls only, at another endpoint, and within
-// the attempts and the budget.
+// retriesAnswer reports whether to retry a failure that the back end answered: only for
+// repeatable calls, at another endpoint and within the attempts and the budget.
 func (c *Call) retriesAnswer(now time.Duration, outcome Outcome) bool {
 	return outcome.Failed && c.policy.RetryFailures && c.policy.Repeatable && !c.policy.NoRetry &&
 		outcome.Replayable && outcome.Others && now+c.policy.Margin < c.policy.Deadline &&
@@ -210,7 +210,7 @@
 		c.withdraw(now, c.attempts-c.relocations)
 }
 
-// weigh records an attempt that may have run.
+// weigh records the attempt as possibly run unless it certainly did not run.
 func (c *Call) weigh(outcome Outcome) {
 	if didNotRun(outcome) {
 		return
@@ -226,8 +226,9 @@
 	}
 }
 
-// Disprove takes back the doubt about an attempt that Next was told may have run, and tells
-// whether the outcome with which it has ended since is proof that it did not.
+// Disprove applies the late outcome of an attempt that Next counted as possibly run. It
+// returns true if the outcome proves that the attempt did not run, and then no longer
+// counts it.
 func (c *Call) ResolveUncertainAttempt(outcome Outcome) bool {
 	if !didNotRun(outcome) || c.inDoubt == 0 {
 		return false
@@ -237,8 +238,9 @@
 	return true
 }
 
-// Final is the final refusal once all attempts have ended: as it was decided or, if the
-// last doubt was taken back since, that of the attempt which was in doubt.
+// Final returns the final step once all attempts have ended. It is the decided one unless
+// Disprove has since shown that no attempt ran; then it is the refusal of the last
+// attempt so disproved.
 func (c *Call) FinalStep(decided Step) Step {
 	if decided.Action != Refuse || decided.Ran == result.RanNo || c.inDoubt > 0 {
 		return decided
@@ -246,8 +248,8 @@
 	return c.giveUp(c.disproof)
 }
 
-// mayRepeat is the rule of at most once (I6): a call that may not be repeated
-// is sent again only if no attempt of it can have run.
+// mayRepeat implements at-most-once execution (I6): a call that is not repeatable is
+// resent only if none of its attempts can have run.
 func (c *Call) mayRepeat(outcome Outcome) bool {
 	if outcome.Kind == NoEndpoint || !outcome.Replayable {
 		return false
@@ -255,9 +257,9 @@
 	return c.policy.Repeatable || c.inDoubt == 0
 }
 
-// relocates tells whether the attempt met an endpoint that is not there for
-// the call. Going elsewhere then adds no load, so it needs no budget and
-// heeds no mark; there must be an elsewhere.
+// relocates reports whether the call should go to another endpoint because this one did
+// not process it. That adds no load, so it needs no budget and ignores the no-retry
+// mark. Another endpoint must be available.
 func (c *Call) relocates(outcome Outcome) bool {
 	if !didNotRun(outcome) || !outcome.Others || c.relocations >= relocationLimit {
 		return false
@@ -276,7 +278,7 @@
 	return step
 }
 
-// giveUp is the final refusal after an attempt.
+// giveUp returns the final refusal that fits the last attempt's outcome.
 func (c *Call) giveUp(outcome Outcome) Step {
 	switch outcome.Kind {
 	case NotSent:
@@ -289,7 +291,8 @@
 	return c.refuse(result.BrokenInFlight, 0)
 }
 
-// budgetSpent tells of the budget where the attempt has no code of its own.
+// budgetSpent returns the final refusal of a call that the budget does not allow to
+// retry. It reports the spent budget if the last attempt was broken.
 func (c *Call) budgetSpent(outcome Outcome) Step {
 	if outcome.Kind == Broken {
 		return c.refuse(result.RetryBudgetSpent, defaultRetryAfter)
@@ -304,8 +307,9 @@
 	return result.DeadlineBeforeStart
 }
 
-// refuse says "did not run" only if that is true of every attempt. A code that
-// means "did not run" is then not used either, for some read only the code.
+// refuse returns the final refusal. It states "did not run" only if no attempt can have
+// run. Otherwise a code that implies "did not run" is replaced as well, because some
+// clients read only the code.
 func (c *Call) refuse(code result.Code, retryAfter time.Duration) Step {
 	step := Step{Action: Refuse, Code: code, Ran: result.RanNo, RetryAfter: retryAfter}
 	if c.inDoubt == 0 {
@@ -321,7 +325,7 @@
 	return step
 }
 
-// didNotRun tells whether the attempt certainly did not run.
+// didNotRun reports whether the attempt certainly did not run.
 func didNotRun(outcome Outcome) bool {
 	switch outcome.Kind {
 	case NotSent, NoEndpoint:
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -68,10 +68,10 @@
 	step := call.Next(0, Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true})
 	check.Equal(step, Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown})
 	late := Outcome{Kind: Refused, Code: result.DeadlineInFlight, Ran: result.RanUnknown, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Repeatable: true}).Next(0, late).Code, result.DeadlineInFlight) // no time for another
+	check.Equal(newCall(Policy{Repeatable: true}).Next(0, late).Code, result.DeadlineInFlight) // no time for another attempt
 }
 
-// What an attempt in doubt ends with later counts for that attempt alone.
+// The late outcome of an attempt that may have run applies to that attempt only.
 func TestADoubtIsTakenBackByProofOnly(t *testing.T) {
 	check := is.New(t)
 	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
@@ -87,14 +87,14 @@
 	check.Equal(call.FinalStep(decided), decided) // no proof
 	check.True(call.ResolveUncertainAttempt(refusal))
 	check.Equal(call.FinalStep(decided), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
-	check.True(!call.ResolveUncertainAttempt(refusal)) // once
+	check.True(!call.ResolveUncertainAttempt(refusal)) // no attempt is in doubt any more
 
 	twice := newCall(Policy{Repeatable: true})
 	check.Equal(twice.Next(0, lost).Action, Send)
 	check.Equal(twice.Next(0, lost).Action, Send)
 	decided = twice.Next(0, draining)
 	check.True(twice.ResolveUncertainAttempt(refusal))
-	check.Equal(twice.FinalStep(decided), decided) // the other one may have run
+	check.Equal(twice.FinalStep(decided), decided) // the other attempt may have run
 }
 
 func TestMarkStopsRetriesButNotRelocation(t *testing.T) {
@@ -116,24 +116,24 @@
 			retries++
 		}
 	}
-	check.True(retries >= 50)  // second retries cost two
-	check.True(retries <= 100) // a tenth of the calls
+	check.True(retries >= 50)  // a second retry costs two
+	check.True(retries <= 100) // 10 % of the calls
 	ordinary := NewBudget()
 	urgent := NewBudget()
 	for range 1000 {
 		ordinary.Deposit(0, 0)
 		urgent.Deposit(0, 0)
 	}
-	check.Equal(withdrawn(ordinary, 0, false), 75) // three parts of four
-	check.Equal(withdrawn(ordinary, 0, true), 25)  // the rest is kept for urgent calls
+	check.Equal(withdrawn(ordinary, 0, false), 75) // 75 %
+	check.Equal(withdrawn(ordinary, 0, true), 25)  // 25 % are reserved for urgent calls
 	check.Equal(withdrawn(urgent, 0, true), 100)
 	check.Equal(withdrawn(urgent, 5*time.Second, true), 0)
-	check.Equal(withdrawn(urgent, 12*time.Second, true), 10) // a window later the part alone
+	check.Equal(withdrawn(urgent, 12*time.Second, true), 10) // one window later only Limits.Part is left
 }
 
-// TestAtMostOnce draws outcomes of attempts and holds the machine to I5 and
-// I6: a call that may not be repeated is never sent after an attempt that may
-// have run, and "did not run" is said only when it is true of all attempts.
+// TestAtMostOnce checks I5 and I6 for drawn outcomes of attempts: a call that is not
+// repeatable is never resent after an attempt that may have run, and "did not run" is
+// reported only if it is true of all attempts.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{Repeatable: rapid.Bool().Draw(t, "repeatable"), NoRetry: rapid.Bool().Draw(t, "mark")}
@@ -170,7 +170,7 @@
 	})
 }
 
-// withdrawn is how many retries a budget allows at a time.
+// withdrawn withdraws retries until the budget refuses and returns their number.
 func withdrawn(budget *Budget, now time.Duration, urgent bool) (count int) {
 	for budget.Withdraw(now, 0, 1, urgent) {
 		count++
@@ -201,7 +201,7 @@
 func TestAnAnsweredFailureIsTriedElsewhereOnlyWhereItMayBe(t *testing.T) {
 	check := is.New(t)
 	failed := Outcome{Kind: Answered, Failed: true, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Repeatable: true}).Next(0, failed).Action, Deliver) // not asked for
+	check.Equal(newCall(Policy{Repeatable: true}).Next(0, failed).Action, Deliver) // without RetryFailures
 	check.Equal(newCall(Policy{RetryFailures: true}).Next(0, failed).Action, Deliver)
 	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, NoRetry: true}).Next(0, failed).Action, Deliver)
 	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, Attempts: 1}).Next(0, failed).Action, Deliver)
@@ -209,7 +209,7 @@
 	check.Equal(call.Next(0, failed).Action, Send)
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true}
 	check.Equal(call.Next(0, refusal).Action, Send)
-	check.Equal(call.Next(0, refusal).Ran, result.RanUnknown) // the first attempt has run
+	check.Equal(call.Next(0, refusal).Ran, result.RanUnknown) // the first attempt ran
 }
 
 func TestAGatesRefusalCostsNoBudgetUnlessTheBackEndSawIt(t *testing.T) {
@@ -219,7 +219,7 @@
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true, Others: true}
 	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send)
 	refusal.Code, refusal.Arrived = result.BackendRefused, true
-	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send) // the part
+	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send) // allowed by Limits.Part
 	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Refuse)
 }
 
@@ -231,7 +231,7 @@
 	for range 10 {
 		budget.Deposit(0, 0)
 	}
-	check.Equal(withdrawn(budget, 0, true), 4) // what calls earn is not divided; one was taken
+	check.Equal(withdrawn(budget, 0, true), 4) // SetPart leaves Ratio: 10 calls earn 5, one is used
 }
 
 func TestAnAttemptIsBrokenOffOnlyIfAnotherIsPaidFor(t *testing.T) {
@@ -241,10 +241,10 @@
 	budget := NewBudgetWithLimits(Limits{Part: 1})
 	first, second := NewCall(policy, budget), NewCall(policy, budget)
 	check.True(first.ReserveRetry(0, lost))
-	check.True(first.ReserveRetry(0, lost)) // paid for once
+	check.True(first.ReserveRetry(0, lost)) // charged only once
 	check.True(!second.ReserveRetry(0, lost))
 	check.Equal(first.Next(1, lost).Action, Send)
-	check.Equal(first.Next(2, lost).Action, Refuse) // what was paid for is used up
+	check.Equal(first.Next(2, lost).Action, Refuse) // the charged retry is used
 
 	plenty := Limits{Part: 100}
 	unsafe := policy
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -9,33 +9,32 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// chainRun is a mesh whose services call each other in a row. Every service has the
-// same daemons beside its back ends, and calls of two classes come to it: those of
-// class 0 call the next service, those of class 1 call nobody.
+// chainRun simulates a chain of services, all on the same daemons. Each receives calls of
+// two classes: those of class 0 call the next service, those of class 1 make no calls.
 type chainRun struct {
 	// levels are the services from the first to the last of the chain.
 	levels []chainLevel
-	// fanOut is how many calls a run of class 0 makes.
+	// fanOut is the number of calls that an executed call of class 0 makes.
 	fanOut int
 	random func() float64
 	now    time.Duration
 	tick   int
 }
 
-// chainLevel is one service: the budgets at the daemons that call it, and what happened
-// each tick.
+// chainLevel is one service: the budgets of the daemons that call it, and its requests and
+// repetitions in each tick.
 type chainLevel struct {
 	budgets  []*Budget
 	requests []int
 	extra    []int
-	// rejecting and failing are the shares of arrivals that the back ends turn away
-	// and that run and fail.
+	// rejecting is the share of arriving attempts that back ends refuse, failing the share
+	// of executed ones that fail.
 	rejecting float64
 	failing   float64
 }
 
-// chainCall is one call of a class, made at a daemon by a run that is a repetition
-// or not.
+// chainCall is one call made at a daemon. repeated is set if the execution that makes it is
+// a repetition.
 type chainCall struct {
 	class    callclass.Class
 	daemon   int
@@ -44,7 +43,7 @@
 
 const chainAttempts = 3
 
-// send plays a call at a level with all its attempts, and the calls of its runs.
+// send simulates all attempts of a call to a level, and the calls that they make.
 func (r *chainRun) send(level int, call chainCall) {
 	if level == len(r.levels) {
 		return
@@ -69,7 +68,7 @@
 	}
 }
 
-// run plays one arrival at a back end.
+// run simulates one attempt that arrives at a back end.
 func (r *chainRun) run(level int, call chainCall, again bool) Outcome {
 	at := &r.levels[level]
 	if r.random() < at.rejecting {
@@ -88,7 +87,7 @@
 	return Outcome{Kind: Answered, Failed: r.random() < at.failing, Replayable: true, Others: true}
 }
 
-// begin opens the counts of a tick.
+// begin starts the counts of a tick.
 func (r *chainRun) begin(tick int) {
 	r.tick = tick
 	r.now = time.Duration(tick) * testTick
@@ -110,8 +109,8 @@
 	return run
 }
 
-// overdrawn tells by how much the arrivals beyond the first exceed what is allowed in
-// the worst window of a level.
+// overdrawn returns the largest excess of the level's repetitions over the allowed number in
+// any window.
 func (l *chainLevel) overdrawn() float64 {
 	worst := 0.0
 	window := int(testWindow / testTick)
@@ -123,17 +122,16 @@
 	return worst
 }
 
-// chainArrivals bounds the calls of a tick at the last service, for the time that a run
-// takes.
+// chainArrivals limits the calls per tick at the last service, to keep the test short.
 const chainArrivals = 256
 
-// chainSlack scales the slack with the traffic of these runs, which is a part of that
-// of the deployments that the slack is from.
+// chainSlack scales the slack to the traffic of this test, which is a fraction of that of the
+// deployments for which allowedSlack is set.
 const chainSlack = 0.2
 
-// The repetitions that a service gets stay within the budget in every window,
-// those that its callers' repetitions cause included: down a chain of calls, at any
-// number of daemons, whatever the back ends reject or fail, and while traffic falls.
+// The repetitions that a service receives stay within the budget in every window, including
+// those caused by repetitions of its callers: at any depth of the chain, any number of daemons,
+// any share of refusals and failures, and while traffic falls.
 func TestAChainOfServicesStaysWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		depth := rapid.IntRange(1, 7).Draw(t, "depth")
--- a/internal/core/retry/outcome.go
+++ b/internal/core/retry/outcome.go
@@ -6,48 +6,48 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Kind tells how an attempt ended.
+// Kind is the way in which an attempt ended.
 type OutcomeKind int
 
-// The ends of an attempt.
+// The kinds of outcomes.
 const (
-	// Answered: the head of the back end's answer has arrived.
+	// Answered means that the header of the back end's response was received.
 	Answered OutcomeKind = iota + 1
-	// Refused: the gate answered with a code; Outcome.Ran is its word.
+	// Refused means that the gate answered with a code; Outcome.Ran states whether the call ran.
 	Refused
-	// NotSent: not a byte of the request was written, so it did not run.
+	// NotSent means that no byte of the request was written, so it did not run.
 	NotSent
-	// Broken: the connection broke after a byte may have been written and
-	// before an answer.
+	// Broken means that the connection broke before an answer, after a byte of the request may
+	// have been written.
 	Broken
-	// Expired: the deadline passed after a byte may have been written.
+	// Expired means that the deadline passed after a byte of the request may have been written.
 	Expired
-	// CallerGone: the caller hung up.
+	// CallerGone means that the caller closed its connection.
 	CallerGone
-	// NoEndpoint: there was no endpoint to send to; nothing was written.
+	// NoEndpoint means that there was no endpoint to send to; nothing was written.
 	NoEndpoint
 )
 
-// Outcome is what became of one attempt.
+// Outcome is the result of one attempt.
 type Outcome struct {
 	Kind OutcomeKind
-	// Code, Ran and RetryAfter are the gate's, for Refused.
+	// Code, Ran and RetryAfter are those of the gate's refusal, if Kind is Refused.
 	Code       result.Code
 	Ran        result.Execution
 	RetryAfter time.Duration
-	// Replayable tells whether the request's body can be sent from its start.
+	// Replayable is set if the request body can be sent again from its start.
 	Replayable bool
-	// Others tells whether an endpoint that was not tried yet can take it.
+	// Others is set if an untried endpoint can receive the call.
 	Others bool
-	// Failed says that an answer is the back end's own failure.
+	// Failed is set if the answer is a failure of the back end.
 	Failed bool
-	// Arrived says that the back end itself has seen an attempt that did not
-	// run, so that sending it again adds to its load.
+	// Arrived is set if an attempt that did not run reached the back end, so that
+	// resending it adds load.
 	Arrived bool
 }
 
-// turnsAway tells whether the endpoint takes no calls any more or for a while, so that
-// asking it again is of no use.
+// turnsAway reports whether the endpoint accepts no calls for now, so that retrying there
+// is useless.
 func turnsAway(outcome Outcome) bool {
 	if outcome.Kind != Refused {
 		return false
@@ -60,7 +60,7 @@
 	return false
 }
 
-// isCold tells whether the endpoint is cold and has no start for the call.
+// isCold reports whether the gate refused the call because its back end is cold.
 func isCold(outcome Outcome) bool {
 	return outcome.Kind == Refused && outcome.Code == result.WarmingUp
 }
--- a/internal/core/retry/warmth_test.go
+++ b/internal/core/retry/warmth_test.go
@@ -9,7 +9,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// cold is the refusal of a gate whose back end is cold.
+// cold is the outcome of an attempt that a gate refused because its back end is cold.
 var cold = Outcome{
 	Kind: Refused, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: 700 * time.Millisecond,
 	Replayable: true, Others: true,
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// windowSlots is how many parts a window is counted in. The more, the less a sum
-// errs at its edges.
+// windowSlots is the number of slots of a window. More slots make the sums more accurate
+// at the window's edges.
 const windowSlots = 10
 
-// window sums up amounts of the last span of time. It takes no lock. The zero
-// value is empty.
+// window sums amounts over a sliding time window. It is lock-free. The zero value is
+// empty.
 type window struct {
-	// slots are the parts in turn; one more than a span has, for the part that has
-	// just begun. Each holds the number of its part since the clock's start in the
-	// upper half and the amount in the lower half.
+	// slots is a ring with one slot more than a window has, for the interval that has
+	// just begun. Each slot holds its interval number, counted from time 0, in the upper
+	// half and the amount in the lower half.
 	slots [windowSlots + 1]atomic.Uint64
 }
 
-// amountBits is the width of a slot's amount.
+// amountBits is the width of a slot's amount in bits.
 const amountBits = 32
 
 const amountMask = 1<<amountBits - 1
 
-// part is the number of the part that a time lies in.
+// part returns the number of the interval that contains a time.
 func part(now, span time.Duration) uint64 { return uint64(now / (span / windowSlots)) }
 
-// add counts an amount, which may be negative to take back what was added in the
-// same part; see takeBack.
+// add adds an amount. A negative amount reverses one that was added in the same interval;
+// see takeBack for earlier ones.
 func (w *window) add(now, span time.Duration, amount int64) {
 	number := part(now, span)
 	slot := &w.slots[number%uint64(len(w.slots))]
@@ -44,8 +44,8 @@
 	}
 }
 
-// takeBack takes back what was added at an earlier time. Once that time's part has left
-// the window there is nothing to take back.
+// takeBack subtracts an amount that was added at an earlier time. It does nothing once
+// that time's slot has been reused.
 func (w *window) takeBack(addedAt, span time.Duration, amount int64) {
 	number := part(addedAt, span)
 	slot := &w.slots[number%uint64(len(w.slots))]
@@ -61,14 +61,14 @@
 	}
 }
 
-// sum is what was added in the present part and a number of parts before it.
+// sum returns the total of the current interval and a number of intervals before it.
 func (w *window) sum(now, span time.Duration, before uint64) int64 {
 	number := part(now, span)
 	total := int64(0)
 	for index := range w.slots {
 		held := w.slots[index].Load()
-		// The difference is taken in the width of a slot's number, so that a part
-		// of the future, of a reader that was late, counts as old.
+		// Masking the difference to the width of a slot's number makes an interval
+		// later than now, which a delayed reader may see, count as old.
 		if age := (number - held>>amountBits) & amountMask; age <= before {
 			total += int64(held & amountMask)
 		}
@@ -76,9 +76,10 @@
 	return total
 }
 
-// upperBound is what was added in the last span or somewhat more: the part in which it
-// began counts whole.
+// upperBound returns a total that is not below that of the last span: the interval in
+// which the span began counts in full.
 func (w *window) upperBound(now, span time.Duration) int64 { return w.sum(now, span, windowSlots) }
 
-// lowerBound is the same or somewhat less: the part in which the span began is left out.
+// lowerBound returns a total that is not above that of the last span: the interval in
+// which the span began is excluded.
 func (w *window) lowerBound(now, span time.Duration) int64 { return w.sum(now, span, windowSlots-1) }
--- a/internal/core/retry/window_test.go
+++ b/internal/core/retry/window_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is added when, the true sum of the last span lies between the two bounds.
+// The true sum of the last span lies between the two bounds, for any additions.
 func TestAWindowsBoundsHoldTheTrueSum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
@@ -32,19 +32,19 @@
 	})
 }
 
-// What is given back in the same part is gone.
+// A negative amount reverses one that was added in the same interval.
 func TestAnAmountCanBeTakenBack(t *testing.T) {
 	check := is.New(t)
 	counted := &window{}
 	counted.add(time.Second, 10*time.Second, 3*unit)
 	counted.add(time.Second, 10*time.Second, -2*unit)
 	check.Equal(counted.upperBound(time.Second, 10*time.Second), int64(unit))
-	counted.add(time.Second, 10*time.Second, -5*unit) // never below nothing
+	counted.add(time.Second, 10*time.Second, -5*unit) // never below zero
 	check.Equal(counted.upperBound(time.Second, 10*time.Second), int64(0))
 }
 
-// What is taken back leaves the part that it was added in, and no other one, also when a
-// later part has taken its place.
+// takeBack changes only the interval in which the amount was added, also after a later
+// interval has reused its slot.
 func TestTakingBackTouchesItsOwnPartOnly(t *testing.T) {
 	check := is.New(t)
 	const span = 10 * time.Second
@@ -53,9 +53,9 @@
 	held.add(2*time.Second, span, 4)
 	held.takeBack(0, span, 2)
 	check.Equal(held.upperBound(2*time.Second, span), int64(5))
-	held.takeBack(0, span, 9) // never below nothing
+	held.takeBack(0, span, 9) // never below zero
 	check.Equal(held.upperBound(2*time.Second, span), int64(4))
-	held.add(11*time.Second, span, 7) // in the place of the first part
+	held.add(11*time.Second, span, 7) // reuses the first slot
 	held.takeBack(0, span, 1)
 	check.Equal(held.upperBound(11*time.Second, span), int64(11))
 }
--- a/internal/core/roundtrip/roundtrip.go
+++ b/internal/core/roundtrip/roundtrip.go
@@ -1,6 +1,6 @@
-// Package roundtrip estimates how long answers of peers take, as TCP does for its
-// retransmissions (RFC 6298), so that a timeout fits the links and processors that it
-// is used on.
+// Package roundtrip estimates the response times of peers as TCP does for its
+// retransmission timer (RFC 6298), so that timeouts adapt to the network and the
+// machines.
 package roundtrip
 
 import (
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// The weights of a new measurement in the mean and in the mean deviation, and how many
-// deviations a timeout allows (RFC 6298).
+// The inverse weights of a new measurement in the mean and in the mean deviation, and the
+// number of deviations that a timeout adds to the mean (RFC 6298).
 const (
 	meanParts      = 8
 	deviationParts = 4
 	deviations     = 4
 )
 
-// Estimator keeps the moving mean of round trips and of their deviation. The zero value
-// knows nothing. It may be used from several goroutines.
+// Estimator keeps the moving mean of round-trip times and of their deviation. The zero
+// value has no measurements. It is safe for concurrent use.
 type Estimator struct {
 	mutex     sync.Mutex
 	known     bool
@@ -25,7 +25,7 @@
 	deviation time.Duration
 }
 
-// Observe takes a round trip that was answered, also late.
+// Observe adds the time of a round trip, including those answered after the timeout.
 func (e *Estimator) Observe(took time.Duration) {
 	took = max(took, 0)
 	e.mutex.Lock()
@@ -41,7 +41,8 @@
 	e.mean += (took - e.mean) / meanParts
 }
 
-// Timeout is within what time nearly all answers come; 0 when nothing is known.
+// Timeout returns the time within which nearly all answers arrive; 0 if no round trip has
+// been observed.
 func (e *Estimator) Timeout() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/core/roundtrip/roundtrip_test.go
+++ b/internal/core/roundtrip/roundtrip_test.go
@@ -17,7 +17,7 @@
 		estimator.Observe(10 * time.Millisecond)
 	}
 	check.True(estimator.Timeout() < 12*time.Millisecond)
-	for range 4 { // a link that is suddenly busy
+	for range 4 { // the link becomes slow
 		estimator.Observe(200 * time.Millisecond)
 	}
 	check.True(estimator.Timeout() > 300*time.Millisecond)
@@ -25,6 +25,6 @@
 		estimator.Observe(10 * time.Millisecond)
 	}
 	check.True(estimator.Timeout() < 20*time.Millisecond)
-	estimator.Observe(-time.Second) // of a clock that went back
+	estimator.Observe(-time.Second) // the clock was set back
 	check.True(estimator.Timeout() >= 0)
 }
--- a/internal/core/snapshot/codec.go
+++ b/internal/core/snapshot/codec.go
@@ -10,14 +10,14 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// MaxDeltaBytes bounds a delta after decompression. A larger one is refused
-// before it is unpacked.
+// MaxDeltaBytes is the maximum size of a delta after decompression. A larger one
+// is rejected without being decompressed in full.
 const MaxDeltaBytes = 32 << 20
 
-// encoderWindow keeps the memory of the shared compressor small.
+// encoderWindow is the compressor's window in bytes. It is small to save memory.
 const encoderWindow = 512 << 10
 
-// change is one entry of a delta: a resource put, or a key removed.
+// change is one entry of a delta: a resource to put or a key to remove.
 type change struct {
 	key     resource.Key
 	removed bool
@@ -78,8 +78,8 @@
 	return append(plain, field...)
 }
 
-// decodeChanges reads what encodeChanges wrote. It refuses everything else
-// with DigestMismatch, and never allocates more than MaxDeltaBytes and a small
+// decodeChanges decodes the output of encodeChanges. It rejects any other input
+// with DigestMismatch and never allocates more than MaxDeltaBytes plus a small
 // multiple of the input.
 func decodeChanges(payload []byte) ([]change, error) {
 	plain, err := decompressor.DecodeAll(payload, nil)
@@ -97,7 +97,7 @@
 	return changes, nil
 }
 
-// fieldReader takes fields off the front of a plain delta.
+// fieldReader reads fields from the front of a decompressed delta.
 type fieldReader struct {
 	rest   []byte
 	broken bool
--- a/internal/core/snapshot/decoded.go
+++ b/internal/core/snapshot/decoded.go
@@ -7,9 +7,9 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// FromResources returns the snapshot of services and routes that came decoded,
-// as from an external configuration authority. It fails as Build does when a
-// route leads to a service that is not among them (I2).
+// FromResources returns the snapshot of services and routes that are already
+// decoded, for example by an external configuration authority. Like Build, it fails
+// if a route refers to a service that is not among them (I2).
 func FromResources(version protocol.Version, services []resource.Service, routes []resource.Route) (*Snapshot, error) {
 	built := &Snapshot{
 		Version:  version,
--- a/internal/core/snapshot/delta.go
+++ b/internal/core/snapshot/delta.go
@@ -8,8 +8,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// makeDelta returns the delta between two sets that are sorted by key. An
-// empty from with version 0 makes a whole snapshot.
+// makeDelta returns the delta between two sets that are sorted by key. With
+// version 0 and an empty set before, the delta is a whole snapshot.
 func makeDelta(from, to protocol.Version, before, after []resource.Encoded) *protocol.Delta {
 	return &protocol.Delta{
 		From:    from,
@@ -19,7 +19,7 @@
 	}
 }
 
-// difference merges two sorted sets into the changes between them.
+// difference returns the changes between two sets that are sorted by key.
 func difference(before, after []resource.Encoded) []change {
 	var changes []change
 	for len(before) > 0 || len(after) > 0 {
@@ -40,10 +40,9 @@
 	return changes
 }
 
-// Apply returns the resources that result from a delta, sorted by key. It
-// applies the whole delta or nothing: unless the result has the digest that
-// the delta announces, it fails with DigestMismatch and the caller asks for a
-// whole snapshot.
+// Apply returns the resources that result from a delta, sorted by key. It applies
+// the whole delta or nothing: unless the result has the delta's digest, it fails
+// with DigestMismatch. The caller should then request a whole snapshot.
 func Apply(current []resource.Encoded, delta *protocol.Delta) ([]resource.Encoded, error) {
 	changes, err := decodeChanges(delta.Payload)
 	if err != nil {
@@ -59,9 +58,8 @@
 	return applied, nil
 }
 
-// merge returns current, which is sorted by key, with the changes made; of
-// several for one key the last counts. The work for what did not change is one
-// look each.
+// merge applies the changes to current, which must be sorted by key. If a key has
+// several changes, the last one counts. An unchanged resource costs one lookup.
 func merge(current []resource.Encoded, changes []change) []resource.Encoded {
 	last := lo.KeyBy(changes, func(one change) resource.Key { return one.key })
 	var added []resource.Encoded
--- a/internal/core/snapshot/digest.go
+++ b/internal/core/snapshot/digest.go
@@ -8,8 +8,8 @@
 )
 
 // DigestOf returns the digest of a set of resources that is sorted by key. It
-// covers every key and every payload's digest, so that two sets with the same
-// digest hold the same configuration.
+// covers all keys and all payload digests, so two sets with the same digest hold
+// the same configuration.
 func DigestOf(sorted []resource.Encoded) resource.Digest {
 	hash := sha256.New()
 	var fields []byte
@@ -23,7 +23,7 @@
 	return resource.Digest(hex.EncodeToString(hash.Sum(nil)))
 }
 
-// appendEnded ends each field with a zero byte, which no name may hold.
+// appendEnded appends a field and a zero byte, which no field may contain.
 func appendEnded(fields []byte, field string) []byte {
 	return append(append(fields, field...), 0)
 }
--- a/internal/core/snapshot/rebuild_test.go
+++ b/internal/core/snapshot/rebuild_test.go
@@ -9,7 +9,7 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// services returns encoded services with the given health paths by name.
+// services returns encoded services. paths maps service names to health paths.
 func services(paths map[string]string) []resource.Encoded {
 	file := &resource.File{Partner: "kameeldoring", Name: "file"}
 	for name, path := range paths {
--- a/internal/core/snapshot/scope.go
+++ b/internal/core/snapshot/scope.go
@@ -11,7 +11,7 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// scopeKey identifies a scope, whatever the order of its lists.
+// scopeKey returns a key that identifies a scope regardless of the order of its lists.
 func scopeKey(scope protocol.Scope) string {
 	if scope.Relay {
 		return "relay"
@@ -23,9 +23,9 @@
 	return fmt.Sprintf("%s|%s", strings.Join(partners, ","), strings.Join(services, ","))
 }
 
-// Select returns the resources that a scope holds, sorted by key and closed
-// under references: the routes of its partners (of all when it lists none)
-// that lead to a listed service (to any when it lists none); the services and
+// Select returns the resources in a scope, sorted by key and closed under
+// references: the routes of its partners (of all partners if it lists none) that
+// refer to a listed service (to any service if it lists none); the services and
 // secrets that these routes use; the listed services; and the back ends of all
 // these services. A secret is only selected through a route that uses it.
 func (s *Snapshot) Select(scope protocol.Scope) []resource.Encoded {
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot holds what one proxy has in force: built whole, checked,
-// immutable and swapped by one pointer. It also selects scopes, and makes and
-// applies the deltas that lead from one version to another.
+// Package snapshot holds the configuration that one proxy applies. A snapshot is
+// built and checked as a whole, immutable, and replaced by swapping one pointer. The
+// package also selects scopes, and makes and applies deltas between versions.
 package snapshot
 
 import (
@@ -14,38 +14,37 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Snapshot is everything that a proxy holds at one version. It is never
-// changed after it was built, so readers need no lock.
+// Snapshot is the whole configuration that a proxy holds at one version. It is not
+// changed once built, so readers need no lock.
 type Snapshot struct {
 	// Version is the configuration version.
 	Version protocol.Version
-	// Digest covers the sorted keys and digests of all resources held.
+	// Digest covers the sorted keys and digests of all resources; see DigestOf.
 	Digest resource.Digest
 	// Services, Backends, Secrets and Routes are the decoded resources.
 	Services map[resource.ServiceRef]resource.Service
-	// Backends are grouped by the service that they belong to, sorted by name.
+	// Backends are grouped by service and sorted by name.
 	Backends map[resource.ServiceRef][]resource.Backend
 	Secrets  map[resource.Key]resource.Secret
 	// Routes are sorted by key.
 	Routes []resource.Route
 	// Encoded are the resources as received, sorted by key.
 	Encoded []resource.Encoded
-	// decoded holds what each of Encoded decodes to, in the same order.
+	// decoded holds the decoded form of each resource in Encoded, in the same order.
 	decoded []resource.Resource
 }
 
 // Build decodes the resources and returns the snapshot of the version. It
-// fails with a *result.Error when a resource does not decode (DigestMismatch,
-// UnknownFormat) or when a route names a service or secret that is not among
-// them (FileBadReference): no proxy ever gets a route that leads nowhere (I2).
+// fails with a *result.Error if a resource can't be decoded (DigestMismatch,
+// UnknownFormat) or if a route refers to a service or secret that is not among
+// them (FileBadReference), so that no proxy gets a dangling route (I2).
 func Build(version protocol.Version, encoded []resource.Encoded) (*Snapshot, error) {
 	return Rebuild(nil, version, encoded)
 }
 
-// Rebuild is Build with the work in proportion to what changed: resources
-// whose key, digest and payload are those of previous, which may be nil, are
-// taken from there instead of being decoded again. The result does not depend
-// on previous.
+// Rebuild is like Build, but decodes only what changed: resources with the same
+// key, digest and payload in previous, which may be nil, are taken from there. The
+// result does not depend on previous.
 func Rebuild(previous *Snapshot, version protocol.Version, encoded []resource.Encoded) (*Snapshot, error) {
 	sorted := slices.Clone(encoded)
 	resource.SortEncoded(sorted)
@@ -60,7 +59,7 @@
 	}
 	known := earlier{from: previous}
 	if previous != nil && len(previous.decoded) != len(previous.Encoded) {
-		known.from = nil // it was not built here
+		known.from = nil // not made by Rebuild, so its decoded resources are missing
 	}
 	for _, one := range sorted {
 		decoded, err := known.decode(one)
@@ -76,13 +75,14 @@
 	return built, nil
 }
 
-// earlier walks over an earlier snapshot in the order of keys.
+// earlier iterates over an earlier snapshot in key order.
 type earlier struct {
 	from *Snapshot
 	next int
 }
 
-// decode returns what a resource decodes to. Keys must come in order.
+// decode returns the decoded form of a resource, from the earlier snapshot if it is
+// unchanged. Successive calls must pass resources in key order.
 func (e *earlier) decode(one resource.Encoded) (resource.Resource, error) {
 	if e.from == nil {
 		return resource.Decode(one)
@@ -101,15 +101,15 @@
 	return e.from.decoded[e.next], nil
 }
 
-// AtVersion returns the same content at another version. It serves a scope
-// that the versions in between did not touch.
+// AtVersion returns a snapshot with the same content at another version. It is used
+// if the versions in between changed nothing in the scope.
 func (s *Snapshot) WithVersion(version protocol.Version) *Snapshot {
 	moved := *s
 	moved.Version = version
 	return &moved
 }
 
-// Empty returns the snapshot that holds nothing.
+// Empty returns a snapshot of version 0 without resources.
 func Empty() *Snapshot {
 	empty, _ := Build(0, nil)
 	return empty
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// secretKey returns the key of the secret that a route uses. Secrets are only
-// used by routes of their own partner.
+// secretKey returns the key of the secret that a route uses. A route can only use
+// secrets of its own partner.
 func secretKey(route resource.Route) resource.Key {
 	return resource.Key{Partner: route.Partner, Kind: resource.KindSecret, Name: route.Secret.Name}
 }
--- a/internal/core/snapshot/snapshot_test.go
+++ b/internal/core/snapshot/snapshot_test.go
@@ -12,7 +12,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// shop returns a file with two services, of which one needs a secret.
+// shop returns the resources of a file with two services. The route to one of them uses a
+// secret.
 func shop(slots int) []resource.Encoded {
 	return resource.Encode(&resource.File{
 		Partner:  "kameeldoring",
@@ -143,16 +144,16 @@
 		broken.Payload[position] ^= 0x55
 		applied, err := snapshot.Apply(first.Encoded, &broken)
 		if err == nil {
-			is.Equal(snapshot.DigestOf(applied), delta.Digest) // only an unchanged result passes
+			is.Equal(snapshot.DigestOf(applied), delta.Digest) // accepted only if the result is the same
 		} else {
 			is.Equal(codeOf(err), result.DigestMismatch)
 		}
 	}
 	_, err = snapshot.Apply(shop(9), delta)
-	is.NoErr(err) // the delta replaces what differs
+	is.NoErr(err) // the delta replaces the resources that differ
 	other := append(shop(6), resource.Encode(&resource.File{Partner: "adomako", Services: []resource.Service{{Partner: "adomako", Name: "clock"}}})...)
 	_, err = snapshot.Apply(other, delta)
-	is.Equal(codeOf(err), result.DigestMismatch) // a base with more than the delta's base is refused
+	is.Equal(codeOf(err), result.DigestMismatch) // rejected: this base has a resource more than the delta's
 }
 
 func FuzzApply(f *testing.F) {
--- a/internal/core/snapshot/store.go
+++ b/internal/core/snapshot/store.go
@@ -7,20 +7,20 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// HistoryLength is how many released versions a store keeps. A child that
-// holds an older one gets a whole snapshot.
+// HistoryLength is the number of released versions that a store keeps. A child
+// with an older version gets a whole snapshot instead of a delta.
 const HistoryLength = 32
 
-// Store is what a relay or root holds: every resource at the newest released
-// version, and a bounded history for deltas. Payloads are shared between
+// Store is the configuration store of a relay or root: all resources at the newest
+// released version, and a bounded history for deltas. Payloads are shared between
 // versions. It is not safe for concurrent use.
 type Store struct {
 	// history is in ascending order of version.
 	history []*Snapshot
-	// selections holds what a scope selects of a version.
+	// selections caches the resources that a scope selects at a version.
 	selections map[selectionKey]selection
-	// deltas holds deltas to the newest version, encoded once and shared by
-	// all children that need the same one.
+	// deltas caches encoded deltas to the newest version, which are shared by all
+	// children that need the same one.
 	deltas map[deltaKey]*protocol.Delta
 }
 
@@ -63,7 +63,7 @@
 	return s.history[len(s.history)-1].Digest
 }
 
-// Newest returns the newest version whole; nil when the store is empty.
+// Newest returns the snapshot of the newest version; nil when the store is empty.
 func (s *Store) Newest() *Snapshot {
 	if len(s.history) == 0 {
 		return nil
@@ -71,9 +71,9 @@
 	return s.history[len(s.history)-1]
 }
 
-// Add puts a whole version on top. Versions that are not newer are ignored:
-// what a store offers never moves back (I1). It fails, and changes nothing,
-// when the resources do not make a valid snapshot (I3).
+// Add adds a new version with all its resources. A version that is not newer is
+// ignored, so that the store's version never decreases (I1). Add fails without
+// effect if the resources don't form a valid snapshot (I3).
 func (s *Store) Add(version protocol.Version, resources []resource.Encoded) error {
 	if version <= s.Version() {
 		return nil
@@ -95,8 +95,8 @@
 	s.dropSelections()
 }
 
-// Advance puts the newest content on top again at a newer version. It serves
-// a version that changed nothing.
+// Advance adds the newest content again under a newer version. It is used for a
+// version that changed nothing.
 func (s *Store) Advance(version protocol.Version) {
 	newest := s.Newest()
 	if newest == nil || version <= newest.Version {
@@ -105,7 +105,7 @@
 	s.push(newest.WithVersion(version))
 }
 
-// dropSelections forgets the selections of versions that left the history.
+// dropSelections evicts the selections of versions that are no longer in the history.
 func (s *Store) dropSelections() {
 	oldest := s.history[0].Version
 	for key := range s.selections {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Select returns the newest resources of a scope.
+// Select returns the resources of a scope at the newest version.
 func (s *Store) Select(scope protocol.Scope) []resource.Encoded {
 	newest := s.Newest()
 	if newest == nil {
@@ -124,9 +124,9 @@
 	return s.selected(newest, scope, scopeKey(scope)).resources
 }
 
-// Delta returns what leads a child with the scope from the version and digest
-// that it has to the newest version. It is nil when nothing changes for the
-// child, which then stands at the newest version with the same digest.
+// Delta returns the delta to the newest version for a child that has a scope at the
+// given version and digest. It returns nil if nothing changes for the child: its
+// content then equals the newest version, with the same digest.
 func (s *Store) Delta(scope protocol.Scope, have protocol.Version, digest resource.Digest) *protocol.Delta {
 	newest := s.Newest()
 	if newest == nil {
@@ -144,7 +144,7 @@
 	return s.shared(deltaKey{from: have, scope: key}, newest.Version, s.selected(before, scope, key).resources, after.resources)
 }
 
-// shared returns the one encoding of a delta to the newest version.
+// shared returns a delta to the newest version from the cache, encoding it on first use.
 func (s *Store) shared(key deltaKey, to protocol.Version, before, after []resource.Encoded) *protocol.Delta {
 	if delta, found := s.deltas[key]; found {
 		return delta
