--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -55,9 +55,9 @@
 func (s *Set) choose(now time.Duration, random uint64, tried Tried, heedEvidence bool) *Endpoint {
 	var best *Endpoint
 	bestLoad := 0.0
-	var heed heeded
+	var heed exclusions
 	if heedEvidence {
-		heed = s.heeds(now)
+		heed = s.exclusionsAt(now)
 	}
 	for distance, tier := range s.tiers {
 		candidate := betterOfTwo(tier, now, random, tried, heed)
@@ -77,18 +77,18 @@
 }
 
 // heeded selects the reasons for which a choice skips endpoints.
-type heeded struct {
-	ejections bool
-	degraded  bool
+type exclusions struct {
+	ejected  bool
+	degraded bool
 }
 
 // bars reports whether the endpoint is skipped.
-func (h heeded) bars(candidate *Endpoint, now time.Duration) bool {
-	return (h.ejections && candidate.Ejected(now)) || (h.degraded && candidate.degraded())
+func (h exclusions) excludes(candidate *Endpoint, now time.Duration) bool {
+	return (h.ejected && candidate.Ejected(now)) || (h.degraded && candidate.degraded())
 }
 
 // heeds returns the reasons that leave enough endpoints of the set in use.
-func (s *Set) heeds(now time.Duration) heeded {
+func (s *Set) exclusionsAt(now time.Duration) exclusions {
 	ejected := 0
 	degraded := 0
 	for _, tier := range s.tiers {
@@ -101,29 +101,29 @@
 			}
 		}
 	}
-	return heeded{
-		ejections: float64(ejected) <= float64(s.usable)*ejectionFloor,
-		degraded:  float64(degraded) <= float64(s.usable)*degradedLimit,
+	return exclusions{
+		ejected:  float64(ejected) <= float64(s.usable)*ejectionFloor,
+		degraded: float64(degraded) <= float64(s.usable)*degradedLimit,
 	}
 }
 
 // betterOfTwo draws two endpoints of a tier and returns the one with the shorter
 // expected completion time. It returns nil when the tier has no usable endpoint.
-func betterOfTwo(tier []*Endpoint, now time.Duration, random uint64, tried Tried, heed heeded) *Endpoint {
+func betterOfTwo(tier []*Endpoint, now time.Duration, random uint64, tried Tried, heed exclusions) *Endpoint {
 	if len(tier) == 0 {
 		return nil
 	}
 	high := int(random >> 32)
 	low := int(random & 0xffffffff)
-	first := usableFrom(tier, high, now, tried, heed, nil)
+	first := firstUsableFrom(tier, high, now, tried, heed, nil)
 	if first == nil {
 		return nil
 	}
-	second := usableFrom(tier, low, now, tried, heed, first)
+	second := firstUsableFrom(tier, low, now, tried, heed, first)
 	if second != nil && first.cold() != second.cold() {
-		return warmOrCold(first, second, now, random)
+		return pickWarmOrCold(first, second, now, random)
 	}
-	if second == nil || first.goesBefore(second, now, random) {
+	if second == nil || first.preferredOver(second, now, random) {
 		return first
 	}
 	return second
@@ -131,13 +131,13 @@
 
 // usableFrom returns the first usable endpoint at or after the start position,
 // wrapping around and skipping the one already drawn.
-func usableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, heed heeded, drawn *Endpoint) *Endpoint {
+func firstUsableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, heed exclusions, drawn *Endpoint) *Endpoint {
 	for step := range tier {
 		candidate := tier[(start+step)%len(tier)]
-		if candidate == drawn || tried.has(candidate) || candidate.shut(now) {
+		if candidate == drawn || tried.contains(candidate) || candidate.refusesCalls(now) {
 			continue
 		}
-		if heed.bars(candidate, now) {
+		if heed.excludes(candidate, now) {
 			continue
 		}
 		return candidate
@@ -149,7 +149,7 @@
 // so that two requests for one operation reach the same gate, which refuses the
 // second. This is best effort: a membership change can move a key.
 func (s *Set) ChooseByRequestKey(now time.Duration, key uint64, tried Tried) *Endpoint {
-	best := s.firstRanked(now, key, tried, heeded{})
+	best := s.highestRanked(now, key, tried, exclusions{})
 	if best == nil {
 		return s.Choose(now, key, tried)
 	}
@@ -160,7 +160,7 @@
 // daemons send equal requests to the same gate. Unlike with a request key, ejected
 // endpoints are skipped.
 func (s *Set) ChooseByContentHash(now time.Duration, key uint64, tried Tried) *Endpoint {
-	best := s.firstRanked(now, key, tried, heeded{ejections: true})
+	best := s.highestRanked(now, key, tried, exclusions{ejected: true})
 	if best == nil {
 		return s.Choose(now, key, tried)
 	}
@@ -169,7 +169,7 @@
 
 // firstRanked returns the usable endpoint with the highest rendezvous hash. Endpoints of
 // other regions are used only if the own region has none.
-func (s *Set) firstRanked(now time.Duration, key uint64, tried Tried, heed heeded) *Endpoint {
+func (s *Set) highestRanked(now time.Duration, key uint64, tried Tried, heed exclusions) *Endpoint {
 	var best *Endpoint
 	var bestHash uint64
 	for distance, tier := range s.tiers {
@@ -177,10 +177,10 @@
 			break
 		}
 		for _, candidate := range tier {
-			if tried.has(candidate) || candidate.shut(now) || heed.bars(candidate, now) {
+			if tried.contains(candidate) || candidate.refusesCalls(now) || heed.excludes(candidate, now) {
 				continue
 			}
-			if hash := keyedHash(key, candidate.Backend); best == nil || hash > bestHash {
+			if hash := rendezvousHash(key, candidate.Backend); best == nil || hash > bestHash {
 				best = candidate
 				bestHash = hash
 			}
@@ -197,7 +197,7 @@
 	}
 	for step := range uint64(s.usable) {
 		candidate := s.nth(int((turn + step) % uint64(s.usable)))
-		if !tried.has(candidate) && !candidate.shut(now) {
+		if !tried.contains(candidate) && !candidate.refusesCalls(now) {
 			return candidate
 		}
 	}
--- a/internal/core/endpoint/compare.go
+++ b/internal/core/endpoint/compare.go
@@ -7,10 +7,10 @@
 
 const (
 	// serviceRatio caps the ratio of two service times in a comparison.
-	serviceRatio = 4
+	maxServiceRatio = 4
 	// knownTurns is the number of service times for which a load report is current.
 	// After that, a back end with several slots is running other calls.
-	knownTurns = 2
+	reportServiceTimes = 2
 )
 
 // goesBefore reports whether a call is better sent to this endpoint than to another:
@@ -23,7 +23,7 @@
 // random, with probabilities inversely proportional to the squares of the expected
 // times. With two candidates drawn at random, each endpoint then receives calls
 // roughly in proportion to its speed.
-func (e *Endpoint) goesBefore(other *Endpoint, now time.Duration, random uint64) bool {
+func (e *Endpoint) preferredOver(other *Endpoint, now time.Duration, random uint64) bool {
 	myTime, theirTime, known := e.expectedTimes(other, now)
 	if !known || myTime == theirTime {
 		return e.load(now) <= other.load(now)
@@ -32,35 +32,35 @@
 	if theirTime < myTime {
 		sooner = other
 	}
-	if sooner.knowsLoad(now) || sooner.refusing(now) {
+	if sooner.hasCurrentReport(now) || sooner.overloaded(now) {
 		return sooner == e
 	}
 	mine, theirs := myTime*myTime, theirTime*theirTime
-	return unitOf(random) < theirs/(mine+theirs)
+	return uniformFloat(random) < theirs/(mine+theirs)
 }
 
 // expectedTimes returns the expected completion times of a call at two endpoints,
 // comparable only with each other; known is false if a service time is unknown.
 func (e *Endpoint) expectedTimes(other *Endpoint, now time.Duration) (mine, theirs float64, known bool) {
-	myService := e.stats.service.Load()
-	theirService := other.stats.service.Load()
+	myService := e.stats.serviceTime.Load()
+	theirService := other.stats.serviceTime.Load()
 	if myService <= 0 || theirService <= 0 {
 		return 0, 0, false
 	}
-	mine = max(e.load(now), 1) * float64(max(myService, theirService/serviceRatio))
-	theirs = max(other.load(now), 1) * float64(max(theirService, myService/serviceRatio))
+	mine = max(e.load(now), 1) * float64(max(myService, theirService/maxServiceRatio))
+	theirs = max(other.load(now), 1) * float64(max(theirService, myService/maxServiceRatio))
 	return mine, theirs, true
 }
 
 // knowsLoad reports whether the last load report is current.
-func (e *Endpoint) knowsLoad(now time.Duration) bool {
+func (e *Endpoint) hasCurrentReport(now time.Duration) bool {
 	age := now - time.Duration(e.stats.reportedAt.Load())
-	return age < knownTurns*time.Duration(e.stats.service.Load())
+	return age < reportServiceTimes*time.Duration(e.stats.serviceTime.Load())
 }
 
 // unitOf maps a uniform random number to [0, 1). The multiplication makes the result
 // independent of the two halves of random, which select the endpoints.
-func unitOf(random uint64) float64 {
+func uniformFloat(random uint64) float64 {
 	const odd = 0x9e3779b97f4a7c15
 	high, low := bits.Mul64(random, odd)
 	const precision = 53 // bits of a float64 mantissa
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -17,23 +17,23 @@
 // Limits for load, warm-up and ejection.
 const (
 	// warmUp is the time in which a new endpoint's share of calls rises to 1.
-	warmUp = 10 * time.Second
+	warmUpPeriod = 10 * time.Second
 	// coldShare is the share of calls of an endpoint that has just been added.
-	coldShare = 0.1
+	initialShare = 0.1
 	// warmingShare is the largest share of an endpoint that reports that it is
 	// warming up.
-	warmingShare = 0.5
+	maxWarmingShare = 0.5
 	// reportLife is the age at which a load report is ignored.
-	reportLife = 2 * time.Second
+	reportLifetime = 2 * time.Second
 	// leavingLife is how long an endpoint is avoided after its gate refused new
 	// calls. A newer member record ends it earlier.
-	leavingLife = 5 * time.Second
+	notAcceptingPeriod = 5 * time.Second
 	// refusalLife is how long refusalLoad is added to the load of an endpoint
 	// whose gate refused a call for load, so that other endpoints are preferred.
 	// The queue of a slow back end may be short; without the addition it would
 	// attract calls only to refuse them.
-	refusalLife = 200 * time.Millisecond
-	refusalLoad = 100
+	overloadPeriod  = 200 * time.Millisecond
+	overloadPenalty = 100
 	// brokenLimit and errorLimit are the numbers of broken calls and of server
 	// errors without a success in between after which an endpoint is ejected. A
 	// failure to connect ejects at once.
@@ -41,8 +41,8 @@
 	errorLimit  = 10
 	// ejectionUnit is the duration of the first ejection. It doubles with each
 	// further ejection, up to ejectionLimit, until a call succeeds.
-	ejectionUnit  = time.Second
-	ejectionLimit = 30 * time.Second
+	firstEjection = time.Second
+	maxEjection   = 30 * time.Second
 )
 
 // Endpoint is one back end in a set. It is immutable except for its statistics.
@@ -82,27 +82,27 @@
 type stats struct {
 	outstanding atomic.Int64
 	// others is the last reported number of other callers' calls, as float64 bits.
-	others     atomic.Uint64
+	otherCalls atomic.Uint64
 	reportedAt atomic.Int64
 	// service is the gate's mean service time, in nanoseconds.
-	service atomic.Int64
+	serviceTime atomic.Int64
 	// failures and errors count broken calls and server errors since the last success.
-	failures     atomic.Int64
-	errors       atomic.Int64
+	brokenCalls  atomic.Int64
+	serverErrors atomic.Int64
 	ejections    atomic.Int64
 	ejectedUntil atomic.Int64
 	// leavingUntil is the end of a refusal of new calls, leavingSequence the sequence
 	// of the member record that was current when it was received.
-	leavingUntil    atomic.Int64
-	leavingSequence atomic.Uint64
+	notAcceptingUntil    atomic.Int64
+	notAcceptingSequence atomic.Uint64
 	// recordAt is when the daemon's current member record was received.
-	recordAt atomic.Int64
+	recordReceivedAt atomic.Int64
 	// noStartUntil is, for each class, until when the gate of a cold back end accepts no call.
-	noStartUntil [warmup.ClassCount]atomic.Int64
+	coldUntil [warmup.ClassCount]atomic.Int64
 	// refusingUntil is until when refusalLoad is added after a refusal for load.
-	refusingUntil atomic.Int64
+	overloadedUntil atomic.Int64
 	// readyAt is the time from which the warm-up is counted.
-	readyAt atomic.Int64
+	warmUpStartedAt atomic.Int64
 }
 
 // Outcome is the result of a call as far as it concerns the health of the endpoint.
@@ -134,35 +134,35 @@
 	e.stats.outstanding.Add(-1)
 	switch outcome {
 	case Succeeded:
-		e.stats.success()
+		e.stats.recordSuccess()
 	case ServerError:
-		if e.stats.errors.Add(1) >= errorLimit {
+		if e.stats.serverErrors.Add(1) >= errorLimit {
 			e.stats.eject(now)
 		}
 	case Unreachable:
 		e.stats.eject(now)
 	case Broken:
-		if e.stats.failures.Add(1) >= brokenLimit {
+		if e.stats.brokenCalls.Add(1) >= brokenLimit {
 			e.stats.eject(now)
 		}
 	case Overloaded:
-		e.stats.refusingUntil.Store(int64(now + refusalLife))
+		e.stats.overloadedUntil.Store(int64(now + overloadPeriod))
 	case NotAccepting:
-		e.stats.leavingSequence.Store(e.Sequence)
-		e.stats.leavingUntil.Store(int64(now + leavingLife))
+		e.stats.notAcceptingSequence.Store(e.Sequence)
+		e.stats.notAcceptingUntil.Store(int64(now + notAcceptingPeriod))
 	}
 }
 
 // RecordAge returns the time since the daemon's current member record was received.
 func (e *Endpoint) RecordAge(now time.Duration) time.Duration {
-	return now - time.Duration(e.stats.recordAt.Load())
+	return now - time.Duration(e.stats.recordReceivedAt.Load())
 }
 
 // SetReachable records whether the back end's daemon answers its peers. While it does
 // not, the endpoint is ejected.
 func (e *Endpoint) SetReachable(reachable bool) {
 	if reachable {
-		e.stats.success()
+		e.stats.recordSuccess()
 		return
 	}
 	e.stats.ejectedUntil.Store(math.MaxInt64)
@@ -173,8 +173,8 @@
 
 // success resets the failure counters and ends an ejection. It writes only non-zero
 // counters, so that the cache line usually stays shared between processors.
-func (s *stats) success() {
-	for _, counter := range [...]*atomic.Int64{&s.failures, &s.errors, &s.ejections, &s.ejectedUntil} {
+func (s *stats) recordSuccess() {
+	for _, counter := range [...]*atomic.Int64{&s.brokenCalls, &s.serverErrors, &s.ejections, &s.ejectedUntil} {
 		if counter.Load() != 0 {
 			counter.Store(0)
 		}
@@ -189,7 +189,7 @@
 		return
 	}
 	doublings := min(s.ejections.Load(), 5)
-	next := now + min(ejectionUnit<<doublings, ejectionLimit)
+	next := now + min(firstEjection<<doublings, maxEjection)
 	if s.ejectedUntil.CompareAndSwap(until, int64(next)) {
 		s.ejections.Add(1)
 	}
@@ -215,28 +215,28 @@
 	counted := float64(report.Running + report.Queued)
 	others := max(0, counted-float64(e.stats.outstanding.Load()))
 	unseen := min(max(0, report.Own-counted), float64(e.Slots))
-	others += unseen * freshness(report.OwnAge)
-	e.stats.others.Store(math.Float64bits(others))
+	others += unseen * reportWeight(report.OwnAge)
+	e.stats.otherCalls.Store(math.Float64bits(others))
 	e.stats.reportedAt.Store(int64(now))
 	if report.Service > 0 {
-		e.stats.service.Store(int64(report.Service))
+		e.stats.serviceTime.Store(int64(report.Service))
 	}
 }
 
 // freshness returns the weight of a load report, which falls from 1 to 0 over reportLife.
-func freshness(age time.Duration) float64 {
-	return min(1, max(0, 1-float64(age)/float64(reportLife)))
+func reportWeight(age time.Duration) float64 {
+	return min(1, max(0, 1-float64(age)/float64(reportLifetime)))
 }
 
 // load returns the estimated number of calls at the endpoint, one more included,
 // divided by its slots and its share. Choices compare endpoints by it.
 func (e *Endpoint) load(now time.Duration) float64 {
-	load := (e.calls(now) + 1) / (float64(max(e.Slots, 1)) * e.share(now))
+	load := (e.calls(now) + 1) / (float64(max(e.Slots, 1)) * e.capacityShare(now))
 	if e.Doubted {
 		load++
 	}
-	if e.refusing(now) {
-		load += refusalLoad
+	if e.overloaded(now) {
+		load += overloadPenalty
 	}
 	return load
 }
@@ -244,38 +244,38 @@
 // calls returns the estimated number of calls at the endpoint, from all callers.
 func (e *Endpoint) calls(now time.Duration) float64 {
 	calls := float64(e.stats.outstanding.Load())
-	if age := now - time.Duration(e.stats.reportedAt.Load()); age < reportLife {
-		calls += math.Float64frombits(e.stats.others.Load()) * freshness(age)
+	if age := now - time.Duration(e.stats.reportedAt.Load()); age < reportLifetime {
+		calls += math.Float64frombits(e.stats.otherCalls.Load()) * reportWeight(age)
 	}
 	return calls
 }
 
 // refusing reports whether the gate refused a call for load within refusalLife.
-func (e *Endpoint) refusing(now time.Duration) bool {
-	return int64(now) < e.stats.refusingUntil.Load()
+func (e *Endpoint) overloaded(now time.Duration) bool {
+	return int64(now) < e.stats.overloadedUntil.Load()
 }
 
 // share returns the fraction of its slots that the endpoint counts for. It rises from
 // coldShare to 1 during the warm-up.
-func (e *Endpoint) share(now time.Duration) float64 {
-	age := now - time.Duration(e.stats.readyAt.Load())
+func (e *Endpoint) capacityShare(now time.Duration) float64 {
+	age := now - time.Duration(e.stats.warmUpStartedAt.Load())
 	if e.ColdRate > 0 {
-		return e.shareWhileCold()
+		return e.coldCapacityShare()
 	}
-	if age >= warmUp && e.State != protocol.EndpointWarming {
+	if age >= warmUpPeriod && e.State != protocol.EndpointWarming {
 		return 1
 	}
-	share := min(1, coldShare+(1-coldShare)*max(0, float64(age))/float64(warmUp))
+	share := min(1, initialShare+(1-initialShare)*max(0, float64(age))/float64(warmUpPeriod))
 	if e.State == protocol.EndpointWarming {
-		return min(share, warmingShare)
+		return min(share, maxWarmingShare)
 	}
 	return share
 }
 
 // leaving reports whether the gate refused new calls within leavingLife and no newer
 // member record has been received since.
-func (e *Endpoint) leaving(now time.Duration) bool {
-	return int64(now) < e.stats.leavingUntil.Load() && e.stats.leavingSequence.Load() >= e.Sequence
+func (e *Endpoint) notAccepting(now time.Duration) bool {
+	return int64(now) < e.stats.notAcceptingUntil.Load() && e.stats.notAcceptingSequence.Load() >= e.Sequence
 }
 
 // Ejected reports whether this process sends no calls to the endpoint because of recent
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -43,7 +43,7 @@
 }
 
 // spread counts the choices by back end over a number of calls, without calls in flight.
-func spread(set *Set, now time.Duration, calls int) map[string]int {
+func countChoices(set *Set, now time.Duration, calls int) map[string]int {
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := map[string]int{}
 	for range calls {
@@ -53,7 +53,7 @@
 	return counts
 }
 
-func TestStateIsTheDaemonsOwnWord(t *testing.T) {
+func TestStateIsTakenFromTheMemberRecord(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(5)...)
 	members[0].Endpoint = protocol.EndpointDraining
@@ -61,7 +61,7 @@
 	members[2].State = protocol.MemberLeft
 	members[3].Endpoint = protocol.EndpointDown
 	set := Build(nil, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50), map[string]int{"b4": 50})
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b4": 50})
 	returned := members[1]
 	returned.Incarnation = 2
 	returned.State = protocol.MemberAlive
@@ -70,7 +70,7 @@
 	check.Equal(Build(nil, home, backends, nil, 0).UsableCount(), 5) // no records yet
 }
 
-func TestOwnCallsCountWhereNoLoadIsReported(t *testing.T) {
+func TestOwnCallsCountWithoutLoadReports(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(3)...)
 	set := Build(nil, home, backends, members, 0)
@@ -89,15 +89,15 @@
 	}
 }
 
-func TestReportedLoadOfOthersFades(t *testing.T) {
+func TestReportedLoadOfOtherCallersExpires(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
 	set.All[0].ApplyLoadReport(0, LoadReport{Running: 6, Queued: 3, Own: -1})
-	check.Equal(spread(set, 0, 100)["b0"], 0)
-	check.True(spread(set, reportLife, 100)["b0"] > 20)
-	set.All[1].ApplyLoadReport(reportLife, LoadReport{Own: 1e9}) // a false report adds at most the slots
-	check.True(set.All[1].load(reportLife) < 1.2)
+	check.Equal(countChoices(set, 0, 100)["b0"], 0)
+	check.True(countChoices(set, reportLifetime, 100)["b0"] > 20)
+	set.All[1].ApplyLoadReport(reportLifetime, LoadReport{Own: 1e9}) // a false report adds at most the slots
+	check.True(set.All[1].load(reportLifetime) < 1.2)
 }
 
 func TestSlowEndpointGetsFewerCalls(t *testing.T) {
@@ -115,7 +115,7 @@
 
 // A call queues only when all slots are occupied: until then the faster endpoint is
 // preferred, and of two equally fast ones the less loaded.
-func TestFasterEndpointFillsFirst(t *testing.T) {
+func TestFasterEndpointIsPreferredWhileItHasFreeSlots(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -127,10 +127,10 @@
 	}
 	check.Equal(set.All[1].Outstanding(), 6)
 	set.All[0].ApplyLoadReport(0, LoadReport{Own: -1, Service: 10 * time.Millisecond})
-	check.Equal(spread(set, 0, 50), map[string]int{"b0": 50})
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b0": 50})
 }
 
-func TestRefusalForLoadSendsCallsElsewhere(t *testing.T) {
+func TestOverloadedEndpointIsAvoided(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "olympia-hall")
 	set := Build(nil, home, backends, members, 0)
@@ -139,8 +139,8 @@
 	}
 	set.All[0].Begin()
 	set.All[0].End(0, Overloaded)
-	check.Equal(spread(set, 0, 50), map[string]int{"b1": 50})
-	check.Equal(spread(set, refusalLife, 50), map[string]int{"b0": 50})
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b1": 50})
+	check.Equal(countChoices(set, overloadPeriod, 50), map[string]int{"b0": 50})
 	check.Equal(set.Choose(0, 0, Tried{set.All[1]}).Backend, "b0") // the only one left
 }
 
@@ -148,7 +148,7 @@
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "olympia-hall", "ludwigs-hall")
 	set := Build(nil, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50), map[string]int{"b0": 50})
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b0": 50})
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 18 {
 		set.Choose(0, random.Uint64(), nil).Begin()
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestEjectionHasAFloorAndEnds(t *testing.T) {
+func TestEjectionExpiresAndHasAFloor(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(4)...)
 	set := Build(nil, home, backends, members, 0)
@@ -167,29 +167,29 @@
 		set.All[index].End(0, outcome)
 	}
 	fail(0, Unreachable)
-	check.Equal(spread(set, 0, 100)["b0"], 0)
-	check.True(spread(set, ejectionUnit, 100)["b0"] > 10) // tried again
+	check.Equal(countChoices(set, 0, 100)["b0"], 0)
+	check.True(countChoices(set, firstEjection, 100)["b0"] > 10) // tried again
 	fail(1, Unreachable)
-	check.Equal(len(spread(set, 0, 100)), 2)
+	check.Equal(len(countChoices(set, 0, 100)), 2)
 	fail(2, Unreachable)
-	check.Equal(len(spread(set, 0, 200)), 4) // below the floor ejections are ignored
+	check.Equal(len(countChoices(set, 0, 200)), 4) // below the floor ejections are ignored
 }
 
-func TestRefusalToTakeWorkStandsUntilNewerWord(t *testing.T) {
+func TestRefusingEndpointIsAvoidedUntilANewerRecord(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
 	set.All[0].Begin()
 	set.All[0].End(0, NotAccepting)
-	check.Equal(spread(set, 0, 50)["b0"], 0)
+	check.Equal(countChoices(set, 0, 50)["b0"], 0)
 	set = Build(set, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50)["b0"], 0) // the record is unchanged
+	check.Equal(countChoices(set, 0, 50)["b0"], 0) // the record is unchanged
 	members[0].Sequence++
 	set = Build(set, home, backends, members, 0)
-	check.True(spread(set, 0, 50)["b0"] > 10)
+	check.True(countChoices(set, 0, 50)["b0"] > 10)
 }
 
-func TestColdEndpointGetsItsShareSlowly(t *testing.T) {
+func TestShareOfANewEndpointRises(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -200,10 +200,10 @@
 		set.Choose(0, random.Uint64(), nil).Begin()
 	}
 	check.True(set.All[0].Outstanding() <= 2)
-	check.True(set.All[0].share(warmUp) == 1)
+	check.True(set.All[0].capacityShare(warmUpPeriod) == 1)
 }
 
-func TestTriedEndpointsComeLast(t *testing.T) {
+func TestTriedEndpointsAreChosenLast(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -215,7 +215,7 @@
 	check.True(Build(nil, home, nil, nil, 0).Choose(0, 0, nil) == nil)
 }
 
-func TestKeysKeepTheirEndpoint(t *testing.T) {
+func TestRequestKeysKeepTheirEndpoint(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(7)...)
 	set := Build(nil, home, backends, members, 0)
@@ -274,7 +274,7 @@
 	backends, members := fixture(sameZone(4)...)
 	members[0].Endpoint = protocol.EndpointDegraded
 	set := Build(nil, home, backends, members, 0)
-	counts := spread(set, time.Hour, 300)
+	counts := countChoices(set, time.Hour, 300)
 	check.Equal(counts["b0"], 0)
 	check.Equal(len(counts), 3)
 
@@ -282,22 +282,22 @@
 	check.Equal(set.Choose(time.Hour, 1, tried).Backend, "b0") // the only one untried
 }
 
-func TestTroubleThatIsCommonEjectsNobody(t *testing.T) {
+func TestWidespreadDegradationIsIgnored(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(6)...)
 	for index := range 3 {
 		members[index].Endpoint = protocol.EndpointDegraded
 	}
 	set := Build(nil, home, backends, members, 0)
-	check.Equal(len(spread(set, time.Hour, 600)), 6)
+	check.Equal(len(countChoices(set, time.Hour, 600)), 6)
 	set.All[5].Begin()
 	set.All[5].End(time.Hour, Unreachable) // this process's own ejections still apply
-	check.Equal(len(spread(set, time.Hour, 600)), 5)
+	check.Equal(len(countChoices(set, time.Hour, 600)), 5)
 }
 
 // An endpoint that has just refused a call for load does not count as able to accept
 // another one.
-func TestOthersThatRefuseAreNotAsked(t *testing.T) {
+func TestOverloadedEndpointDoesNotCountAsAlternative(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -307,12 +307,12 @@
 	set.All[1].End(0, Overloaded)
 	check.True(!set.HasUntriedWithCapacity(0, tried))
 	check.True(set.HasUntried(0, tried))
-	check.True(set.HasUntriedWithCapacity(refusalLife, tried))
+	check.True(set.HasUntriedWithCapacity(overloadPeriod, tried))
 }
 
 // Endpoints with outdated load reports receive calls roughly in proportion to their speed.
 // The fastest does not receive every call for which it is drawn.
-func TestEndpointsOfUnknownLoadGetWhatTheirSpeedIsWorth(t *testing.T) {
+func TestOutdatedLoadReportsGiveCallsInProportionToSpeed(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(30)...)
 	set := Build(nil, home, backends, members, 0)
@@ -322,7 +322,7 @@
 		one.ApplyLoadReport(0, LoadReport{Running: 1, Own: -1, Service: service})
 	}
 	const calls = 60_000
-	counts := spread(set, time.Minute, calls)
+	counts := countChoices(set, time.Minute, calls)
 	shares := make([]float64, len(speeds))
 	for index, one := range set.All {
 		shares[index%len(speeds)] += float64(counts[one.Backend]) * float64(len(speeds)) / calls
@@ -334,7 +334,7 @@
 }
 
 // Failures before a back end's restart do not count after it.
-func TestANewStartForgetsWhatCallsMet(t *testing.T) {
+func TestRestartResetsFailures(t *testing.T) {
 	check := is.New(t)
 	trusting := home
 	trusting.TrustStates = true
@@ -343,16 +343,16 @@
 	set := Build(nil, trusting, backends, members, 0)
 	set.All[0].Begin()
 	set.All[0].End(0, Unreachable)
-	check.Equal(spread(set, 0, 100)["b0"], 0)
+	check.Equal(countChoices(set, 0, 100)["b0"], 0)
 	set = Build(set, trusting, backends, members, 0)
-	check.Equal(spread(set, 0, 100)["b0"], 0) // not restarted
+	check.Equal(countChoices(set, 0, 100)["b0"], 0) // not restarted
 	members[0].Born = 200
 	set = Build(set, trusting, backends, members, 0)
-	check.True(spread(set, 0, 100)["b0"] > 10)
+	check.True(countChoices(set, 0, 100)["b0"] > 10)
 }
 
 // If the records of two daemons name the same back end, the one with the later start is used.
-func TestTheNewerStartOfABackEndHolds(t *testing.T) {
+func TestRecordWithTheLaterStartIsUsed(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone)
 	moved := members[0]
--- a/internal/core/endpoint/evacuation_load_test.go
+++ b/internal/core/endpoint/evacuation_load_test.go
@@ -22,12 +22,12 @@
 )
 
 // loadedZones simulates, in virtual time, a calling daemon and a gate in each zone.
-type loadedZones struct {
+type zoneSimulation struct {
 	random  *rand.Rand
 	now     time.Duration
 	entries []*Set
 	gates   map[string]*admission.Gate
-	running []*loadedCall
+	running []*simulatedCall
 	// started counts the calls started, by zone. done, refused and refusedLate count those that
 	// completed, found no gate, and were refused after they had queued.
 	started                    map[string]int
@@ -35,8 +35,8 @@
 }
 
 // loadedCall is a call in flight.
-type loadedCall struct {
-	zones  *loadedZones
+type simulatedCall struct {
+	zones  *zoneSimulation
 	entry  *Set
 	at     *Endpoint
 	tried  Tried
@@ -44,8 +44,8 @@
 	endsAt time.Duration
 }
 
-func newLoadedZones(names ...string) *loadedZones {
-	made := &loadedZones{
+func newZoneSimulation(names ...string) *zoneSimulation {
+	made := &zoneSimulation{
 		random: rand.New(rand.NewPCG(3, 4)), gates: map[string]*admission.Gate{}, started: map[string]int{},
 		entries: make([]*Set, len(names)),
 	}
@@ -59,7 +59,7 @@
 }
 
 // build rebuilds the endpoint set of each zone's calling daemon with the evacuated zones.
-func (z *loadedZones) build(names []string, emptied ...string) {
+func (z *zoneSimulation) build(names []string, emptied ...string) {
 	backends, members := fixture(names...)
 	for index, name := range names {
 		self := evacuating(emptied...)
@@ -68,18 +68,18 @@
 	}
 }
 
-func (z *loadedZones) run(duration time.Duration) {
+func (z *zoneSimulation) run(duration time.Duration) {
 	for until := z.now + duration; z.now < until; z.now += loadStep {
 		z.endCalls()
 		if z.random.Float64() < loadPerStep {
-			call := &loadedCall{zones: z, entry: z.entries[z.random.IntN(len(z.entries))]}
+			call := &simulatedCall{zones: z, entry: z.entries[z.random.IntN(len(z.entries))]}
 			call.send()
 		}
 	}
 }
 
 // endCalls ends the calls whose service time has elapsed.
-func (z *loadedZones) endCalls() {
+func (z *zoneSimulation) endCalls() {
 	ending := z.running
 	z.running = nil
 	for _, call := range ending {
@@ -94,10 +94,10 @@
 }
 
 // send sends the call to an untried gate or, if there is none, refuses it.
-func (c *loadedCall) send() {
+func (c *simulatedCall) send() {
 	z := c.zones
 	c.at = c.entry.Choose(z.now, z.random.Uint64(), c.tried)
-	if c.at == nil || c.tried.has(c.at) {
+	if c.at == nil || c.tried.contains(c.at) {
 		z.refused++
 		return
 	}
@@ -110,14 +110,14 @@
 }
 
 // Settle receives the verdict on a call that was queued.
-func (c *loadedCall) Settle(verdict admission.Decision) {
+func (c *simulatedCall) Settle(verdict admission.Decision) {
 	if verdict.State == admission.StateRefused {
 		c.zones.refusedLate++
 	}
 	c.settle(verdict)
 }
 
-func (c *loadedCall) settle(verdict admission.Decision) {
+func (c *simulatedCall) settle(verdict admission.Decision) {
 	z := c.zones
 	if verdict.State == admission.StateStarted {
 		z.started[c.at.Zone]++
@@ -135,10 +135,10 @@
 
 // One of three zones is evacuated at high load. The other two run at capacity and refuse the
 // excess at once, not after queueing. When the zone resumes, no call is refused any more.
-func TestTheOtherZonesBearAnEvacuationAtHighLoad(t *testing.T) {
+func TestOtherZonesStayAtCapacityDuringAnEvacuation(t *testing.T) {
 	check := is.New(t)
 	names := []string{"a", "b", "c"}
-	zones := newLoadedZones(names...)
+	zones := newZoneSimulation(names...)
 	zones.run(5 * time.Second)
 	zones.build(names, "a")
 	zones.gates["a"].Evacuate()
--- a/internal/core/endpoint/evacuation_test.go
+++ b/internal/core/endpoint/evacuation_test.go
@@ -19,7 +19,7 @@
 }
 
 // None of the choosing methods returns an endpoint of an evacuated zone.
-func TestNoChoiceFallsOnAnEvacuatedZone(t *testing.T) {
+func TestEvacuatedZoneIsNotChosen(t *testing.T) {
 	backends, members := fixture(home.Zone, home.Zone, "other", "other")
 	set := Build(nil, evacuating(home.Zone), backends, members, 0)
 	isIn := func(one *Endpoint) bool { return one != nil && one.Zone == home.Zone }
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAServiceWithoutAnotherZoneIsEvacuated(t *testing.T) {
+func TestServiceWithOnlyEvacuatedZonesIsBlocked(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
 	check.True(!Build(nil, evacuating(home.Zone), backends, members, 0).BlockedByEvacuation())
@@ -56,32 +56,32 @@
 
 // The evacuated state in the member record applies even before the calling daemon has
 // received the evacuation order.
-func TestTheGatesWordOfAnEvacuationIsHeeded(t *testing.T) {
+func TestEvacuatedStateInTheRecordApplies(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
 	members[0].Endpoint = protocol.EndpointEvacuated
 	set := Build(nil, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50), map[string]int{"b1": 50})
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b1": 50})
 	members[0].Endpoint = protocol.EndpointReady
 	members[0].Sequence++
 	check.Equal(Build(set, home, backends, members, 0).UsableCount(), 2)
 }
 
 // A gate's refusal of new calls counts only until its next member record.
-func TestARefusalEndsWithTheNewerRecord(t *testing.T) {
+func TestRefusalOfCallsEndsWithANewerRecord(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
 	set := Build(nil, home, backends, members, 0)
 	refusing := set.All[0]
 	refusing.Begin()
 	refusing.End(0, NotAccepting)
-	check.Equal(spread(set, time.Second, 50), map[string]int{"b1": 50})
+	check.Equal(countChoices(set, time.Second, 50), map[string]int{"b1": 50})
 	members[0].Sequence++
 	set = Build(set, home, backends, members, time.Second)
-	check.True(spread(set, time.Second, 50)["b0"] > 0)
+	check.True(countChoices(set, time.Second, 50)["b0"] > 0)
 }
 
-func TestADrainedEndpointDoesNotComeBackWithItsZone(t *testing.T) {
+func TestDrainingEndpointStaysUnusableWhenItsZoneResumes(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
 	members[0].Endpoint = protocol.EndpointDraining
--- a/internal/core/endpoint/near.go
+++ b/internal/core/endpoint/near.go
@@ -10,8 +10,8 @@
 // that endpoint is ready, untried, not ejected and has not just refused calls.
 func (s *Set) ChooseOnNode(now time.Duration, node protocol.NodeID, tried Tried) *Endpoint {
 	for _, candidate := range s.tiers[0] {
-		if candidate.Node == node && candidate.State == protocol.EndpointReady && !tried.has(candidate) &&
-			!candidate.shut(now) && !candidate.Ejected(now) && !candidate.refusing(now) {
+		if candidate.Node == node && candidate.State == protocol.EndpointReady && !tried.contains(candidate) &&
+			!candidate.refusesCalls(now) && !candidate.Ejected(now) && !candidate.overloaded(now) {
 			return candidate
 		}
 	}
--- a/internal/core/endpoint/near_test.go
+++ b/internal/core/endpoint/near_test.go
@@ -10,7 +10,7 @@
 
 // ChooseAt returns a daemon's endpoint only while it is ready, untried, not ejected and has
 // not just refused a call.
-func TestTheEndpointBesideADaemonIsChosenWhileItIsWell(t *testing.T) {
+func TestChooseOnNodeReturnsOnlyHealthyEndpoints(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(3)...)
 	members[1].Endpoint = protocol.EndpointWarming
@@ -23,14 +23,14 @@
 	own.Begin()
 	own.End(0, Overloaded)
 	check.Equal(set.ChooseOnNode(0, "b0", nil), nil)
-	check.Equal(set.ChooseOnNode(refusalLife, "b0", nil), own)
+	check.Equal(set.ChooseOnNode(overloadPeriod, "b0", nil), own)
 	own.Begin()
 	own.End(time.Second, Unreachable)
 	check.Equal(set.ChooseOnNode(time.Second, "b0", nil), nil)
 }
 
 // A gate may refuse a call as cold before the member record says so.
-func TestTheEndpointBesideADaemonIsNotChosenWhileItsGateIsCold(t *testing.T) {
+func TestChooseOnNodeSkipsAColdRefusal(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(1)...)
 	set := Build(nil, home, backends, members, 0)
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -45,10 +45,10 @@
 // Index maps a back end to the member record of its daemon's latest incarnation. It
 // is built once for the sets of all services and points into the records that it was
 // built from.
-type Index map[place]*protocol.Member
+type Index map[backendKey]*protocol.Member
 
 // place identifies a back end.
-type place struct {
+type backendKey struct {
 	service resource.ServiceRef
 	backend string
 }
@@ -62,8 +62,8 @@
 		if member.Backend == "" {
 			continue
 		}
-		at := place{service: member.Service, backend: member.Backend}
-		if known, found := index[at]; !found || newerRecord(member, known) {
+		at := backendKey{service: member.Service, backend: member.Backend}
+		if known, found := index[at]; !found || isNewerRecord(member, known) {
 			index[at] = member
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // newerRecord reports whether the first of two records of the same back end is the newer.
-func newerRecord(one, other *protocol.Member) bool {
+func isNewerRecord(one, other *protocol.Member) bool {
 	if one.Born != other.Born {
 		return one.Born > other.Born
 	}
@@ -98,7 +98,7 @@
 			described.State = protocol.EndpointEvacuated
 			usable = false
 		}
-		made := renew(self, previous, known[backend.Name], described, now)
+		made := reuseOrCreate(self, previous, known[backend.Name], described, now)
 		set.All = append(set.All, made)
 		if !usable {
 			continue
@@ -136,14 +136,14 @@
 		Slots:   backend.Slots,
 		Doubted: true,
 	}
-	member, found := index[place{service: made.Service, backend: made.Backend}]
+	member, found := index[backendKey{service: made.Service, backend: made.Backend}]
 	if !found {
 		return made, true
 	}
 	made.Node = member.ID
 	made.Incarnation = member.Incarnation
 	made.Sequence = member.Sequence
-	made.State = stateOf(member)
+	made.State = effectiveState(member)
 	made.Doubted = member.State == protocol.MemberSuspect
 	made.Region = member.Region
 	made.Zone = member.Zone
@@ -156,7 +156,7 @@
 
 // stateOf returns the state of a back end by its daemon's record. A back end whose daemon
 // is leaving or dead counts as draining.
-func stateOf(member *protocol.Member) protocol.EndpointState {
+func effectiveState(member *protocol.Member) protocol.EndpointState {
 	if member.State != protocol.MemberAlive && member.State != protocol.MemberSuspect {
 		return protocol.EndpointDraining
 	}
@@ -165,7 +165,7 @@
 
 // renew returns the endpoint as described: the one of the previous set if nothing
 // changed, otherwise a new one with the statistics that carryOver returns.
-func renew(self Locality, previous *Set, old *Endpoint, described Endpoint, now time.Duration) *Endpoint {
+func reuseOrCreate(self Locality, previous *Set, old *Endpoint, described Endpoint, now time.Duration) *Endpoint {
 	if old != nil {
 		described.stats = old.stats
 		if described == *old {
@@ -173,37 +173,37 @@
 		}
 	}
 	made := described
-	made.stats = carryOver(self, previous, old, &made, now)
+	made.stats = carryOverStats(self, previous, old, &made, now)
 	return &made
 }
 
 // carryOver returns the statistics for an endpoint: those of the previous set, or fresh
 // ones if it is new or has restarted. In the first set all endpoints count as warm,
 // because only the calling daemon is new; those that report warming up start cold.
-func carryOver(self Locality, previous *Set, old, made *Endpoint, now time.Duration) *stats {
+func carryOverStats(self Locality, previous *Set, old, made *Endpoint, now time.Duration) *stats {
 	restarted := old != nil && old.Born != made.Born // earlier statistics do not apply
 	if old != nil && !restarted && (self.TrustStates || old.Incarnation == made.Incarnation || old.Incarnation == 0) {
-		if made.newerThan(old) {
-			old.stats.recordAt.Store(int64(now))
+		if made.hasNewerRecord(old) {
+			old.stats.recordReceivedAt.Store(int64(now))
 			if self.TrustStates {
 				// The daemon is alive again, so earlier failures are outdated.
-				old.stats.success()
+				old.stats.recordSuccess()
 			}
 		}
 		return old.stats
 	}
 	fresh := &stats{}
-	fresh.recordAt.Store(int64(now))
-	fresh.readyAt.Store(int64(now))
+	fresh.recordReceivedAt.Store(int64(now))
+	fresh.warmUpStartedAt.Store(int64(now))
 	if (previous == nil || self.TrustStates) && made.State != protocol.EndpointWarming {
-		fresh.readyAt.Store(int64(now - warmUp))
+		fresh.warmUpStartedAt.Store(int64(now - warmUpPeriod))
 	}
 	return fresh
 }
 
 // newerThan reports whether the daemon's member record is newer than that of another
 // endpoint.
-func (e *Endpoint) newerThan(old *Endpoint) bool {
+func (e *Endpoint) hasNewerRecord(old *Endpoint) bool {
 	if e.Incarnation != old.Incarnation {
 		return e.Incarnation > old.Incarnation
 	}
@@ -262,7 +262,7 @@
 
 // has reports whether the endpoint is listed. It compares the statistics by identity,
 // because the set may be replaced between two attempts of a call.
-func (t Tried) has(candidate *Endpoint) bool {
+func (t Tried) contains(candidate *Endpoint) bool {
 	for _, tried := range t {
 		if tried.stats == candidate.stats {
 			return true
@@ -273,20 +273,20 @@
 
 // Others reports whether an untried endpoint accepts calls.
 func (s *Set) HasUntried(now time.Duration, tried Tried) bool {
-	return s.leaves(now, tried, func(*Endpoint) bool { return true })
+	return s.hasUntriedMatching(now, tried, func(*Endpoint) bool { return true })
 }
 
 // OthersTaking reports whether an untried endpoint accepts calls and has not just
 // refused one for load.
 func (s *Set) HasUntriedWithCapacity(now time.Duration, tried Tried) bool {
-	return s.leaves(now, tried, func(candidate *Endpoint) bool { return !candidate.refusing(now) })
+	return s.hasUntriedMatching(now, tried, func(candidate *Endpoint) bool { return !candidate.overloaded(now) })
 }
 
 // leaves reports whether an untried endpoint accepts calls and satisfies a condition.
-func (s *Set) leaves(now time.Duration, tried Tried, condition func(*Endpoint) bool) bool {
+func (s *Set) hasUntriedMatching(now time.Duration, tried Tried, condition func(*Endpoint) bool) bool {
 	for _, tier := range s.tiers {
 		for _, candidate := range tier {
-			if !tried.has(candidate) && !candidate.shut(now) && condition(candidate) {
+			if !tried.contains(candidate) && !candidate.refusesCalls(now) && condition(candidate) {
 				return true
 			}
 		}
@@ -295,7 +295,7 @@
 }
 
 // keyedHash returns the rendezvous hash of a key and a back end's name.
-func keyedHash(key uint64, backend string) uint64 {
+func rendezvousHash(key uint64, backend string) uint64 {
 	mixed := xxhash.Sum64String(backend) ^ key
 	mixed ^= mixed >> 33
 	mixed *= 0xff51afd7ed558ccd
--- a/internal/core/endpoint/warmth.go
+++ b/internal/core/endpoint/warmth.go
@@ -9,7 +9,7 @@
 )
 
 // leastColdShare is the minimum share of a cold endpoint. At zero its load would be infinite.
-const leastColdShare = 0.02
+const minColdShare = 0.02
 
 // cold reports whether the endpoint is warming up and its service configures a cold rate.
 func (e *Endpoint) cold() bool { return e.ColdRate > 0 && e.State == protocol.EndpointWarming }
@@ -17,40 +17,40 @@
 // RefusedAsCold records that the gate refused a call because its back end is cold, and the
 // time until it accepts one of the same class. Until then it refuses lower classes as well.
 func (e *Endpoint) RecordColdRefusal(now, wait time.Duration, class int) {
-	until := int64(now + min(max(wait, 0), leavingLife))
+	until := int64(now + min(max(wait, 0), notAcceptingPeriod))
 	for refused := range warmup.ClampClass(class) + 1 {
-		e.stats.noStartUntil[refused].Store(until)
+		e.stats.coldUntil[refused].Store(until)
 	}
 }
 
 // coldWait returns how long the gate of a cold back end refuses calls of a class; 0 if it
 // may accept one.
 func (e *Endpoint) coldWait(now time.Duration, class int) time.Duration {
-	return max(time.Duration(e.stats.noStartUntil[warmup.ClampClass(class)].Load())-now, 0)
+	return max(time.Duration(e.stats.coldUntil[warmup.ClampClass(class)].Load())-now, 0)
 }
 
 // shut reports whether the gate has announced that it accepts no calls, or only urgent ones.
-func (e *Endpoint) shut(now time.Duration) bool {
-	return e.leaving(now) || e.coldWait(now, 0) > 0
+func (e *Endpoint) refusesCalls(now time.Duration) bool {
+	return e.notAccepting(now) || e.coldWait(now, 0) > 0
 }
 
 // shareWhileCold returns the capacity of a cold endpoint as a fraction of its capacity when
 // warm.
-func (e *Endpoint) shareWhileCold() float64 {
+func (e *Endpoint) coldCapacityShare() float64 {
 	if !e.cold() {
 		return 1
 	}
-	service := time.Duration(e.stats.service.Load())
+	service := time.Duration(e.stats.serviceTime.Load())
 	if service <= 0 {
-		return coldShare
+		return initialShare
 	}
-	return min(max(e.ColdRate*service.Seconds()/float64(max(e.Slots, 1)), leastColdShare), 1)
+	return min(max(e.ColdRate*service.Seconds()/float64(max(e.Slots, 1)), minColdShare), 1)
 }
 
 // rate returns the calls per second that the endpoint receives from all callers, by Little's
 // law: the number of calls divided by the service time. 0 means unknown.
-func (e *Endpoint) rate(now time.Duration) float64 {
-	service := time.Duration(e.stats.service.Load())
+func (e *Endpoint) callRate(now time.Duration) float64 {
+	service := time.Duration(e.stats.serviceTime.Load())
 	if service <= 0 {
 		return 0
 	}
@@ -60,16 +60,16 @@
 // warmOrCold picks between a cold endpoint and a warm one. A cold endpoint is drawn together
 // with a warm one twice as often as a warm one is chosen. It therefore reaches its rate if it
 // is picked with half the ratio of its rate to the warm endpoint's.
-func warmOrCold(first, second *Endpoint, now time.Duration, random uint64) *Endpoint {
+func pickWarmOrCold(first, second *Endpoint, now time.Duration, random uint64) *Endpoint {
 	warm, cold := first, second
 	if first.cold() {
 		warm, cold = second, first
 	}
-	part := coldShare
-	if rate := warm.rate(now); rate > 0 {
+	part := initialShare
+	if rate := warm.callRate(now); rate > 0 {
 		part = cold.ColdRate / rate / 2
 	}
-	if unitOf(bits.RotateLeft64(random, 16)) < part {
+	if uniformFloat(bits.RotateLeft64(random, 16)) < part {
 		return cold
 	}
 	return warm
@@ -81,7 +81,7 @@
 	least := time.Duration(0)
 	for _, tier := range s.tiers {
 		for _, candidate := range tier {
-			if candidate.leaving(now) || candidate.Ejected(now) {
+			if candidate.notAccepting(now) || candidate.Ejected(now) {
 				continue
 			}
 			wait := candidate.coldWait(now, 0)
@@ -104,7 +104,7 @@
 	for _, tier := range s.tiers {
 		for step := range tier {
 			candidate := tier[(int(random>>32)+step)%len(tier)]
-			if !tried.has(candidate) && candidate.keepsStart(now, class) {
+			if !tried.contains(candidate) && candidate.acceptsOnlyUrgent(now, class) {
 				return candidate
 			}
 		}
@@ -114,6 +114,6 @@
 
 // keepsStart reports whether the gate has refused calls of lower classes as cold, but may
 // accept one of this class.
-func (e *Endpoint) keepsStart(now time.Duration, class int) bool {
-	return !e.leaving(now) && !e.Ejected(now) && e.coldWait(now, 0) > 0 && e.coldWait(now, class) == 0
+func (e *Endpoint) acceptsOnlyUrgent(now time.Duration, class int) bool {
+	return !e.notAccepting(now) && !e.Ejected(now) && e.coldWait(now, 0) > 0 && e.coldWait(now, class) == 0
 }
--- a/internal/core/endpoint/warmth_test.go
+++ b/internal/core/endpoint/warmth_test.go
@@ -28,7 +28,7 @@
 	return Build(nil, stated, backends, members, 0)
 }
 
-func TestAColdEndpointGetsItsRateBesideWarmOnes(t *testing.T) {
+func TestColdEndpointReceivesItsColdRate(t *testing.T) {
 	check := is.New(t)
 	const (
 		service = 200 * time.Millisecond
@@ -40,27 +40,27 @@
 	for _, one := range set.All {
 		one.ApplyLoadReport(0, LoadReport{Running: running, Service: service, Own: -1})
 	}
-	counts := spread(set, 0, calls)
+	counts := countChoices(set, 0, calls)
 	wanted := rate / (running / service.Seconds()) // relative to a warm endpoint
 	warm := float64(calls-counts["b0"]) / 9
 	got := float64(counts["b0"]) / warm
 	check.True(got > wanted*0.8 && got < wanted*1.2)
 }
 
-func TestAColdEndpointGetsCallsBeforeAnythingIsKnownOfTheOthers(t *testing.T) {
-	counts := spread(coldSet(10, 1, 4.5), 0, 10000)
+func TestColdEndpointReceivesCallsWithoutLoadReports(t *testing.T) {
+	counts := countChoices(coldSet(10, 1, 4.5), 0, 10000)
 	is.New(t).True(counts["b0"] > 0 && counts["b0"] < 500)
 }
 
-func TestAGateWithoutAStartIsLeftOutUntilItHasOne(t *testing.T) {
+func TestColdRefusalExcludesTheEndpointForItsDuration(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(2, 2, 4.5)
 	set.All[0].RecordColdRefusal(0, time.Second, urgent)
-	check.Equal(spread(set, time.Second-1, 100)["b0"], 0)
-	check.True(spread(set, time.Second, 100)["b0"] > 0)
+	check.Equal(countChoices(set, time.Second-1, 100)["b0"], 0)
+	check.True(countChoices(set, time.Second, 100)["b0"] > 0)
 }
 
-func TestWhereAllAreColdWithoutAStartNoneIsAsked(t *testing.T) {
+func TestNoEndpointIsChosenWhileAllRefuseAsCold(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(3, 3, 4.5)
 	for index, one := range set.All {
@@ -74,7 +74,7 @@
 	check.True(set.Choose(time.Second, 7, nil) == set.All[0])
 }
 
-func TestADeadEndpointIsNotAskedInPlaceOfColdOnes(t *testing.T) {
+func TestUnreachableEndpointIsNotChosenInsteadOfColdOnes(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(3, 2, 4.5)
 	set.All[0].RecordColdRefusal(0, time.Second, urgent)
@@ -85,7 +85,7 @@
 	check.True(set.Choose(time.Second, 7, nil) != nil)
 }
 
-func TestAColdZoneWithoutStartsSendsCallsToTheNext(t *testing.T) {
+func TestZoneWithColdRefusalsSpillsOver(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "next")
 	set := Build(nil, Locality{Region: home.Region, Zone: home.Zone, ColdRate: 4.5}, backends, members, 0)
@@ -94,24 +94,24 @@
 	check.Equal(set.ColdWait(0), time.Duration(0))
 }
 
-func TestAnAbsurdWaitOfAGateEndsSoon(t *testing.T) {
+func TestColdRefusalDurationIsBounded(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(1, 1, 4.5)
 	set.All[0].RecordColdRefusal(0, 1000*time.Hour, urgent)
-	check.True(set.Choose(leavingLife, 7, nil) != nil)
+	check.True(set.Choose(notAcceptingPeriod, 7, nil) != nil)
 	set.All[0].RecordColdRefusal(0, -time.Hour, urgent)
 	check.True(set.Choose(0, 7, nil) != nil)
 }
 
-func TestWithoutAStatedRateTheShareIsAsBefore(t *testing.T) {
+func TestShareWithoutAColdRate(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(2, 1, 0)
-	check.Equal(set.All[0].share(0), coldShare)
-	check.Equal(set.All[0].share(2*warmUp), warmingShare)
-	check.Equal(set.All[1].share(0), 1.0)
+	check.Equal(set.All[0].capacityShare(0), initialShare)
+	check.Equal(set.All[0].capacityShare(2*warmUpPeriod), maxWarmingShare)
+	check.Equal(set.All[1].capacityShare(0), 1.0)
 }
 
-func TestAGateThatRefusedALessUrgentCallIsAskedForAStartThatItKeeps(t *testing.T) {
+func TestChooseColdReturnsAnEndpointThatRefusedALowerClass(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(2, 2, 4.5)
 	set.All[0].RecordColdRefusal(0, time.Second, urgent)
@@ -124,7 +124,7 @@
 	check.Equal(set.ChooseCold(0, 7, nil, urgent), nil)
 }
 
-func TestADeadOrLeavingEndpointKeepsNoStart(t *testing.T) {
+func TestChooseColdSkipsUnreachableAndRefusingEndpoints(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(2, 2, 4.5)
 	for _, one := range set.All {
