--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -33,8 +33,8 @@
 	all   []Peer
 	byID  map[protocol.NodeID]int
 	zones map[string][]Peer
-	// far holds the daemons of other zones in ascending order of ID.
-	far []Peer
+	// otherZones holds the daemons of other zones in ascending order of ID.
+	otherZones []Peer
 }
 
 // relayPurpose is the hash purpose of the ranking by which relays are chosen.
@@ -57,7 +57,7 @@
 		made.byID[one.ID] = index
 		made.zones[one.Zone] = append(made.zones[one.Zone], one)
 		if one.Zone != zone {
-			made.far = append(made.far, one)
+			made.otherZones = append(made.otherZones, one)
 		}
 		scores[one.ID] = membership.Score(relayPurpose, one.ID)
 	}
@@ -81,11 +81,11 @@
 	return d.all[index], true
 }
 
-// Near returns the other daemons of the own zone, ranked.
+// OwnZone returns the other daemons of the own zone, ranked.
 func (d *Directory) OwnZone() []Peer { return d.zones[d.zone] }
 
-// Far returns the daemons of all other zones in ascending order of ID.
-func (d *Directory) OtherZones() []Peer { return d.far }
+// OtherZones returns the daemons of all other zones in ascending order of ID.
+func (d *Directory) OtherZones() []Peer { return d.otherZones }
 
 // Zones returns the names of all zones that contain another daemon, in ascending order.
 func (d *Directory) Zones() []string {
--- a/internal/core/dissemination/dissemination_test.go
+++ b/internal/core/dissemination/dissemination_test.go
@@ -16,7 +16,7 @@
 // sizes are the mesh sizes under test.
 var sizes = []struct{ daemons, zones int }{{13, 4}, {74, 4}, {295, 6}, {295, 7}, {1000, 8}}
 
-func answersAlways(protocol.NodeID) bool { return false }
+func noneUnreachable(protocol.NodeID) bool { return false }
 
 func meshOf(daemons, zones int) []Peer {
 	peers := make([]Peer, daemons)
@@ -51,7 +51,7 @@
 	return steps
 }
 
-func TestABroadcastReachesEachDaemonOfAZoneOnceInFewSteps(t *testing.T) {
+func TestBroadcastReachesEachDaemonOfAZoneOnceInFewSteps(t *testing.T) {
 	for _, size := range sizes {
 		check := is.New(t)
 		peers := meshOf(size.daemons, size.zones)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestTheDaemonsOfAMeshAgreeOnTheirRelays(t *testing.T) {
+func TestDaemonsAgreeOnTheRelayOfEachZone(t *testing.T) {
 	for _, size := range sizes {
 		check := is.New(t)
 		peers := meshOf(size.daemons, size.zones)
@@ -76,14 +76,14 @@
 		chosen := map[string]map[protocol.NodeID]bool{}
 		for index, one := range peers {
 			directory := directoryOf(peers, index)
-			if directory.IsRelay(answersAlways) {
+			if directory.IsRelay(noneUnreachable) {
 				relays[one.Zone]++
 				continue
 			}
 			if chosen[one.Zone] == nil {
 				chosen[one.Zone] = map[protocol.NodeID]bool{}
 			}
-			chosen[one.Zone][directory.Relays(one.Zone, answersAlways)[0].ID] = true
+			chosen[one.Zone][directory.Relays(one.Zone, noneUnreachable)[0].ID] = true
 		}
 		for zone := range size.zones {
 			check.Equal(relays[fmt.Sprintf("z%d", zone)], 1)
@@ -92,11 +92,11 @@
 	}
 }
 
-func TestALostOrLeavingDaemonIsNoRelay(t *testing.T) {
+func TestUnreachableOrLeavingDaemonIsNoRelay(t *testing.T) {
 	check := is.New(t)
 	peers := meshOf(12, 1)
 	directory := directoryOf(peers, 0)
-	first := directory.Relays("z0", answersAlways)
+	first := directory.Relays("z0", noneUnreachable)
 	lost := func(id protocol.NodeID) bool { return id == first[0].ID }
 	check.Equal(directory.Relays("z0", lost), first[1:])
 	for index := range peers {
@@ -104,11 +104,11 @@
 	}
 	check.Equal(directoryOf(peers, 0).Relays("z0", lost)[0].ID, first[2].ID)
 	alone := NewDirectory("d", "z0", nil)
-	check.True(alone.IsRelay(answersAlways))
-	check.Equal(len(alone.Relays("z0", answersAlways)), 0)
+	check.True(alone.IsRelay(noneUnreachable))
+	check.Equal(len(alone.Relays("z0", noneUnreachable)), 0)
 }
 
-func TestADirectoryFindsItsDaemons(t *testing.T) {
+func TestDirectoryLookups(t *testing.T) {
 	check := is.New(t)
 	directory := directoryOf(meshOf(13, 4), 2)
 	check.Equal(len(directory.All()), 12)
@@ -122,7 +122,7 @@
 	check.True(!known)
 }
 
-func TestWhatComesWithinAPeriodIsSentTogether(t *testing.T) {
+func TestChangesWithinAPeriodAreBatched(t *testing.T) {
 	check := is.New(t)
 	batch := NewBatch(200 * time.Millisecond)
 	_, schedule := batch.Add(time.Second)
@@ -142,7 +142,7 @@
 // The number of messages stays linear in changes, plus one broadcast per period: while
 // daemons report changes for some seconds, a zone's relay sends at most one broadcast
 // to its zone in each period.
-func TestMessagesDoNotGrowWithDaemonsTimesNews(t *testing.T) {
+func TestMessagesGrowLinearlyWithChanges(t *testing.T) {
 	const period = 200 * time.Millisecond
 	const during = 3 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/core/distribution/admission.go
+++ b/internal/core/distribution/admission.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Admission limits the bytes of snapshots that a parent starts to send, by a token
+// SendLimiter limits the bytes of snapshots that a parent starts to send, by a token
 // bucket. After a mass restart, a parent thus answers its children one after another
 // instead of all at once.
 type SendLimiter struct {
 	// perSecond is the refill rate in bytes per second, burst the bucket size in bytes.
-	perSecond int
-	burst     int
-	tokens    float64
-	at        time.Duration
+	perSecond  int
+	burst      int
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // The default limits: a burst of several whole snapshots, and a rate that leaves room
@@ -20,7 +20,7 @@
 	DefaultBurstBytes     = 4 << 20
 )
 
-// NewAdmission returns a limiter with a full bucket.
+// NewSendLimiter returns a limiter with a full bucket.
 func NewSendLimiter(perSecond, burst int) *SendLimiter {
 	return &SendLimiter{perSecond: perSecond, burst: burst, tokens: float64(burst)}
 }
@@ -29,8 +29,8 @@
 // returns the time until it holds enough. A message larger than the bucket is
 // admitted when the bucket is full.
 func (a *SendLimiter) Admit(now time.Duration, bytes int) (wait time.Duration, admitted bool) {
-	a.tokens = min(float64(a.burst), a.tokens+float64(a.perSecond)*(now-a.at).Seconds())
-	a.at = now
+	a.tokens = min(float64(a.burst), a.tokens+float64(a.perSecond)*(now-a.refilledAt).Seconds())
+	a.refilledAt = now
 	needed := min(float64(bytes), float64(a.burst))
 	if a.tokens >= needed {
 		a.tokens -= needed
--- a/internal/core/distribution/distribution_test.go
+++ b/internal/core/distribution/distribution_test.go
@@ -20,7 +20,7 @@
 	return protocol.Member{ID: protocol.NodeID(id), Incarnation: incarnation, State: protocol.MemberAlive, Region: "windhoek", Zone: zone}
 }
 
-func fold(acks ...protocol.Acknowledgement) []protocol.Acknowledgement {
+func aggregate(acks ...protocol.Acknowledgement) []protocol.Acknowledgement {
 	sum := distribution.NewAcknowledgementAggregator()
 	for _, ack := range acks {
 		sum.Add(ack)
@@ -30,19 +30,19 @@
 
 // No version is confirmed if a member is missing, duplicate, unknown or of another
 // incarnation.
-func TestHoldingNeedsExactlyTheExpected(t *testing.T) {
+func TestConfirmedVersionNeedsExactlyTheExpectedMembers(t *testing.T) {
 	is := is.New(t)
 	a, b, c := member("x", "a", 1), member("x", "b", 1), member("y", "c", 1)
 	expected := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, b, c})
 	single := distribution.MemberAcknowledgement
-	is.Equal(expected.ConfirmedVersion(fold(single(a, 7), single(b, 8), single(c, 9))), protocol.Version(7))
-	is.Equal(expected.ConfirmedVersion(fold(fold(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // aggregates of aggregates
+	is.Equal(expected.ConfirmedVersion(aggregate(single(a, 7), single(b, 8), single(c, 9))), protocol.Version(7))
+	is.Equal(expected.ConfirmedVersion(aggregate(aggregate(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // aggregates of aggregates
 	wrong := [][]protocol.Acknowledgement{
-		fold(single(a, 7), single(c, 9)),
-		fold(single(a, 7), single(a, 7), single(c, 9)),
-		fold(single(a, 7), single(b, 8), single(c, 9), single(member("x", "d", 1), 9)),
-		fold(single(a, 7), single(member("x", "b", 2), 8), single(c, 9)),
-		fold(single(a, 7), single(b, 8)),
+		aggregate(single(a, 7), single(c, 9)),
+		aggregate(single(a, 7), single(a, 7), single(c, 9)),
+		aggregate(single(a, 7), single(b, 8), single(c, 9), single(member("x", "d", 1), 9)),
+		aggregate(single(a, 7), single(member("x", "b", 2), 8), single(c, 9)),
+		aggregate(single(a, 7), single(b, 8)),
 		nil,
 	}
 	for _, acks := range wrong {
@@ -51,16 +51,16 @@
 	dead := b
 	dead.State = protocol.MemberDead
 	without := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, dead, c})
-	is.Equal(without.ConfirmedVersion(fold(single(a, 7), single(c, 9))), protocol.Version(7)) // dead members are not expected
+	is.Equal(without.ConfirmedVersion(aggregate(single(a, 7), single(c, 9))), protocol.Version(7)) // dead members are not expected
 }
 
-func TestFoldNamesThoseBehind(t *testing.T) {
+func TestAggregateListsMembersBehind(t *testing.T) {
 	is := is.New(t)
 	var acks []protocol.Acknowledgement
 	for i := range 40 {
 		acks = append(acks, distribution.MemberAcknowledgement(member("x", fmt.Sprint("m", i), 1), protocol.Version(3+i/20)))
 	}
-	list := fold(acks...)
+	list := aggregate(acks...)
 	is.Equal(len(list), 1)
 	is.Equal(list[0].Count, uint32(40))
 	is.Equal(list[0].Minimum, protocol.Version(3))
@@ -68,7 +68,7 @@
 }
 
 // A version may be declared in force at once only if the keepers knew of no other root.
-func TestClaimsWaitForAnotherRoot(t *testing.T) {
+func TestReleaseIsFencedIfAnotherRootMayExist(t *testing.T) {
 	is := is.New(t)
 	claims := distribution.NewReleaseTracker(lease)
 	claims.RecordRelease(0, 4, true)
@@ -114,7 +114,7 @@
 	is.Equal(root.GrantUntil(5, set, keepers(2, "x", "y")), time.Duration(0)) // both sets must agree
 }
 
-func TestTreeRolesAndParents(t *testing.T) {
+func TestTreeRolesAndParentCandidates(t *testing.T) {
 	is := is.New(t)
 	var members []protocol.Member
 	for i := range 60 {
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestBackoffAndAdmissionStayInBounds(t *testing.T) {
+func TestBackoffAndSendLimiterBounds(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	backoff := distribution.Backoff{Base: time.Second, Max: 8 * time.Second}
--- a/internal/core/distribution/fold.go
+++ b/internal/core/distribution/fold.go
@@ -14,24 +14,24 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// zone identifies a zone of a region.
-type zone struct {
+// zoneKey identifies a zone of a region.
+type zoneKey struct {
 	region string
 	name   string
 }
 
-// Fold aggregates acknowledgements by zone. Its size does not grow with the number
+// AcknowledgementAggregator aggregates acknowledgements by zone. Its size does not grow with the number
 // of members.
 type AcknowledgementAggregator struct {
-	zones map[zone]*protocol.Acknowledgement
+	zones map[zoneKey]*protocol.Acknowledgement
 }
 
-// NewFold returns an empty aggregate.
+// NewAcknowledgementAggregator returns an empty aggregate.
 func NewAcknowledgementAggregator() *AcknowledgementAggregator {
-	return &AcknowledgementAggregator{zones: map[zone]*protocol.Acknowledgement{}}
+	return &AcknowledgementAggregator{zones: map[zoneKey]*protocol.Acknowledgement{}}
 }
 
-// Single returns the acknowledgement of one member that holds a version.
+// MemberAcknowledgement returns the acknowledgement of one member that holds a version.
 func MemberAcknowledgement(member protocol.Member, held protocol.Version) protocol.Acknowledgement {
 	return protocol.Acknowledgement{
 		Region:    member.Region,
@@ -48,7 +48,7 @@
 	if one.Count == 0 {
 		return
 	}
-	key := zone{region: one.Region, name: one.Zone}
+	key := zoneKey{region: one.Region, name: one.Zone}
 	sum, found := f.zones[key]
 	if !found {
 		first := one
@@ -62,7 +62,7 @@
 	case one.Minimum == sum.Minimum:
 		sum.Behind = append(sum.Behind, one.Behind...)
 	}
-	sum.Behind = bounded(sum.Behind)
+	sum.Behind = limitNames(sum.Behind)
 	sum.Minimum = min(sum.Minimum, one.Minimum)
 	sum.Count += one.Count
 	sum.MemberSum += one.MemberSum
@@ -80,7 +80,7 @@
 	return list
 }
 
-// Minimum returns the lowest version of all zones; false if the list is empty.
+// MinimumVersion returns the lowest version of all zones; false if the list is empty.
 func MinimumVersion(list []protocol.Acknowledgement) (protocol.Version, bool) {
 	if len(list) == 0 {
 		return 0, false
@@ -89,7 +89,7 @@
 	return lowest.Minimum, true
 }
 
-// Equal reports whether two lists of acknowledgements are equal.
+// EqualAcknowledgements reports whether two lists of acknowledgements are equal.
 func EqualAcknowledgements(a, b []protocol.Acknowledgement) bool {
 	return slices.EqualFunc(a, b, func(x, y protocol.Acknowledgement) bool {
 		return x.Region == y.Region && x.Zone == y.Zone && x.Minimum == y.Minimum &&
@@ -97,7 +97,7 @@
 	})
 }
 
-func bounded(names []protocol.NodeID) []protocol.NodeID {
+func limitNames(names []protocol.NodeID) []protocol.NodeID {
 	if len(names) > protocol.MaxListedNodes {
 		return names[:protocol.MaxListedNodes]
 	}
--- a/internal/core/distribution/inforce.go
+++ b/internal/core/distribution/inforce.go
@@ -7,21 +7,21 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Expected describes the members that must hold a version before it is in force: all
+// ExpectedMembers describes the members that must hold a version before it is in force: all
 // live members of a region, as a count and a checksum per zone.
 type ExpectedMembers struct {
 	region string
-	zones  map[string]census
+	zones  map[string]memberCount
 }
 
-type census struct {
+type memberCount struct {
 	count uint32
 	sum   uint64
 }
 
-// Expect returns the count and checksum of the live members of a region.
+// NewExpectedMembers returns the count and checksum of the live members of a region.
 func NewExpectedMembers(region string, members []protocol.Member) ExpectedMembers {
-	expected := ExpectedMembers{region: region, zones: map[string]census{}}
+	expected := ExpectedMembers{region: region, zones: map[string]memberCount{}}
 	for _, member := range members {
 		if member.Region != region || !membership.Live(member) {
 			continue
@@ -34,7 +34,7 @@
 	return expected
 }
 
-// Holding returns the lowest version that the expected members have acknowledged. It
+// ConfirmedVersion returns the lowest version that the expected members have acknowledged. It
 // is 0 unless the acknowledgements cover exactly the expected members: a missing,
 // unknown or duplicate member changes a checksum. An additional member must not be
 // ignored, because it may be one that the roster does not contain yet and that still
@@ -66,12 +66,12 @@
 	version protocol.Version
 	// storedAt is when the version was stored at a write quorum of keepers.
 	storedAt time.Duration
-	// alone is set if the quorum knew of no other root that may have granted leases
+	// onlyRoot is set if the quorum knew of no other root that may have granted leases
 	// at an older version.
-	alone bool
+	onlyRoot bool
 }
 
-// Claims determines which released version a root may declare in force, as far as
+// ReleaseTracker determines which released version a root may declare in force, as far as
 // leases are concerned.
 //
 // The invariant is that no daemon serves an older version once a newer one has been
@@ -87,32 +87,32 @@
 	released []releasedVersion
 }
 
-// claimHistory is the maximum number of versions kept. Older ones may always be
+// releaseHistoryLength is the maximum number of versions kept. Older ones may always be
 // declared in force.
-const claimHistory = 16
+const releaseHistoryLength = 16
 
-// NewClaims returns the claims of a new root. lease is the duration of serving leases.
+// NewReleaseTracker returns the claims of a new root. lease is the duration of serving leases.
 func NewReleaseTracker(lease time.Duration) *ReleaseTracker {
 	return &ReleaseTracker{lease: lease}
 }
 
-// clockMargin is the divisor for the fraction of a lease by which two clocks may
+// clockMarginDivisor is the divisor for the fraction of a lease by which two clocks may
 // differ over its duration. A quarter covers clock rates from 0.9 to 1.1.
-const clockMargin = 4
+const clockMarginDivisor = 4
 
-// Margin returns the lease duration plus the margin for clocks of different rates.
-func LeaseWithMargin(lease time.Duration) time.Duration { return lease + lease/clockMargin }
+// LeaseWithMargin returns the lease duration plus the margin for clocks of different rates.
+func LeaseWithMargin(lease time.Duration) time.Duration { return lease + lease/clockMarginDivisor }
 
-// Released records that a version was stored at a write quorum at now. alone is set if
+// RecordRelease records that a version was stored at a write quorum at now. alone is set if
 // the quorum knew of no other root.
 func (c *ReleaseTracker) RecordRelease(now time.Duration, version protocol.Version, alone bool) {
-	c.released = append(c.released, releasedVersion{version: version, storedAt: now, alone: alone})
-	if len(c.released) > claimHistory {
+	c.released = append(c.released, releasedVersion{version: version, storedAt: now, onlyRoot: alone})
+	if len(c.released) > releaseHistoryLength {
 		c.released = c.released[1:]
 	}
 }
 
-// Fenced returns the highest version that is in force at now regardless of
+// FencedVersion returns the highest version that is in force at now regardless of
 // acknowledgements. It was stored at a write quorum at least a lease and a margin
 // ago, so all leases at older versions have expired, including those of daemons that
 // are silent, partitioned or removed from the roster. A lease is bound to the version
@@ -122,10 +122,10 @@
 	return c.highest(func(one releasedVersion) bool { return c.fenced(one, now) })
 }
 
-// Highest returns the highest version that may be declared in force at now, provided
+// DeclarableVersion returns the highest version that may be declared in force at now, provided
 // that it is acknowledged.
 func (c *ReleaseTracker) DeclarableVersion(now time.Duration) protocol.Version {
-	return c.highest(func(one releasedVersion) bool { return one.alone || c.fenced(one, now) })
+	return c.highest(func(one releasedVersion) bool { return one.onlyRoot || c.fenced(one, now) })
 }
 
 // fenced reports whether all leases at versions older than this one have expired.
--- a/internal/core/distribution/rootlease.go
+++ b/internal/core/distribution/rootlease.go
@@ -21,37 +21,37 @@
 // its version floor from a read quorum.
 type RootLease struct {
 	lease time.Duration
-	// answers holds the latest reply of each keeper.
-	answers map[protocol.NodeID]keeperAnswer
+	// replies holds the latest reply of each keeper.
+	replies map[protocol.NodeID]keeperReply
 }
 
-type keeperAnswer struct {
+type keeperReply struct {
 	// sentAt is when the request was sent. The keeper's state may have changed since
 	// it replied, but the reply is never older than the request.
-	sentAt time.Duration
-	stored protocol.Version
-	alone  bool
+	sentAt   time.Duration
+	stored   protocol.Version
+	onlyRoot bool
 }
 
 // NewRootLease returns a root lease without replies, which allows no grants. lease is
 // the duration of serving leases.
 func NewRootLease(lease time.Duration) *RootLease {
-	return &RootLease{lease: lease, answers: map[protocol.NodeID]keeperAnswer{}}
+	return &RootLease{lease: lease, replies: map[protocol.NodeID]keeperReply{}}
 }
 
-// Answer records a keeper's reply to a request sent at sentAt. If replies arrive out of
+// RecordReply records a keeper's reply to a request sent at sentAt. If replies arrive out of
 // order, the one to the latest request counts.
 func (l *RootLease) RecordReply(keeper protocol.NodeID, sentAt time.Duration, reply *protocol.StoreReply) {
 	if reply == nil || reply.Code != result.OK {
 		return
 	}
-	if known, found := l.answers[keeper]; found && known.sentAt > sentAt {
+	if known, found := l.replies[keeper]; found && known.sentAt > sentAt {
 		return
 	}
-	l.answers[keeper] = keeperAnswer{sentAt: sentAt, stored: reply.Stored, alone: !reply.OtherRoot}
+	l.replies[keeper] = keeperReply{sentAt: sentAt, stored: reply.Stored, onlyRoot: !reply.OtherRoot}
 }
 
-// Until returns the time until which leases at the version may be granted: the sending
+// GrantUntil returns the time until which leases at the version may be granted: the sending
 // time of the oldest request of the latest read quorum, plus the lease. It is 0 unless
 // each of the sets has such a quorum.
 func (l *RootLease) GrantUntil(version protocol.Version, sets ...protocol.KeeperSet) time.Duration {
@@ -59,7 +59,7 @@
 		return 0
 	}
 	return lo.Min(lo.Map(sets, func(set protocol.KeeperSet, _ int) time.Duration {
-		oldest, found := l.quorum(set, set.Read, func(answer keeperAnswer) bool { return answer.stored <= version })
+		oldest, found := l.quorumSentAt(set, set.Read, func(answer keeperReply) bool { return answer.stored <= version })
 		if !found {
 			return 0
 		}
@@ -67,12 +67,12 @@
 	}))
 }
 
-// Alone reports whether a write quorum of every set has replied, to requests sent at or
+// IsOnlyRoot reports whether a write quorum of every set has replied, to requests sent at or
 // after since, that it knows of no other root. The last read quorum of any other root
 // shares a keeper with it.
 func (l *RootLease) IsOnlyRoot(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return len(sets) > 0 && lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
-		oldest, found := l.quorum(set, set.Write, func(answer keeperAnswer) bool { return answer.alone })
+		oldest, found := l.quorumSentAt(set, set.Write, func(answer keeperReply) bool { return answer.onlyRoot })
 		return found && oldest >= since
 	})
 }
@@ -83,24 +83,24 @@
 // would end its lease.
 func (l *RootLease) CanStore(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
-		oldest, found := l.quorum(set, set.Write, func(keeperAnswer) bool { return true })
+		oldest, found := l.quorumSentAt(set, set.Write, func(keeperReply) bool { return true })
 		return found && oldest >= since
 	})
 }
 
-// Newest returns the highest version that a keeper of the set has reported.
+// NewestReported returns the highest version that a keeper of the set has reported.
 func (l *RootLease) NewestReported(set protocol.KeeperSet) protocol.Version {
 	return lo.Max(lo.Map(set.Members, func(keeper protocol.KeeperMember, _ int) protocol.Version {
-		return l.answers[keeper.ID].stored
+		return l.replies[keeper.ID].stored
 	}))
 }
 
-// quorum returns the oldest sending time among the latest size replies that satisfy a
+// quorumSentAt returns the oldest sending time among the latest size replies that satisfy a
 // condition; false if there are fewer.
-func (l *RootLease) quorum(set protocol.KeeperSet, size int, fits func(keeperAnswer) bool) (time.Duration, bool) {
+func (l *RootLease) quorumSentAt(set protocol.KeeperSet, size int, fits func(keeperReply) bool) (time.Duration, bool) {
 	var times []time.Duration
 	for _, keeper := range set.Members {
-		if answer, found := l.answers[keeper.ID]; found && fits(answer) {
+		if answer, found := l.replies[keeper.ID]; found && fits(answer) {
 			times = append(times, answer.sentAt)
 		}
 	}
--- a/internal/core/distribution/tree.go
+++ b/internal/core/distribution/tree.go
@@ -84,7 +84,7 @@
 	return slices.ContainsFunc(t.relays[member.Zone], func(relay protocol.Member) bool { return relay.ID == member.ID })
 }
 
-// WouldRelay reports whether a member is a relay of its zone or, if it has not joined
+// WouldBeRelay reports whether a member is a relay of its zone or, if it has not joined
 // yet, would become one by joining.
 func (t *Tree) WouldBeRelay(member protocol.Member) bool {
 	relays := t.relays[member.Zone]
@@ -110,10 +110,10 @@
 	return all
 }
 
-// Roots returns the root candidates, best first.
+// RootCandidates returns the root candidates, best first.
 func (t *Tree) RootCandidates() []protocol.Member { return t.roots }
 
-// Parents returns the parent candidates of the own daemon in order of preference: the
+// ParentCandidates returns the parent candidates of the own daemon in order of preference: the
 // relays of its zone, the relays of other zones, then the root candidates. Relays are
 // ranked by a hash of the own ID, so that leaves are distributed evenly.
 func (t *Tree) ParentCandidates() []protocol.Member {
--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -12,7 +12,7 @@
 	degradedLimit = 0.3
 )
 
-// Spill sets the load thresholds at which calls leave the own zone. Load is calls
+// Spillover sets the load thresholds at which calls leave the own zone. Load is calls
 // divided by slots: at 1 all slots of an endpoint are occupied.
 type Spillover struct {
 	// Above is the load of the better candidate of the own zone above which
@@ -24,7 +24,7 @@
 	Region float64
 }
 
-// DefaultSpill returns thresholds that consider other zones before all slots of the
+// DefaultSpillover returns thresholds that consider other zones before all slots of the
 // own zone are occupied.
 func DefaultSpillover() Spillover { return Spillover{Above: 0.75, Zone: 0.25, Region: 1} }
 
@@ -76,18 +76,18 @@
 	return best
 }
 
-// heeded selects the reasons for which a choice skips endpoints.
+// exclusions selects the reasons for which a choice skips endpoints.
 type exclusions struct {
 	ejected  bool
 	degraded bool
 }
 
-// bars reports whether the endpoint is skipped.
+// excludes reports whether the endpoint is skipped.
 func (h exclusions) excludes(candidate *Endpoint, now time.Duration) bool {
 	return (h.ejected && candidate.Ejected(now)) || (h.degraded && candidate.degraded())
 }
 
-// heeds returns the reasons that leave enough endpoints of the set in use.
+// exclusionsAt returns the reasons that leave enough endpoints of the set in use.
 func (s *Set) exclusionsAt(now time.Duration) exclusions {
 	ejected := 0
 	degraded := 0
@@ -129,7 +129,7 @@
 	return second
 }
 
-// usableFrom returns the first usable endpoint at or after the start position,
+// firstUsableFrom returns the first usable endpoint at or after the start position,
 // wrapping around and skipping the one already drawn.
 func firstUsableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, heed exclusions, drawn *Endpoint) *Endpoint {
 	for step := range tier {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// ChooseKeyed picks by the hash of a request key and ignores load and ejections,
+// ChooseByRequestKey picks by the hash of a request key and ignores load and ejections,
 // so that two requests for one operation reach the same gate, which refuses the
 // second. This is best effort: a membership change can move a key.
 func (s *Set) ChooseByRequestKey(now time.Duration, key uint64, tried Tried) *Endpoint {
@@ -156,7 +156,7 @@
 	return best
 }
 
-// ChooseRanked picks by the hash of the request content and ignores load, so that all
+// ChooseByContentHash picks by the hash of the request content and ignores load, so that all
 // daemons send equal requests to the same gate. Unlike with a request key, ejected
 // endpoints are skipped.
 func (s *Set) ChooseByContentHash(now time.Duration, key uint64, tried Tried) *Endpoint {
@@ -167,7 +167,7 @@
 	return best
 }
 
-// firstRanked returns the usable endpoint with the highest rendezvous hash. Endpoints of
+// highestRanked returns the usable endpoint with the highest rendezvous hash. Endpoints of
 // other regions are used only if the own region has none.
 func (s *Set) highestRanked(now time.Duration, key uint64, tried Tried, heed exclusions) *Endpoint {
 	var best *Endpoint
@@ -189,7 +189,7 @@
 	return best
 }
 
-// ChooseInTurn picks endpoints round robin, regardless of load and distance. It
+// ChooseRoundRobin picks endpoints round robin, regardless of load and distance. It
 // is a baseline for comparisons only.
 func (s *Set) ChooseRoundRobin(now time.Duration, turn uint64, tried Tried) *Endpoint {
 	if s.usable == 0 {
--- a/internal/core/endpoint/compare.go
+++ b/internal/core/endpoint/compare.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// serviceRatio caps the ratio of two service times in a comparison.
+	// maxServiceRatio caps the ratio of two service times in a comparison.
 	maxServiceRatio = 4
-	// knownTurns is the number of service times for which a load report is current.
+	// reportServiceTimes is the number of service times for which a load report is current.
 	// After that, a back end with several slots is running other calls.
 	reportServiceTimes = 2
 )
 
-// goesBefore reports whether a call is better sent to this endpoint than to another:
+// preferredOver reports whether a call is better sent to this endpoint than to another:
 // by expected completion time if both service times are known, otherwise by load. A
 // call queues only when all slots are occupied, so load below that costs no time.
 //
@@ -52,13 +52,13 @@
 	return mine, theirs, true
 }
 
-// knowsLoad reports whether the last load report is current.
+// hasCurrentReport reports whether the last load report is current.
 func (e *Endpoint) hasCurrentReport(now time.Duration) bool {
 	age := now - time.Duration(e.stats.reportedAt.Load())
 	return age < reportServiceTimes*time.Duration(e.stats.serviceTime.Load())
 }
 
-// unitOf maps a uniform random number to [0, 1). The multiplication makes the result
+// uniformFloat maps a uniform random number to [0, 1). The multiplication makes the result
 // independent of the two halves of random, which select the endpoints.
 func uniformFloat(random uint64) float64 {
 	const odd = 0x9e3779b97f4a7c15
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -16,19 +16,19 @@
 
 // Limits for load, warm-up and ejection.
 const (
-	// warmUp is the time in which a new endpoint's share of calls rises to 1.
+	// warmUpPeriod is the time in which a new endpoint's share of calls rises to 1.
 	warmUpPeriod = 10 * time.Second
-	// coldShare is the share of calls of an endpoint that has just been added.
+	// initialShare is the share of calls of an endpoint that has just been added.
 	initialShare = 0.1
-	// warmingShare is the largest share of an endpoint that reports that it is
+	// maxWarmingShare is the largest share of an endpoint that reports that it is
 	// warming up.
 	maxWarmingShare = 0.5
-	// reportLife is the age at which a load report is ignored.
+	// reportLifetime is the age at which a load report is ignored.
 	reportLifetime = 2 * time.Second
-	// leavingLife is how long an endpoint is avoided after its gate refused new
+	// notAcceptingPeriod is how long an endpoint is avoided after its gate refused new
 	// calls. A newer member record ends it earlier.
 	notAcceptingPeriod = 5 * time.Second
-	// refusalLife is how long refusalLoad is added to the load of an endpoint
+	// overloadPeriod is how long refusalLoad is added to the load of an endpoint
 	// whose gate refused a call for load, so that other endpoints are preferred.
 	// The queue of a slow back end may be short; without the addition it would
 	// attract calls only to refuse them.
@@ -39,7 +39,7 @@
 	// failure to connect ejects at once.
 	brokenLimit = 3
 	errorLimit  = 10
-	// ejectionUnit is the duration of the first ejection. It doubles with each
+	// firstEjection is the duration of the first ejection. It doubles with each
 	// further ejection, up to ejectionLimit, until a call succeeds.
 	firstEjection = time.Second
 	maxEjection   = 30 * time.Second
@@ -81,27 +81,27 @@
 // sharing between endpoints.
 type stats struct {
 	outstanding atomic.Int64
-	// others is the last reported number of other callers' calls, as float64 bits.
+	// otherCalls is the last reported number of other callers' calls, as float64 bits.
 	otherCalls atomic.Uint64
 	reportedAt atomic.Int64
-	// service is the gate's mean service time, in nanoseconds.
+	// serviceTime is the gate's mean service time, in nanoseconds.
 	serviceTime atomic.Int64
-	// failures and errors count broken calls and server errors since the last success.
+	// brokenCalls and errors count broken calls and server errors since the last success.
 	brokenCalls  atomic.Int64
 	serverErrors atomic.Int64
 	ejections    atomic.Int64
 	ejectedUntil atomic.Int64
-	// leavingUntil is the end of a refusal of new calls, leavingSequence the sequence
+	// notAcceptingUntil is the end of a refusal of new calls, leavingSequence the sequence
 	// of the member record that was current when it was received.
 	notAcceptingUntil    atomic.Int64
 	notAcceptingSequence atomic.Uint64
-	// recordAt is when the daemon's current member record was received.
+	// recordReceivedAt is when the daemon's current member record was received.
 	recordReceivedAt atomic.Int64
-	// noStartUntil is, for each class, until when the gate of a cold back end accepts no call.
+	// coldUntil is, for each class, until when the gate of a cold back end accepts no call.
 	coldUntil [warmup.ClassCount]atomic.Int64
-	// refusingUntil is until when refusalLoad is added after a refusal for load.
+	// overloadedUntil is until when refusalLoad is added after a refusal for load.
 	overloadedUntil atomic.Int64
-	// readyAt is the time from which the warm-up is counted.
+	// warmUpStartedAt is the time from which the warm-up is counted.
 	warmUpStartedAt atomic.Int64
 }
 
@@ -110,7 +110,7 @@
 
 // The outcomes of calls.
 const (
-	// Fine means that the back end answered.
+	// Succeeded means that the back end answered.
 	Succeeded Outcome = iota + 1
 	// ServerError means that the back end answered with a server error.
 	ServerError
@@ -118,11 +118,11 @@
 	Unreachable
 	// Broken means that the connection broke or the call timed out.
 	Broken
-	// Leaving means that the gate accepts no new calls or belongs to another back end.
+	// NotAccepting means that the gate accepts no new calls or belongs to another back end.
 	NotAccepting
-	// Full means that the gate refused the call for load.
+	// Overloaded means that the gate refused the call for load.
 	Overloaded
-	// Withdrawn means that the caller cancelled; it does not affect the endpoint.
+	// Cancelled means that the caller cancelled; it does not affect the endpoint.
 	Cancelled
 )
 
@@ -171,7 +171,7 @@
 // Outstanding returns the number of this process's calls in flight to the endpoint.
 func (e *Endpoint) Outstanding() int { return int(e.stats.outstanding.Load()) }
 
-// success resets the failure counters and ends an ejection. It writes only non-zero
+// recordSuccess resets the failure counters and ends an ejection. It writes only non-zero
 // counters, so that the cache line usually stays shared between processors.
 func (s *stats) recordSuccess() {
 	for _, counter := range [...]*atomic.Int64{&s.brokenCalls, &s.serverErrors, &s.ejections, &s.ejectedUntil} {
@@ -195,7 +195,7 @@
 	}
 }
 
-// Report is a load report from the back end's daemon.
+// LoadReport is a load report from the back end's daemon.
 type LoadReport struct {
 	// Running and Queued are the gate's counts of calls when the report was sent.
 	Running int
@@ -209,7 +209,7 @@
 	OwnAge time.Duration
 }
 
-// Learn applies a load report received with the response to a call. It must be called
+// ApplyLoadReport applies a load report received with the response to a call. It must be called
 // before End of that call.
 func (e *Endpoint) ApplyLoadReport(now time.Duration, report LoadReport) {
 	counted := float64(report.Running + report.Queued)
@@ -223,7 +223,7 @@
 	}
 }
 
-// freshness returns the weight of a load report, which falls from 1 to 0 over reportLife.
+// reportWeight returns the weight of a load report, which falls from 1 to 0 over reportLife.
 func reportWeight(age time.Duration) float64 {
 	return min(1, max(0, 1-float64(age)/float64(reportLifetime)))
 }
@@ -250,12 +250,12 @@
 	return calls
 }
 
-// refusing reports whether the gate refused a call for load within refusalLife.
+// overloaded reports whether the gate refused a call for load within refusalLife.
 func (e *Endpoint) overloaded(now time.Duration) bool {
 	return int64(now) < e.stats.overloadedUntil.Load()
 }
 
-// share returns the fraction of its slots that the endpoint counts for. It rises from
+// capacityShare returns the fraction of its slots that the endpoint counts for. It rises from
 // coldShare to 1 during the warm-up.
 func (e *Endpoint) capacityShare(now time.Duration) float64 {
 	age := now - time.Duration(e.stats.warmUpStartedAt.Load())
@@ -272,7 +272,7 @@
 	return share
 }
 
-// leaving reports whether the gate refused new calls within leavingLife and no newer
+// notAccepting reports whether the gate refused new calls within leavingLife and no newer
 // member record has been received since.
 func (e *Endpoint) notAccepting(now time.Duration) bool {
 	return int64(now) < e.stats.notAcceptingUntil.Load() && e.stats.notAcceptingSequence.Load() >= e.Sequence
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -42,7 +42,7 @@
 	return zones
 }
 
-// spread counts the choices by back end over a number of calls, without calls in flight.
+// countChoices counts the choices by back end over a number of calls, without calls in flight.
 func countChoices(set *Set, now time.Duration, calls int) map[string]int {
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := map[string]int{}
--- a/internal/core/endpoint/evacuation_load_test.go
+++ b/internal/core/endpoint/evacuation_load_test.go
@@ -21,7 +21,7 @@
 	loadStep     = time.Millisecond
 )
 
-// loadedZones simulates, in virtual time, a calling daemon and a gate in each zone.
+// zoneSimulation simulates, in virtual time, a calling daemon and a gate in each zone.
 type zoneSimulation struct {
 	random  *rand.Rand
 	now     time.Duration
@@ -34,7 +34,7 @@
 	done, refused, refusedLate int
 }
 
-// loadedCall is a call in flight.
+// simulatedCall is a call in flight.
 type simulatedCall struct {
 	zones  *zoneSimulation
 	entry  *Set
--- a/internal/core/endpoint/near.go
+++ b/internal/core/endpoint/near.go
@@ -6,7 +6,7 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// ChooseAt returns the own-zone endpoint that belongs to a daemon. It returns nil unless
+// ChooseOnNode returns the own-zone endpoint that belongs to a daemon. It returns nil unless
 // that endpoint is ready, untried, not ejected and has not just refused calls.
 func (s *Set) ChooseOnNode(now time.Duration, node protocol.NodeID, tried Tried) *Endpoint {
 	for _, candidate := range s.tiers[0] {
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -47,7 +47,7 @@
 // built from.
 type Index map[backendKey]*protocol.Member
 
-// place identifies a back end.
+// backendKey identifies a back end.
 type backendKey struct {
 	service resource.ServiceRef
 	backend string
@@ -70,7 +70,7 @@
 	return index
 }
 
-// newerRecord reports whether the first of two records of the same back end is the newer.
+// isNewerRecord reports whether the first of two records of the same back end is the newer.
 func isNewerRecord(one, other *protocol.Member) bool {
 	if one.Born != other.Born {
 		return one.Born > other.Born
@@ -154,7 +154,7 @@
 	return made, made.State.AcceptsCalls()
 }
 
-// stateOf returns the state of a back end by its daemon's record. A back end whose daemon
+// effectiveState returns the state of a back end by its daemon's record. A back end whose daemon
 // is leaving or dead counts as draining.
 func effectiveState(member *protocol.Member) protocol.EndpointState {
 	if member.State != protocol.MemberAlive && member.State != protocol.MemberSuspect {
@@ -163,7 +163,7 @@
 	return member.Endpoint
 }
 
-// renew returns the endpoint as described: the one of the previous set if nothing
+// reuseOrCreate returns the endpoint as described: the one of the previous set if nothing
 // changed, otherwise a new one with the statistics that carryOver returns.
 func reuseOrCreate(self Locality, previous *Set, old *Endpoint, described Endpoint, now time.Duration) *Endpoint {
 	if old != nil {
@@ -177,7 +177,7 @@
 	return &made
 }
 
-// carryOver returns the statistics for an endpoint: those of the previous set, or fresh
+// carryOverStats returns the statistics for an endpoint: those of the previous set, or fresh
 // ones if it is new or has restarted. In the first set all endpoints count as warm,
 // because only the calling daemon is new; those that report warming up start cold.
 func carryOverStats(self Locality, previous *Set, old, made *Endpoint, now time.Duration) *stats {
@@ -201,7 +201,7 @@
 	return fresh
 }
 
-// newerThan reports whether the daemon's member record is newer than that of another
+// hasNewerRecord reports whether the daemon's member record is newer than that of another
 // endpoint.
 func (e *Endpoint) hasNewerRecord(old *Endpoint) bool {
 	if e.Incarnation != old.Incarnation {
@@ -220,7 +220,7 @@
 	return 0
 }
 
-// Only returns the set of those endpoints that satisfy a condition. The endpoints are
+// Filter returns the set of those endpoints that satisfy a condition. The endpoints are
 // shared with this set, not copied.
 func (s *Set) Filter(fits func(*Endpoint) bool) *Set {
 	part := &Set{spill: s.spill}
@@ -240,16 +240,16 @@
 	return part
 }
 
-// Within returns the set of those endpoints that are in allowed regions; see Only.
+// InRegions returns the set of those endpoints that are in allowed regions; see Only.
 func (s *Set) InRegions(allowed region.Allowed) *Set {
 	return s.Filter(func(one *Endpoint) bool { return allowed.Has(one.Region) })
 }
 
-// Usable returns the number of endpoints that may receive new calls by the state that
+// UsableCount returns the number of endpoints that may receive new calls by the state that
 // their daemons report.
 func (s *Set) UsableCount() int { return s.usable }
 
-// Evacuated reports whether no endpoint may receive new calls and at least one is excluded
+// BlockedByEvacuation reports whether no endpoint may receive new calls and at least one is excluded
 // by the evacuation of its zone.
 func (s *Set) BlockedByEvacuation() bool {
 	return s.usable == 0 && slices.ContainsFunc(s.All, func(one *Endpoint) bool {
@@ -260,7 +260,7 @@
 // Tried lists the endpoints that a call has already been sent to.
 type Tried []*Endpoint
 
-// has reports whether the endpoint is listed. It compares the statistics by identity,
+// contains reports whether the endpoint is listed. It compares the statistics by identity,
 // because the set may be replaced between two attempts of a call.
 func (t Tried) contains(candidate *Endpoint) bool {
 	for _, tried := range t {
@@ -271,18 +271,18 @@
 	return false
 }
 
-// Others reports whether an untried endpoint accepts calls.
+// HasUntried reports whether an untried endpoint accepts calls.
 func (s *Set) HasUntried(now time.Duration, tried Tried) bool {
 	return s.hasUntriedMatching(now, tried, func(*Endpoint) bool { return true })
 }
 
-// OthersTaking reports whether an untried endpoint accepts calls and has not just
+// HasUntriedWithCapacity reports whether an untried endpoint accepts calls and has not just
 // refused one for load.
 func (s *Set) HasUntriedWithCapacity(now time.Duration, tried Tried) bool {
 	return s.hasUntriedMatching(now, tried, func(candidate *Endpoint) bool { return !candidate.overloaded(now) })
 }
 
-// leaves reports whether an untried endpoint accepts calls and satisfies a condition.
+// hasUntriedMatching reports whether an untried endpoint accepts calls and satisfies a condition.
 func (s *Set) hasUntriedMatching(now time.Duration, tried Tried, condition func(*Endpoint) bool) bool {
 	for _, tier := range s.tiers {
 		for _, candidate := range tier {
@@ -294,7 +294,7 @@
 	return false
 }
 
-// keyedHash returns the rendezvous hash of a key and a back end's name.
+// rendezvousHash returns the rendezvous hash of a key and a back end's name.
 func rendezvousHash(key uint64, backend string) uint64 {
 	mixed := xxhash.Sum64String(backend) ^ key
 	mixed ^= mixed >> 33
--- a/internal/core/endpoint/warmth.go
+++ b/internal/core/endpoint/warmth.go
@@ -8,13 +8,13 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// leastColdShare is the minimum share of a cold endpoint. At zero its load would be infinite.
+// minColdShare is the minimum share of a cold endpoint. At zero its load would be infinite.
 const minColdShare = 0.02
 
 // cold reports whether the endpoint is warming up and its service configures a cold rate.
 func (e *Endpoint) cold() bool { return e.ColdRate > 0 && e.State == protocol.EndpointWarming }
 
-// RefusedAsCold records that the gate refused a call because its back end is cold, and the
+// RecordColdRefusal records that the gate refused a call because its back end is cold, and the
 // time until it accepts one of the same class. Until then it refuses lower classes as well.
 func (e *Endpoint) RecordColdRefusal(now, wait time.Duration, class int) {
 	until := int64(now + min(max(wait, 0), notAcceptingPeriod))
@@ -29,12 +29,12 @@
 	return max(time.Duration(e.stats.coldUntil[warmup.ClampClass(class)].Load())-now, 0)
 }
 
-// shut reports whether the gate has announced that it accepts no calls, or only urgent ones.
+// refusesCalls reports whether the gate has announced that it accepts no calls, or only urgent ones.
 func (e *Endpoint) refusesCalls(now time.Duration) bool {
 	return e.notAccepting(now) || e.coldWait(now, 0) > 0
 }
 
-// shareWhileCold returns the capacity of a cold endpoint as a fraction of its capacity when
+// coldCapacityShare returns the capacity of a cold endpoint as a fraction of its capacity when
 // warm.
 func (e *Endpoint) coldCapacityShare() float64 {
 	if !e.cold() {
@@ -47,7 +47,7 @@
 	return min(max(e.ColdRate*service.Seconds()/float64(max(e.Slots, 1)), minColdShare), 1)
 }
 
-// rate returns the calls per second that the endpoint receives from all callers, by Little's
+// callRate returns the calls per second that the endpoint receives from all callers, by Little's
 // law: the number of calls divided by the service time. 0 means unknown.
 func (e *Endpoint) callRate(now time.Duration) float64 {
 	service := time.Duration(e.stats.serviceTime.Load())
@@ -57,7 +57,7 @@
 	return e.calls(now) / service.Seconds()
 }
 
-// warmOrCold picks between a cold endpoint and a warm one. A cold endpoint is drawn together
+// pickWarmOrCold picks between a cold endpoint and a warm one. A cold endpoint is drawn together
 // with a warm one twice as often as a warm one is chosen. It therefore reaches its rate if it
 // is picked with half the ratio of its rate to the warm endpoint's.
 func pickWarmOrCold(first, second *Endpoint, now time.Duration, random uint64) *Endpoint {
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// keepsStart reports whether the gate has refused calls of lower classes as cold, but may
+// acceptsOnlyUrgent reports whether the gate has refused calls of lower classes as cold, but may
 // accept one of this class.
 func (e *Endpoint) acceptsOnlyUrgent(now time.Duration, class int) bool {
 	return !e.notAccepting(now) && !e.Ejected(now) && e.coldWait(now, 0) > 0 && e.coldWait(now, class) == 0
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -8,17 +8,17 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// unit is one call or retry in an account. Accounts count in thousandths.
-const unit = 1000
+// retryUnit is one call or retry in an account. Accounts count in thousandths.
+const retryUnit = 1000
 
 // Shares of the allowed retries that are reserved.
 const (
-	// keptForUrgent is the share reserved for urgent calls, so that these can still be
+	// urgentReserve is the share reserved for urgent calls, so that these can still be
 	// retried after failing ordinary calls have used up the rest.
-	keptForUrgent = 0.25
-	// keptFromTrials is the share that calls to a version on trial may not use, so that
+	urgentReserve = 0.25
+	// trialReserve is the share that calls to a version on trial may not use, so that
 	// retrying a faulty version's failures leaves retries for other calls.
-	keptFromTrials = 0.5
+	trialReserve = 0.5
 )
 
 // Limits bounds the retries to one service in any window.
@@ -31,11 +31,11 @@
 	Window time.Duration
 }
 
-// safety is the fraction of the configured ratio that is used. The rest covers attempts
+// safetyFactor is the fraction of the configured ratio that is used. The rest covers attempts
 // that arrive in a later window than the one in which they were counted.
-const safety = 0.9
+const safetyFactor = 0.9
 
-// ForChain returns the limits of one daemon, so that the retries of all daemons to each
+// LimitsForChain returns the limits of one daemon, so that the retries of all daemons to each
 // service stay within ratio of its calls plus slack. Calls pass through at most depth
 // services, each called by the previous one. The last service receives the retries of all
 // of them, so each may use only a fraction. Retries allowed by the slack at the first
@@ -43,7 +43,7 @@
 func LimitsForChain(ratio, slack float64, depth, daemons int, window time.Duration) Limits {
 	services := float64(max(depth, 1))
 	return Limits{
-		Ratio:  ratio * safety / services,
+		Ratio:  ratio * safetyFactor / services,
 		Part:   slack / services / float64(max(daemons, 1)),
 		Window: window,
 	}
@@ -73,43 +73,43 @@
 // class of calls: calls of a class that makes no further calls must not earn retries for
 // a class that does.
 type Budget struct {
-	ratio  int64
-	window time.Duration
-	part   atomic.Int64
+	ratio          int64
+	window         time.Duration
+	minimumRetries atomic.Int64
 
-	service account
-	classes callclass.Table[account]
+	serviceAccount account
+	classAccounts  callclass.Table[account]
 }
 
 // NewBudget returns a budget with the default limits.
 func NewBudget() *Budget { return NewBudgetWithLimits(DefaultLimits()) }
 
-// NewBudgetWithin returns a budget with the limits. A zero window means that of the
+// NewBudgetWithLimits returns a budget with the limits. A zero window means that of the
 // default limits.
 func NewBudgetWithLimits(limits Limits) *Budget {
 	budget := &Budget{
-		ratio:  int64(limits.Ratio * unit),
+		ratio:  int64(limits.Ratio * retryUnit),
 		window: cmp.Or(limits.Window, DefaultLimits().Window),
 	}
 	budget.SetMinimumRetries(limits.Part)
 	return budget
 }
 
-// SetPart changes Limits.Part when the number of daemons that share the budget changes.
-func (b *Budget) SetMinimumRetries(part float64) { b.part.Store(int64(part * unit)) }
+// SetMinimumRetries changes Limits.Part when the number of daemons that share the budget changes.
+func (b *Budget) SetMinimumRetries(part float64) { b.minimumRetries.Store(int64(part * retryUnit)) }
 
 // Deposit records a call that ran or may have run. A call that back ends only refused
 // earns no retries: it causes no calls to the next service, so a retry earned by it could
 // exceed the ratio there.
 func (b *Budget) Deposit(now time.Duration, class callclass.Class) {
-	b.service.calls.add(now, b.window, unit)
-	b.classes.Get(class).calls.add(now, b.window, unit)
+	b.serviceAccount.calls.add(now, b.window, retryUnit)
+	b.classAccounts.Get(class).calls.add(now, b.window, retryUnit)
 }
 
 // Withdraw charges the cost of a retry, in units of one retry. It returns false, and
 // charges nothing, if the budget does not allow it. A share is reserved for urgent calls.
 func (b *Budget) Withdraw(now time.Duration, class callclass.Class, cost int, urgent bool) bool {
-	kept := keptForUrgent
+	kept := urgentReserve
 	if urgent {
 		kept = 0
 	}
@@ -119,24 +119,24 @@
 // WithdrawForTrial charges one retry of a call to a version on trial, before its first
 // attempt.
 func (b *Budget) WithdrawForTrial(now time.Duration, class callclass.Class) bool {
-	return b.withdraw(now, class, 1, keptFromTrials)
+	return b.withdraw(now, class, 1, trialReserve)
 }
 
 // Refund returns the cost of one retry that was withdrawn at a given time and not sent.
 func (b *Budget) Refund(withdrawnAt time.Duration, class callclass.Class) {
 	for _, one := range b.accountsOf(class) {
-		one.retries.takeBack(withdrawnAt, b.window, unit)
+		one.retries.subtract(withdrawnAt, b.window, retryUnit)
 	}
 }
 
 // accountsOf returns the accounts that a retry of a class is charged to.
 func (b *Budget) accountsOf(class callclass.Class) [2]*account {
-	return [...]*account{&b.service, b.classes.Get(class)}
+	return [...]*account{&b.serviceAccount, b.classAccounts.Get(class)}
 }
 
 // withdraw charges the cost of a retry unless that would use the reserved share.
 func (b *Budget) withdraw(now time.Duration, class callclass.Class, cost int, kept float64) bool {
-	price := int64(cost) * unit
+	price := int64(cost) * retryUnit
 	accounts := b.accountsOf(class)
 	// Charge first and refund if the limit is exceeded, so that concurrent
 	// withdrawals never exceed it together.
@@ -144,7 +144,7 @@
 		one.retries.add(now, b.window, price)
 	}
 	for _, one := range accounts {
-		if b.left(now, one, kept) < 0 {
+		if b.remainingIn(now, one, kept) < 0 {
 			for _, taken := range accounts {
 				taken.retries.add(now, b.window, -price)
 			}
@@ -154,22 +154,22 @@
 	return true
 }
 
-// left returns what an account still allows, without the reserved share. It is negative
+// remainingIn returns what an account still allows, without the reserved share. It is negative
 // if the limit is exceeded.
-func (b *Budget) left(now time.Duration, of *account, kept float64) int64 {
+func (b *Budget) remainingIn(now time.Duration, of *account, kept float64) int64 {
 	calls := of.calls.lowerBound(now, b.window)
 	retries := of.retries.upperBound(now, b.window)
-	allowed := max(calls*b.ratio/unit, b.part.Load())
-	return allowed - reserve(allowed, kept) - retries
+	allowed := max(calls*b.ratio/retryUnit, b.minimumRetries.Load())
+	return allowed - reservedAmount(allowed, kept) - retries
 }
 
-// reserve returns the reserved amount, limited so that at least one retry stays available.
-func reserve(allowed int64, kept float64) int64 {
-	return max(0, min(int64(float64(allowed)*kept), allowed-unit))
+// reservedAmount returns the reserved amount, limited so that at least one retry stays available.
+func reservedAmount(allowed int64, kept float64) int64 {
+	return max(0, min(int64(float64(allowed)*kept), allowed-retryUnit))
 }
 
-// Left returns the number of retries that urgent calls of a class may make now.
+// Remaining returns the number of retries that urgent calls of a class may make now.
 func (b *Budget) Remaining(now time.Duration, class callclass.Class) float64 {
-	left := min(b.left(now, &b.service, 0), b.left(now, b.classes.Get(class), 0))
-	return float64(max(left, 0)) / unit
+	left := min(b.remainingIn(now, &b.serviceAccount, 0), b.remainingIn(now, b.classAccounts.Get(class), 0))
+	return float64(max(left, 0)) / retryUnit
 }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -20,18 +20,18 @@
 	allowedSlack = 630
 )
 
-// partOf returns the limits of one of a number of daemons.
-func partOf(daemons int) Limits {
+// limitsOfOneDaemon returns the limits of one of a number of daemons.
+func limitsOfOneDaemon(daemons int) Limits {
 	return LimitsForChain(allowedRatio, allowedSlack, 2, daemons, testWindow)
 }
 
 // However many daemons share the budget, a daemon can retry a call that is not urgent
 // after a few seconds of calls.
-func TestADaemonAmongManyMayRetryCallsThatAreNotUrgent(t *testing.T) {
+func TestDaemonOfALargeMeshCanRetryOrdinaryCalls(t *testing.T) {
 	for _, daemons := range meshSizes {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			check := is.New(t)
-			budget := NewBudgetWithLimits(partOf(daemons))
+			budget := NewBudgetWithLimits(limitsOfOneDaemon(daemons))
 			now := time.Duration(0)
 			for range 40 { // four seconds with ten calls each
 				now += 100 * time.Millisecond
@@ -43,7 +43,7 @@
 }
 
 // Retries earned by calls expire with the window.
-func TestEarningsLapse(t *testing.T) {
+func TestEarnedRetriesExpire(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Ratio: 0.5, Window: testWindow})
 	for range 20 {
@@ -53,9 +53,9 @@
 	check.True(!budget.Withdraw(25*time.Second, 0, 1, true))
 }
 
-// meshRun simulates daemons with one budget each and counts their calls and retries in
+// meshSimulation simulates daemons with one budget each and counts their calls and retries in
 // each tick.
-type meshRun struct {
+type meshSimulation struct {
 	budgets []*Budget
 	calls   []int
 	retries []int
@@ -65,7 +65,7 @@
 
 // step simulates one tick with calls at drawn daemons. If they fail, each is retried as
 // often as the budget allows.
-func (m *meshRun) step(t *rapid.T, calls int, failing bool) {
+func (m *meshSimulation) step(t *rapid.T, calls int, failing bool) {
 	now := time.Duration(len(m.calls)) * testTick
 	seed := rapid.IntRange(0, len(m.budgets)-1).Draw(t, "daemon")
 	stride := rapid.IntRange(1, len(m.budgets)).Draw(t, "stride")
@@ -91,13 +91,13 @@
 // The retries of all daemons together stay within the ratio and the slack in every window,
 // for any calls, failures and number of daemons. The window of calls that counts may be
 // up to one window earlier than that of the retries.
-func TestTheMeshStaysWithinTheBudgetInEveryWindow(t *testing.T) {
+func TestMeshStaysWithinTheBudgetInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
 		daemons := rapid.SampledFrom(meshSizes).Draw(t, "daemons")
-		run := &meshRun{}
+		run := &meshSimulation{}
 		for range daemons {
-			run.budgets = append(run.budgets, NewBudgetWithLimits(partOf(daemons)))
+			run.budgets = append(run.budgets, NewBudgetWithLimits(limitsOfOneDaemon(daemons)))
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			calls := rapid.IntRange(0, 200).Draw(t, "calls")
@@ -117,7 +117,7 @@
 
 // Calls to a version on trial leave half of the budget to other calls and refund unused
 // retries.
-func TestCallsOnTrialLeaveRetriesToOthers(t *testing.T) {
+func TestTrialCallsLeaveRetriesToOtherCalls(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Part: 8, Window: testWindow})
 	policy := Policy{Repeatable: true, Attempts: 3, Deadline: time.Hour}
@@ -145,7 +145,7 @@
 
 // A call that is not repeatable may go to a version on trial without charge. A repeatable
 // one that can't be retried may not.
-func TestWhichCallsMayBePutOnTrial(t *testing.T) {
+func TestReserveTrialRetryByPolicy(t *testing.T) {
 	check := is.New(t)
 	empty := NewBudgetWithLimits(Limits{Window: testWindow})
 	check.True(NewCall(Policy{Attempts: 3}, empty).ReserveTrialRetry(0))
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -79,20 +79,20 @@
 	// attempts counts all attempts, relocations those that don't count as retries.
 	attempts    int
 	relocations int
-	// inDoubt counts the attempts that may have run. A later "did not run" applies
+	// uncertainAttempts counts the attempts that may have run. A later "did not run" applies
 	// only to its own attempt.
-	inDoubt int
-	// disproof is the last outcome that Disprove accepted.
-	disproof Outcome
+	uncertainAttempts int
+	// resolvedOutcome is the last outcome that Disprove accepted.
+	resolvedOutcome Outcome
 	// deposited is set once the call is recorded in the budget.
 	deposited bool
-	// unknownCode is the code of the last attempt that may have run.
-	unknownCode result.Code
-	// prepaid is set if the next attempt is already charged to the budget.
-	prepaid bool
-	// onTrial is set if PayForTrial charged it, at trialPaidAt.
-	onTrial     bool
-	trialPaidAt time.Duration
+	// uncertainCode is the code of the last attempt that may have run.
+	uncertainCode result.Code
+	// retryReserved is set if the next attempt is already charged to the budget.
+	retryReserved bool
+	// trialReserved is set if PayForTrial charged it, at trialPaidAt.
+	trialReserved   bool
+	trialReservedAt time.Duration
 }
 
 // NewCall returns the state of a new call.
@@ -109,7 +109,7 @@
 	c.budget.Deposit(now, c.policy.Class)
 }
 
-// PayForTrial charges a second attempt before the first is sent to a version on trial and
+// ReserveTrialRetry charges a second attempt before the first is sent to a version on trial and
 // reports whether the call may be sent there. A caller must not suffer from a faulty
 // version on trial, so a repeatable call is sent there only if its retry is certain. A call
 // that is not repeatable has no retry to charge. Settle must be called when the call ends.
@@ -117,23 +117,23 @@
 	if !c.policy.Repeatable {
 		return true
 	}
-	if c.policy.NoRetry || c.policy.Attempts < 2 || c.prepaid || !c.budget.WithdrawForTrial(now, c.policy.Class) {
+	if c.policy.NoRetry || c.policy.Attempts < 2 || c.retryReserved || !c.budget.WithdrawForTrial(now, c.policy.Class) {
 		return false
 	}
-	c.prepaid, c.onTrial, c.trialPaidAt = true, true, now
+	c.retryReserved, c.trialReserved, c.trialReservedAt = true, true, now
 	return true
 }
 
-// Settle refunds the retry that PayForTrial charged if it was not used. It must be called
+// ReleaseTrialRetry refunds the retry that PayForTrial charged if it was not used. It must be called
 // when the call ends.
 func (c *Call) ReleaseTrialRetry() {
-	if c.onTrial && c.prepaid {
-		c.prepaid = false
-		c.budget.Refund(c.trialPaidAt, c.policy.Class)
+	if c.trialReserved && c.retryReserved {
+		c.retryReserved = false
+		c.budget.Refund(c.trialReservedAt, c.policy.Class)
 	}
 }
 
-// BudgetLeft returns the number of retries that the budget has left, as text for logs.
+// BudgetRemaining returns the number of retries that the budget has left, as text for logs.
 func (c *Call) BudgetRemaining(now time.Duration) string {
 	return strconv.FormatFloat(c.budget.Remaining(now, c.policy.Class), 'f', 1, 64)
 }
@@ -147,105 +147,105 @@
 func (c *Call) Next(now time.Duration, outcome Outcome) Step {
 	c.attempts++
 	c.deposit(now, outcome)
-	if outcome.Kind == Answered && c.retriesAnswer(now, outcome) {
-		c.inDoubt++
-		c.unknownCode = result.BrokenInFlight
-		return c.send(now, outcome)
+	if outcome.Kind == Answered && c.shouldRetryAnswer(now, outcome) {
+		c.uncertainAttempts++
+		c.uncertainCode = result.BrokenInFlight
+		return c.resend(now, outcome)
 	}
 	if outcome.Kind == Answered {
 		// Other failures that the back end answered are delivered: if every service
 		// in a chain of calls retried them, the calls to the last would multiply.
 		return Step{Action: Deliver}
 	}
-	c.weigh(outcome)
+	c.recordUncertainty(outcome)
 	switch {
 	case outcome.Kind == CallerGone:
 		return c.refuse(result.CallerGone, 0)
-	case now >= c.policy.Deadline || c.unknownCode == result.DeadlineInFlight:
+	case now >= c.policy.Deadline || c.uncertainCode == result.DeadlineInFlight:
 		return c.refuse(c.deadlineCode(), 0)
-	case !c.mayRepeat(outcome) || (turnsAway(outcome) && !outcome.Others) || now+c.policy.Margin >= c.policy.Deadline:
-		return c.giveUp(outcome)
-	case c.relocates(outcome):
+	case !c.mayRepeat(outcome) || (refusesAllCalls(outcome) && !outcome.Others) || now+c.policy.Margin >= c.policy.Deadline:
+		return c.refuseFor(outcome)
+	case c.mayRelocate(outcome):
 		c.relocations++
-		return c.send(now, outcome)
-	case isCold(outcome):
-		return c.giveUp(outcome) // another gate is probably cold as well
+		return c.resend(now, outcome)
+	case refusedAsCold(outcome):
+		return c.refuseFor(outcome) // another gate is probably cold as well
 	case c.policy.NoRetry || c.attempts-c.relocations >= c.policy.Attempts:
-		return c.giveUp(outcome)
+		return c.refuseFor(outcome)
 	case !c.withdraw(now, c.attempts-c.relocations):
-		return c.budgetSpent(outcome)
+		return c.refuseOverBudget(outcome)
 	}
-	return c.send(now, outcome)
+	return c.resend(now, outcome)
 }
 
-// Prepay charges another attempt while the current one still runs, and reports whether
+// ReserveRetry charges another attempt while the current one still runs, and reports whether
 // the call would be resent if the current attempt were cancelled now with the outcome.
 // If not, cancelling it would only lose its answer.
 func (c *Call) ReserveRetry(now time.Duration, outcome Outcome) bool {
-	if c.prepaid {
+	if c.retryReserved {
 		return true
 	}
 	attempts := c.attempts + 1 - c.relocations
-	c.prepaid = c.policy.Repeatable && outcome.Replayable && outcome.Others && !c.policy.NoRetry &&
+	c.retryReserved = c.policy.Repeatable && outcome.Replayable && outcome.Others && !c.policy.NoRetry &&
 		now+c.policy.Margin < c.policy.Deadline && attempts < c.policy.Attempts && c.withdraw(now, attempts)
-	return c.prepaid
+	return c.retryReserved
 }
 
 // withdraw charges the retry that follows a number of attempts. The second retry of a call
 // costs two, because it succeeds less often and multiplies more in a chain of calls.
 func (c *Call) withdraw(now time.Duration, attempts int) bool {
-	if c.prepaid {
-		c.prepaid = false
+	if c.retryReserved {
+		c.retryReserved = false
 		return true
 	}
 	return c.policy.Unbudgeted || c.budget.Withdraw(now, c.policy.Class, attempts, c.policy.Urgent)
 }
 
-// retriesAnswer reports whether to retry a failure that the back end answered: only for
+// shouldRetryAnswer reports whether to retry a failure that the back end answered: only for
 // repeatable calls, at another endpoint and within the attempts and the budget.
-func (c *Call) retriesAnswer(now time.Duration, outcome Outcome) bool {
+func (c *Call) shouldRetryAnswer(now time.Duration, outcome Outcome) bool {
 	return outcome.Failed && c.policy.RetryFailures && c.policy.Repeatable && !c.policy.NoRetry &&
 		outcome.Replayable && outcome.Others && now+c.policy.Margin < c.policy.Deadline &&
 		c.attempts-c.relocations < c.policy.Attempts &&
 		c.withdraw(now, c.attempts-c.relocations)
 }
 
-// weigh records the attempt as possibly run unless it certainly did not run.
-func (c *Call) weigh(outcome Outcome) {
+// recordUncertainty records the attempt as possibly run unless it certainly did not run.
+func (c *Call) recordUncertainty(outcome Outcome) {
 	if didNotRun(outcome) {
 		return
 	}
-	c.inDoubt++
+	c.uncertainAttempts++
 	switch outcome.Kind {
 	case Expired:
-		c.unknownCode = result.DeadlineInFlight
+		c.uncertainCode = result.DeadlineInFlight
 	case Refused:
-		c.unknownCode = outcome.Code
+		c.uncertainCode = outcome.Code
 	default:
-		c.unknownCode = result.BrokenInFlight
+		c.uncertainCode = result.BrokenInFlight
 	}
 }
 
-// Disprove applies the late outcome of an attempt that Next counted as possibly run. It
+// ResolveUncertainAttempt applies the late outcome of an attempt that Next counted as possibly run. It
 // returns true if the outcome proves that the attempt did not run, and then no longer
 // counts it.
 func (c *Call) ResolveUncertainAttempt(outcome Outcome) bool {
-	if !didNotRun(outcome) || c.inDoubt == 0 {
+	if !didNotRun(outcome) || c.uncertainAttempts == 0 {
 		return false
 	}
-	c.inDoubt--
-	c.disproof = outcome
+	c.uncertainAttempts--
+	c.resolvedOutcome = outcome
 	return true
 }
 
-// Final returns the final step once all attempts have ended. It is the decided one unless
+// FinalStep returns the final step once all attempts have ended. It is the decided one unless
 // Disprove has since shown that no attempt ran; then it is the refusal of the last
 // attempt so disproved.
 func (c *Call) FinalStep(decided Step) Step {
-	if decided.Action != Refuse || decided.Ran == result.RanNo || c.inDoubt > 0 {
+	if decided.Action != Refuse || decided.Ran == result.RanNo || c.uncertainAttempts > 0 {
 		return decided
 	}
-	return c.giveUp(c.disproof)
+	return c.refuseFor(c.resolvedOutcome)
 }
 
 // mayRepeat implements at-most-once execution (I6): a call that is not repeatable is
@@ -254,23 +254,23 @@
 	if outcome.Kind == NoEndpoint || !outcome.Replayable {
 		return false
 	}
-	return c.policy.Repeatable || c.inDoubt == 0
+	return c.policy.Repeatable || c.uncertainAttempts == 0
 }
 
-// relocates reports whether the call should go to another endpoint because this one did
+// mayRelocate reports whether the call should go to another endpoint because this one did
 // not process it. That adds no load, so it needs no budget and ignores the no-retry
 // mark. Another endpoint must be available.
-func (c *Call) relocates(outcome Outcome) bool {
+func (c *Call) mayRelocate(outcome Outcome) bool {
 	if !didNotRun(outcome) || !outcome.Others || c.relocations >= relocationLimit {
 		return false
 	}
 	if c.policy.RetryFailures && outcome.Kind == Refused && !outcome.Arrived {
 		return true
 	}
-	return outcome.Kind == NotSent || outcome.Code == result.ConnectFailed || turnsAway(outcome)
+	return outcome.Kind == NotSent || outcome.Code == result.ConnectFailed || refusesAllCalls(outcome)
 }
 
-func (c *Call) send(now time.Duration, outcome Outcome) Step {
+func (c *Call) resend(now time.Duration, outcome Outcome) Step {
 	step := Step{Action: Send, Mark: !c.policy.Unbudgeted}
 	if !outcome.Others {
 		step.Wait = min(sameEndpointWait, c.policy.Deadline-now)
@@ -278,8 +278,8 @@
 	return step
 }
 
-// giveUp returns the final refusal that fits the last attempt's outcome.
-func (c *Call) giveUp(outcome Outcome) Step {
+// refuseFor returns the final refusal that fits the last attempt's outcome.
+func (c *Call) refuseFor(outcome Outcome) Step {
 	switch outcome.Kind {
 	case NotSent:
 		return c.refuse(result.ConnectFailed, defaultRetryAfter)
@@ -291,17 +291,17 @@
 	return c.refuse(result.BrokenInFlight, 0)
 }
 
-// budgetSpent returns the final refusal of a call that the budget does not allow to
+// refuseOverBudget returns the final refusal of a call that the budget does not allow to
 // retry. It reports the spent budget if the last attempt was broken.
-func (c *Call) budgetSpent(outcome Outcome) Step {
+func (c *Call) refuseOverBudget(outcome Outcome) Step {
 	if outcome.Kind == Broken {
 		return c.refuse(result.RetryBudgetSpent, defaultRetryAfter)
 	}
-	return c.giveUp(outcome)
+	return c.refuseFor(outcome)
 }
 
 func (c *Call) deadlineCode() result.Code {
-	if c.inDoubt > 0 {
+	if c.uncertainAttempts > 0 {
 		return result.DeadlineInFlight
 	}
 	return result.DeadlineBeforeStart
@@ -312,14 +312,14 @@
 // clients read only the code.
 func (c *Call) refuse(code result.Code, retryAfter time.Duration) Step {
 	step := Step{Action: Refuse, Code: code, Ran: result.RanNo, RetryAfter: retryAfter}
-	if c.inDoubt == 0 {
+	if c.uncertainAttempts == 0 {
 		return step
 	}
 	step.Ran = result.RanUnknown
-	if meansNotRun(code) {
-		step.Code = c.unknownCode
+	if impliesNotRun(code) {
+		step.Code = c.uncertainCode
 	}
-	if meansNotRun(step.Code) {
+	if impliesNotRun(step.Code) {
 		step.Code = result.BrokenInFlight
 	}
 	return step
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -21,7 +21,7 @@
 	return NewCall(policy, NewBudget())
 }
 
-func TestNonRepeatableIsSentAgainOnlyIfItDidNotRun(t *testing.T) {
+func TestNonRepeatableCallIsResentOnlyIfItDidNotRun(t *testing.T) {
 	draining := Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true, Others: true}
 	cases := []struct {
 		name    string
@@ -54,14 +54,14 @@
 	}
 }
 
-func TestDeadlineTellsWhetherItRan(t *testing.T) {
+func TestDeadlineCodeStatesWhetherTheCallRan(t *testing.T) {
 	check := is.New(t)
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true, Others: true}
 	check.Equal(newCall(Policy{Deadline: 1}).Next(2, refusal).Code, result.DeadlineBeforeStart)
 	check.Equal(newCall(Policy{Deadline: 1}).Next(2, Outcome{Kind: Broken}).Code, result.DeadlineInFlight)
 }
 
-func TestLaterRefusalDoesNotHideAnEarlierAttempt(t *testing.T) {
+func TestRefusalDoesNotHideAnEarlierUncertainAttempt(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true})
 	check.Equal(call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
@@ -72,7 +72,7 @@
 }
 
 // The late outcome of an attempt that may have run applies to that attempt only.
-func TestADoubtIsTakenBackByProofOnly(t *testing.T) {
+func TestUncertainAttemptIsResolvedOnlyByProof(t *testing.T) {
 	check := is.New(t)
 	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second, Replayable: true}
@@ -97,7 +97,7 @@
 	check.Equal(twice.FinalStep(decided), decided) // the other attempt may have run
 }
 
-func TestMarkStopsRetriesButNotRelocation(t *testing.T) {
+func TestNoRetryMarkStopsRetriesButNotRelocation(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true, NoRetry: true})
 	check.True(call.First().Mark)
@@ -124,11 +124,11 @@
 		ordinary.Deposit(0, 0)
 		urgent.Deposit(0, 0)
 	}
-	check.Equal(withdrawn(ordinary, 0, false), 75) // 75 %
-	check.Equal(withdrawn(ordinary, 0, true), 25)  // 25 % are reserved for urgent calls
-	check.Equal(withdrawn(urgent, 0, true), 100)
-	check.Equal(withdrawn(urgent, 5*time.Second, true), 0)
-	check.Equal(withdrawn(urgent, 12*time.Second, true), 10) // one window later only Limits.Part is left
+	check.Equal(withdrawAll(ordinary, 0, false), 75) // 75 %
+	check.Equal(withdrawAll(ordinary, 0, true), 25)  // 25 % are reserved for urgent calls
+	check.Equal(withdrawAll(urgent, 0, true), 100)
+	check.Equal(withdrawAll(urgent, 5*time.Second, true), 0)
+	check.Equal(withdrawAll(urgent, 12*time.Second, true), 10) // one window later only Limits.Part is left
 }
 
 // TestAtMostOnce checks I5 and I6 for drawn outcomes of attempts: a call that is not
@@ -170,8 +170,8 @@
 	})
 }
 
-// withdrawn withdraws retries until the budget refuses and returns their number.
-func withdrawn(budget *Budget, now time.Duration, urgent bool) (count int) {
+// withdrawAll withdraws retries until the budget refuses and returns their number.
+func withdrawAll(budget *Budget, now time.Duration, urgent bool) (count int) {
 	for budget.Withdraw(now, 0, 1, urgent) {
 		count++
 	}
@@ -187,7 +187,7 @@
 	})
 }
 
-func TestNoAttemptFollowsWithoutTimeForIt(t *testing.T) {
+func TestNoAttemptWithinTheMarginBeforeTheDeadline(t *testing.T) {
 	check := is.New(t)
 	policy := Policy{Repeatable: true, RetryFailures: true, Deadline: 100, Margin: 10}
 	failed := Outcome{Kind: Answered, Failed: true, Replayable: true, Others: true}
@@ -198,7 +198,7 @@
 	check.Equal(newCall(policy).Next(90, broken).Action, Refuse)
 }
 
-func TestAnAnsweredFailureIsTriedElsewhereOnlyWhereItMayBe(t *testing.T) {
+func TestAnsweredFailureIsRetriedOnlyIfPolicyAllows(t *testing.T) {
 	check := is.New(t)
 	failed := Outcome{Kind: Answered, Failed: true, Replayable: true, Others: true}
 	check.Equal(newCall(Policy{Repeatable: true}).Next(0, failed).Action, Deliver) // without RetryFailures
@@ -212,7 +212,7 @@
 	check.Equal(call.Next(0, refusal).Ran, result.RanUnknown) // the first attempt ran
 }
 
-func TestAGatesRefusalCostsNoBudgetUnlessTheBackEndSawIt(t *testing.T) {
+func TestGateRefusalCostsBudgetOnlyIfItReachedTheBackEnd(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Ratio: 0, Part: 1})
 	policy := Policy{RetryFailures: true, Attempts: 3, Deadline: 100}
@@ -223,18 +223,18 @@
 	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Refuse)
 }
 
-func TestABudgetShrinksWithItsShare(t *testing.T) {
+func TestSetMinimumRetriesLeavesEarnedRetries(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Ratio: 0.5, Part: 4})
 	budget.SetMinimumRetries(1)
-	check.Equal(withdrawn(budget, 0, true), 1)
+	check.Equal(withdrawAll(budget, 0, true), 1)
 	for range 10 {
 		budget.Deposit(0, 0)
 	}
-	check.Equal(withdrawn(budget, 0, true), 4) // SetPart leaves Ratio: 10 calls earn 5, one is used
+	check.Equal(withdrawAll(budget, 0, true), 4) // SetPart leaves Ratio: 10 calls earn 5, one is used
 }
 
-func TestAnAttemptIsBrokenOffOnlyIfAnotherIsPaidFor(t *testing.T) {
+func TestReserveRetryByPolicyAndBudget(t *testing.T) {
 	check := is.New(t)
 	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
 	policy := Policy{Repeatable: true, RetryFailures: true, Attempts: 3, Deadline: 100, Margin: 10}
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -9,9 +9,9 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// chainRun simulates a chain of services, all on the same daemons. Each receives calls of
+// chainSimulation simulates a chain of services, all on the same daemons. Each receives calls of
 // two classes: those of class 0 call the next service, those of class 1 make no calls.
-type chainRun struct {
+type chainSimulation struct {
 	// levels are the services from the first to the last of the chain.
 	levels []chainLevel
 	// fanOut is the number of calls that an executed call of class 0 makes.
@@ -24,9 +24,9 @@
 // chainLevel is one service: the budgets of the daemons that call it, and its requests and
 // repetitions in each tick.
 type chainLevel struct {
-	budgets  []*Budget
-	requests []int
-	extra    []int
+	budgets     []*Budget
+	requests    []int
+	repetitions []int
 	// rejecting is the share of arriving attempts that back ends refuse, failing the share
 	// of executed ones that fail.
 	rejecting float64
@@ -44,7 +44,7 @@
 const chainAttempts = 3
 
 // send simulates all attempts of a call to a level, and the calls that they make.
-func (r *chainRun) send(level int, call chainCall) {
+func (r *chainSimulation) send(level int, call chainCall) {
 	if level == len(r.levels) {
 		return
 	}
@@ -59,7 +59,7 @@
 	for attempt := 1; ; attempt++ {
 		again := attempt > 1 || call.repeated
 		if again {
-			at.extra[r.tick]++
+			at.repetitions[r.tick]++
 		}
 		outcome := r.run(level, call, again)
 		if state.Next(r.now, outcome).Action != Send {
@@ -69,7 +69,7 @@
 }
 
 // run simulates one attempt that arrives at a back end.
-func (r *chainRun) run(level int, call chainCall, again bool) Outcome {
+func (r *chainSimulation) run(level int, call chainCall, again bool) Outcome {
 	at := &r.levels[level]
 	if r.random() < at.rejecting {
 		return Outcome{Kind: Refused, Ran: "no", Arrived: true, Replayable: true, Others: true}
@@ -88,19 +88,19 @@
 }
 
 // begin starts the counts of a tick.
-func (r *chainRun) begin(tick int) {
+func (r *chainSimulation) begin(tick int) {
 	r.tick = tick
 	r.now = time.Duration(tick) * testTick
 	for index := range r.levels {
 		level := &r.levels[index]
 		level.requests = append(level.requests, 0)
-		level.extra = append(level.extra, 0)
+		level.repetitions = append(level.repetitions, 0)
 	}
 }
 
-func newChain(depth, daemons, fanOut int, random func() float64) *chainRun {
+func newChain(depth, daemons, fanOut int, random func() float64) *chainSimulation {
 	limits := LimitsForChain(allowedRatio, allowedSlack*chainSlack, depth, daemons, testWindow)
-	run := &chainRun{fanOut: fanOut, random: random, levels: make([]chainLevel, depth)}
+	run := &chainSimulation{fanOut: fanOut, random: random, levels: make([]chainLevel, depth)}
 	for index := range run.levels {
 		for range daemons {
 			run.levels[index].budgets = append(run.levels[index].budgets, NewBudgetWithLimits(limits))
@@ -109,15 +109,15 @@
 	return run
 }
 
-// overdrawn returns the largest excess of the level's repetitions over the allowed number in
+// maxExcess returns the largest excess of the level's repetitions over the allowed number in
 // any window.
-func (l *chainLevel) overdrawn() float64 {
+func (l *chainLevel) maxExcess() float64 {
 	worst := 0.0
 	window := int(testWindow / testTick)
 	for at := range l.requests {
 		requests := max(sum(l.requests, at, at+window), sum(l.requests, at-window, at), sum(l.requests, at-window/2, at+window/2))
 		allowed := allowedRatio*float64(requests) + allowedSlack*chainSlack
-		worst = max(worst, float64(sum(l.extra, at, at+window))-allowed)
+		worst = max(worst, float64(sum(l.repetitions, at, at+window))-allowed)
 	}
 	return worst
 }
@@ -132,7 +132,7 @@
 // The repetitions that a service receives stay within the budget in every window, including
 // those caused by repetitions of its callers: at any depth of the chain, any number of daemons,
 // any share of refusals and failures, and while traffic falls.
-func TestAChainOfServicesStaysWithinTheBudget(t *testing.T) {
+func TestChainOfServicesStaysWithinTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		depth := rapid.IntRange(1, 7).Draw(t, "depth")
 		daemons := rapid.SampledFrom([]int{13, 83, 295}).Draw(t, "daemons")
@@ -162,7 +162,7 @@
 			calls = min(max(calls, 2), most)
 		}
 		for index := range run.levels {
-			if over := run.levels[index].overdrawn(); over > 0 {
+			if over := run.levels[index].maxExcess(); over > 0 {
 				t.Fatalf("level %d of %d is overdrawn by %.0f", index+1, depth, over)
 			}
 		}
--- a/internal/core/retry/outcome.go
+++ b/internal/core/retry/outcome.go
@@ -6,7 +6,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Kind is the way in which an attempt ended.
+// OutcomeKind is the way in which an attempt ended.
 type OutcomeKind int
 
 // The kinds of outcomes.
@@ -46,9 +46,9 @@
 	Arrived bool
 }
 
-// turnsAway reports whether the endpoint accepts no calls for now, so that retrying there
+// refusesAllCalls reports whether the endpoint accepts no calls for now, so that retrying there
 // is useless.
-func turnsAway(outcome Outcome) bool {
+func refusesAllCalls(outcome Outcome) bool {
 	if outcome.Kind != Refused {
 		return false
 	}
@@ -60,12 +60,12 @@
 	return false
 }
 
-// isCold reports whether the gate refused the call because its back end is cold.
-func isCold(outcome Outcome) bool {
+// refusedAsCold reports whether the gate refused the call because its back end is cold.
+func refusedAsCold(outcome Outcome) bool {
 	return outcome.Kind == Refused && outcome.Code == result.WarmingUp
 }
 
-func meansNotRun(code result.Code) bool {
+func impliesNotRun(code result.Code) bool {
 	entry, found := result.Lookup(code)
 	return !found || entry.Ran == result.RanNo
 }
--- a/internal/core/retry/warmth_test.go
+++ b/internal/core/retry/warmth_test.go
@@ -9,46 +9,46 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// cold is the outcome of an attempt that a gate refused because its back end is cold.
-var cold = Outcome{
+// coldRefusal is the outcome of an attempt that a gate refused because its back end is cold.
+var coldRefusal = Outcome{
 	Kind: Refused, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: 700 * time.Millisecond,
 	Replayable: true, Others: true,
 }
 
-func TestACallThatAColdGateRefusesGoesElsewhereWithoutBudget(t *testing.T) {
+func TestColdRefusalIsRelocatedWithoutBudget(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudget()
 	left := budget.Remaining(0, 0)
 	for _, policy := range []Policy{{}, {NoRetry: true}, {Repeatable: true}} {
 		policy.Attempts, policy.Deadline = 1, time.Minute
-		check.Equal(NewCall(policy, budget).Next(0, cold).Action, Send)
+		check.Equal(NewCall(policy, budget).Next(0, coldRefusal).Action, Send)
 	}
 	check.Equal(budget.Remaining(0, 0), left)
 }
 
-func TestACallAsksAFewColdGatesAtMost(t *testing.T) {
+func TestRelocationsAfterColdRefusalsAreLimited(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true, Attempts: 9})
 	for range relocationLimit {
-		check.Equal(call.Next(0, cold).Action, Send)
+		check.Equal(call.Next(0, coldRefusal).Action, Send)
 	}
-	step := call.Next(0, cold)
-	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: cold.RetryAfter})
+	step := call.Next(0, coldRefusal)
+	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: coldRefusal.RetryAfter})
 }
 
-func TestWhereAllAreColdTheCallIsRefusedAtOnce(t *testing.T) {
+func TestCallIsRefusedIfAllEndpointsAreCold(t *testing.T) {
 	check := is.New(t)
-	alone := cold
+	alone := coldRefusal
 	alone.Others = false
 	step := newCall(Policy{Repeatable: true}).Next(0, alone)
-	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: cold.RetryAfter})
+	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: coldRefusal.RetryAfter})
 }
 
-func TestAColdGateDoesNotHideThatTheCallMayHaveRun(t *testing.T) {
+func TestColdRefusalDoesNotHideAnUncertainAttempt(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true})
 	check.Equal(call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
-	alone := cold
+	alone := coldRefusal
 	alone.Others = false
-	check.Equal(call.Next(0, alone), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: cold.RetryAfter})
+	check.Equal(call.Next(0, alone), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: coldRefusal.RetryAfter})
 }
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -23,13 +23,13 @@
 
 const amountMask = 1<<amountBits - 1
 
-// part returns the number of the interval that contains a time.
-func part(now, span time.Duration) uint64 { return uint64(now / (span / windowSlots)) }
+// intervalOf returns the number of the interval that contains a time.
+func intervalOf(now, span time.Duration) uint64 { return uint64(now / (span / windowSlots)) }
 
 // add adds an amount. A negative amount reverses one that was added in the same interval;
 // see takeBack for earlier ones.
 func (w *window) add(now, span time.Duration, amount int64) {
-	number := part(now, span)
+	number := intervalOf(now, span)
 	slot := &w.slots[number%uint64(len(w.slots))]
 	for {
 		held := slot.Load()
@@ -44,10 +44,10 @@
 	}
 }
 
-// takeBack subtracts an amount that was added at an earlier time. It does nothing once
+// subtract subtracts an amount that was added at an earlier time. It does nothing once
 // that time's slot has been reused.
-func (w *window) takeBack(addedAt, span time.Duration, amount int64) {
-	number := part(addedAt, span)
+func (w *window) subtract(addedAt, span time.Duration, amount int64) {
+	number := intervalOf(addedAt, span)
 	slot := &w.slots[number%uint64(len(w.slots))]
 	for {
 		held := slot.Load()
@@ -63,7 +63,7 @@
 
 // sum returns the total of the current interval and a number of intervals before it.
 func (w *window) sum(now, span time.Duration, before uint64) int64 {
-	number := part(now, span)
+	number := intervalOf(now, span)
 	total := int64(0)
 	for index := range w.slots {
 		held := w.slots[index].Load()
--- a/internal/core/roundtrip/roundtrip.go
+++ b/internal/core/roundtrip/roundtrip.go
@@ -11,16 +11,16 @@
 // The inverse weights of a new measurement in the mean and in the mean deviation, and the
 // number of deviations that a timeout adds to the mean (RFC 6298).
 const (
-	meanParts      = 8
-	deviationParts = 4
-	deviations     = 4
+	meanDivisor       = 8
+	deviationDivisor  = 4
+	timeoutDeviations = 4
 )
 
 // Estimator keeps the moving mean of round-trip times and of their deviation. The zero
 // value has no measurements. It is safe for concurrent use.
 type Estimator struct {
 	mutex     sync.Mutex
-	known     bool
+	observed  bool
 	mean      time.Duration
 	deviation time.Duration
 }
@@ -30,15 +30,15 @@
 	took = max(took, 0)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !e.known {
-		e.known = true
+	if !e.observed {
+		e.observed = true
 		e.mean = took
 		e.deviation = took / 2
 		return
 	}
 	distance := max(took-e.mean, e.mean-took)
-	e.deviation += (distance - e.deviation) / deviationParts
-	e.mean += (took - e.mean) / meanParts
+	e.deviation += (distance - e.deviation) / deviationDivisor
+	e.mean += (took - e.mean) / meanDivisor
 }
 
 // Timeout returns the time within which nearly all answers arrive; 0 if no round trip has
@@ -46,5 +46,5 @@
 func (e *Estimator) Timeout() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.mean + deviations*e.deviation
+	return e.mean + timeoutDeviations*e.deviation
 }
--- a/internal/core/roundtrip/roundtrip_test.go
+++ b/internal/core/roundtrip/roundtrip_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestATimeoutFollowsRoundTrips(t *testing.T) {
+func TestTimeoutFollowsRoundTripTimes(t *testing.T) {
 	check := is.New(t)
 	estimator := &Estimator{}
 	check.Equal(estimator.Timeout(), time.Duration(0))
--- a/internal/core/snapshot/codec.go
+++ b/internal/core/snapshot/codec.go
@@ -88,10 +88,10 @@
 	}
 	fields := fieldReader{rest: plain}
 	var changes []change
-	for len(fields.rest) > 0 && !fields.broken {
+	for len(fields.rest) > 0 && !fields.malformed {
 		changes = append(changes, fields.change())
 	}
-	if fields.broken {
+	if fields.malformed {
 		return nil, result.New(result.DigestMismatch, "delta is malformed after %d changes", len(changes))
 	}
 	return changes, nil
@@ -99,8 +99,8 @@
 
 // fieldReader reads fields from the front of a decompressed delta.
 type fieldReader struct {
-	rest   []byte
-	broken bool
+	rest      []byte
+	malformed bool
 }
 
 func (f *fieldReader) change() change {
@@ -108,7 +108,7 @@
 	f.rest = f.rest[1:]
 	one := change{removed: operation == operationRemove}
 	if operation != operationPut && operation != operationRemove {
-		f.broken = true
+		f.malformed = true
 		return one
 	}
 	one.key.Partner = resource.Partner(f.field())
@@ -123,7 +123,7 @@
 func (f *fieldReader) field() []byte {
 	length, size := binary.Uvarint(f.rest)
 	if size <= 0 || length > uint64(len(f.rest)-size) {
-		f.broken = true
+		f.malformed = true
 		return nil
 	}
 	end := size + int(length)
--- a/internal/core/snapshot/digest.go
+++ b/internal/core/snapshot/digest.go
@@ -14,16 +14,16 @@
 	hash := sha256.New()
 	var fields []byte
 	for _, one := range sorted {
-		fields = appendEnded(fields[:0], string(one.Key.Partner))
-		fields = appendEnded(fields, string(one.Key.Kind))
-		fields = appendEnded(fields, one.Key.Name)
-		fields = appendEnded(fields, string(one.Digest))
+		fields = appendTerminated(fields[:0], string(one.Key.Partner))
+		fields = appendTerminated(fields, string(one.Key.Kind))
+		fields = appendTerminated(fields, one.Key.Name)
+		fields = appendTerminated(fields, string(one.Digest))
 		_, _ = hash.Write(fields) // never fails
 	}
 	return resource.Digest(hex.EncodeToString(hash.Sum(nil)))
 }
 
-// appendEnded appends a field and a zero byte, which no field may contain.
-func appendEnded(fields []byte, field string) []byte {
+// appendTerminated appends a field and a zero byte, which no field may contain.
+func appendTerminated(fields []byte, field string) []byte {
 	return append(append(fields, field...), 0)
 }
--- a/internal/core/snapshot/rebuild_test.go
+++ b/internal/core/snapshot/rebuild_test.go
@@ -18,7 +18,7 @@
 	return resource.Encode(file)
 }
 
-func TestRebuildDoesNotDependOnWhatWasHeldBefore(t *testing.T) {
+func TestRebuildDoesNotDependOnThePreviousSnapshot(t *testing.T) {
 	is := is.New(t)
 	before, err := Build(1, services(map[string]string{"a": "/a", "b": "/b", "d": "/d"}))
 	is.NoErr(err)
--- a/internal/core/snapshot/scope.go
+++ b/internal/core/snapshot/scope.go
@@ -32,11 +32,11 @@
 	if scope.Relay {
 		return s.Encoded
 	}
-	wanted := s.wanted(scope)
+	wanted := s.keysInScope(scope)
 	return lo.Filter(s.Encoded, func(one resource.Encoded, _ int) bool { return wanted[one.Key] })
 }
 
-func (s *Snapshot) wanted(scope protocol.Scope) map[resource.Key]bool {
+func (s *Snapshot) keysInScope(scope protocol.Scope) map[resource.Key]bool {
 	wanted := map[resource.Key]bool{}
 	services := lo.Keyify(scope.Services)
 	for _, route := range s.Routes {
@@ -48,16 +48,16 @@
 			wanted[secretKey(route)] = true
 		}
 		for _, destination := range route.Split {
-			s.wantService(wanted, destination.Service)
+			s.addServiceKeys(wanted, destination.Service)
 		}
 	}
 	for _, service := range scope.Services {
-		s.wantService(wanted, service)
+		s.addServiceKeys(wanted, service)
 	}
 	return wanted
 }
 
-func (s *Snapshot) wantService(wanted map[resource.Key]bool, service resource.ServiceRef) {
+func (s *Snapshot) addServiceKeys(wanted map[resource.Key]bool, service resource.ServiceRef) {
 	if wanted[service.Key()] {
 		return
 	}
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -57,9 +57,9 @@
 		Encoded:  sorted,
 		decoded:  make([]resource.Resource, 0, len(sorted)),
 	}
-	known := earlier{from: previous}
+	known := previousDecoder{previous: previous}
 	if previous != nil && len(previous.decoded) != len(previous.Encoded) {
-		known.from = nil // not made by Rebuild, so its decoded resources are missing
+		known.previous = nil // not made by Rebuild, so its decoded resources are missing
 	}
 	for _, one := range sorted {
 		decoded, err := known.decode(one)
@@ -75,33 +75,33 @@
 	return built, nil
 }
 
-// earlier iterates over an earlier snapshot in key order.
-type earlier struct {
-	from *Snapshot
-	next int
+// previousDecoder iterates over an earlier snapshot in key order.
+type previousDecoder struct {
+	previous *Snapshot
+	next     int
 }
 
 // decode returns the decoded form of a resource, from the earlier snapshot if it is
 // unchanged. Successive calls must pass resources in key order.
-func (e *earlier) decode(one resource.Encoded) (resource.Resource, error) {
-	if e.from == nil {
+func (e *previousDecoder) decode(one resource.Encoded) (resource.Resource, error) {
+	if e.previous == nil {
 		return resource.Decode(one)
 	}
-	for e.next < len(e.from.Encoded) && e.from.Encoded[e.next].Key.Less(one.Key) {
+	for e.next < len(e.previous.Encoded) && e.previous.Encoded[e.next].Key.Less(one.Key) {
 		e.next++
 	}
-	if e.next == len(e.from.Encoded) {
+	if e.next == len(e.previous.Encoded) {
 		return resource.Decode(one)
 	}
-	candidate := e.from.Encoded[e.next]
+	candidate := e.previous.Encoded[e.next]
 	same := candidate.Key == one.Key && candidate.Digest == one.Digest && bytes.Equal(candidate.Payload, one.Payload)
 	if !same {
 		return resource.Decode(one)
 	}
-	return e.from.decoded[e.next], nil
+	return e.previous.decoded[e.next], nil
 }
 
-// AtVersion returns a snapshot with the same content at another version. It is used
+// WithVersion returns a snapshot with the same content at another version. It is used
 // if the versions in between changed nothing in the scope.
 func (s *Snapshot) WithVersion(version protocol.Version) *Snapshot {
 	moved := *s
--- a/internal/core/snapshot/snapshot_test.go
+++ b/internal/core/snapshot/snapshot_test.go
@@ -59,7 +59,7 @@
 	return result.Internal
 }
 
-func TestBuildRefusesDanglingRoutes(t *testing.T) {
+func TestBuildRejectsDanglingRoutes(t *testing.T) {
 	is := is.New(t)
 	built, err := snapshot.Build(3, shop(6))
 	is.NoErr(err)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestScopeIsClosedAndHoldsNoOtherSecret(t *testing.T) {
+func TestScopeIsClosedUnderReferencesWithoutUnusedSecrets(t *testing.T) {
 	is := is.New(t)
 	built, err := snapshot.Build(3, shop(6))
 	is.NoErr(err)
@@ -88,7 +88,7 @@
 	is.Equal(len(built.Select(protocol.Scope{Relay: true})), len(built.Encoded))
 }
 
-func TestStoreGivesDeltasThatApply(t *testing.T) {
+func TestStoreDeltasCanBeApplied(t *testing.T) {
 	is := is.New(t)
 	store := snapshot.NewStore()
 	is.NoErr(store.Add(1, shop(6)))
@@ -115,7 +115,7 @@
 	is.Equal(store.Delta(all, 1, "other").From, protocol.Version(0)) // unknown content gets a whole snapshot
 }
 
-func TestStoreNeverMovesBackAndRefusesBadVersions(t *testing.T) {
+func TestStoreIgnoresOlderAndRejectsInvalidVersions(t *testing.T) {
 	is := is.New(t)
 	store := snapshot.NewStore()
 	is.NoErr(store.Add(5, shop(6)))
@@ -130,7 +130,7 @@
 	is.Equal(store.Delta(protocol.Scope{}, 5, "x").From, protocol.Version(0)) // history is bounded
 }
 
-func TestApplyIsWholeOrNothing(t *testing.T) {
+func TestApplyIsAtomic(t *testing.T) {
 	is := is.New(t)
 	store := snapshot.NewStore()
 	is.NoErr(store.Add(1, shop(6)))
--- a/internal/core/snapshot/store.go
+++ b/internal/core/snapshot/store.go
@@ -82,11 +82,11 @@
 	if err != nil {
 		return errors.Trace(err)
 	}
-	s.push(built)
+	s.appendVersion(built)
 	return nil
 }
 
-func (s *Store) push(built *Snapshot) {
+func (s *Store) appendVersion(built *Snapshot) {
 	s.history = append(s.history, built)
 	s.deltas = map[deltaKey]*protocol.Delta{}
 	if len(s.history) > HistoryLength {
@@ -102,7 +102,7 @@
 	if newest == nil || version <= newest.Version {
 		return
 	}
-	s.push(newest.WithVersion(version))
+	s.appendVersion(newest.WithVersion(version))
 }
 
 // dropSelections evicts the selections of versions that are no longer in the history.
@@ -121,7 +121,7 @@
 	if newest == nil {
 		return nil
 	}
-	return s.selected(newest, scope, scopeKey(scope)).resources
+	return s.cachedSelection(newest, scope, scopeKey(scope)).resources
 }
 
 // Delta returns the delta to the newest version for a child that has a scope at the
@@ -133,19 +133,19 @@
 		return nil
 	}
 	key := scopeKey(scope)
-	after := s.selected(newest, scope, key)
+	after := s.cachedSelection(newest, scope, key)
 	if have > 0 && digest == after.digest {
 		return nil
 	}
-	before := s.at(have)
-	if before == nil || s.selected(before, scope, key).digest != digest {
-		return s.shared(deltaKey{scope: key}, newest.Version, nil, after.resources)
+	before := s.find(have)
+	if before == nil || s.cachedSelection(before, scope, key).digest != digest {
+		return s.cachedDelta(deltaKey{scope: key}, newest.Version, nil, after.resources)
 	}
-	return s.shared(deltaKey{from: have, scope: key}, newest.Version, s.selected(before, scope, key).resources, after.resources)
+	return s.cachedDelta(deltaKey{from: have, scope: key}, newest.Version, s.cachedSelection(before, scope, key).resources, after.resources)
 }
 
-// shared returns a delta to the newest version from the cache, encoding it on first use.
-func (s *Store) shared(key deltaKey, to protocol.Version, before, after []resource.Encoded) *protocol.Delta {
+// cachedDelta returns a delta to the newest version from the cache, encoding it on first use.
+func (s *Store) cachedDelta(key deltaKey, to protocol.Version, before, after []resource.Encoded) *protocol.Delta {
 	if delta, found := s.deltas[key]; found {
 		return delta
 	}
@@ -154,7 +154,7 @@
 	return delta
 }
 
-func (s *Store) at(version protocol.Version) *Snapshot {
+func (s *Store) find(version protocol.Version) *Snapshot {
 	for _, one := range s.history {
 		if one.Version == version {
 			return one
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (s *Store) selected(of *Snapshot, scope protocol.Scope, key string) selection {
+func (s *Store) cachedSelection(of *Snapshot, scope protocol.Scope, key string) selection {
 	memo := selectionKey{version: of.Version, scope: key}
 	if found, ok := s.selections[memo]; ok {
 		return found
--- a/internal/sim/mutant/calls.go
+++ b/internal/sim/mutant/calls.go
@@ -5,8 +5,8 @@
 // callMutants are faults on the path of a request.
 var callMutants = []Mutant{
 	{Name: "deliver_broken", Breaks: oracle.OwnWholeAnswer, Simulation: Calls, File: "retry/call.go",
-		Old: "	return c.refuse(result.BrokenInFlight, 0)\n}\n\n// budgetSpent",
-		New: "	return Step{Action: Deliver}\n}\n\n// budgetSpent"},
+		Old: "	return c.refuse(result.BrokenInFlight, 0)\n}\n\n// refuseOverBudget",
+		New: "	return Step{Action: Deliver}\n}\n\n// refuseOverBudget"},
 	{Name: "deliver_expired", Breaks: oracle.OwnWholeAnswer, Simulation: Calls, File: "retry/call.go",
 		Old: "	if outcome.Kind == Answered {",
 		New: "	if outcome.Kind == Answered || outcome.Kind == Expired {"},
@@ -22,13 +22,13 @@
 		New: "	case NotSent, NoEndpoint, Broken:\n		return true"},
 	{Name: "last_attempt_speaks_for_all", Breaks: oracle.RefusalIsTrue, Simulation: Calls, File: "retry/call.go",
 		Old: "	if didNotRun(outcome) {\n		return",
-		New: "	if didNotRun(outcome) {\n		c.inDoubt = 0; return"},
+		New: "	if didNotRun(outcome) {\n		c.uncertainAttempts = 0; return"},
 	{Name: "cancel_of_started", Breaks: oracle.RefusalIsTrue, Simulation: Calls, File: "admission/gate.go",
 		Old: "	if ticket.state != StateQueued {\n		return false",
 		New: "	if ticket.state != StateQueued {\n		return true"},
 
 	{Name: "retry_on_reset", Breaks: oracle.AtMostOnce, Simulation: Calls, File: "retry/call.go",
-		Old: "	return c.policy.Repeatable || c.inDoubt == 0\n",
+		Old: "	return c.policy.Repeatable || c.uncertainAttempts == 0\n",
 		New: "	return true\n"},
 	{Name: "start_duplicates", Breaks: oracle.AtMostOnce, Simulation: Calls, File: "admission/gate.go",
 		Old: "	case Present:\n		return refused(result.AlreadyStarted, 0)",
