--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -52,15 +52,17 @@
 	return chosen
 }
 
-func (s *Set) choose(now time.Duration, random uint64, tried Tried, heedEvidence bool) *Endpoint {
+// choose picks an endpoint for Choose. Unless avoidUnhealthy is set, it also considers
+// ejected and degraded endpoints.
+func (s *Set) choose(now time.Duration, random uint64, tried Tried, avoidUnhealthy bool) *Endpoint {
 	var best *Endpoint
 	bestLoad := 0.0
-	var heed exclusions
-	if heedEvidence {
-		heed = s.exclusionsAt(now)
+	var excluded exclusions
+	if avoidUnhealthy {
+		excluded = s.exclusionsAt(now)
 	}
 	for distance, tier := range s.tiers {
-		candidate := betterOfTwo(tier, now, random, tried, heed)
+		candidate := betterOfTwo(tier, now, random, tried, excluded)
 		if candidate == nil {
 			continue
 		}
@@ -76,18 +78,18 @@
 	return best
 }
 
-// exclusions selects the reasons for which a choice skips endpoints.
+// exclusions selects which kinds of unhealthy endpoints a choice skips.
 type exclusions struct {
 	ejected  bool
 	degraded bool
 }
 
 // excludes reports whether the endpoint is skipped.
-func (h exclusions) excludes(candidate *Endpoint, now time.Duration) bool {
-	return (h.ejected && candidate.Ejected(now)) || (h.degraded && candidate.degraded())
+func (x exclusions) excludes(candidate *Endpoint, now time.Duration) bool {
+	return (x.ejected && candidate.Ejected(now)) || (x.degraded && candidate.degraded())
 }
 
-// exclusionsAt returns the reasons that leave enough endpoints of the set in use.
+// exclusionsAt returns the exclusions that leave enough endpoints of the set in use.
 func (s *Set) exclusionsAt(now time.Duration) exclusions {
 	ejected := 0
 	degraded := 0
@@ -109,17 +111,17 @@
 
 // betterOfTwo draws two endpoints of a tier and returns the one with the shorter
 // expected completion time. It returns nil when the tier has no usable endpoint.
-func betterOfTwo(tier []*Endpoint, now time.Duration, random uint64, tried Tried, heed exclusions) *Endpoint {
+func betterOfTwo(tier []*Endpoint, now time.Duration, random uint64, tried Tried, excluded exclusions) *Endpoint {
 	if len(tier) == 0 {
 		return nil
 	}
 	high := int(random >> 32)
 	low := int(random & 0xffffffff)
-	first := firstUsableFrom(tier, high, now, tried, heed, nil)
+	first := firstUsableFrom(tier, high, now, tried, excluded, nil)
 	if first == nil {
 		return nil
 	}
-	second := firstUsableFrom(tier, low, now, tried, heed, first)
+	second := firstUsableFrom(tier, low, now, tried, excluded, first)
 	if second != nil && first.cold() != second.cold() {
 		return pickWarmOrCold(first, second, now, random)
 	}
@@ -131,13 +133,13 @@
 
 // firstUsableFrom returns the first usable endpoint at or after the start position,
 // wrapping around and skipping the one already drawn.
-func firstUsableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, heed exclusions, drawn *Endpoint) *Endpoint {
+func firstUsableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, excluded exclusions, drawn *Endpoint) *Endpoint {
 	for step := range tier {
 		candidate := tier[(start+step)%len(tier)]
 		if candidate == drawn || tried.contains(candidate) || candidate.refusesCalls(now) {
 			continue
 		}
-		if heed.excludes(candidate, now) {
+		if excluded.excludes(candidate, now) {
 			continue
 		}
 		return candidate
@@ -169,7 +171,7 @@
 
 // highestRanked returns the usable endpoint with the highest rendezvous hash. Endpoints of
 // other regions are used only if the own region has none.
-func (s *Set) highestRanked(now time.Duration, key uint64, tried Tried, heed exclusions) *Endpoint {
+func (s *Set) highestRanked(now time.Duration, key uint64, tried Tried, excluded exclusions) *Endpoint {
 	var best *Endpoint
 	var bestHash uint64
 	for distance, tier := range s.tiers {
@@ -177,7 +179,7 @@
 			break
 		}
 		for _, candidate := range tier {
-			if tried.contains(candidate) || candidate.refusesCalls(now) || heed.excludes(candidate, now) {
+			if tried.contains(candidate) || candidate.refusesCalls(now) || excluded.excludes(candidate, now) {
 				continue
 			}
 			if hash := rendezvousHash(key, candidate.Backend); best == nil || hash > bestHash {
@@ -204,6 +206,7 @@
 	return s.nth(int(turn % uint64(s.usable)))
 }
 
+// nth returns the usable endpoint at an index, counted across the tiers.
 func (s *Set) nth(index int) *Endpoint {
 	for _, tier := range s.tiers {
 		if index < len(tier) {
--- a/internal/core/endpoint/warmth.go
+++ b/internal/core/endpoint/cold.go
@@ -65,20 +65,20 @@
 	if first.cold() {
 		warm, cold = second, first
 	}
-	part := initialShare
+	probability := initialShare
 	if rate := warm.callRate(now); rate > 0 {
-		part = cold.ColdRate / rate / 2
+		probability = cold.ColdRate / rate / 2
 	}
-	if uniformFloat(bits.RotateLeft64(random, 16)) < part {
+	if uniformFloat(bits.RotateLeft64(random, 16)) < probability {
 		return cold
 	}
 	return warm
 }
 
 // ColdWait returns the shortest time until a gate accepts a call of the lowest class, if all
-// endpoints that are not ejected or leaving refuse such calls as cold; otherwise 0.
+// other endpoints than ejected and draining ones refuse such calls as cold; otherwise 0.
 func (s *Set) ColdWait(now time.Duration) time.Duration {
-	least := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, tier := range s.tiers {
 		for _, candidate := range tier {
 			if candidate.notAccepting(now) || candidate.Ejected(now) {
@@ -88,12 +88,12 @@
 			if wait == 0 {
 				return 0
 			}
-			if least == 0 || wait < least {
-				least = wait
+			if shortest == 0 || wait < shortest {
+				shortest = wait
 			}
 		}
 	}
-	return least
+	return shortest
 }
 
 // ChooseCold picks a cold endpoint whose gate has refused only calls of lower classes and
--- a/internal/core/endpoint/warmth_test.go
+++ b/internal/core/endpoint/cold_test.go
@@ -23,9 +23,9 @@
 	for index := range cold {
 		members[index].Endpoint = protocol.EndpointWarming
 	}
-	stated := home
-	stated.TrustStates, stated.ColdRate = true, rate
-	return Build(nil, stated, backends, members, 0)
+	locality := home
+	locality.TrustStates, locality.ColdRate = true, rate
+	return Build(nil, locality, backends, members, 0)
 }
 
 func TestColdEndpointReceivesItsColdRate(t *testing.T) {
@@ -37,14 +37,14 @@
 		calls   = 100000
 	)
 	set := coldSet(10, 1, rate)
-	for _, one := range set.All {
-		one.ApplyLoadReport(0, LoadReport{Running: running, Service: service, Own: -1})
+	for _, endpoint := range set.All {
+		endpoint.ApplyLoadReport(0, LoadReport{Running: running, Service: service, Own: -1})
 	}
 	counts := countChoices(set, 0, calls)
-	wanted := rate / (running / service.Seconds()) // relative to a warm endpoint
-	warm := float64(calls-counts["b0"]) / 9
-	got := float64(counts["b0"]) / warm
-	check.True(got > wanted*0.8 && got < wanted*1.2)
+	wantedRatio := rate / (running / service.Seconds()) // relative to a warm endpoint
+	callsPerWarm := float64(calls-counts["b0"]) / 9
+	ratio := float64(counts["b0"]) / callsPerWarm
+	check.True(ratio > wantedRatio*0.8 && ratio < wantedRatio*1.2)
 }
 
 func TestColdEndpointReceivesCallsWithoutLoadReports(t *testing.T) {
@@ -63,8 +63,8 @@
 func TestNoEndpointIsChosenWhileAllRefuseAsCold(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(3, 3, 4.5)
-	for index, one := range set.All {
-		one.RecordColdRefusal(0, time.Duration(index+1)*time.Second, urgent)
+	for index, endpoint := range set.All {
+		endpoint.RecordColdRefusal(0, time.Duration(index+1)*time.Second, urgent)
 	}
 	tried := Tried{set.All[0]}
 	check.Equal(set.Choose(0, 7, nil), nil)
@@ -127,8 +127,8 @@
 func TestChooseColdSkipsUnreachableAndRefusingEndpoints(t *testing.T) {
 	check := is.New(t)
 	set := coldSet(2, 2, 4.5)
-	for _, one := range set.All {
-		one.RecordColdRefusal(0, time.Second, low)
+	for _, endpoint := range set.All {
+		endpoint.RecordColdRefusal(0, time.Second, low)
 	}
 	set.All[0].SetReachable(false)
 	set.All[1].Begin()
--- a/internal/core/endpoint/compare.go
+++ b/internal/core/endpoint/compare.go
@@ -8,8 +8,8 @@
 const (
 	// maxServiceRatio caps the ratio of two service times in a comparison.
 	maxServiceRatio = 4
-	// reportServiceTimes is the number of service times for which a load report is current.
-	// After that, a back end with several slots is running other calls.
+	// reportServiceTimes is the number of service times for which a load report counts as
+	// current. After that, a back end with several slots is running other calls.
 	reportServiceTimes = 2
 )
 
@@ -28,12 +28,12 @@
 	if !known || myTime == theirTime {
 		return e.load(now) <= other.load(now)
 	}
-	sooner := e
+	faster := e
 	if theirTime < myTime {
-		sooner = other
+		faster = other
 	}
-	if sooner.hasCurrentReport(now) || sooner.overloaded(now) {
-		return sooner == e
+	if faster.hasCurrentReport(now) || faster.overloaded(now) {
+		return faster == e
 	}
 	mine, theirs := myTime*myTime, theirTime*theirTime
 	return uniformFloat(random) < theirs/(mine+theirs)
@@ -61,8 +61,8 @@
 // uniformFloat maps a uniform random number to [0, 1). The multiplication makes the result
 // independent of the two halves of random, which select the endpoints.
 func uniformFloat(random uint64) float64 {
-	const odd = 0x9e3779b97f4a7c15
-	high, low := bits.Mul64(random, odd)
+	const multiplier = 0x9e3779b97f4a7c15
+	high, low := bits.Mul64(random, multiplier)
 	const precision = 53 // bits of a float64 mantissa
 	return float64((high^low)>>(64-precision)) / (1 << precision)
 }
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -28,7 +28,7 @@
 	// notAcceptingPeriod is how long an endpoint is avoided after its gate refused new
 	// calls. A newer member record ends it earlier.
 	notAcceptingPeriod = 5 * time.Second
-	// overloadPeriod is how long refusalLoad is added to the load of an endpoint
+	// overloadPeriod is how long overloadPenalty is added to the load of an endpoint
 	// whose gate refused a call for load, so that other endpoints are preferred.
 	// The queue of a slow back end may be short; without the addition it would
 	// attract calls only to refuse them.
@@ -40,7 +40,7 @@
 	brokenLimit = 3
 	errorLimit  = 10
 	// firstEjection is the duration of the first ejection. It doubles with each
-	// further ejection, up to ejectionLimit, until a call succeeds.
+	// further ejection, up to maxEjection, until a call succeeds.
 	firstEjection = time.Second
 	maxEjection   = 30 * time.Second
 )
@@ -86,20 +86,20 @@
 	reportedAt atomic.Int64
 	// serviceTime is the gate's mean service time, in nanoseconds.
 	serviceTime atomic.Int64
-	// brokenCalls and errors count broken calls and server errors since the last success.
+	// brokenCalls and serverErrors count since the last success.
 	brokenCalls  atomic.Int64
 	serverErrors atomic.Int64
 	ejections    atomic.Int64
 	ejectedUntil atomic.Int64
-	// notAcceptingUntil is the end of a refusal of new calls, leavingSequence the sequence
-	// of the member record that was current when it was received.
+	// notAcceptingUntil is until when the endpoint is avoided after a refusal of new calls,
+	// notAcceptingSequence the sequence of the member record at that time.
 	notAcceptingUntil    atomic.Int64
 	notAcceptingSequence atomic.Uint64
 	// recordReceivedAt is when the daemon's current member record was received.
 	recordReceivedAt atomic.Int64
 	// coldUntil is, for each class, until when the gate of a cold back end accepts no call.
 	coldUntil [warmup.ClassCount]atomic.Int64
-	// overloadedUntil is until when refusalLoad is added after a refusal for load.
+	// overloadedUntil is until when overloadPenalty is added after a refusal for load.
 	overloadedUntil atomic.Int64
 	// warmUpStartedAt is the time from which the warm-up is counted.
 	warmUpStartedAt atomic.Int64
@@ -213,17 +213,17 @@
 // before End of that call.
 func (e *Endpoint) ApplyLoadReport(now time.Duration, report LoadReport) {
 	counted := float64(report.Running + report.Queued)
-	others := max(0, counted-float64(e.stats.outstanding.Load()))
-	unseen := min(max(0, report.Own-counted), float64(e.Slots))
-	others += unseen * reportWeight(report.OwnAge)
-	e.stats.otherCalls.Store(math.Float64bits(others))
+	otherCalls := max(0, counted-float64(e.stats.outstanding.Load()))
+	uncounted := min(max(0, report.Own-counted), float64(e.Slots))
+	otherCalls += uncounted * reportWeight(report.OwnAge)
+	e.stats.otherCalls.Store(math.Float64bits(otherCalls))
 	e.stats.reportedAt.Store(int64(now))
 	if report.Service > 0 {
 		e.stats.serviceTime.Store(int64(report.Service))
 	}
 }
 
-// reportWeight returns the weight of a load report, which falls from 1 to 0 over reportLife.
+// reportWeight returns the weight of a load report, which falls from 1 to 0 over reportLifetime.
 func reportWeight(age time.Duration) float64 {
 	return min(1, max(0, 1-float64(age)/float64(reportLifetime)))
 }
@@ -250,13 +250,13 @@
 	return calls
 }
 
-// overloaded reports whether the gate refused a call for load within refusalLife.
+// overloaded reports whether the gate refused a call for load within overloadPeriod.
 func (e *Endpoint) overloaded(now time.Duration) bool {
 	return int64(now) < e.stats.overloadedUntil.Load()
 }
 
 // capacityShare returns the fraction of its slots that the endpoint counts for. It rises from
-// coldShare to 1 during the warm-up.
+// initialShare to 1 during the warm-up.
 func (e *Endpoint) capacityShare(now time.Duration) float64 {
 	age := now - time.Duration(e.stats.warmUpStartedAt.Load())
 	if e.ColdRate > 0 {
@@ -272,7 +272,7 @@
 	return share
 }
 
-// notAccepting reports whether the gate refused new calls within leavingLife and no newer
+// notAccepting reports whether the gate refused new calls within notAcceptingPeriod and no newer
 // member record has been received since.
 func (e *Endpoint) notAccepting(now time.Duration) bool {
 	return int64(now) < e.stats.notAcceptingUntil.Load() && e.stats.notAcceptingSequence.Load() >= e.Sequence
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -62,10 +62,10 @@
 	members[3].Endpoint = protocol.EndpointDown
 	set := Build(nil, home, backends, members, 0)
 	check.Equal(countChoices(set, 0, 50), map[string]int{"b4": 50})
-	returned := members[1]
-	returned.Incarnation = 2
-	returned.State = protocol.MemberAlive
-	set = Build(set, home, backends, append(members, returned), 0)
+	restarted := members[1]
+	restarted.Incarnation = 2
+	restarted.State = protocol.MemberAlive
+	set = Build(set, home, backends, append(members, restarted), 0)
 	check.Equal(set.UsableCount(), 2)                                // the newer incarnation counts
 	check.Equal(Build(nil, home, backends, nil, 0).UsableCount(), 5) // no records yet
 }
@@ -84,8 +84,8 @@
 			chosen.ApplyLoadReport(0, LoadReport{Running: chosen.Outstanding(), Own: -1})
 		}
 	}
-	for _, one := range set.All {
-		check.True(one.Outstanding() > 80 && one.Outstanding() < 120)
+	for _, endpoint := range set.All {
+		check.True(endpoint.Outstanding() > 80 && endpoint.Outstanding() < 120)
 	}
 }
 
@@ -153,8 +153,8 @@
 	for range 18 {
 		set.Choose(0, random.Uint64(), nil).Begin()
 	}
-	for _, one := range set.All {
-		check.True(one.Outstanding() >= 4 && one.Outstanding() <= 8)
+	for _, endpoint := range set.All {
+		check.True(endpoint.Outstanding() >= 4 && endpoint.Outstanding() <= 8)
 	}
 }
 
@@ -240,9 +240,9 @@
 	backends, members := fixture(sameZone(count)...)
 	set := Build(nil, home, backends, members, 0)
 	b.ReportAllocs()
-	b.RunParallel(func(loop *testing.PB) {
+	b.RunParallel(func(parallel *testing.PB) {
 		random := rand.New(rand.NewPCG(9, rand.Uint64()))
-		for loop.Next() {
+		for parallel.Next() {
 			chosen := set.Choose(time.Second, random.Uint64(), nil)
 			chosen.Begin()
 			chosen.End(time.Second, Succeeded)
@@ -261,9 +261,9 @@
 	backends, members := fixture(sameZone(7)...)
 	set := Build(nil, home, backends, members, 0)
 	b.ReportAllocs()
-	b.RunParallel(func(loop *testing.PB) {
+	b.RunParallel(func(parallel *testing.PB) {
 		random := rand.New(rand.NewPCG(9, rand.Uint64()))
-		for loop.Next() {
+		for parallel.Next() {
 			set.Choose(time.Second, random.Uint64(), nil)
 		}
 	})
@@ -317,15 +317,15 @@
 	backends, members := fixture(sameZone(30)...)
 	set := Build(nil, home, backends, members, 0)
 	speeds := []float64{0.6, 1.0, 1.4}
-	for index, one := range set.All {
+	for index, endpoint := range set.All {
 		service := time.Duration(float64(100*time.Millisecond) / speeds[index%len(speeds)])
-		one.ApplyLoadReport(0, LoadReport{Running: 1, Own: -1, Service: service})
+		endpoint.ApplyLoadReport(0, LoadReport{Running: 1, Own: -1, Service: service})
 	}
 	const calls = 60_000
 	counts := countChoices(set, time.Minute, calls)
 	shares := make([]float64, len(speeds))
-	for index, one := range set.All {
-		shares[index%len(speeds)] += float64(counts[one.Backend]) * float64(len(speeds)) / calls
+	for index, endpoint := range set.All {
+		shares[index%len(speeds)] += float64(counts[endpoint.Backend]) * float64(len(speeds)) / calls
 	}
 	for index, share := range shares {
 		check.True(share > 0.9*speeds[index])
@@ -336,18 +336,18 @@
 // Failures before a back end's restart do not count after it.
 func TestRestartResetsFailures(t *testing.T) {
 	check := is.New(t)
-	trusting := home
-	trusting.TrustStates = true
+	locality := home
+	locality.TrustStates = true
 	backends, members := fixture(sameZone(4)...)
 	members[0].Born = 100
-	set := Build(nil, trusting, backends, members, 0)
+	set := Build(nil, locality, backends, members, 0)
 	set.All[0].Begin()
 	set.All[0].End(0, Unreachable)
 	check.Equal(countChoices(set, 0, 100)["b0"], 0)
-	set = Build(set, trusting, backends, members, 0)
+	set = Build(set, locality, backends, members, 0)
 	check.Equal(countChoices(set, 0, 100)["b0"], 0) // not restarted
 	members[0].Born = 200
-	set = Build(set, trusting, backends, members, 0)
+	set = Build(set, locality, backends, members, 0)
 	check.True(countChoices(set, 0, 100)["b0"] > 10)
 }
 
--- a/internal/core/endpoint/evacuation_test.go
+++ b/internal/core/endpoint/evacuation_test.go
@@ -11,8 +11,8 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// evacuating returns the home locality with zones evacuated.
-func evacuating(zones ...string) Locality {
+// homeWithEvacuated returns the home locality with zones evacuated.
+func homeWithEvacuated(zones ...string) Locality {
 	self := home
 	self.Evacuations = evacuation.NewOrders(position.Position{Revision: 1}, zones)
 	return self
@@ -21,8 +21,8 @@
 // None of the choosing methods returns an endpoint of an evacuated zone.
 func TestEvacuatedZoneIsNotChosen(t *testing.T) {
 	backends, members := fixture(home.Zone, home.Zone, "other", "other")
-	set := Build(nil, evacuating(home.Zone), backends, members, 0)
-	isIn := func(one *Endpoint) bool { return one != nil && one.Zone == home.Zone }
+	set := Build(nil, homeWithEvacuated(home.Zone), backends, members, 0)
+	inHomeZone := func(endpoint *Endpoint) bool { return endpoint != nil && endpoint.Zone == home.Zone }
 	for name, choose := range map[string]func(uint64, Tried) *Endpoint{
 		"by load": func(random uint64, tried Tried) *Endpoint { return set.Choose(0, random, tried) },
 		"keyed":   func(random uint64, tried Tried) *Endpoint { return set.ChooseByRequestKey(0, random, tried) },
@@ -36,8 +36,8 @@
 			for random := range uint64(40) {
 				first := choose(random*0x9e3779b97f4a7c15, nil)
 				check.True(first != nil)
-				check.True(!isIn(first))
-				check.True(!isIn(choose(random, Tried{first}))) // nor for a retry or hedge
+				check.True(!inHomeZone(first))
+				check.True(!inHomeZone(choose(random, Tried{first}))) // nor for a retry or hedge
 			}
 			check.True(!set.HasUntried(0, Tried{set.All[2], set.All[3]}))
 		})
@@ -47,11 +47,11 @@
 func TestServiceWithOnlyEvacuatedZonesIsBlocked(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
-	check.True(!Build(nil, evacuating(home.Zone), backends, members, 0).BlockedByEvacuation())
-	set := Build(nil, evacuating(home.Zone, "other"), backends, members, 0)
+	check.True(!Build(nil, homeWithEvacuated(home.Zone), backends, members, 0).BlockedByEvacuation())
+	set := Build(nil, homeWithEvacuated(home.Zone, "other"), backends, members, 0)
 	check.True(set.BlockedByEvacuation())
 	check.Equal(set.Choose(0, 1, nil), nil)
-	check.True(!Build(nil, evacuating(home.Zone), nil, nil, 0).BlockedByEvacuation()) // no endpoints at all
+	check.True(!Build(nil, homeWithEvacuated(home.Zone), nil, nil, 0).BlockedByEvacuation()) // no endpoints at all
 }
 
 // The evacuated state in the member record applies even before the calling daemon has
@@ -72,9 +72,9 @@
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
 	set := Build(nil, home, backends, members, 0)
-	refusing := set.All[0]
-	refusing.Begin()
-	refusing.End(0, NotAccepting)
+	refusingEndpoint := set.All[0]
+	refusingEndpoint.Begin()
+	refusingEndpoint.End(0, NotAccepting)
 	check.Equal(countChoices(set, time.Second, 50), map[string]int{"b1": 50})
 	members[0].Sequence++
 	set = Build(set, home, backends, members, time.Second)
@@ -85,7 +85,7 @@
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "other")
 	members[0].Endpoint = protocol.EndpointDraining
-	set := Build(nil, evacuating(home.Zone), backends, members, 0)
+	set := Build(nil, homeWithEvacuated(home.Zone), backends, members, 0)
 	check.Equal(set.All[0].State, protocol.EndpointDraining)
 	check.Equal(Build(set, home, backends, members, 0).UsableCount(), 1)
 }
--- a/internal/core/endpoint/near_test.go
+++ b/internal/core/endpoint/node_test.go
@@ -8,7 +8,7 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// ChooseAt returns a daemon's endpoint only while it is ready, untried, not ejected and has
+// ChooseOnNode returns a daemon's endpoint only while it is ready, untried, not ejected and has
 // not just refused a call.
 func TestChooseOnNodeReturnsOnlyHealthyEndpoints(t *testing.T) {
 	check := is.New(t)
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -22,7 +22,7 @@
 	// ColdRate is the calls per second that a cold back end of the service can serve; 0
 	// if not configured.
 	ColdRate float64
-	// Spill sets when calls leave the own zone; the zero value means DefaultSpill.
+	// Spill sets when calls leave the own zone; the zero value means DefaultSpillover.
 	Spill Spillover
 	// Evacuations lists the evacuated zones, whose endpoints receive no new calls.
 	Evacuations evacuation.Orders
@@ -62,20 +62,20 @@
 		if member.Backend == "" {
 			continue
 		}
-		at := backendKey{service: member.Service, backend: member.Backend}
-		if known, found := index[at]; !found || isNewerRecord(member, known) {
-			index[at] = member
+		key := backendKey{service: member.Service, backend: member.Backend}
+		if known, found := index[key]; !found || isNewerRecord(member, known) {
+			index[key] = member
 		}
 	}
 	return index
 }
 
 // isNewerRecord reports whether the first of two records of the same back end is the newer.
-func isNewerRecord(one, other *protocol.Member) bool {
-	if one.Born != other.Born {
-		return one.Born > other.Born
+func isNewerRecord(record, other *protocol.Member) bool {
+	if record.Born != other.Born {
+		return record.Born > other.Born
 	}
-	return one.Incarnation > other.Incarnation
+	return record.Incarnation > other.Incarnation
 }
 
 // Build builds the set of a service from the configuration and the member records. See
@@ -98,26 +98,26 @@
 			described.State = protocol.EndpointEvacuated
 			usable = false
 		}
-		made := reuseOrCreate(self, previous, known[backend.Name], described, now)
-		set.All = append(set.All, made)
+		added := reuseOrCreate(self, previous, known[backend.Name], described, now)
+		set.All = append(set.All, added)
 		if !usable {
 			continue
 		}
-		tier := distance(self, made)
-		set.tiers[tier] = append(set.tiers[tier], made)
+		tier := distance(self, added)
+		set.tiers[tier] = append(set.tiers[tier], added)
 		set.usable++
 	}
 	return set
 }
 
-// byName indexes a set, which may be nil.
+// byName indexes the endpoints by back end name. The set may be nil.
 func (s *Set) byName() map[string]*Endpoint {
 	if s == nil {
 		return nil
 	}
 	index := make(map[string]*Endpoint, len(s.All))
-	for _, one := range s.All {
-		index[one.Backend] = one
+	for _, endpoint := range s.All {
+		index[endpoint.Backend] = endpoint
 	}
 	return index
 }
@@ -127,7 +127,7 @@
 // take precedence over the configuration. Without a record the endpoint is usable but
 // doubted, because the record may still arrive.
 func describe(backend resource.Backend, index Index) (Endpoint, bool) {
-	made := Endpoint{
+	described := Endpoint{
 		Service: backend.ServiceRef(),
 		Backend: backend.Name,
 		Address: backend.Address,
@@ -136,22 +136,22 @@
 		Slots:   backend.Slots,
 		Doubted: true,
 	}
-	member, found := index[backendKey{service: made.Service, backend: made.Backend}]
+	member, found := index[backendKey{service: described.Service, backend: described.Backend}]
 	if !found {
-		return made, true
+		return described, true
 	}
-	made.Node = member.ID
-	made.Incarnation = member.Incarnation
-	made.Sequence = member.Sequence
-	made.State = effectiveState(member)
-	made.Doubted = member.State == protocol.MemberSuspect
-	made.Region = member.Region
-	made.Zone = member.Zone
-	made.Address = cmp.Or(member.DataAddress, made.Address)
-	made.Slots = cmp.Or(member.Slots, made.Slots)
-	made.Software = member.Software
-	made.Born = member.Born
-	return made, made.State.AcceptsCalls()
+	described.Node = member.ID
+	described.Incarnation = member.Incarnation
+	described.Sequence = member.Sequence
+	described.State = effectiveState(member)
+	described.Doubted = member.State == protocol.MemberSuspect
+	described.Region = member.Region
+	described.Zone = member.Zone
+	described.Address = cmp.Or(member.DataAddress, described.Address)
+	described.Slots = cmp.Or(member.Slots, described.Slots)
+	described.Software = member.Software
+	described.Born = member.Born
+	return described, described.State.AcceptsCalls()
 }
 
 // effectiveState returns the state of a back end by its daemon's record. A back end whose daemon
@@ -164,7 +164,7 @@
 }
 
 // reuseOrCreate returns the endpoint as described: the one of the previous set if nothing
-// changed, otherwise a new one with the statistics that carryOver returns.
+// changed, otherwise a new one with the statistics that carryOverStats returns.
 func reuseOrCreate(self Locality, previous *Set, old *Endpoint, described Endpoint, now time.Duration) *Endpoint {
 	if old != nil {
 		described.stats = old.stats
@@ -172,21 +172,21 @@
 			return old
 		}
 	}
-	made := described
-	made.stats = carryOverStats(self, previous, old, &made, now)
-	return &made
+	created := described
+	created.stats = carryOverStats(self, previous, old, &created, now)
+	return &created
 }
 
 // carryOverStats returns the statistics for an endpoint: those of the previous set, or fresh
 // ones if it is new or has restarted. In the first set all endpoints count as warm,
 // because only the calling daemon is new; those that report warming up start cold.
-func carryOverStats(self Locality, previous *Set, old, made *Endpoint, now time.Duration) *stats {
-	restarted := old != nil && old.Born != made.Born // earlier statistics do not apply
-	if old != nil && !restarted && (self.TrustStates || old.Incarnation == made.Incarnation || old.Incarnation == 0) {
-		if made.hasNewerRecord(old) {
+func carryOverStats(self Locality, previous *Set, old, created *Endpoint, now time.Duration) *stats {
+	restarted := old != nil && old.Born != created.Born // earlier statistics do not apply
+	if old != nil && !restarted && (self.TrustStates || old.Incarnation == created.Incarnation || old.Incarnation == 0) {
+		if created.hasNewerRecord(old) {
 			old.stats.recordReceivedAt.Store(int64(now))
 			if self.TrustStates {
-				// The daemon is alive again, so earlier failures are outdated.
+				// The daemon has published a newer record, so earlier failures are outdated.
 				old.stats.recordSuccess()
 			}
 		}
@@ -195,7 +195,7 @@
 	fresh := &stats{}
 	fresh.recordReceivedAt.Store(int64(now))
 	fresh.warmUpStartedAt.Store(int64(now))
-	if (previous == nil || self.TrustStates) && made.State != protocol.EndpointWarming {
+	if (previous == nil || self.TrustStates) && created.State != protocol.EndpointWarming {
 		fresh.warmUpStartedAt.Store(int64(now - warmUpPeriod))
 	}
 	return fresh
@@ -210,11 +210,12 @@
 	return e.Sequence > old.Sequence
 }
 
-func distance(self Locality, of *Endpoint) int {
+// distance returns the index into Set.tiers of an endpoint.
+func distance(self Locality, endpoint *Endpoint) int {
 	switch {
-	case of.Region != self.Region:
+	case endpoint.Region != self.Region:
 		return 2
-	case of.Zone != self.Zone:
+	case endpoint.Zone != self.Zone:
 		return 1
 	}
 	return 0
@@ -222,27 +223,27 @@
 
 // Filter returns the set of those endpoints that satisfy a condition. The endpoints are
 // shared with this set, not copied.
-func (s *Set) Filter(fits func(*Endpoint) bool) *Set {
-	part := &Set{spill: s.spill}
-	for _, one := range s.All {
-		if fits(one) {
-			part.All = append(part.All, one)
+func (s *Set) Filter(condition func(*Endpoint) bool) *Set {
+	filtered := &Set{spill: s.spill}
+	for _, endpoint := range s.All {
+		if condition(endpoint) {
+			filtered.All = append(filtered.All, endpoint)
 		}
 	}
 	for distance, tier := range s.tiers {
-		for _, one := range tier {
-			if fits(one) {
-				part.tiers[distance] = append(part.tiers[distance], one)
-				part.usable++
+		for _, endpoint := range tier {
+			if condition(endpoint) {
+				filtered.tiers[distance] = append(filtered.tiers[distance], endpoint)
+				filtered.usable++
 			}
 		}
 	}
-	return part
+	return filtered
 }
 
-// InRegions returns the set of those endpoints that are in allowed regions; see Only.
+// InRegions returns the set of those endpoints that are in allowed regions; see Filter.
 func (s *Set) InRegions(allowed region.Allowed) *Set {
-	return s.Filter(func(one *Endpoint) bool { return allowed.Has(one.Region) })
+	return s.Filter(func(endpoint *Endpoint) bool { return allowed.Has(endpoint.Region) })
 }
 
 // UsableCount returns the number of endpoints that may receive new calls by the state that
@@ -252,8 +253,8 @@
 // BlockedByEvacuation reports whether no endpoint may receive new calls and at least one is excluded
 // by the evacuation of its zone.
 func (s *Set) BlockedByEvacuation() bool {
-	return s.usable == 0 && slices.ContainsFunc(s.All, func(one *Endpoint) bool {
-		return one.State == protocol.EndpointEvacuated
+	return s.usable == 0 && slices.ContainsFunc(s.All, func(endpoint *Endpoint) bool {
+		return endpoint.State == protocol.EndpointEvacuated
 	})
 }
 
--- a/internal/sim/mutant/calls.go
+++ b/internal/sim/mutant/calls.go
@@ -58,8 +58,8 @@
 		New: "	g.word.Or(bit); g.word.And(^uint64(runningMask))"},
 
 	{Name: "choose_in_any_region", Breaks: oracle.KeepsToRegions, Simulation: Calls, File: "endpoint/set.go",
-		Old: "return allowed.Has(one.Region)",
-		New: "return one.Region != \"\""},
+		Old: "return allowed.Has(endpoint.Region)",
+		New: "return endpoint.Region != \"\""},
 	{Name: "empty_list_allows_all", Breaks: oracle.KeepsToRegions, Simulation: Calls, File: "region/allowed.go",
 		Old: "	if names == nil {",
 		New: "	if len(names) == 0 {"},
