--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -8,7 +8,7 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// retryUnit is one call or retry in an account. Accounts count in thousandths.
+// retryUnit is the amount of one call or retry in an account, which counts in thousandths.
 const retryUnit = 1000
 
 // Shares of the allowed retries that are reserved.
@@ -69,7 +69,7 @@
 //
 // A retry that runs makes calls to other services. These are repetitions there, but can't be
 // recognised as such. Ratio must therefore leave room for the retries of all services
-// earlier in the chain; see ForChain. For the same reason the limits also apply to each
+// earlier in the chain; see LimitsForChain. For the same reason the limits also apply to each
 // class of calls: calls of a class that makes no further calls must not earn retries for
 // a class that does.
 type Budget struct {
@@ -95,8 +95,11 @@
 	return budget
 }
 
-// SetMinimumRetries changes Limits.Part when the number of daemons that share the budget changes.
-func (b *Budget) SetMinimumRetries(part float64) { b.minimumRetries.Store(int64(part * retryUnit)) }
+// SetMinimumRetries replaces Limits.Part. It is called when the number of daemons that share
+// the slack changes.
+func (b *Budget) SetMinimumRetries(retries float64) {
+	b.minimumRetries.Store(int64(retries * retryUnit))
+}
 
 // Deposit records a call that ran or may have run. A call that back ends only refused
 // earns no retries: it causes no calls to the next service, so a retry earned by it could
@@ -109,11 +112,11 @@
 // Withdraw charges the cost of a retry, in units of one retry. It returns false, and
 // charges nothing, if the budget does not allow it. A share is reserved for urgent calls.
 func (b *Budget) Withdraw(now time.Duration, class callclass.Class, cost int, urgent bool) bool {
-	kept := urgentReserve
+	reserve := urgentReserve
 	if urgent {
-		kept = 0
+		reserve = 0
 	}
-	return b.withdraw(now, class, cost, kept)
+	return b.withdraw(now, class, cost, reserve)
 }
 
 // WithdrawForTrial charges one retry of a call to a version on trial, before its first
@@ -124,8 +127,8 @@
 
 // Refund returns the cost of one retry that was withdrawn at a given time and not sent.
 func (b *Budget) Refund(withdrawnAt time.Duration, class callclass.Class) {
-	for _, one := range b.accountsOf(class) {
-		one.retries.subtract(withdrawnAt, b.window, retryUnit)
+	for _, charged := range b.accountsOf(class) {
+		charged.retries.subtract(withdrawnAt, b.window, retryUnit)
 	}
 }
 
@@ -135,18 +138,18 @@
 }
 
 // withdraw charges the cost of a retry unless that would use the reserved share.
-func (b *Budget) withdraw(now time.Duration, class callclass.Class, cost int, kept float64) bool {
-	price := int64(cost) * retryUnit
+func (b *Budget) withdraw(now time.Duration, class callclass.Class, cost int, reserve float64) bool {
+	amount := int64(cost) * retryUnit
 	accounts := b.accountsOf(class)
 	// Charge first and refund if the limit is exceeded, so that concurrent
 	// withdrawals never exceed it together.
-	for _, one := range accounts {
-		one.retries.add(now, b.window, price)
+	for _, charged := range accounts {
+		charged.retries.add(now, b.window, amount)
 	}
-	for _, one := range accounts {
-		if b.remainingIn(now, one, kept) < 0 {
-			for _, taken := range accounts {
-				taken.retries.add(now, b.window, -price)
+	for _, charged := range accounts {
+		if b.remainingIn(now, charged, reserve) < 0 {
+			for _, refunded := range accounts {
+				refunded.retries.add(now, b.window, -amount)
 			}
 			return false
 		}
@@ -154,22 +157,23 @@
 	return true
 }
 
-// remainingIn returns what an account still allows, without the reserved share. It is negative
-// if the limit is exceeded.
-func (b *Budget) remainingIn(now time.Duration, of *account, kept float64) int64 {
-	calls := of.calls.lowerBound(now, b.window)
-	retries := of.retries.upperBound(now, b.window)
+// remainingIn returns the amount that an account still allows, without the reserved share. It
+// is negative if the limit is exceeded.
+func (b *Budget) remainingIn(now time.Duration, charged *account, reserve float64) int64 {
+	calls := charged.calls.lowerBound(now, b.window)
+	retries := charged.retries.upperBound(now, b.window)
 	allowed := max(calls*b.ratio/retryUnit, b.minimumRetries.Load())
-	return allowed - reservedAmount(allowed, kept) - retries
+	return allowed - reservedAmount(allowed, reserve) - retries
 }
 
-// reservedAmount returns the reserved amount, limited so that at least one retry stays available.
-func reservedAmount(allowed int64, kept float64) int64 {
-	return max(0, min(int64(float64(allowed)*kept), allowed-retryUnit))
+// reservedAmount returns the reserved part of the allowed amount, limited so that at least one
+// retry stays available.
+func reservedAmount(allowed int64, reserve float64) int64 {
+	return max(0, min(int64(float64(allowed)*reserve), allowed-retryUnit))
 }
 
 // Remaining returns the number of retries that urgent calls of a class may make now.
 func (b *Budget) Remaining(now time.Duration, class callclass.Class) float64 {
-	left := min(b.remainingIn(now, &b.serviceAccount, 0), b.remainingIn(now, b.classAccounts.Get(class), 0))
-	return float64(max(left, 0)) / retryUnit
+	remaining := min(b.remainingIn(now, &b.serviceAccount, 0), b.remainingIn(now, b.classAccounts.Get(class), 0))
+	return float64(max(remaining, 0)) / retryUnit
 }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -61,26 +61,28 @@
 	retries []int
 }
 
+// testTick is the length of a simulated tick.
 const testTick = 100 * time.Millisecond
 
-// step simulates one tick with calls at drawn daemons. If they fail, each is retried as
-// often as the budget allows.
+// step simulates one tick of calls at drawn daemons. If failing is set, each call is retried
+// as often as the budget allows.
 func (m *meshSimulation) step(t *rapid.T, calls int, failing bool) {
 	now := time.Duration(len(m.calls)) * testTick
 	seed := rapid.IntRange(0, len(m.budgets)-1).Draw(t, "daemon")
 	stride := rapid.IntRange(1, len(m.budgets)).Draw(t, "stride")
-	retried := 0
+	retries := 0
 	for call := range calls {
 		budget := m.budgets[(seed+call*stride)%len(m.budgets)]
 		budget.Deposit(now, 0)
 		for failing && budget.Withdraw(now, 0, 1, call%3 == 0) {
-			retried++
+			retries++
 		}
 	}
 	m.calls = append(m.calls, calls)
-	m.retries = append(m.retries, retried)
+	m.retries = append(m.retries, retries)
 }
 
+// sum returns the total of the counts from index from up to index to.
 func sum(counts []int, from, to int) (total int) {
 	for _, count := range counts[max(0, from):max(0, min(to, len(counts)))] {
 		total += count
@@ -95,22 +97,22 @@
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
 		daemons := rapid.SampledFrom(meshSizes).Draw(t, "daemons")
-		run := &meshSimulation{}
+		simulation := &meshSimulation{}
 		for range daemons {
-			run.budgets = append(run.budgets, NewBudgetWithLimits(limitsOfOneDaemon(daemons)))
+			simulation.budgets = append(simulation.budgets, NewBudgetWithLimits(limitsOfOneDaemon(daemons)))
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			calls := rapid.IntRange(0, 200).Draw(t, "calls")
 			failing := rapid.Bool().Draw(t, "failing")
 			for range rapid.IntRange(1, 80).Draw(t, "ticks") {
-				run.step(t, calls, failing)
+				simulation.step(t, calls, failing)
 			}
 		}
 		window := int(testWindow / testTick)
-		for at := range run.calls {
-			requests := max(sum(run.calls, at, at+window), sum(run.calls, at-window, at), sum(run.calls, at-window/2, at+window/2))
+		for start := range simulation.calls {
+			requests := max(sum(simulation.calls, start, start+window), sum(simulation.calls, start-window, start), sum(simulation.calls, start-window/2, start+window/2))
 			allowed := allowedRatio*float64(requests) + allowedSlack
-			check.True(float64(sum(run.retries, at, at+window)) <= allowed)
+			check.True(float64(sum(simulation.retries, start, start+window)) <= allowed)
 		}
 	})
 }
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -82,7 +82,7 @@
 	// uncertainAttempts counts the attempts that may have run. A later "did not run" applies
 	// only to its own attempt.
 	uncertainAttempts int
-	// resolvedOutcome is the last outcome that Disprove accepted.
+	// resolvedOutcome is the last outcome that ResolveUncertainAttempt accepted.
 	resolvedOutcome Outcome
 	// deposited is set once the call is recorded in the budget.
 	deposited bool
@@ -90,7 +90,7 @@
 	uncertainCode result.Code
 	// retryReserved is set if the next attempt is already charged to the budget.
 	retryReserved bool
-	// trialReserved is set if PayForTrial charged it, at trialPaidAt.
+	// trialReserved is set if ReserveTrialRetry charged it, at trialReservedAt.
 	trialReserved   bool
 	trialReservedAt time.Duration
 }
@@ -109,10 +109,10 @@
 	c.budget.Deposit(now, c.policy.Class)
 }
 
-// ReserveTrialRetry charges a second attempt before the first is sent to a version on trial and
-// reports whether the call may be sent there. A caller must not suffer from a faulty
-// version on trial, so a repeatable call is sent there only if its retry is certain. A call
-// that is not repeatable has no retry to charge. Settle must be called when the call ends.
+// ReserveTrialRetry charges a second attempt before the first is sent to a version on trial
+// and reports whether the call may be sent there. A faulty version on trial must not harm
+// callers, so a repeatable call is sent there only if a retry is guaranteed. A call that is
+// not repeatable has no retry to charge. ReleaseTrialRetry must be called when the call ends.
 func (c *Call) ReserveTrialRetry(now time.Duration) bool {
 	if !c.policy.Repeatable {
 		return true
@@ -124,8 +124,8 @@
 	return true
 }
 
-// ReleaseTrialRetry refunds the retry that PayForTrial charged if it was not used. It must be called
-// when the call ends.
+// ReleaseTrialRetry refunds the retry that ReserveTrialRetry charged if it was not used. It
+// must be called when the call ends.
 func (c *Call) ReleaseTrialRetry() {
 	if c.trialReserved && c.retryReserved {
 		c.retryReserved = false
@@ -191,8 +191,8 @@
 	return c.retryReserved
 }
 
-// withdraw charges the retry that follows a number of attempts. The second retry of a call
-// costs two, because it succeeds less often and multiplies more in a chain of calls.
+// withdraw charges the retry that follows a number of attempts. The nth retry of a call costs
+// n, because later retries succeed less often and multiply more in a chain of calls.
 func (c *Call) withdraw(now time.Duration, attempts int) bool {
 	if c.retryReserved {
 		c.retryReserved = false
@@ -226,9 +226,9 @@
 	}
 }
 
-// ResolveUncertainAttempt applies the late outcome of an attempt that Next counted as possibly run. It
-// returns true if the outcome proves that the attempt did not run, and then no longer
-// counts it.
+// ResolveUncertainAttempt applies the late outcome of an attempt that Next counted as
+// possibly run. It returns true if the outcome proves that the attempt did not run, and then
+// no longer counts it.
 func (c *Call) ResolveUncertainAttempt(outcome Outcome) bool {
 	if !didNotRun(outcome) || c.uncertainAttempts == 0 {
 		return false
@@ -238,9 +238,9 @@
 	return true
 }
 
-// FinalStep returns the final step once all attempts have ended. It is the decided one unless
-// Disprove has since shown that no attempt ran; then it is the refusal of the last
-// attempt so disproved.
+// FinalStep returns the final step once all attempts have ended. It is the decided one
+// unless ResolveUncertainAttempt has since shown that no attempt ran. Then it is the refusal
+// of the attempt resolved last.
 func (c *Call) FinalStep(decided Step) Step {
 	if decided.Action != Refuse || decided.Ran == result.RanNo || c.uncertainAttempts > 0 {
 		return decided
@@ -270,6 +270,7 @@
 	return outcome.Kind == NotSent || outcome.Code == result.ConnectFailed || refusesAllCalls(outcome)
 }
 
+// resend returns the step for another attempt.
 func (c *Call) resend(now time.Duration, outcome Outcome) Step {
 	step := Step{Action: Send, Mark: !c.policy.Unbudgeted}
 	if !outcome.Others {
@@ -300,6 +301,7 @@
 	return c.refuseFor(outcome)
 }
 
+// deadlineCode returns the code of a refusal because the deadline has passed.
 func (c *Call) deadlineCode() result.Code {
 	if c.uncertainAttempts > 0 {
 		return result.DeadlineInFlight
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -47,9 +47,9 @@
 		{"no endpoint", Outcome{Kind: NoEndpoint}, Step{Action: Refuse, Code: result.NoEndpoint, Ran: result.RanNo, RetryAfter: defaultRetryAfter}},
 		{"answered 503", Outcome{Kind: Answered, Replayable: true, Others: true}, Step{Action: Deliver}},
 	}
-	for _, given := range cases {
-		t.Run(given.name, func(t *testing.T) {
-			is.New(t).Equal(newCall(Policy{}).Next(0, given.outcome), given.want)
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			is.New(t).Equal(newCall(Policy{}).Next(0, testCase.outcome), testCase.want)
 		})
 	}
 }
@@ -74,27 +74,27 @@
 // The late outcome of an attempt that may have run applies to that attempt only.
 func TestUncertainAttemptIsResolvedOnlyByProof(t *testing.T) {
 	check := is.New(t)
-	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
+	broken := Outcome{Kind: Broken, Replayable: true, Others: true}
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second, Replayable: true}
 	unknown := Outcome{Kind: Refused, Code: result.DeadlineInFlight, Ran: result.RanUnknown}
 	draining := Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true}
 
 	call := newCall(Policy{Repeatable: true})
-	check.Equal(call.Next(0, lost).Action, Send)
-	decided := call.Next(0, draining)
-	check.True(!call.ResolveUncertainAttempt(lost))
+	check.Equal(call.Next(0, broken).Action, Send)
+	refusalStep := call.Next(0, draining)
+	check.True(!call.ResolveUncertainAttempt(broken))
 	check.True(!call.ResolveUncertainAttempt(unknown))
-	check.Equal(call.FinalStep(decided), decided) // no proof
+	check.Equal(call.FinalStep(refusalStep), refusalStep) // no proof
 	check.True(call.ResolveUncertainAttempt(refusal))
-	check.Equal(call.FinalStep(decided), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
+	check.Equal(call.FinalStep(refusalStep), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
 	check.True(!call.ResolveUncertainAttempt(refusal)) // no attempt is in doubt any more
 
 	twice := newCall(Policy{Repeatable: true})
-	check.Equal(twice.Next(0, lost).Action, Send)
-	check.Equal(twice.Next(0, lost).Action, Send)
-	decided = twice.Next(0, draining)
+	check.Equal(twice.Next(0, broken).Action, Send)
+	check.Equal(twice.Next(0, broken).Action, Send)
+	refusalStep = twice.Next(0, draining)
 	check.True(twice.ResolveUncertainAttempt(refusal))
-	check.Equal(twice.FinalStep(decided), decided) // the other attempt may have run
+	check.Equal(twice.FinalStep(refusalStep), refusalStep) // the other attempt may have run
 }
 
 func TestNoRetryMarkStopsRetriesButNotRelocation(t *testing.T) {
@@ -147,9 +147,9 @@
 				Others:     rapid.Bool().Draw(t, "others"),
 			}
 			outcome.Ran = rapid.SampledFrom([]result.Execution{result.RanNo, result.RanUnknown}).Draw(t, "ran")
-			certain := outcome.Kind == NotSent || outcome.Kind == NoEndpoint ||
+			certainlyNotRun := outcome.Kind == NotSent || outcome.Kind == NoEndpoint ||
 				(outcome.Kind == Refused && outcome.Ran == result.RanNo)
-			mayHaveRun = mayHaveRun || !certain
+			mayHaveRun = mayHaveRun || !certainlyNotRun
 			step := call.Next(0, outcome)
 			if step.Action == Send && mayHaveRun && !policy.Repeatable {
 				t.Fatal("a call that may have run was sent again")
@@ -158,7 +158,7 @@
 				t.Fatal("a call was sent without its body")
 			}
 			if step.Action == Refuse && (step.Ran == result.RanNo) == mayHaveRun {
-				t.Fatalf("said ran=%s, may have run: %v", step.Ran, mayHaveRun)
+				t.Fatalf("refusal states ran=%s; an attempt may have run: %v", step.Ran, mayHaveRun)
 			}
 			if attempt > 3+relocationLimit {
 				t.Fatal("too many attempts")
@@ -180,8 +180,8 @@
 
 func BenchmarkBudget(b *testing.B) {
 	budget := NewBudget()
-	b.RunParallel(func(loop *testing.PB) {
-		for loop.Next() {
+	b.RunParallel(func(parallel *testing.PB) {
+		for parallel.Next() {
 			budget.Deposit(0, 0)
 		}
 	})
@@ -236,22 +236,22 @@
 
 func TestReserveRetryByPolicyAndBudget(t *testing.T) {
 	check := is.New(t)
-	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
+	broken := Outcome{Kind: Broken, Replayable: true, Others: true}
 	policy := Policy{Repeatable: true, RetryFailures: true, Attempts: 3, Deadline: 100, Margin: 10}
 	budget := NewBudgetWithLimits(Limits{Part: 1})
 	first, second := NewCall(policy, budget), NewCall(policy, budget)
-	check.True(first.ReserveRetry(0, lost))
-	check.True(first.ReserveRetry(0, lost)) // charged only once
-	check.True(!second.ReserveRetry(0, lost))
-	check.Equal(first.Next(1, lost).Action, Send)
-	check.Equal(first.Next(2, lost).Action, Refuse) // the charged retry is used
+	check.True(first.ReserveRetry(0, broken))
+	check.True(first.ReserveRetry(0, broken)) // charged only once
+	check.True(!second.ReserveRetry(0, broken))
+	check.Equal(first.Next(1, broken).Action, Send)
+	check.Equal(first.Next(2, broken).Action, Refuse) // the charged retry is used
 
-	plenty := Limits{Part: 100}
-	unsafe := policy
-	unsafe.Repeatable = false
-	check.True(!NewCall(unsafe, NewBudgetWithLimits(plenty)).ReserveRetry(0, lost))
-	check.True(!NewCall(policy, NewBudgetWithLimits(plenty)).ReserveRetry(95, lost)) // too late
-	alone := lost
-	alone.Others = false
-	check.True(!NewCall(policy, NewBudgetWithLimits(plenty)).ReserveRetry(0, alone))
+	largeLimits := Limits{Part: 100}
+	notRepeatable := policy
+	notRepeatable.Repeatable = false
+	check.True(!NewCall(notRepeatable, NewBudgetWithLimits(largeLimits)).ReserveRetry(0, broken))
+	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(95, broken)) // too late
+	withoutOthers := broken
+	withoutOthers.Others = false
+	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(0, withoutOthers))
 }
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -41,6 +41,7 @@
 	repeated bool
 }
 
+// chainAttempts is the maximum number of attempts of a simulated call.
 const chainAttempts = 3
 
 // send simulates all attempts of a call to a level, and the calls that they make.
@@ -48,20 +49,20 @@
 	if level == len(r.levels) {
 		return
 	}
-	at := &r.levels[level]
-	budget := at.budgets[call.daemon]
+	service := &r.levels[level]
+	budget := service.budgets[call.daemon]
 	policy := Policy{
 		Repeatable: true, Attempts: chainAttempts, RetryFailures: true, Deadline: time.Hour,
 		Class: call.class, Urgent: r.random() < 0.3,
 	}
 	state := NewCall(policy, budget)
-	at.requests[r.tick]++
+	service.requests[r.tick]++
 	for attempt := 1; ; attempt++ {
-		again := attempt > 1 || call.repeated
-		if again {
-			at.repetitions[r.tick]++
+		repetition := attempt > 1 || call.repeated
+		if repetition {
+			service.repetitions[r.tick]++
 		}
-		outcome := r.run(level, call, again)
+		outcome := r.run(level, call, repetition)
 		if state.Next(r.now, outcome).Action != Send {
 			return
 		}
@@ -69,22 +70,22 @@
 }
 
 // run simulates one attempt that arrives at a back end.
-func (r *chainSimulation) run(level int, call chainCall, again bool) Outcome {
-	at := &r.levels[level]
-	if r.random() < at.rejecting {
+func (r *chainSimulation) run(level int, call chainCall, repetition bool) Outcome {
+	service := &r.levels[level]
+	if r.random() < service.rejecting {
 		return Outcome{Kind: Refused, Ran: "no", Arrived: true, Replayable: true, Others: true}
 	}
-	daemon := int(r.random() * float64(len(at.budgets)))
+	daemon := int(r.random() * float64(len(service.budgets)))
 	if call.class == 0 {
 		for range r.fanOut {
 			class := callclass.Class(0)
 			if r.random() < 0.3 {
 				class = 1
 			}
-			r.send(level+1, chainCall{class: class, daemon: daemon, repeated: again})
+			r.send(level+1, chainCall{class: class, daemon: daemon, repeated: repetition})
 		}
 	}
-	return Outcome{Kind: Answered, Failed: r.random() < at.failing, Replayable: true, Others: true}
+	return Outcome{Kind: Answered, Failed: r.random() < service.failing, Replayable: true, Others: true}
 }
 
 // begin starts the counts of a tick.
@@ -100,26 +101,26 @@
 
 func newChain(depth, daemons, fanOut int, random func() float64) *chainSimulation {
 	limits := LimitsForChain(allowedRatio, allowedSlack*chainSlack, depth, daemons, testWindow)
-	run := &chainSimulation{fanOut: fanOut, random: random, levels: make([]chainLevel, depth)}
-	for index := range run.levels {
+	simulation := &chainSimulation{fanOut: fanOut, random: random, levels: make([]chainLevel, depth)}
+	for index := range simulation.levels {
 		for range daemons {
-			run.levels[index].budgets = append(run.levels[index].budgets, NewBudgetWithLimits(limits))
+			simulation.levels[index].budgets = append(simulation.levels[index].budgets, NewBudgetWithLimits(limits))
 		}
 	}
-	return run
+	return simulation
 }
 
 // maxExcess returns the largest excess of the level's repetitions over the allowed number in
 // any window.
 func (l *chainLevel) maxExcess() float64 {
-	worst := 0.0
+	largest := 0.0
 	window := int(testWindow / testTick)
-	for at := range l.requests {
-		requests := max(sum(l.requests, at, at+window), sum(l.requests, at-window, at), sum(l.requests, at-window/2, at+window/2))
+	for start := range l.requests {
+		requests := max(sum(l.requests, start, start+window), sum(l.requests, start-window, start), sum(l.requests, start-window/2, start+window/2))
 		allowed := allowedRatio*float64(requests) + allowedSlack*chainSlack
-		worst = max(worst, float64(sum(l.repetitions, at, at+window))-allowed)
+		largest = max(largest, float64(sum(l.repetitions, start, start+window))-allowed)
 	}
-	return worst
+	return largest
 }
 
 // chainArrivals limits the calls per tick at the last service, to keep the test short.
@@ -142,28 +143,28 @@
 			state = state*6364136223846793005 + 1442695040888963407
 			return float64(state>>11) / (1 << 53)
 		}
-		run := newChain(depth, daemons, fanOut, random)
-		most := max(chainArrivals>>((depth-1)*(fanOut-1)), 8)
-		calls := rapid.IntRange(5, most).Draw(t, "calls")
+		simulation := newChain(depth, daemons, fanOut, random)
+		maxCalls := max(chainArrivals>>((depth-1)*(fanOut-1)), 8)
+		calls := rapid.IntRange(5, maxCalls).Draw(t, "calls")
 		tick := 0
 		for range rapid.IntRange(2, 4).Draw(t, "phases") {
-			for index := range run.levels {
-				run.levels[index].rejecting = rapid.SampledFrom([]float64{0, 0, 0.3, 0.55, 0.9}).Draw(t, "rejecting")
-				run.levels[index].failing = rapid.SampledFrom([]float64{0, 0, 0.3, 0.9}).Draw(t, "failing")
+			for index := range simulation.levels {
+				simulation.levels[index].rejecting = rapid.SampledFrom([]float64{0, 0, 0.3, 0.55, 0.9}).Draw(t, "rejecting")
+				simulation.levels[index].failing = rapid.SampledFrom([]float64{0, 0, 0.3, 0.9}).Draw(t, "failing")
 			}
 			for range rapid.IntRange(20, 80).Draw(t, "ticks") {
-				run.begin(tick)
+				simulation.begin(tick)
 				for range calls {
-					run.send(0, chainCall{class: callclass.Class(random() * 2), daemon: int(random() * float64(daemons))})
+					simulation.send(0, chainCall{class: callclass.Class(random() * 2), daemon: int(random() * float64(daemons))})
 				}
 				tick++
 			}
 			calls = rapid.SampledFrom([]int{calls, calls / 2, calls * 2}).Draw(t, "next calls")
-			calls = min(max(calls, 2), most)
+			calls = min(max(calls, 2), maxCalls)
 		}
-		for index := range run.levels {
-			if over := run.levels[index].maxExcess(); over > 0 {
-				t.Fatalf("level %d of %d is overdrawn by %.0f", index+1, depth, over)
+		for index := range simulation.levels {
+			if excess := simulation.levels[index].maxExcess(); excess > 0 {
+				t.Fatalf("level %d of %d exceeds its budget by %.0f retries", index+1, depth, excess)
 			}
 		}
 	})
--- a/internal/core/retry/warmth_test.go
+++ b/internal/core/retry/cold_test.go
@@ -18,12 +18,12 @@
 func TestColdRefusalIsRelocatedWithoutBudget(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudget()
-	left := budget.Remaining(0, 0)
+	remaining := budget.Remaining(0, 0)
 	for _, policy := range []Policy{{}, {NoRetry: true}, {Repeatable: true}} {
 		policy.Attempts, policy.Deadline = 1, time.Minute
 		check.Equal(NewCall(policy, budget).Next(0, coldRefusal).Action, Send)
 	}
-	check.Equal(budget.Remaining(0, 0), left)
+	check.Equal(budget.Remaining(0, 0), remaining)
 }
 
 func TestRelocationsAfterColdRefusalsAreLimited(t *testing.T) {
@@ -38,9 +38,9 @@
 
 func TestCallIsRefusedIfAllEndpointsAreCold(t *testing.T) {
 	check := is.New(t)
-	alone := coldRefusal
-	alone.Others = false
-	step := newCall(Policy{Repeatable: true}).Next(0, alone)
+	withoutOthers := coldRefusal
+	withoutOthers.Others = false
+	step := newCall(Policy{Repeatable: true}).Next(0, withoutOthers)
 	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: coldRefusal.RetryAfter})
 }
 
@@ -48,7 +48,7 @@
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true})
 	check.Equal(call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
-	alone := coldRefusal
-	alone.Others = false
-	check.Equal(call.Next(0, alone), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: coldRefusal.RetryAfter})
+	withoutOthers := coldRefusal
+	withoutOthers.Others = false
+	check.Equal(call.Next(0, withoutOthers), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: coldRefusal.RetryAfter})
 }
--- a/internal/core/retry/outcome.go
+++ b/internal/core/retry/outcome.go
@@ -65,6 +65,8 @@
 	return outcome.Kind == Refused && outcome.Code == result.WarmingUp
 }
 
+// impliesNotRun reports whether the code states that the call did not run. Unknown codes
+// count as such.
 func impliesNotRun(code result.Code) bool {
 	entry, found := result.Lookup(code)
 	return !found || entry.Ran == result.RanNo
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -21,24 +21,25 @@
 // amountBits is the width of a slot's amount in bits.
 const amountBits = 32
 
+// amountMask selects the amount of a slot.
 const amountMask = 1<<amountBits - 1
 
 // intervalOf returns the number of the interval that contains a time.
 func intervalOf(now, span time.Duration) uint64 { return uint64(now / (span / windowSlots)) }
 
 // add adds an amount. A negative amount reverses one that was added in the same interval;
-// see takeBack for earlier ones.
+// see subtract for earlier ones.
 func (w *window) add(now, span time.Duration, amount int64) {
-	number := intervalOf(now, span)
-	slot := &w.slots[number%uint64(len(w.slots))]
+	interval := intervalOf(now, span)
+	slot := &w.slots[interval%uint64(len(w.slots))]
 	for {
-		held := slot.Load()
+		current := slot.Load()
 		sum := amount
-		if held>>amountBits == number&amountMask {
-			sum += int64(held & amountMask)
+		if current>>amountBits == interval&amountMask {
+			sum += int64(current & amountMask)
 		}
-		next := number<<amountBits | uint64(min(max(sum, 0), amountMask))
-		if slot.CompareAndSwap(held, next) {
+		next := interval<<amountBits | uint64(min(max(sum, 0), amountMask))
+		if slot.CompareAndSwap(current, next) {
 			return
 		}
 	}
@@ -47,15 +48,15 @@
 // subtract subtracts an amount that was added at an earlier time. It does nothing once
 // that time's slot has been reused.
 func (w *window) subtract(addedAt, span time.Duration, amount int64) {
-	number := intervalOf(addedAt, span)
-	slot := &w.slots[number%uint64(len(w.slots))]
+	interval := intervalOf(addedAt, span)
+	slot := &w.slots[interval%uint64(len(w.slots))]
 	for {
-		held := slot.Load()
-		if held>>amountBits != number&amountMask {
+		current := slot.Load()
+		if current>>amountBits != interval&amountMask {
 			return
 		}
-		left := max(int64(held&amountMask)-amount, 0)
-		if slot.CompareAndSwap(held, number<<amountBits|uint64(left)) {
+		remaining := max(int64(current&amountMask)-amount, 0)
+		if slot.CompareAndSwap(current, interval<<amountBits|uint64(remaining)) {
 			return
 		}
 	}
@@ -63,23 +64,23 @@
 
 // sum returns the total of the current interval and a number of intervals before it.
 func (w *window) sum(now, span time.Duration, before uint64) int64 {
-	number := intervalOf(now, span)
+	interval := intervalOf(now, span)
 	total := int64(0)
 	for index := range w.slots {
-		held := w.slots[index].Load()
-		// Masking the difference to the width of a slot's number makes an interval
-		// later than now, which a delayed reader may see, count as old.
-		if age := (number - held>>amountBits) & amountMask; age <= before {
-			total += int64(held & amountMask)
+		current := w.slots[index].Load()
+		// Masking the difference to the width of a slot's interval number makes an
+		// interval later than now, which a delayed reader may see, count as old.
+		if age := (interval - current>>amountBits) & amountMask; age <= before {
+			total += int64(current & amountMask)
 		}
 	}
 	return total
 }
 
-// upperBound returns a total that is not below that of the last span: the interval in
-// which the span began counts in full.
+// upperBound returns a total that is at least the true one of the last span: the interval
+// in which the span began counts in full.
 func (w *window) upperBound(now, span time.Duration) int64 { return w.sum(now, span, windowSlots) }
 
-// lowerBound returns a total that is not above that of the last span: the interval in
-// which the span began is excluded.
+// lowerBound returns a total that is at most the true one of the last span: the interval
+// in which the span began is excluded.
 func (w *window) lowerBound(now, span time.Duration) int64 { return w.sum(now, span, windowSlots-1) }
