--- a/internal/core/roundtrip/roundtrip.go
+++ b/internal/core/roundtrip/roundtrip.go
@@ -26,19 +26,19 @@
 }
 
 // Observe adds the time of a round trip, including those answered after the timeout.
-func (e *Estimator) Observe(took time.Duration) {
-	took = max(took, 0)
+func (e *Estimator) Observe(roundTrip time.Duration) {
+	roundTrip = max(roundTrip, 0)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if !e.observed {
 		e.observed = true
-		e.mean = took
-		e.deviation = took / 2
+		e.mean = roundTrip
+		e.deviation = roundTrip / 2
 		return
 	}
-	distance := max(took-e.mean, e.mean-took)
-	e.deviation += (distance - e.deviation) / deviationDivisor
-	e.mean += (took - e.mean) / meanDivisor
+	difference := max(roundTrip-e.mean, e.mean-roundTrip)
+	e.deviation += (difference - e.deviation) / deviationDivisor
+	e.mean += (roundTrip - e.mean) / meanDivisor
 }
 
 // Timeout returns the time within which nearly all answers arrive; 0 if no round trip has
