--- a/internal/core/snapshot/codec.go
+++ b/internal/core/snapshot/codec.go
@@ -56,37 +56,37 @@
 // encodeChanges writes the changes as length-prefixed fields and compresses
 // them. Digests are left out: the receiver computes them from the payloads.
 func encodeChanges(changes []change) []byte {
-	var plain []byte
-	for _, one := range changes {
-		if one.removed {
-			plain = append(plain, operationRemove)
+	var encoded []byte
+	for _, entry := range changes {
+		if entry.removed {
+			encoded = append(encoded, operationRemove)
 		} else {
-			plain = append(plain, operationPut)
+			encoded = append(encoded, operationPut)
 		}
-		plain = appendField(plain, []byte(one.key.Partner))
-		plain = appendField(plain, []byte(one.key.Kind))
-		plain = appendField(plain, []byte(one.key.Name))
-		if !one.removed {
-			plain = appendField(plain, one.payload)
+		encoded = appendField(encoded, []byte(entry.key.Partner))
+		encoded = appendField(encoded, []byte(entry.key.Kind))
+		encoded = appendField(encoded, []byte(entry.key.Name))
+		if !entry.removed {
+			encoded = appendField(encoded, entry.payload)
 		}
 	}
-	return compressor.EncodeAll(plain, nil)
+	return compressor.EncodeAll(encoded, nil)
 }
 
-func appendField(plain, field []byte) []byte {
-	plain = binary.AppendUvarint(plain, uint64(len(field)))
-	return append(plain, field...)
+func appendField(encoded, field []byte) []byte {
+	encoded = binary.AppendUvarint(encoded, uint64(len(field)))
+	return append(encoded, field...)
 }
 
 // decodeChanges decodes the output of encodeChanges. It rejects any other input
 // with DigestMismatch and never allocates more than MaxDeltaBytes plus a small
 // multiple of the input.
 func decodeChanges(payload []byte) ([]change, error) {
-	plain, err := decompressor.DecodeAll(payload, nil)
+	decompressed, err := decompressor.DecodeAll(payload, nil)
 	if err != nil {
 		return nil, result.New(result.DigestMismatch, "delta does not decompress: %v", err)
 	}
-	fields := fieldReader{rest: plain}
+	fields := fieldReader{rest: decompressed}
 	var changes []change
 	for len(fields.rest) > 0 && !fields.malformed {
 		changes = append(changes, fields.change())
@@ -106,18 +106,18 @@
 func (f *fieldReader) change() change {
 	operation := f.rest[0]
 	f.rest = f.rest[1:]
-	one := change{removed: operation == operationRemove}
+	entry := change{removed: operation == operationRemove}
 	if operation != operationPut && operation != operationRemove {
 		f.malformed = true
-		return one
+		return entry
 	}
-	one.key.Partner = resource.Partner(f.field())
-	one.key.Kind = resource.Kind(f.field())
-	one.key.Name = string(f.field())
-	if !one.removed {
-		one.payload = f.field()
+	entry.key.Partner = resource.Partner(f.field())
+	entry.key.Kind = resource.Kind(f.field())
+	entry.key.Name = string(f.field())
+	if !entry.removed {
+		entry.payload = f.field()
 	}
-	return one
+	return entry
 }
 
 func (f *fieldReader) field() []byte {
--- a/internal/core/snapshot/delta.go
+++ b/internal/core/snapshot/delta.go
@@ -61,24 +61,24 @@
 // merge applies the changes to current, which must be sorted by key. If a key has
 // several changes, the last one counts. An unchanged resource costs one lookup.
 func merge(current []resource.Encoded, changes []change) []resource.Encoded {
-	last := lo.KeyBy(changes, func(one change) resource.Key { return one.key })
+	lastChanges := lo.KeyBy(changes, func(entry change) resource.Key { return entry.key })
 	var added []resource.Encoded
-	for key, one := range last {
-		if !one.removed {
-			added = append(added, resource.Encoded{Key: key, Digest: resource.DigestOf(one.payload), Payload: one.payload})
+	for key, entry := range lastChanges {
+		if !entry.removed {
+			added = append(added, resource.Encoded{Key: key, Digest: resource.DigestOf(entry.payload), Payload: entry.payload})
 		}
 	}
 	resource.SortEncoded(added)
 	merged := make([]resource.Encoded, 0, len(current)+len(added))
-	for _, one := range current {
-		if _, changed := last[one.Key]; changed {
+	for _, entry := range current {
+		if _, changed := lastChanges[entry.Key]; changed {
 			continue
 		}
-		for len(added) > 0 && added[0].Key.Less(one.Key) {
+		for len(added) > 0 && added[0].Key.Less(entry.Key) {
 			merged = append(merged, added[0])
 			added = added[1:]
 		}
-		merged = append(merged, one)
+		merged = append(merged, entry)
 	}
 	return append(merged, added...)
 }
--- a/internal/core/snapshot/digest.go
+++ b/internal/core/snapshot/digest.go
@@ -13,11 +13,11 @@
 func DigestOf(sorted []resource.Encoded) resource.Digest {
 	hash := sha256.New()
 	var fields []byte
-	for _, one := range sorted {
-		fields = appendTerminated(fields[:0], string(one.Key.Partner))
-		fields = appendTerminated(fields, string(one.Key.Kind))
-		fields = appendTerminated(fields, one.Key.Name)
-		fields = appendTerminated(fields, string(one.Digest))
+	for _, entry := range sorted {
+		fields = appendTerminated(fields[:0], string(entry.Key.Partner))
+		fields = appendTerminated(fields, string(entry.Key.Kind))
+		fields = appendTerminated(fields, entry.Key.Name)
+		fields = appendTerminated(fields, string(entry.Digest))
 		_, _ = hash.Write(fields) // never fails
 	}
 	return resource.Digest(hex.EncodeToString(hash.Sum(nil)))
--- a/internal/core/snapshot/rebuild_test.go
+++ b/internal/core/snapshot/rebuild_test.go
@@ -23,11 +23,11 @@
 	before, err := Build(1, services(map[string]string{"a": "/a", "b": "/b", "d": "/d"}))
 	is.NoErr(err)
 	next := services(map[string]string{"b": "/b", "c": "/c", "d": "/changed", "e": "/e"})
-	fresh, err := Build(2, next)
+	rebuiltFromScratch, err := Build(2, next)
 	is.NoErr(err)
 	rebuilt, err := Rebuild(before, 2, next)
 	is.NoErr(err)
-	is.True(reflect.DeepEqual(rebuilt, fresh))
+	is.True(reflect.DeepEqual(rebuilt, rebuiltFromScratch))
 }
 
 func TestRebuildDecodesAPayloadThatDiffersUnderAKnownDigest(t *testing.T) {
@@ -35,9 +35,9 @@
 	held := services(map[string]string{"a": "/a"})
 	before, err := Build(1, held)
 	is.NoErr(err)
-	forged := services(map[string]string{"a": "/a"})
-	forged[0].Payload = services(map[string]string{"a": "/b"})[0].Payload
-	_, err = Rebuild(before, 2, forged)
+	altered := services(map[string]string{"a": "/a"})
+	altered[0].Payload = services(map[string]string{"a": "/b"})[0].Payload
+	_, err = Rebuild(before, 2, altered)
 	is.True(err != nil)
 }
 
--- a/internal/core/snapshot/scope.go
+++ b/internal/core/snapshot/scope.go
@@ -33,9 +33,10 @@
 		return s.Encoded
 	}
 	wanted := s.keysInScope(scope)
-	return lo.Filter(s.Encoded, func(one resource.Encoded, _ int) bool { return wanted[one.Key] })
+	return lo.Filter(s.Encoded, func(entry resource.Encoded, _ int) bool { return wanted[entry.Key] })
 }
 
+// keysInScope returns the keys of the resources that Select returns for a scope.
 func (s *Snapshot) keysInScope(scope protocol.Scope) map[resource.Key]bool {
 	wanted := map[resource.Key]bool{}
 	services := lo.Keyify(scope.Services)
@@ -57,6 +58,7 @@
 	return wanted
 }
 
+// addServiceKeys adds the keys of a service and of its back ends.
 func (s *Snapshot) addServiceKeys(wanted map[resource.Key]bool, service resource.ServiceRef) {
 	if wanted[service.Key()] {
 		return
@@ -67,6 +69,8 @@
 	}
 }
 
+// inScope reports whether a route belongs to a scope's partners and refers to one of its
+// services. An empty list matches all.
 func inScope(route resource.Route, partners []resource.Partner, services map[resource.ServiceRef]struct{}) bool {
 	if len(partners) > 0 && !slices.Contains(partners, route.Partner) {
 		return false
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -57,12 +57,12 @@
 		Encoded:  sorted,
 		decoded:  make([]resource.Resource, 0, len(sorted)),
 	}
-	known := previousDecoder{previous: previous}
+	decoder := incrementalDecoder{previous: previous}
 	if previous != nil && len(previous.decoded) != len(previous.Encoded) {
-		known.previous = nil // not made by Rebuild, so its decoded resources are missing
+		decoder.previous = nil // not made by Rebuild, so its decoded resources are missing
 	}
-	for _, one := range sorted {
-		decoded, err := known.decode(one)
+	for _, entry := range sorted {
+		decoded, err := decoder.decode(entry)
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
@@ -75,38 +75,39 @@
 	return built, nil
 }
 
-// previousDecoder iterates over an earlier snapshot in key order.
-type previousDecoder struct {
+// incrementalDecoder decodes resources in key order and reuses the decoded resources of an
+// earlier snapshot.
+type incrementalDecoder struct {
 	previous *Snapshot
 	next     int
 }
 
 // decode returns the decoded form of a resource, from the earlier snapshot if it is
 // unchanged. Successive calls must pass resources in key order.
-func (e *previousDecoder) decode(one resource.Encoded) (resource.Resource, error) {
-	if e.previous == nil {
-		return resource.Decode(one)
+func (d *incrementalDecoder) decode(entry resource.Encoded) (resource.Resource, error) {
+	if d.previous == nil {
+		return resource.Decode(entry)
 	}
-	for e.next < len(e.previous.Encoded) && e.previous.Encoded[e.next].Key.Less(one.Key) {
-		e.next++
+	for d.next < len(d.previous.Encoded) && d.previous.Encoded[d.next].Key.Less(entry.Key) {
+		d.next++
 	}
-	if e.next == len(e.previous.Encoded) {
-		return resource.Decode(one)
+	if d.next == len(d.previous.Encoded) {
+		return resource.Decode(entry)
 	}
-	candidate := e.previous.Encoded[e.next]
-	same := candidate.Key == one.Key && candidate.Digest == one.Digest && bytes.Equal(candidate.Payload, one.Payload)
+	candidate := d.previous.Encoded[d.next]
+	same := candidate.Key == entry.Key && candidate.Digest == entry.Digest && bytes.Equal(candidate.Payload, entry.Payload)
 	if !same {
-		return resource.Decode(one)
+		return resource.Decode(entry)
 	}
-	return e.previous.decoded[e.next], nil
+	return d.previous.decoded[d.next], nil
 }
 
 // WithVersion returns a snapshot with the same content at another version. It is used
 // if the versions in between changed nothing in the scope.
 func (s *Snapshot) WithVersion(version protocol.Version) *Snapshot {
-	moved := *s
-	moved.Version = version
-	return &moved
+	copied := *s
+	copied.Version = version
+	return &copied
 }
 
 // Empty returns a snapshot of version 0 without resources.
@@ -128,6 +129,7 @@
 	}
 }
 
+// checkReferences fails if a route refers to a service or secret that the snapshot lacks.
 func (s *Snapshot) checkReferences() error {
 	for _, route := range s.Routes {
 		for _, destination := range route.Split {
--- a/internal/core/snapshot/store.go
+++ b/internal/core/snapshot/store.go
@@ -86,6 +86,7 @@
 	return nil
 }
 
+// appendVersion adds a snapshot to the history and drops the cache entries that it makes invalid.
 func (s *Store) appendVersion(built *Snapshot) {
 	s.history = append(s.history, built)
 	s.deltas = map[deltaKey]*protocol.Delta{}
@@ -127,21 +128,21 @@
 // Delta returns the delta to the newest version for a child that has a scope at the
 // given version and digest. It returns nil if nothing changes for the child: its
 // content then equals the newest version, with the same digest.
-func (s *Store) Delta(scope protocol.Scope, have protocol.Version, digest resource.Digest) *protocol.Delta {
+func (s *Store) Delta(scope protocol.Scope, from protocol.Version, digest resource.Digest) *protocol.Delta {
 	newest := s.Newest()
 	if newest == nil {
 		return nil
 	}
 	key := scopeKey(scope)
 	after := s.cachedSelection(newest, scope, key)
-	if have > 0 && digest == after.digest {
+	if from > 0 && digest == after.digest {
 		return nil
 	}
-	before := s.find(have)
+	before := s.versionInHistory(from)
 	if before == nil || s.cachedSelection(before, scope, key).digest != digest {
 		return s.cachedDelta(deltaKey{scope: key}, newest.Version, nil, after.resources)
 	}
-	return s.cachedDelta(deltaKey{from: have, scope: key}, newest.Version, s.cachedSelection(before, scope, key).resources, after.resources)
+	return s.cachedDelta(deltaKey{from: from, scope: key}, newest.Version, s.cachedSelection(before, scope, key).resources, after.resources)
 }
 
 // cachedDelta returns a delta to the newest version from the cache, encoding it on first use.
@@ -154,22 +155,24 @@
 	return delta
 }
 
-func (s *Store) find(version protocol.Version) *Snapshot {
-	for _, one := range s.history {
-		if one.Version == version {
-			return one
+// versionInHistory returns the snapshot of a version; nil if it is not in the history.
+func (s *Store) versionInHistory(version protocol.Version) *Snapshot {
+	for _, snapshot := range s.history {
+		if snapshot.Version == version {
+			return snapshot
 		}
 	}
 	return nil
 }
 
-func (s *Store) cachedSelection(of *Snapshot, scope protocol.Scope, key string) selection {
-	memo := selectionKey{version: of.Version, scope: key}
-	if found, ok := s.selections[memo]; ok {
+// cachedSelection returns the selection of a scope from the cache, computing it on first use.
+func (s *Store) cachedSelection(snapshot *Snapshot, scope protocol.Scope, key string) selection {
+	cacheKey := selectionKey{version: snapshot.Version, scope: key}
+	if found, ok := s.selections[cacheKey]; ok {
 		return found
 	}
-	resources := of.Select(scope)
-	made := selection{resources: resources, digest: DigestOf(resources)}
-	s.selections[memo] = made
-	return made
+	resources := snapshot.Select(scope)
+	computed := selection{resources: resources, digest: DigestOf(resources)}
+	s.selections[cacheKey] = computed
+	return computed
 }
