--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -44,29 +44,29 @@
 // zone are ranked by rendezvous hashing, so that all daemons with the same members
 // obtain the same order.
 func NewDirectory(self protocol.NodeID, zone string, peers []Peer) *Directory {
-	made := &Directory{
+	directory := &Directory{
 		self:  self,
 		zone:  zone,
 		all:   slices.Clone(peers),
 		byID:  make(map[protocol.NodeID]int, len(peers)),
 		zones: map[string][]Peer{},
 	}
-	slices.SortFunc(made.all, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(directory.all, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	scores := make(map[protocol.NodeID]uint64, len(peers))
-	for index, one := range made.all {
-		made.byID[one.ID] = index
-		made.zones[one.Zone] = append(made.zones[one.Zone], one)
-		if one.Zone != zone {
-			made.otherZones = append(made.otherZones, one)
+	for index, peer := range directory.all {
+		directory.byID[peer.ID] = index
+		directory.zones[peer.Zone] = append(directory.zones[peer.Zone], peer)
+		if peer.Zone != zone {
+			directory.otherZones = append(directory.otherZones, peer)
 		}
-		scores[one.ID] = membership.Score(relayPurpose, one.ID)
+		scores[peer.ID] = membership.Score(relayPurpose, peer.ID)
 	}
-	for _, ranked := range made.zones {
+	for _, ranked := range directory.zones {
 		slices.SortFunc(ranked, func(a, b Peer) int {
 			return cmp.Or(cmp.Compare(scores[b.ID], scores[a.ID]), cmp.Compare(a.ID, b.ID))
 		})
 	}
-	return made
+	return directory
 }
 
 // All returns the other daemons in ascending order of ID.
@@ -101,12 +101,12 @@
 func (d *Directory) InZone(zone string) []Peer { return d.zones[zone] }
 
 // Relays returns the other daemons of a zone that may be its relay, best first, without
-// those for which lost returns true.
-func (d *Directory) Relays(zone string, lost func(protocol.NodeID) bool) []Peer {
+// the unreachable ones.
+func (d *Directory) Relays(zone string, unreachable func(protocol.NodeID) bool) []Peer {
 	var relays []Peer
-	for _, one := range d.zones[zone] {
-		if one.Relays && !lost(one.ID) {
-			relays = append(relays, one)
+	for _, peer := range d.zones[zone] {
+		if peer.Relays && !unreachable(peer.ID) {
+			relays = append(relays, peer)
 		}
 	}
 	return relays
@@ -114,8 +114,8 @@
 
 // IsRelay reports whether the own daemon is the relay of its zone: it ranks before all
 // others that may be.
-func (d *Directory) IsRelay(lost func(protocol.NodeID) bool) bool {
-	relays := d.Relays(d.zone, lost)
+func (d *Directory) IsRelay(unreachable func(protocol.NodeID) bool) bool {
+	relays := d.Relays(d.zone, unreachable)
 	if len(relays) == 0 {
 		return true
 	}
--- a/internal/core/dissemination/dissemination_test.go
+++ b/internal/core/dissemination/dissemination_test.go
@@ -16,8 +16,10 @@
 // sizes are the mesh sizes under test.
 var sizes = []struct{ daemons, zones int }{{13, 4}, {74, 4}, {295, 6}, {295, 7}, {1000, 8}}
 
+// noneUnreachable reports all daemons as reachable.
 func noneUnreachable(protocol.NodeID) bool { return false }
 
+// meshOf returns a number of daemons, distributed evenly over zones.
 func meshOf(daemons, zones int) []Peer {
 	peers := make([]Peer, daemons)
 	for index := range peers {
@@ -27,26 +29,27 @@
 	return peers
 }
 
+// directoryOf returns the directory of one of the daemons.
 func directoryOf(peers []Peer, self int) *Directory {
 	others := make([]Peer, 0, len(peers))
-	for index, one := range peers {
+	for index, peer := range peers {
 		if index != self {
-			others = append(others, one)
+			others = append(others, peer)
 		}
 	}
 	return NewDirectory(peers[self].ID, peers[self].Zone, others)
 }
 
 // broadcast simulates a broadcast along its tree. It counts the messages that each daemon
-// receives, raises most to the largest number that one daemon sends, and returns the
+// receives, raises maxBranches to the largest number that one daemon sends, and returns the
 // number of steps to the last daemon.
-func broadcast(targets []Peer, received map[protocol.NodeID]int, most *int) int {
+func broadcast(targets []Peer, received map[protocol.NodeID]int, maxBranches *int) int {
 	steps := 0
 	branches := Branches(targets)
-	*most = max(*most, len(branches))
+	*maxBranches = max(*maxBranches, len(branches))
 	for _, branch := range branches {
 		received[branch[0].ID]++
-		steps = max(steps, 1+broadcast(branch[1:], received, most))
+		steps = max(steps, 1+broadcast(branch[1:], received, maxBranches))
 	}
 	return steps
 }
@@ -56,14 +59,14 @@
 		check := is.New(t)
 		peers := meshOf(size.daemons, size.zones)
 		received := map[protocol.NodeID]int{}
-		most := 0
-		near := directoryOf(peers, 0).OwnZone()
-		steps := broadcast(near, received, &most)
-		check.Equal(len(received), len(near))
+		maxBranches := 0
+		targets := directoryOf(peers, 0).OwnZone()
+		steps := broadcast(targets, received, &maxBranches)
+		check.Equal(len(received), len(targets))
 		for _, count := range received {
 			check.Equal(count, 1)
 		}
-		check.True(most <= Fanout)
+		check.True(maxBranches <= Fanout)
 		check.True(steps <= 3) // up to 125 daemons per zone
 	}
 }
@@ -74,16 +77,16 @@
 		peers := meshOf(size.daemons, size.zones)
 		relays := map[string]int{}
 		chosen := map[string]map[protocol.NodeID]bool{}
-		for index, one := range peers {
+		for index, peer := range peers {
 			directory := directoryOf(peers, index)
 			if directory.IsRelay(noneUnreachable) {
-				relays[one.Zone]++
+				relays[peer.Zone]++
 				continue
 			}
-			if chosen[one.Zone] == nil {
-				chosen[one.Zone] = map[protocol.NodeID]bool{}
+			if chosen[peer.Zone] == nil {
+				chosen[peer.Zone] = map[protocol.NodeID]bool{}
 			}
-			chosen[one.Zone][directory.Relays(one.Zone, noneUnreachable)[0].ID] = true
+			chosen[peer.Zone][directory.Relays(peer.Zone, noneUnreachable)[0].ID] = true
 		}
 		for zone := range size.zones {
 			check.Equal(relays[fmt.Sprintf("z%d", zone)], 1)
@@ -103,9 +106,9 @@
 		peers[index].Relays = peers[index].ID != first[1].ID
 	}
 	check.Equal(directoryOf(peers, 0).Relays("z0", lost)[0].ID, first[2].ID)
-	alone := NewDirectory("d", "z0", nil)
-	check.True(alone.IsRelay(noneUnreachable))
-	check.Equal(len(alone.Relays("z0", noneUnreachable)), 0)
+	singleDaemon := NewDirectory("d", "z0", nil)
+	check.True(singleDaemon.IsRelay(noneUnreachable))
+	check.Equal(len(singleDaemon.Relays("z0", noneUnreachable)), 0)
 }
 
 func TestDirectoryLookups(t *testing.T) {
