--- a/internal/core/distribution/fold.go
+++ b/internal/core/distribution/acknowledgement.go
@@ -20,8 +20,8 @@
 	name   string
 }
 
-// AcknowledgementAggregator aggregates acknowledgements by zone. Its size does not grow with the number
-// of members.
+// AcknowledgementAggregator aggregates acknowledgements by zone. Its size does not grow with
+// the number of members.
 type AcknowledgementAggregator struct {
 	zones map[zoneKey]*protocol.Acknowledgement
 }
@@ -44,35 +44,35 @@
 }
 
 // Add adds an acknowledgement, which may itself be an aggregate.
-func (f *AcknowledgementAggregator) Add(one protocol.Acknowledgement) {
-	if one.Count == 0 {
+func (g *AcknowledgementAggregator) Add(added protocol.Acknowledgement) {
+	if added.Count == 0 {
 		return
 	}
-	key := zoneKey{region: one.Region, name: one.Zone}
-	sum, found := f.zones[key]
+	key := zoneKey{region: added.Region, name: added.Zone}
+	total, found := g.zones[key]
 	if !found {
-		first := one
-		first.Behind = slices.Clone(one.Behind)
-		f.zones[key] = &first
+		initial := added
+		initial.Behind = slices.Clone(added.Behind)
+		g.zones[key] = &initial
 		return
 	}
 	switch {
-	case one.Minimum < sum.Minimum:
-		sum.Behind = slices.Clone(one.Behind)
-	case one.Minimum == sum.Minimum:
-		sum.Behind = append(sum.Behind, one.Behind...)
+	case added.Minimum < total.Minimum:
+		total.Behind = slices.Clone(added.Behind)
+	case added.Minimum == total.Minimum:
+		total.Behind = append(total.Behind, added.Behind...)
 	}
-	sum.Behind = limitNames(sum.Behind)
-	sum.Minimum = min(sum.Minimum, one.Minimum)
-	sum.Count += one.Count
-	sum.MemberSum += one.MemberSum
+	total.Behind = limitNames(total.Behind)
+	total.Minimum = min(total.Minimum, added.Minimum)
+	total.Count += added.Count
+	total.MemberSum += added.MemberSum
 }
 
 // List returns the aggregate of each zone in ascending order of region and zone.
-func (f *AcknowledgementAggregator) List() []protocol.Acknowledgement {
-	list := make([]protocol.Acknowledgement, 0, len(f.zones))
-	for _, one := range f.zones {
-		list = append(list, *one)
+func (g *AcknowledgementAggregator) List() []protocol.Acknowledgement {
+	list := make([]protocol.Acknowledgement, 0, len(g.zones))
+	for _, aggregate := range g.zones {
+		list = append(list, *aggregate)
 	}
 	slices.SortFunc(list, func(a, b protocol.Acknowledgement) int {
 		return cmp.Or(cmp.Compare(a.Region, b.Region), cmp.Compare(a.Zone, b.Zone))
@@ -97,6 +97,7 @@
 	})
 }
 
+// limitNames truncates a list to MaxListedNodes.
 func limitNames(names []protocol.NodeID) []protocol.NodeID {
 	if len(names) > protocol.MaxListedNodes {
 		return names[:protocol.MaxListedNodes]
--- a/internal/core/distribution/distribution_test.go
+++ b/internal/core/distribution/distribution_test.go
@@ -21,11 +21,11 @@
 }
 
 func aggregate(acks ...protocol.Acknowledgement) []protocol.Acknowledgement {
-	sum := distribution.NewAcknowledgementAggregator()
+	aggregator := distribution.NewAcknowledgementAggregator()
 	for _, ack := range acks {
-		sum.Add(ack)
+		aggregator.Add(ack)
 	}
-	return sum.List()
+	return aggregator.List()
 }
 
 // No version is confirmed if a member is missing, duplicate, unknown or of another
@@ -34,24 +34,24 @@
 	is := is.New(t)
 	a, b, c := member("x", "a", 1), member("x", "b", 1), member("y", "c", 1)
 	expected := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, b, c})
-	single := distribution.MemberAcknowledgement
-	is.Equal(expected.ConfirmedVersion(aggregate(single(a, 7), single(b, 8), single(c, 9))), protocol.Version(7))
-	is.Equal(expected.ConfirmedVersion(aggregate(aggregate(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // aggregates of aggregates
-	wrong := [][]protocol.Acknowledgement{
-		aggregate(single(a, 7), single(c, 9)),
-		aggregate(single(a, 7), single(a, 7), single(c, 9)),
-		aggregate(single(a, 7), single(b, 8), single(c, 9), single(member("x", "d", 1), 9)),
-		aggregate(single(a, 7), single(member("x", "b", 2), 8), single(c, 9)),
-		aggregate(single(a, 7), single(b, 8)),
+	acknowledge := distribution.MemberAcknowledgement
+	is.Equal(expected.ConfirmedVersion(aggregate(acknowledge(a, 7), acknowledge(b, 8), acknowledge(c, 9))), protocol.Version(7))
+	is.Equal(expected.ConfirmedVersion(aggregate(aggregate(acknowledge(a, 7), acknowledge(c, 9))[0], acknowledge(b, 8), acknowledge(c, 9))), protocol.Version(7)) // aggregates of aggregates
+	mismatching := [][]protocol.Acknowledgement{
+		aggregate(acknowledge(a, 7), acknowledge(c, 9)),
+		aggregate(acknowledge(a, 7), acknowledge(a, 7), acknowledge(c, 9)),
+		aggregate(acknowledge(a, 7), acknowledge(b, 8), acknowledge(c, 9), acknowledge(member("x", "d", 1), 9)),
+		aggregate(acknowledge(a, 7), acknowledge(member("x", "b", 2), 8), acknowledge(c, 9)),
+		aggregate(acknowledge(a, 7), acknowledge(b, 8)),
 		nil,
 	}
-	for _, acks := range wrong {
+	for _, acks := range mismatching {
 		is.Equal(expected.ConfirmedVersion(acks), protocol.Version(0))
 	}
 	dead := b
 	dead.State = protocol.MemberDead
-	without := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, dead, c})
-	is.Equal(without.ConfirmedVersion(aggregate(single(a, 7), single(c, 9))), protocol.Version(7)) // dead members are not expected
+	withoutDead := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, dead, c})
+	is.Equal(withoutDead.ConfirmedVersion(aggregate(acknowledge(a, 7), acknowledge(c, 9))), protocol.Version(7)) // dead members are not expected
 }
 
 func TestAggregateListsMembersBehind(t *testing.T) {
@@ -70,12 +70,12 @@
 // A version may be declared in force at once only if the keepers knew of no other root.
 func TestReleaseIsFencedIfAnotherRootMayExist(t *testing.T) {
 	is := is.New(t)
-	claims := distribution.NewReleaseTracker(lease)
-	claims.RecordRelease(0, 4, true)
-	claims.RecordRelease(time.Second, 5, false)
-	is.Equal(claims.DeclarableVersion(2*time.Second), protocol.Version(4))
-	is.Equal(claims.DeclarableVersion(time.Second+lease), protocol.Version(4)) // the clock margin has not passed yet
-	is.Equal(claims.DeclarableVersion(time.Second+distribution.LeaseWithMargin(lease)), protocol.Version(5))
+	tracker := distribution.NewReleaseTracker(lease)
+	tracker.RecordRelease(0, 4, true)
+	tracker.RecordRelease(time.Second, 5, false)
+	is.Equal(tracker.DeclarableVersion(2*time.Second), protocol.Version(4))
+	is.Equal(tracker.DeclarableVersion(time.Second+lease), protocol.Version(4)) // the clock margin has not passed yet
+	is.Equal(tracker.DeclarableVersion(time.Second+distribution.LeaseWithMargin(lease)), protocol.Version(5))
 }
 
 func keepers(write int, ids ...protocol.NodeID) protocol.KeeperSet {
@@ -91,25 +91,25 @@
 	is := is.New(t)
 	set := keepers(3, "a", "b", "c", "d")
 	root := distribution.NewRootLease(lease)
-	answer := func(id protocol.NodeID, at time.Duration, stored protocol.Version, other bool) {
-		root.RecordReply(id, at, &protocol.StoreReply{Stored: stored, OtherRoot: other})
+	reply := func(id protocol.NodeID, at time.Duration, stored protocol.Version, otherRoot bool) {
+		root.RecordReply(id, at, &protocol.StoreReply{Stored: stored, OtherRoot: otherRoot})
 	}
-	answer("a", 1*time.Second, 4, false)
+	reply("a", 1*time.Second, 4, false)
 	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // no read quorum yet
-	answer("b", 2*time.Second, 4, false)
+	reply("b", 2*time.Second, 4, false)
 	is.Equal(root.GrantUntil(4, set), time.Second+lease) // the oldest reply of the quorum counts
 	is.True(!root.IsOnlyRoot(time.Second, set))          // no write quorum yet
-	answer("c", 3*time.Second, 4, false)
-	answer("d", 4*time.Second, 4, true)
+	reply("c", 3*time.Second, 4, false)
+	reply("d", 4*time.Second, 4, true)
 	is.Equal(root.GrantUntil(4, set), 3*time.Second+lease)
 	is.True(root.IsOnlyRoot(time.Second, set))
 	is.True(!root.IsOnlyRoot(2*time.Second, set)) // d knows of another root
 
-	answer("b", 5*time.Second, 5, false)
-	answer("c", 5*time.Second, 5, false)
-	answer("d", 5*time.Second, 5, false)
+	reply("b", 5*time.Second, 5, false)
+	reply("c", 5*time.Second, 5, false)
+	reply("d", 5*time.Second, 5, false)
 	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // a newer version is stored at a quorum
-	answer("b", 2*time.Second, 4, false)
+	reply("b", 2*time.Second, 4, false)
 	is.Equal(root.GrantUntil(4, set), time.Duration(0))                       // a late reply to an older request is ignored
 	is.Equal(root.GrantUntil(5, set, keepers(2, "x", "y")), time.Duration(0)) // both sets must agree
 }
@@ -126,14 +126,14 @@
 	is.Equal(len(tree.Relays("zone-0")), 2)
 	is.Equal(len(tree.Relays("zone-1")), 2)
 	is.Equal(tree.RootCandidates()[0].ID, members[11].ID) // readers rank first
-	newcomers := 0
+	newRelays := 0
 	for i := range 200 {
-		newcomer := member("zone-0", fmt.Sprint("new", i), 1)
-		joined := distribution.NewTree(members[5], append(slices.Clone(members), newcomer), 24)
-		is.Equal(tree.WouldBeRelay(newcomer), joined.IsRelay(newcomer)) // predicts the role after joining
-		newcomers += lo.Ternary(joined.IsRelay(newcomer), 1, 0)
+		joining := member("zone-0", fmt.Sprint("new", i), 1)
+		treeAfterJoin := distribution.NewTree(members[5], append(slices.Clone(members), joining), 24)
+		is.Equal(tree.WouldBeRelay(joining), treeAfterJoin.IsRelay(joining)) // predicts the role after joining
+		newRelays += lo.Ternary(treeAfterJoin.IsRelay(joining), 1, 0)
 	}
-	is.True(newcomers > 0 && newcomers < 50)
+	is.True(newRelays > 0 && newRelays < 50)
 	parents := tree.ParentCandidates()
 	is.Equal(parents[0].Zone, "zone-1") // relays of the own zone come first
 	is.Equal(parents[1].Zone, "zone-1")
@@ -154,14 +154,14 @@
 	}
 	is.True(longest > backoff.Max/2)
 
-	admission := distribution.NewSendLimiter(100, 200)
-	_, admitted := admission.Admit(0, 150)
+	limiter := distribution.NewSendLimiter(100, 200)
+	_, admitted := limiter.Admit(0, 150)
 	is.True(admitted)
-	wait, admitted := admission.Admit(0, 150)
+	wait, admitted := limiter.Admit(0, 150)
 	is.True(!admitted)
 	is.Equal(wait, time.Second)
-	_, admitted = admission.Admit(wait, 150)
+	_, admitted = limiter.Admit(wait, 150)
 	is.True(admitted)
-	_, admitted = admission.Admit(10*time.Second, 1000)
+	_, admitted = limiter.Admit(10*time.Second, 1000)
 	is.True(admitted) // larger than the bucket, but the bucket is full
 }
--- a/internal/core/distribution/inforce.go
+++ b/internal/core/distribution/inforce.go
@@ -14,6 +14,7 @@
 	zones  map[string]memberCount
 }
 
+// memberCount is the number of members of a zone and the sum of their incarnation hashes.
 type memberCount struct {
 	count uint32
 	sum   uint64
@@ -26,10 +27,10 @@
 		if member.Region != region || !membership.Live(member) {
 			continue
 		}
-		one := expected.zones[member.Zone]
-		one.count++
-		one.sum += membership.IncarnationHash(member.ID, member.Incarnation)
-		expected.zones[member.Zone] = one
+		zone := expected.zones[member.Zone]
+		zone.count++
+		zone.sum += membership.IncarnationHash(member.ID, member.Incarnation)
+		expected.zones[member.Zone] = zone
 	}
 	return expected
 }
@@ -39,14 +40,14 @@
 // unknown or duplicate member changes a checksum. An additional member must not be
 // ignored, because it may be one that the roster does not contain yet and that still
 // serves an older version.
-func (e ExpectedMembers) ConfirmedVersion(folded []protocol.Acknowledgement) protocol.Version {
+func (e ExpectedMembers) ConfirmedVersion(acknowledgements []protocol.Acknowledgement) protocol.Version {
 	covered := 0
-	for _, one := range folded {
-		if one.Region != e.region {
+	for _, acknowledged := range acknowledgements {
+		if acknowledged.Region != e.region {
 			return 0
 		}
-		zone, found := e.zones[one.Zone]
-		if !found || zone.count != one.Count || zone.sum != one.MemberSum {
+		zone, found := e.zones[acknowledged.Zone]
+		if !found || zone.count != acknowledged.Count || zone.sum != acknowledged.MemberSum {
 			return 0
 		}
 		covered++
@@ -54,7 +55,7 @@
 	if covered != len(e.zones) {
 		return 0
 	}
-	lowest, _ := MinimumVersion(folded)
+	lowest, _ := MinimumVersion(acknowledgements)
 	return lowest
 }
 
@@ -87,11 +88,12 @@
 	released []releasedVersion
 }
 
-// releaseHistoryLength is the maximum number of versions kept. Older ones may always be
-// declared in force.
+// releaseHistoryLength is the maximum number of versions kept. Older ones have become
+// declarable by then.
 const releaseHistoryLength = 16
 
-// NewReleaseTracker returns the claims of a new root. lease is the duration of serving leases.
+// NewReleaseTracker returns the tracker of a new root. lease is the duration of serving
+// leases.
 func NewReleaseTracker(lease time.Duration) *ReleaseTracker {
 	return &ReleaseTracker{lease: lease}
 }
@@ -103,12 +105,12 @@
 // LeaseWithMargin returns the lease duration plus the margin for clocks of different rates.
 func LeaseWithMargin(lease time.Duration) time.Duration { return lease + lease/clockMarginDivisor }
 
-// RecordRelease records that a version was stored at a write quorum at now. alone is set if
-// the quorum knew of no other root.
-func (c *ReleaseTracker) RecordRelease(now time.Duration, version protocol.Version, alone bool) {
-	c.released = append(c.released, releasedVersion{version: version, storedAt: now, onlyRoot: alone})
-	if len(c.released) > releaseHistoryLength {
-		c.released = c.released[1:]
+// RecordRelease records that a version was stored at a write quorum at now. onlyRoot is set
+// if the quorum knew of no other root.
+func (t *ReleaseTracker) RecordRelease(now time.Duration, version protocol.Version, onlyRoot bool) {
+	t.released = append(t.released, releasedVersion{version: version, storedAt: now, onlyRoot: onlyRoot})
+	if len(t.released) > releaseHistoryLength {
+		t.released = t.released[1:]
 	}
 }
 
@@ -118,28 +120,28 @@
 // are silent, partitioned or removed from the roster. A lease is bound to the version
 // it was granted with, and no root can obtain one at an older version once the newer
 // one is stored.
-func (c *ReleaseTracker) FencedVersion(now time.Duration) protocol.Version {
-	return c.highest(func(one releasedVersion) bool { return c.fenced(one, now) })
+func (t *ReleaseTracker) FencedVersion(now time.Duration) protocol.Version {
+	return t.highest(func(release releasedVersion) bool { return t.fenced(release, now) })
 }
 
 // DeclarableVersion returns the highest version that may be declared in force at now, provided
 // that it is acknowledged.
-func (c *ReleaseTracker) DeclarableVersion(now time.Duration) protocol.Version {
-	return c.highest(func(one releasedVersion) bool { return one.onlyRoot || c.fenced(one, now) })
+func (t *ReleaseTracker) DeclarableVersion(now time.Duration) protocol.Version {
+	return t.highest(func(release releasedVersion) bool { return release.onlyRoot || t.fenced(release, now) })
 }
 
 // fenced reports whether all leases at versions older than this one have expired.
-func (c *ReleaseTracker) fenced(one releasedVersion, now time.Duration) bool {
-	return now-one.storedAt >= LeaseWithMargin(c.lease)
+func (t *ReleaseTracker) fenced(release releasedVersion, now time.Duration) bool {
+	return now-release.storedAt >= LeaseWithMargin(t.lease)
 }
 
 // highest returns the highest released version that satisfies a condition; 0 if none
 // does.
-func (c *ReleaseTracker) highest(fits func(releasedVersion) bool) protocol.Version {
+func (t *ReleaseTracker) highest(condition func(releasedVersion) bool) protocol.Version {
 	var highest protocol.Version
-	for _, one := range c.released {
-		if fits(one) {
-			highest = max(highest, one.version)
+	for _, release := range t.released {
+		if condition(release) {
+			highest = max(highest, release.version)
 		}
 	}
 	return highest
--- a/internal/core/distribution/rootlease.go
+++ b/internal/core/distribution/rootlease.go
@@ -25,11 +25,14 @@
 	replies map[protocol.NodeID]keeperReply
 }
 
+// keeperReply is a keeper's reply to a StoreRequest.
 type keeperReply struct {
 	// sentAt is when the request was sent. The keeper's state may have changed since
 	// it replied, but the reply is never older than the request.
-	sentAt   time.Duration
-	stored   protocol.Version
+	sentAt time.Duration
+	// stored is the version that the keeper stores.
+	stored protocol.Version
+	// onlyRoot is set if the keeper knows of no other root.
 	onlyRoot bool
 }
 
@@ -45,7 +48,7 @@
 	if reply == nil || reply.Code != result.OK {
 		return
 	}
-	if known, found := l.replies[keeper]; found && known.sentAt > sentAt {
+	if latest, found := l.replies[keeper]; found && latest.sentAt > sentAt {
 		return
 	}
 	l.replies[keeper] = keeperReply{sentAt: sentAt, stored: reply.Stored, onlyRoot: !reply.OtherRoot}
@@ -59,7 +62,7 @@
 		return 0
 	}
 	return lo.Min(lo.Map(sets, func(set protocol.KeeperSet, _ int) time.Duration {
-		oldest, found := l.quorumSentAt(set, set.Read, func(answer keeperReply) bool { return answer.stored <= version })
+		oldest, found := l.quorumSentAt(set, set.Read, func(reply keeperReply) bool { return reply.stored <= version })
 		if !found {
 			return 0
 		}
@@ -72,7 +75,7 @@
 // shares a keeper with it.
 func (l *RootLease) IsOnlyRoot(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return len(sets) > 0 && lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
-		oldest, found := l.quorumSentAt(set, set.Write, func(answer keeperReply) bool { return answer.onlyRoot })
+		oldest, found := l.quorumSentAt(set, set.Write, func(reply keeperReply) bool { return reply.onlyRoot })
 		return found && oldest >= since
 	})
 }
@@ -97,11 +100,11 @@
 
 // quorumSentAt returns the oldest sending time among the latest size replies that satisfy a
 // condition; false if there are fewer.
-func (l *RootLease) quorumSentAt(set protocol.KeeperSet, size int, fits func(keeperReply) bool) (time.Duration, bool) {
+func (l *RootLease) quorumSentAt(set protocol.KeeperSet, size int, condition func(keeperReply) bool) (time.Duration, bool) {
 	var times []time.Duration
 	for _, keeper := range set.Members {
-		if answer, found := l.replies[keeper.ID]; found && fits(answer) {
-			times = append(times, answer.sentAt)
+		if reply, found := l.replies[keeper.ID]; found && condition(reply) {
+			times = append(times, reply.sentAt)
 		}
 	}
 	if size == 0 || len(times) < size {
--- a/internal/core/distribution/rootlease_test.go
+++ b/internal/core/distribution/rootlease_test.go
@@ -27,7 +27,7 @@
 		stored := make([]protocol.Version, size)
 		root := distribution.NewRootLease(lease)
 		var quorumAt time.Duration
-		quorum := false
+		storedAtQuorum := false
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 3000).Draw(t, "pass")) * time.Millisecond
@@ -37,17 +37,17 @@
 			} else {
 				root.RecordReply(ids[keeper], now, &protocol.StoreReply{Stored: max(1, stored[keeper])})
 			}
-			holding := 0
+			storing := 0
 			for _, version := range stored {
 				if version == 2 {
-					holding++
+					storing++
 				}
 			}
-			if !quorum && holding >= write {
-				quorum, quorumAt = true, now
+			if !storedAtQuorum && storing >= write {
+				storedAtQuorum, quorumAt = true, now
 			}
 			until := root.GrantUntil(1, set)
-			if quorum && until > quorumAt+lease {
+			if storedAtQuorum && until > quorumAt+lease {
 				t.Fatalf("grant for version 1 until %v, version 2 stored at %v", until, quorumAt)
 			}
 		}
--- a/internal/core/distribution/admission.go
+++ b/internal/core/distribution/sendlimiter.go
@@ -28,14 +28,14 @@
 // Admit takes the bytes from the bucket. If it holds too few, Admit takes none and
 // returns the time until it holds enough. A message larger than the bucket is
 // admitted when the bucket is full.
-func (a *SendLimiter) Admit(now time.Duration, bytes int) (wait time.Duration, admitted bool) {
-	a.tokens = min(float64(a.burst), a.tokens+float64(a.perSecond)*(now-a.refilledAt).Seconds())
-	a.refilledAt = now
-	needed := min(float64(bytes), float64(a.burst))
-	if a.tokens >= needed {
-		a.tokens -= needed
+func (l *SendLimiter) Admit(now time.Duration, bytes int) (wait time.Duration, admitted bool) {
+	l.tokens = min(float64(l.burst), l.tokens+float64(l.perSecond)*(now-l.refilledAt).Seconds())
+	l.refilledAt = now
+	needed := min(float64(bytes), float64(l.burst))
+	if l.tokens >= needed {
+		l.tokens -= needed
 		return 0, true
 	}
-	seconds := (needed - a.tokens) / float64(a.perSecond)
+	seconds := (needed - l.tokens) / float64(l.perSecond)
 	return time.Duration(seconds * float64(time.Second)), false
 }
--- a/internal/core/distribution/tree.go
+++ b/internal/core/distribution/tree.go
@@ -53,10 +53,11 @@
 // capacity free, so that a joining daemon soon finds a parent although hashing
 // distributes leaves unevenly.
 func relayCount(members, fanOut int) int {
-	filled := max(1, fanOut*3/4)
-	return (members + filled - 1) / filled
+	planned := max(1, fanOut*3/4)
+	return (members + planned - 1) / planned
 }
 
+// rankRoots returns the root candidates of a region, best first.
 func (t *Tree) rankRoots(region string, live []protocol.Member) []protocol.Member {
 	candidates := lo.Filter(live, func(member protocol.Member, _ int) bool {
 		return member.Reader || member.Root || t.IsRelay(member)
@@ -68,6 +69,7 @@
 	return ranked
 }
 
+// rootClass returns the class of a root candidate.
 func rootClass(member protocol.Member) int {
 	switch {
 	case member.Reader:
@@ -113,23 +115,24 @@
 // RootCandidates returns the root candidates, best first.
 func (t *Tree) RootCandidates() []protocol.Member { return t.roots }
 
-// ParentCandidates returns the parent candidates of the own daemon in order of preference: the
-// relays of its zone, the relays of other zones, then the root candidates. Relays are
+// ParentCandidates returns the parent candidates of the own daemon in order of preference:
+// the relays of its zone, the relays of other zones, then the root candidates. Relays are
 // ranked by a hash of the own ID, so that leaves are distributed evenly.
 func (t *Tree) ParentCandidates() []protocol.Member {
 	purpose := "parent/" + string(t.self)
-	own := membership.Rank(purpose, t.relays[t.zone])
-	var others []protocol.Member
+	ownRelays := membership.Rank(purpose, t.relays[t.zone])
+	var otherRelays []protocol.Member
 	for _, name := range t.zones() {
 		if name != t.zone {
-			others = append(others, t.relays[name]...)
+			otherRelays = append(otherRelays, t.relays[name]...)
 		}
 	}
-	all := slices.Concat(own, membership.Rank(purpose, others), t.roots)
+	all := slices.Concat(ownRelays, membership.Rank(purpose, otherRelays), t.roots)
 	all = lo.UniqBy(all, func(member protocol.Member) protocol.NodeID { return member.ID })
 	return lo.Reject(all, func(member protocol.Member, _ int) bool { return member.ID == t.self })
 }
 
+// zones returns the names of all zones in ascending order.
 func (t *Tree) zones() []string {
 	names := lo.Keys(t.relays)
 	slices.Sort(names)
--- a/internal/sim/mutant/configuration.go
+++ b/internal/sim/mutant/configuration.go
@@ -63,9 +63,9 @@
 		Old: "	case result.PlatformConflict, result.PlatformExists, result.PlatformNotFound:\n",
 		New: "	case result.PlatformConflict, result.PlatformExists, result.PlatformNotFound:\n		r.adopt(object.Object{Name: ledger.HeadObject, Version: reply.Object.Version, Data: current.data}); return\n"},
 	{Name: "lease_without_keepers", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "distribution/rootlease.go",
-		Old: "		oldest, found := l.quorumSentAt(set, set.Read, func(answer keeperReply) bool { return answer.stored <= version })",
-		New: "		oldest, found := l.quorumSentAt(set, min(1, set.Read), func(answer keeperReply) bool { return true })"},
+		Old: "		oldest, found := l.quorumSentAt(set, set.Read, func(reply keeperReply) bool { return reply.stored <= version })",
+		New: "		oldest, found := l.quorumSentAt(set, min(1, set.Read), func(reply keeperReply) bool { return true })"},
 	{Name: "claim_without_count", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "distribution/inforce.go",
-		Old: "		if !found || zone.count != one.Count || zone.sum != one.MemberSum {",
+		Old: "		if !found || zone.count != acknowledged.Count || zone.sum != acknowledged.MemberSum {",
 		New: "		if !found || zone.count == 0 {"},
 }
