--- a/internal/core/distribution/inforce.go
+++ b/internal/core/distribution/inforce.go
@@ -88,8 +88,8 @@
 	released []releasedVersion
 }
 
-// releaseHistoryLength is the maximum number of versions kept. Older ones have become
-// declarable by then.
+// releaseHistoryLength is the maximum number of versions kept. Older ones are normally
+// declarable already; dropping one can at most delay a declaration.
 const releaseHistoryLength = 16
 
 // NewReleaseTracker returns the tracker of a new root. lease is the duration of serving
--- a/internal/core/endpoint/cold.go
+++ b/internal/core/endpoint/cold.go
@@ -104,7 +104,7 @@
 	for _, tier := range s.tiers {
 		for step := range tier {
 			candidate := tier[(int(random>>32)+step)%len(tier)]
-			if !tried.contains(candidate) && candidate.acceptsOnlyUrgent(now, class) {
+			if !tried.contains(candidate) && candidate.refusesOnlyLowerClasses(now, class) {
 				return candidate
 			}
 		}
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// acceptsOnlyUrgent reports whether the gate has refused calls of lower classes as cold, but may
+// refusesOnlyLowerClasses reports whether the gate has refused calls of lower classes as cold, but may
 // accept one of this class.
-func (e *Endpoint) acceptsOnlyUrgent(now time.Duration, class int) bool {
+func (e *Endpoint) refusesOnlyLowerClasses(now time.Duration, class int) bool {
 	return !e.notAccepting(now) && !e.Ejected(now) && e.coldWait(now, 0) > 0 && e.coldWait(now, class) == 0
 }
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -250,8 +250,8 @@
 // their daemons report.
 func (s *Set) UsableCount() int { return s.usable }
 
-// BlockedByEvacuation reports whether no endpoint may receive new calls and at least one is excluded
-// by the evacuation of its zone.
+// BlockedByEvacuation reports whether no endpoint may receive new calls and at least one is
+// excluded by the evacuation of its zone.
 func (s *Set) BlockedByEvacuation() bool {
 	return s.usable == 0 && slices.ContainsFunc(s.All, func(endpoint *Endpoint) bool {
 		return endpoint.State == protocol.EndpointEvacuated
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -87,7 +87,7 @@
 	check.Equal(call.FinalStep(refusalStep), refusalStep) // no proof
 	check.True(call.ResolveUncertainAttempt(refusal))
 	check.Equal(call.FinalStep(refusalStep), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
-	check.True(!call.ResolveUncertainAttempt(refusal)) // no attempt is in doubt any more
+	check.True(!call.ResolveUncertainAttempt(refusal)) // no uncertain attempt is left
 
 	twice := newCall(Policy{Repeatable: true})
 	check.Equal(twice.Next(0, broken).Action, Send)
@@ -231,7 +231,7 @@
 	for range 10 {
 		budget.Deposit(0, 0)
 	}
-	check.Equal(withdrawAll(budget, 0, true), 4) // SetPart leaves Ratio: 10 calls earn 5, one is used
+	check.Equal(withdrawAll(budget, 0, true), 4) // Ratio is unchanged: 10 calls earn 5, one is used
 }
 
 func TestReserveRetryByPolicyAndBudget(t *testing.T) {
