--- a/internal/core/dissemination/batch.go
+++ b/internal/core/dissemination/batch.go
@@ -8,20 +8,20 @@
 )
 
 // Batch collects the IDs of daemons whose records are to be broadcast. After an idle
-// period the first broadcast is due at once; later ones are at least one period apart
+// period the first broadcast is due at once; later ones are at least minInterval apart
 // and carry all IDs added in the meantime. It is not safe for concurrent use.
 type Batch struct {
-	period  time.Duration
-	pending map[protocol.NodeID]bool
+	minInterval time.Duration
+	pending     map[protocol.NodeID]bool
 	// due is the earliest time of the next broadcast.
 	due time.Duration
 	// scheduled is set while a broadcast is scheduled.
 	scheduled bool
 }
 
-// NewBatch returns an empty batch. period is the minimum time between two broadcasts.
-func NewBatch(period time.Duration) *Batch {
-	return &Batch{period: period, pending: map[protocol.NodeID]bool{}}
+// NewBatch returns an empty batch. minInterval is the minimum time between two broadcasts.
+func NewBatch(minInterval time.Duration) *Batch {
+	return &Batch{minInterval: minInterval, pending: map[protocol.NodeID]bool{}}
 }
 
 // Add adds the IDs of daemons whose records changed. If schedule is true, the caller
@@ -38,7 +38,7 @@
 	return max(0, b.due-now), true
 }
 
-// Take empties the batch, starts a new period and returns the IDs to broadcast now, in
+// Take empties the batch, restarts minInterval and returns the IDs to broadcast now, in
 // ascending order.
 func (b *Batch) Take(now time.Duration) []protocol.NodeID {
 	ids := make([]protocol.NodeID, 0, len(b.pending))
@@ -48,6 +48,6 @@
 	slices.Sort(ids)
 	clear(b.pending)
 	b.scheduled = false
-	b.due = now + b.period
+	b.due = now + b.minInterval
 	return ids
 }
--- a/internal/core/dissemination/broadcast.go
+++ b/internal/core/dissemination/broadcast.go
@@ -6,8 +6,8 @@
 const Fanout = 7
 
 // Branches divides the targets of a broadcast into at most Fanout branches of about
-// equal length. The sender sends the message to the first target of each branch,
-// together with the rest of the branch, to which that target forwards it likewise.
+// equal length. The sender sends the message and the rest of the branch to the
+// first target of each branch. That target forwards the message to the rest in the same way.
 func Branches[Target any](targets []Target) [][]Target {
 	count := min(Fanout, len(targets))
 	branches := make([][]Target, 0, count)
--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -37,7 +37,8 @@
 	otherZones []Peer
 }
 
-// relayPurpose is the hash purpose of the ranking by which relays are chosen.
+// relayPurpose is the purpose passed to membership.Score to rank the daemons of a zone as
+// relays.
 const relayPurpose = "relay"
 
 // NewDirectory indexes the daemons that a daemon in a zone knows. The daemons of each
@@ -113,7 +114,7 @@
 }
 
 // IsRelay reports whether the own daemon is the relay of its zone: it ranks before all
-// others that may be.
+// reachable daemons of the zone that may be the relay.
 func (d *Directory) IsRelay(unreachable func(protocol.NodeID) bool) bool {
 	relays := d.Relays(d.zone, unreachable)
 	if len(relays) == 0 {
--- a/internal/core/dissemination/dissemination_test.go
+++ b/internal/core/dissemination/dissemination_test.go
@@ -100,12 +100,12 @@
 	peers := meshOf(12, 1)
 	directory := directoryOf(peers, 0)
 	first := directory.Relays("z0", noneUnreachable)
-	lost := func(id protocol.NodeID) bool { return id == first[0].ID }
-	check.Equal(directory.Relays("z0", lost), first[1:])
+	isUnreachable := func(id protocol.NodeID) bool { return id == first[0].ID }
+	check.Equal(directory.Relays("z0", isUnreachable), first[1:])
 	for index := range peers {
 		peers[index].Relays = peers[index].ID != first[1].ID
 	}
-	check.Equal(directoryOf(peers, 0).Relays("z0", lost)[0].ID, first[2].ID)
+	check.Equal(directoryOf(peers, 0).Relays("z0", isUnreachable)[0].ID, first[2].ID)
 	singleDaemon := NewDirectory("d", "z0", nil)
 	check.True(singleDaemon.IsRelay(noneUnreachable))
 	check.Equal(len(singleDaemon.Relays("z0", noneUnreachable)), 0)
@@ -142,9 +142,9 @@
 	check.Equal(batch.Take(time.Second+200*time.Millisecond), []protocol.NodeID{"a", "c"})
 }
 
-// The number of messages stays linear in changes, plus one broadcast per period: while
-// daemons report changes for some seconds, a zone's relay sends at most one broadcast
-// to its zone in each period.
+// There is at most one message per change plus one broadcast per period: while daemons
+// report changes for some seconds, a zone's relay sends at most one broadcast to its zone
+// in each period.
 func TestMessagesGrowLinearlyWithChanges(t *testing.T) {
 	const period = 200 * time.Millisecond
 	const during = 3 * time.Second
--- a/internal/core/distribution/acknowledgement.go
+++ b/internal/core/distribution/acknowledgement.go
@@ -32,11 +32,11 @@
 }
 
 // MemberAcknowledgement returns the acknowledgement of one member that holds a version.
-func MemberAcknowledgement(member protocol.Member, held protocol.Version) protocol.Acknowledgement {
+func MemberAcknowledgement(member protocol.Member, version protocol.Version) protocol.Acknowledgement {
 	return protocol.Acknowledgement{
 		Region:    member.Region,
 		Zone:      member.Zone,
-		Minimum:   held,
+		Minimum:   version,
 		Count:     1,
 		MemberSum: membership.IncarnationHash(member.ID, member.Incarnation),
 		Behind:    []protocol.NodeID{member.ID},
@@ -62,7 +62,7 @@
 	case added.Minimum == total.Minimum:
 		total.Behind = append(total.Behind, added.Behind...)
 	}
-	total.Behind = limitNames(total.Behind)
+	total.Behind = limitNodes(total.Behind)
 	total.Minimum = min(total.Minimum, added.Minimum)
 	total.Count += added.Count
 	total.MemberSum += added.MemberSum
@@ -97,10 +97,10 @@
 	})
 }
 
-// limitNames truncates a list to MaxListedNodes.
-func limitNames(names []protocol.NodeID) []protocol.NodeID {
-	if len(names) > protocol.MaxListedNodes {
-		return names[:protocol.MaxListedNodes]
+// limitNodes truncates a list to MaxListedNodes.
+func limitNodes(nodes []protocol.NodeID) []protocol.NodeID {
+	if len(nodes) > protocol.MaxListedNodes {
+		return nodes[:protocol.MaxListedNodes]
 	}
-	return names
+	return nodes
 }
--- a/internal/core/distribution/inforce.go
+++ b/internal/core/distribution/inforce.go
@@ -84,12 +84,13 @@
 // the quorum that stored it knew of no other root. Otherwise it must wait for the
 // lease plus a margin for clocks that run at different rates.
 type ReleaseTracker struct {
-	lease    time.Duration
-	released []releasedVersion
+	lease            time.Duration
+	releasedVersions []releasedVersion
 }
 
-// releaseHistoryLength is the maximum number of versions kept. Older ones are normally
-// declarable already; dropping one can at most delay a declaration.
+// releaseHistoryLength is the maximum number of versions kept. If a dropped one
+// was not declarable yet, a later one is declared in its place, so dropping can at most delay
+// a declaration.
 const releaseHistoryLength = 16
 
 // NewReleaseTracker returns the tracker of a new root. lease is the duration of serving
@@ -98,8 +99,8 @@
 	return &ReleaseTracker{lease: lease}
 }
 
-// clockMarginDivisor is the divisor for the fraction of a lease by which two clocks may
-// differ over its duration. A quarter covers clock rates from 0.9 to 1.1.
+// clockMarginDivisor divides the lease duration to give the clock margin. A quarter covers
+// clock rates from 0.9 to 1.1.
 const clockMarginDivisor = 4
 
 // LeaseWithMargin returns the lease duration plus the margin for clocks of different rates.
@@ -108,9 +109,9 @@
 // RecordRelease records that a version was stored at a write quorum at now. onlyRoot is set
 // if the quorum knew of no other root.
 func (t *ReleaseTracker) RecordRelease(now time.Duration, version protocol.Version, onlyRoot bool) {
-	t.released = append(t.released, releasedVersion{version: version, storedAt: now, onlyRoot: onlyRoot})
-	if len(t.released) > releaseHistoryLength {
-		t.released = t.released[1:]
+	t.releasedVersions = append(t.releasedVersions, releasedVersion{version: version, storedAt: now, onlyRoot: onlyRoot})
+	if len(t.releasedVersions) > releaseHistoryLength {
+		t.releasedVersions = t.releasedVersions[1:]
 	}
 }
 
@@ -118,8 +119,8 @@
 // acknowledgements. It was stored at a write quorum at least a lease and a margin
 // ago, so all leases at older versions have expired, including those of daemons that
 // are silent, partitioned or removed from the roster. A lease is bound to the version
-// it was granted with, and no root can obtain one at an older version once the newer
-// one is stored.
+// it was granted with, and once the newer version is stored, no root completes a valid round
+// for leases at an older one; see RootLease.
 func (t *ReleaseTracker) FencedVersion(now time.Duration) protocol.Version {
 	return t.highest(func(release releasedVersion) bool { return t.fenced(release, now) })
 }
@@ -139,7 +140,7 @@
 // does.
 func (t *ReleaseTracker) highest(condition func(releasedVersion) bool) protocol.Version {
 	var highest protocol.Version
-	for _, release := range t.released {
+	for _, release := range t.releasedVersions {
 		if condition(release) {
 			highest = max(highest, release.version)
 		}
--- a/internal/core/distribution/rootlease.go
+++ b/internal/core/distribution/rootlease.go
@@ -54,9 +54,10 @@
 	l.replies[keeper] = keeperReply{sentAt: sentAt, stored: reply.Stored, onlyRoot: !reply.OtherRoot}
 }
 
-// GrantUntil returns the time until which leases at the version may be granted: the sending
-// time of the oldest request of the latest read quorum, plus the lease. It is 0 unless
-// each of the sets has such a quorum.
+// GrantUntil returns the time until which leases at the version may be granted. In each set
+// it takes the latest read quorum of keepers that store no newer version; the lease runs
+// from the oldest request that they answered. The earliest end of all sets counts, and it is
+// 0 if a set has no such quorum.
 func (l *RootLease) GrantUntil(version protocol.Version, sets ...protocol.KeeperSet) time.Duration {
 	if len(sets) == 0 {
 		return 0
@@ -70,9 +71,10 @@
 	}))
 }
 
-// IsOnlyRoot reports whether a write quorum of every set has replied, to requests sent at or
-// after since, that it knows of no other root. The last read quorum of any other root
-// shares a keeper with it.
+// IsOnlyRoot reports whether, in every set, a write quorum of keepers that know of no other
+// root has answered requests sent at or after since. Each write quorum shares a keeper
+// with each read quorum, so one of them would know of another root with a valid round. It
+// is false without sets.
 func (l *RootLease) IsOnlyRoot(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return len(sets) > 0 && lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
 		oldest, found := l.quorumSentAt(set, set.Write, func(reply keeperReply) bool { return reply.onlyRoot })
@@ -81,9 +83,9 @@
 }
 
 // CanStore reports whether a write quorum of every set has replied to requests sent at
-// or after since. A root must not begin to store a version that can't reach a write
-// quorum: its own rounds would then find a version newer than the released one, which
-// would end its lease.
+// or after since; it is true without sets. A root must not begin to store a version that
+// can't reach a write quorum: its own rounds would then find a version newer than the
+// released one, which would end its lease.
 func (l *RootLease) CanStore(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
 		oldest, found := l.quorumSentAt(set, set.Write, func(keeperReply) bool { return true })
@@ -98,8 +100,8 @@
 	}))
 }
 
-// quorumSentAt returns the oldest sending time among the latest size replies that satisfy a
-// condition; false if there are fewer.
+// quorumSentAt considers the replies of a set that satisfy a condition and returns the oldest
+// sending time among the latest ones, as many as size; false if there are fewer.
 func (l *RootLease) quorumSentAt(set protocol.KeeperSet, size int, condition func(keeperReply) bool) (time.Duration, bool) {
 	var times []time.Duration
 	for _, keeper := range set.Members {
--- a/internal/core/distribution/tree.go
+++ b/internal/core/distribution/tree.go
@@ -31,10 +31,10 @@
 )
 
 // NewTree computes the tree of the own daemon's region. The first members of each zone
-// by rendezvous rank are its relays; draining members have no role. Root candidates are
-// first the readers, then members that already act as root without a reader lease
-// (during a long platform outage), then the relays, which hold all released
-// configuration.
+// by rendezvous rank are its relays; each takes at most fanOut children. Members for which
+// membership.MayBeParent is false get no role. Root candidates are first the readers, then
+// members that already act as root without a reader lease, as in a long platform outage,
+// then the relays, which hold all released configuration.
 func NewTree(self protocol.Member, members []protocol.Member, fanOut int) *Tree {
 	tree := &Tree{self: self.ID, zone: self.Zone, relays: map[string][]protocol.Member{}}
 	live := lo.Filter(members, func(member protocol.Member, _ int) bool {
@@ -97,13 +97,14 @@
 	return membership.Score(purpose, member.ID) > membership.Score(purpose, relays[len(relays)-1].ID)
 }
 
-// relayPurpose returns the hash purpose of the ranking of a zone's relays.
+// relayPurpose returns the purpose passed to membership.Rank and membership.Score to rank the
+// members of a zone as relays.
 func relayPurpose(zone string) string { return "relay/" + zone }
 
 // Relays returns the relays of a zone, best first.
 func (t *Tree) Relays(zone string) []protocol.Member { return t.relays[zone] }
 
-// AllRelays returns the relays of all zones, by zone.
+// AllRelays returns the relays of all zones in one list, in ascending order of zone name.
 func (t *Tree) AllRelays() []protocol.Member {
 	var all []protocol.Member
 	for _, name := range t.zones() {
--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// ejectionFloor is the share of a set that stays in use at least: while more
-	// than this share is ejected, ejections are ignored.
+	// ejectionFloor is the minimum share of a set that is not ejected. Ejections are
+	// ignored while fewer endpoints than that are left.
 	ejectionFloor = 0.5
 	// degradedLimit is the largest degraded share of a set whose endpoints are
 	// avoided. A larger share points to a common cause, such as a shared
@@ -12,8 +12,8 @@
 	degradedLimit = 0.3
 )
 
-// Spillover sets the load thresholds at which calls leave the own zone. Load is calls
-// divided by slots: at 1 all slots of an endpoint are occupied.
+// Spillover sets the load thresholds at which calls leave the own zone. The load is that of
+// Endpoint.load: at 1 the new call occupies the last slot of a warm endpoint.
 type Spillover struct {
 	// Above is the load of the better candidate of the own zone above which
 	// endpoints of other zones are considered.
@@ -24,8 +24,8 @@
 	Region float64
 }
 
-// DefaultSpillover returns thresholds that consider other zones before all slots of the
-// own zone are occupied.
+// DefaultSpillover returns thresholds at which endpoints of other zones are considered before
+// all slots of the own zone are occupied.
 func DefaultSpillover() Spillover { return Spillover{Above: 0.75, Zone: 0.25, Region: 1} }
 
 // penalty returns the load added to an endpoint at a distance.
--- a/internal/core/endpoint/cold.go
+++ b/internal/core/endpoint/cold.go
@@ -29,7 +29,8 @@
 	return max(time.Duration(e.stats.coldUntil[warmup.ClampClass(class)].Load())-now, 0)
 }
 
-// refusesCalls reports whether the gate has announced that it accepts no calls, or only urgent ones.
+// refusesCalls reports whether the gate has refused all new calls or, because its back end is
+// cold, those of the lowest class, and that refusal still applies.
 func (e *Endpoint) refusesCalls(now time.Duration) bool {
 	return e.notAccepting(now) || e.coldWait(now, 0) > 0
 }
@@ -40,26 +41,27 @@
 	if !e.cold() {
 		return 1
 	}
-	service := time.Duration(e.stats.serviceTime.Load())
-	if service <= 0 {
+	serviceTime := time.Duration(e.stats.serviceTime.Load())
+	if serviceTime <= 0 {
 		return initialShare
 	}
-	return min(max(e.ColdRate*service.Seconds()/float64(max(e.Slots, 1)), minColdShare), 1)
+	return min(max(e.ColdRate*serviceTime.Seconds()/float64(max(e.Slots, 1)), minColdShare), 1)
 }
 
 // callRate returns the calls per second that the endpoint receives from all callers, by Little's
 // law: the number of calls divided by the service time. 0 means unknown.
 func (e *Endpoint) callRate(now time.Duration) float64 {
-	service := time.Duration(e.stats.serviceTime.Load())
-	if service <= 0 {
+	serviceTime := time.Duration(e.stats.serviceTime.Load())
+	if serviceTime <= 0 {
 		return 0
 	}
-	return e.calls(now) / service.Seconds()
+	return e.calls(now) / serviceTime.Seconds()
 }
 
-// pickWarmOrCold picks between a cold endpoint and a warm one. A cold endpoint is drawn together
-// with a warm one twice as often as a warm one is chosen. It therefore reaches its rate if it
-// is picked with half the ratio of its rate to the warm endpoint's.
+// pickWarmOrCold picks between a cold endpoint and a warm one. Each endpoint is in a pair drawn
+// by betterOfTwo about twice as often as a warm endpoint is chosen. The cold endpoint
+// therefore receives ColdRate if it is picked from its pairs with the probability ColdRate
+// divided by twice the call rate of the warm endpoint.
 func pickWarmOrCold(first, second *Endpoint, now time.Duration, random uint64) *Endpoint {
 	warm, cold := first, second
 	if first.cold() {
@@ -75,8 +77,9 @@
 	return warm
 }
 
-// ColdWait returns the shortest time until a gate accepts a call of the lowest class, if all
-// other endpoints than ejected and draining ones refuse such calls as cold; otherwise 0.
+// ColdWait returns the shortest time until a cold endpoint may accept a call of the lowest
+// class; 0 if an endpoint may accept one now or if none is left. Ejected endpoints and those
+// that accept no calls are ignored.
 func (s *Set) ColdWait(now time.Duration) time.Duration {
 	shortest := time.Duration(0)
 	for _, tier := range s.tiers {
--- a/internal/core/endpoint/compare.go
+++ b/internal/core/endpoint/compare.go
@@ -58,8 +58,8 @@
 	return age < reportServiceTimes*time.Duration(e.stats.serviceTime.Load())
 }
 
-// uniformFloat maps a uniform random number to [0, 1). The multiplication makes the result
-// independent of the two halves of random, which select the endpoints.
+// uniformFloat maps a uniform random number to [0, 1). The multiplication decorrelates
+// the result from the two halves of random, which select the endpoints.
 func uniformFloat(random uint64) float64 {
 	const multiplier = 0x9e3779b97f4a7c15
 	high, low := bits.Mul64(random, multiplier)
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -14,7 +14,7 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// Limits for load, warm-up and ejection.
+// Parameters of load estimation, warm-up and ejection.
 const (
 	// warmUpPeriod is the time in which a new endpoint's share of calls rises to 1.
 	warmUpPeriod = 10 * time.Second
@@ -76,12 +76,13 @@
 	stats *stats
 }
 
-// stats holds the statistics of this process's calls to an endpoint, for one
-// incarnation of the back end's daemon. It fills two cache lines, which avoids false
-// sharing between endpoints.
+// stats holds the statistics of this process's calls to an endpoint. They are replaced when
+// the back end or, without Locality.TrustStates, its daemon restarts. The struct fills two
+// cache lines, which avoids false sharing between endpoints.
 type stats struct {
 	outstanding atomic.Int64
-	// otherCalls is the last reported number of other callers' calls, as float64 bits.
+	// otherCalls is the number of other callers' calls computed from the last load report,
+	// as float64 bits; reportedAt is when that report was received.
 	otherCalls atomic.Uint64
 	reportedAt atomic.Int64
 	// serviceTime is the gate's mean service time, in nanoseconds.
@@ -134,7 +135,7 @@
 	e.stats.outstanding.Add(-1)
 	switch outcome {
 	case Succeeded:
-		e.stats.recordSuccess()
+		e.stats.clearFailures()
 	case ServerError:
 		if e.stats.serverErrors.Add(1) >= errorLimit {
 			e.stats.eject(now)
@@ -162,7 +163,7 @@
 // not, the endpoint is ejected.
 func (e *Endpoint) SetReachable(reachable bool) {
 	if reachable {
-		e.stats.recordSuccess()
+		e.stats.clearFailures()
 		return
 	}
 	e.stats.ejectedUntil.Store(math.MaxInt64)
@@ -171,9 +172,9 @@
 // Outstanding returns the number of this process's calls in flight to the endpoint.
 func (e *Endpoint) Outstanding() int { return int(e.stats.outstanding.Load()) }
 
-// recordSuccess resets the failure counters and ends an ejection. It writes only non-zero
+// clearFailures resets the failure counters and ends an ejection. It writes only non-zero
 // counters, so that the cache line usually stays shared between processors.
-func (s *stats) recordSuccess() {
+func (s *stats) clearFailures() {
 	for _, counter := range [...]*atomic.Int64{&s.brokenCalls, &s.serverErrors, &s.ejections, &s.ejectedUntil} {
 		if counter.Load() != 0 {
 			counter.Store(0)
@@ -181,8 +182,8 @@
 	}
 }
 
-// eject keeps new calls away for a time that doubles with each ejection. Failures
-// during an ejection do not extend it.
+// eject excludes the endpoint from choices for a time that doubles with each ejection.
+// Failures during an ejection do not extend it.
 func (s *stats) eject(now time.Duration) {
 	until := s.ejectedUntil.Load()
 	if int64(now) < until {
@@ -228,8 +229,9 @@
 	return min(1, max(0, 1-float64(age)/float64(reportLifetime)))
 }
 
-// load returns the estimated number of calls at the endpoint, one more included,
-// divided by its slots and its share. Choices compare endpoints by it.
+// load returns the load by which choices compare endpoints: the estimated number of calls
+// including the new one, divided by the slots that count by capacityShare, plus additions
+// for a doubted or overloaded endpoint.
 func (e *Endpoint) load(now time.Duration) float64 {
 	load := (e.calls(now) + 1) / (float64(max(e.Slots, 1)) * e.capacityShare(now))
 	if e.Doubted {
@@ -272,8 +274,8 @@
 	return share
 }
 
-// notAccepting reports whether the gate refused new calls within notAcceptingPeriod and no newer
-// member record has been received since.
+// notAccepting reports whether the gate refused new calls within notAcceptingPeriod and the
+// sequence number of the member record has not risen since.
 func (e *Endpoint) notAccepting(now time.Duration) bool {
 	return int64(now) < e.stats.notAcceptingUntil.Load() && e.stats.notAcceptingSequence.Load() >= e.Sequence
 }
@@ -284,5 +286,5 @@
 	return int64(now) < e.stats.ejectedUntil.Load()
 }
 
-// degraded reports whether the daemon reports that its back end fails many calls.
+// degraded reports whether the member record states that the back end fails many calls.
 func (e *Endpoint) degraded() bool { return e.State == protocol.EndpointDegraded }
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -85,8 +85,8 @@
 }
 
 // BuildIndexed builds the set of a service from the configuration and the index of the
-// member records. Endpoints of the same incarnation keep their statistics from the
-// previous set, which may be nil; a new incarnation starts cold.
+// member records. Endpoints keep their statistics from the previous set, which may be nil,
+// unless the back end or, without Locality.TrustStates, its daemon has restarted.
 func BuildIndexed(previous *Set, self Locality, backends []resource.Backend, index Index, now time.Duration) *Set {
 	set := &Set{spill: cmp.Or(self.Spill, DefaultSpillover())}
 	set.All = make([]*Endpoint, 0, len(backends))
@@ -178,8 +178,9 @@
 }
 
 // carryOverStats returns the statistics for an endpoint: those of the previous set, or fresh
-// ones if it is new or has restarted. In the first set all endpoints count as warm,
-// because only the calling daemon is new; those that report warming up start cold.
+// ones if it is new or has restarted. Endpoints that report warming up start their
+// warm-up now. Others count as warm with TrustStates, and also in the first set, because
+// then only the calling daemon is new.
 func carryOverStats(self Locality, previous *Set, old, created *Endpoint, now time.Duration) *stats {
 	restarted := old != nil && old.Born != created.Born // earlier statistics do not apply
 	if old != nil && !restarted && (self.TrustStates || old.Incarnation == created.Incarnation || old.Incarnation == 0) {
@@ -187,7 +188,7 @@
 			old.stats.recordReceivedAt.Store(int64(now))
 			if self.TrustStates {
 				// The daemon has published a newer record, so earlier failures are outdated.
-				old.stats.recordSuccess()
+				old.stats.clearFailures()
 			}
 		}
 		return old.stats
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -25,7 +25,8 @@
 type Limits struct {
 	// Ratio is the number of retries allowed per call.
 	Ratio float64
-	// Part is the number of retries allowed when the calls allow fewer.
+	// Part is the daemon's part of the slack in LimitsForChain: the number of retries
+	// allowed if Ratio allows fewer.
 	Part float64
 	// Window is the length of the window in which calls and retries are counted.
 	Window time.Duration
@@ -38,8 +39,9 @@
 // LimitsForChain returns the limits of one daemon, so that the retries of all daemons to each
 // service stay within ratio of its calls plus slack. Calls pass through at most depth
 // services, each called by the previous one. The last service receives the retries of all
-// of them, so each may use only a fraction. Retries allowed by the slack at the first
-// service are multiplied by the calls that each execution makes to later ones.
+// of them, so each may use only a fraction. If each execution makes several
+// calls to the next service, the retries that the slack allows at the first service are
+// multiplied by that number at later ones. The limits do not account for this.
 func LimitsForChain(ratio, slack float64, depth, daemons int, window time.Duration) Limits {
 	services := float64(max(depth, 1))
 	return Limits{
@@ -49,7 +51,8 @@
 	}
 }
 
-// DefaultLimits returns limits that allow one retry per ten calls.
+// DefaultLimits returns limits that depend neither on the depth of the chain nor on the number
+// of daemons.
 func DefaultLimits() Limits {
 	return Limits{Ratio: 0.1, Part: 10, Window: 10 * time.Second}
 }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -20,7 +20,8 @@
 	allowedSlack = 630
 )
 
-// limitsOfOneDaemon returns the limits of one of a number of daemons.
+// limitsOfOneDaemon returns the limits of each of the daemons that share allowedRatio and
+// allowedSlack in a chain of two services.
 func limitsOfOneDaemon(daemons int) Limits {
 	return LimitsForChain(allowedRatio, allowedSlack, 2, daemons, testWindow)
 }
@@ -68,11 +69,11 @@
 // as often as the budget allows.
 func (m *meshSimulation) step(t *rapid.T, calls int, failing bool) {
 	now := time.Duration(len(m.calls)) * testTick
-	seed := rapid.IntRange(0, len(m.budgets)-1).Draw(t, "daemon")
+	firstDaemon := rapid.IntRange(0, len(m.budgets)-1).Draw(t, "daemon")
 	stride := rapid.IntRange(1, len(m.budgets)).Draw(t, "stride")
 	retries := 0
 	for call := range calls {
-		budget := m.budgets[(seed+call*stride)%len(m.budgets)]
+		budget := m.budgets[(firstDaemon+call*stride)%len(m.budgets)]
 		budget.Deposit(now, 0)
 		for failing && budget.Withdraw(now, 0, 1, call%3 == 0) {
 			retries++
@@ -91,8 +92,9 @@
 }
 
 // The retries of all daemons together stay within the ratio and the slack in every window,
-// for any calls, failures and number of daemons. The window of calls that counts may be
-// up to one window earlier than that of the retries.
+// for any calls, failures and number of daemons. The allowed number follows from
+// the largest number of calls in the same window, the one before it or the one halfway
+// between them.
 func TestMeshStaysWithinTheBudgetInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -15,7 +15,8 @@
 type Policy struct {
 	// Repeatable is set if the call is idempotent.
 	Repeatable bool
-	// Attempts is the maximum number of attempts, including the first.
+	// Attempts is the maximum number of attempts, including the first and excluding
+	// relocations; see relocationLimit.
 	Attempts int
 	// Urgent calls may use the share of the budget that is reserved for them.
 	Urgent bool
@@ -36,8 +37,9 @@
 	Unbudgeted bool
 }
 
-// relocationLimit is the maximum number of attempts beyond Policy.Attempts for a call
-// that is resent only because an endpoint does not accept calls or is unreachable.
+// relocationLimit is the maximum number of relocations of a call: attempts at another endpoint
+// because the previous one did not process the call. They do not
+// count towards Policy.Attempts.
 const relocationLimit = 4
 
 // sameEndpointWait is the pause before the only endpoint is tried again.
@@ -76,11 +78,11 @@
 type Call struct {
 	policy Policy
 	budget *Budget
-	// attempts counts all attempts, relocations those that don't count as retries.
+	// attempts counts all attempts, relocations the resends that mayRelocate allowed.
 	attempts    int
 	relocations int
-	// uncertainAttempts counts the attempts that may have run. A later "did not run" applies
-	// only to its own attempt.
+	// uncertainAttempts counts the attempts that may have run. A later refusal that states
+	// "did not run" applies only to its own attempt.
 	uncertainAttempts int
 	// resolvedOutcome is the last outcome that ResolveUncertainAttempt accepted.
 	resolvedOutcome Outcome
@@ -90,7 +92,7 @@
 	uncertainCode result.Code
 	// retryReserved is set if the next attempt is already charged to the budget.
 	retryReserved bool
-	// trialReserved is set if ReserveTrialRetry charged it, at trialReservedAt.
+	// trialReserved is set once ReserveTrialRetry has charged a retry, at trialReservedAt.
 	trialReserved   bool
 	trialReservedAt time.Duration
 }
@@ -124,8 +126,9 @@
 	return true
 }
 
-// ReleaseTrialRetry refunds the retry that ReserveTrialRetry charged if it was not used. It
-// must be called when the call ends.
+// ReleaseTrialRetry refunds the charge of ReserveTrialRetry unless that retry was sent. If it
+// was sent and ReserveRetry charged another one that was not, it refunds one retry of that
+// charge. It must be called when the call ends.
 func (c *Call) ReleaseTrialRetry() {
 	if c.trialReserved && c.retryReserved {
 		c.retryReserved = false
@@ -133,7 +136,8 @@
 	}
 }
 
-// BudgetRemaining returns the number of retries that the budget has left, as text for logs.
+// BudgetRemaining returns the number of retries that urgent calls of the same class may still
+// make, as text for logs.
 func (c *Call) BudgetRemaining(now time.Duration) string {
 	return strconv.FormatFloat(c.budget.Remaining(now, c.policy.Class), 'f', 1, 64)
 }
@@ -147,7 +151,7 @@
 func (c *Call) Next(now time.Duration, outcome Outcome) Step {
 	c.attempts++
 	c.deposit(now, outcome)
-	if outcome.Kind == Answered && c.shouldRetryAnswer(now, outcome) {
+	if outcome.Kind == Answered && c.withdrawForAnswer(now, outcome) {
 		c.uncertainAttempts++
 		c.uncertainCode = result.BrokenInFlight
 		return c.resend(now, outcome)
@@ -180,7 +184,7 @@
 
 // ReserveRetry charges another attempt while the current one still runs, and reports whether
 // the call would be resent if the current attempt were cancelled now with the outcome.
-// If not, cancelling it would only lose its answer.
+// If not, the current attempt must go on: cancelling it would only lose its answer.
 func (c *Call) ReserveRetry(now time.Duration, outcome Outcome) bool {
 	if c.retryReserved {
 		return true
@@ -191,8 +195,9 @@
 	return c.retryReserved
 }
 
-// withdraw charges the retry that follows a number of attempts. The nth retry of a call costs
-// n, because later retries succeed less often and multiply more in a chain of calls.
+// withdraw charges the retry that follows a number of attempts, unless it is already charged,
+// and reports whether it may be sent. The nth retry of a call costs n, because later retries
+// succeed less often and multiply more in a chain of calls.
 func (c *Call) withdraw(now time.Duration, attempts int) bool {
 	if c.retryReserved {
 		c.retryReserved = false
@@ -201,9 +206,10 @@
 	return c.policy.Unbudgeted || c.budget.Withdraw(now, c.policy.Class, attempts, c.policy.Urgent)
 }
 
-// shouldRetryAnswer reports whether to retry a failure that the back end answered: only for
-// repeatable calls, at another endpoint and within the attempts and the budget.
-func (c *Call) shouldRetryAnswer(now time.Duration, outcome Outcome) bool {
+// withdrawForAnswer reports whether to retry a failure that the back end answered, and if so
+// charges the retry. It allows only repeatable calls, at another endpoint and within the
+// attempts and the budget.
+func (c *Call) withdrawForAnswer(now time.Duration, outcome Outcome) bool {
 	return outcome.Failed && c.policy.RetryFailures && c.policy.Repeatable && !c.policy.NoRetry &&
 		outcome.Replayable && outcome.Others && now+c.policy.Margin < c.policy.Deadline &&
 		c.attempts-c.relocations < c.policy.Attempts &&
@@ -238,9 +244,9 @@
 	return true
 }
 
-// FinalStep returns the final step once all attempts have ended. It is the decided one
-// unless ResolveUncertainAttempt has since shown that no attempt ran. Then it is the refusal
-// of the attempt resolved last.
+// FinalStep returns the step to take once all attempts have ended: the decided one, unless
+// that is a refusal and ResolveUncertainAttempt has since shown that no attempt ran. Then it
+// is the refusal for the outcome resolved last.
 func (c *Call) FinalStep(decided Step) Step {
 	if decided.Action != Refuse || decided.Ran == result.RanNo || c.uncertainAttempts > 0 {
 		return decided
@@ -293,7 +299,8 @@
 }
 
 // refuseOverBudget returns the final refusal of a call that the budget does not allow to
-// retry. It reports the spent budget if the last attempt was broken.
+// retry. Its code is RetryBudgetSpent if the last attempt was broken, otherwise that of
+// refuseFor.
 func (c *Call) refuseOverBudget(outcome Outcome) Step {
 	if outcome.Kind == Broken {
 		return c.refuse(result.RetryBudgetSpent, defaultRetryAfter)
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -89,12 +89,12 @@
 	check.Equal(call.FinalStep(refusalStep), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
 	check.True(!call.ResolveUncertainAttempt(refusal)) // no uncertain attempt is left
 
-	twice := newCall(Policy{Repeatable: true})
-	check.Equal(twice.Next(0, broken).Action, Send)
-	check.Equal(twice.Next(0, broken).Action, Send)
-	refusalStep = twice.Next(0, draining)
-	check.True(twice.ResolveUncertainAttempt(refusal))
-	check.Equal(twice.FinalStep(refusalStep), refusalStep) // the other attempt may have run
+	callBrokenTwice := newCall(Policy{Repeatable: true})
+	check.Equal(callBrokenTwice.Next(0, broken).Action, Send)
+	check.Equal(callBrokenTwice.Next(0, broken).Action, Send)
+	refusalStep = callBrokenTwice.Next(0, draining)
+	check.True(callBrokenTwice.ResolveUncertainAttempt(refusal))
+	check.Equal(callBrokenTwice.FinalStep(refusalStep), refusalStep) // the other attempt may have run
 }
 
 func TestNoRetryMarkStopsRetriesButNotRelocation(t *testing.T) {
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -27,10 +27,10 @@
 	budgets     []*Budget
 	requests    []int
 	repetitions []int
-	// rejecting is the share of arriving attempts that back ends refuse, failing the share
-	// of executed ones that fail.
-	rejecting float64
-	failing   float64
+	// rejectedShare is the share of arriving attempts that back ends refuse, failedShare the
+	// share of executed ones that fail.
+	rejectedShare float64
+	failedShare   float64
 }
 
 // chainCall is one call made at a daemon. repeated is set if the execution that makes it is
@@ -45,55 +45,55 @@
 const chainAttempts = 3
 
 // send simulates all attempts of a call to a level, and the calls that they make.
-func (r *chainSimulation) send(level int, call chainCall) {
-	if level == len(r.levels) {
+func (s *chainSimulation) send(level int, call chainCall) {
+	if level == len(s.levels) {
 		return
 	}
-	service := &r.levels[level]
+	service := &s.levels[level]
 	budget := service.budgets[call.daemon]
 	policy := Policy{
 		Repeatable: true, Attempts: chainAttempts, RetryFailures: true, Deadline: time.Hour,
-		Class: call.class, Urgent: r.random() < 0.3,
+		Class: call.class, Urgent: s.random() < 0.3,
 	}
 	state := NewCall(policy, budget)
-	service.requests[r.tick]++
+	service.requests[s.tick]++
 	for attempt := 1; ; attempt++ {
 		repetition := attempt > 1 || call.repeated
 		if repetition {
-			service.repetitions[r.tick]++
+			service.repetitions[s.tick]++
 		}
-		outcome := r.run(level, call, repetition)
-		if state.Next(r.now, outcome).Action != Send {
+		outcome := s.run(level, call, repetition)
+		if state.Next(s.now, outcome).Action != Send {
 			return
 		}
 	}
 }
 
 // run simulates one attempt that arrives at a back end.
-func (r *chainSimulation) run(level int, call chainCall, repetition bool) Outcome {
-	service := &r.levels[level]
-	if r.random() < service.rejecting {
+func (s *chainSimulation) run(level int, call chainCall, repetition bool) Outcome {
+	service := &s.levels[level]
+	if s.random() < service.rejectedShare {
 		return Outcome{Kind: Refused, Ran: "no", Arrived: true, Replayable: true, Others: true}
 	}
-	daemon := int(r.random() * float64(len(service.budgets)))
+	daemon := int(s.random() * float64(len(service.budgets)))
 	if call.class == 0 {
-		for range r.fanOut {
+		for range s.fanOut {
 			class := callclass.Class(0)
-			if r.random() < 0.3 {
+			if s.random() < 0.3 {
 				class = 1
 			}
-			r.send(level+1, chainCall{class: class, daemon: daemon, repeated: repetition})
+			s.send(level+1, chainCall{class: class, daemon: daemon, repeated: repetition})
 		}
 	}
-	return Outcome{Kind: Answered, Failed: r.random() < service.failing, Replayable: true, Others: true}
+	return Outcome{Kind: Answered, Failed: s.random() < service.failedShare, Replayable: true, Others: true}
 }
 
-// begin starts the counts of a tick.
-func (r *chainSimulation) begin(tick int) {
-	r.tick = tick
-	r.now = time.Duration(tick) * testTick
-	for index := range r.levels {
-		level := &r.levels[index]
+// beginTick sets the time to that of a tick and adds its zero counts to each level.
+func (s *chainSimulation) beginTick(tick int) {
+	s.tick = tick
+	s.now = time.Duration(tick) * testTick
+	for index := range s.levels {
+		level := &s.levels[index]
 		level.requests = append(level.requests, 0)
 		level.repetitions = append(level.repetitions, 0)
 	}
@@ -110,8 +110,9 @@
 	return simulation
 }
 
-// maxExcess returns the largest excess of the level's repetitions over the allowed number in
-// any window.
+// maxExcess returns the largest excess, over all windows, of the level's repetitions over the
+// allowed number. That follows from the largest number of requests in the same window, the
+// one before it or the one halfway between them.
 func (l *chainLevel) maxExcess() float64 {
 	largest := 0.0
 	window := int(testWindow / testTick)
@@ -149,11 +150,11 @@
 		tick := 0
 		for range rapid.IntRange(2, 4).Draw(t, "phases") {
 			for index := range simulation.levels {
-				simulation.levels[index].rejecting = rapid.SampledFrom([]float64{0, 0, 0.3, 0.55, 0.9}).Draw(t, "rejecting")
-				simulation.levels[index].failing = rapid.SampledFrom([]float64{0, 0, 0.3, 0.9}).Draw(t, "failing")
+				simulation.levels[index].rejectedShare = rapid.SampledFrom([]float64{0, 0, 0.3, 0.55, 0.9}).Draw(t, "rejecting")
+				simulation.levels[index].failedShare = rapid.SampledFrom([]float64{0, 0, 0.3, 0.9}).Draw(t, "failing")
 			}
 			for range rapid.IntRange(20, 80).Draw(t, "ticks") {
-				simulation.begin(tick)
+				simulation.beginTick(tick)
 				for range calls {
 					simulation.send(0, chainCall{class: callclass.Class(random() * 2), daemon: int(random() * float64(daemons))})
 				}
--- a/internal/core/retry/cold_test.go
+++ b/internal/core/retry/cold_test.go
@@ -15,7 +15,7 @@
 	Replayable: true, Others: true,
 }
 
-func TestColdRefusalIsRelocatedWithoutBudget(t *testing.T) {
+func TestCallRefusedAsColdIsRelocatedWithoutBudget(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudget()
 	remaining := budget.Remaining(0, 0)
--- a/internal/core/retry/outcome.go
+++ b/internal/core/retry/outcome.go
@@ -66,7 +66,7 @@
 }
 
 // impliesNotRun reports whether the code states that the call did not run. Unknown codes
-// count as such.
+// are treated as stating it.
 func impliesNotRun(code result.Code) bool {
 	entry, found := result.Lookup(code)
 	return !found || entry.Ran == result.RanNo
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -62,15 +62,15 @@
 	}
 }
 
-// sum returns the total of the current interval and a number of intervals before it.
-func (w *window) sum(now, span time.Duration, before uint64) int64 {
+// sum returns the total of the current interval and a number of earlier intervals.
+func (w *window) sum(now, span time.Duration, earlierIntervals uint64) int64 {
 	interval := intervalOf(now, span)
 	total := int64(0)
 	for index := range w.slots {
 		current := w.slots[index].Load()
 		// Masking the difference to the width of a slot's interval number makes an
 		// interval later than now, which a delayed reader may see, count as old.
-		if age := (interval - current>>amountBits) & amountMask; age <= before {
+		if age := (interval - current>>amountBits) & amountMask; age <= earlierIntervals {
 			total += int64(current & amountMask)
 		}
 	}
--- a/internal/core/snapshot/decoded.go
+++ b/internal/core/snapshot/decoded.go
@@ -9,7 +9,8 @@
 
 // FromResources returns the snapshot of services and routes that are already
 // decoded, for example by an external configuration authority. Like Build, it fails
-// if a route refers to a service that is not among them (I2).
+// if a route refers to a service that is not among them (I2). The result has no back ends or
+// secrets, and no Digest or Encoded.
 func FromResources(version protocol.Version, services []resource.Service, routes []resource.Route) (*Snapshot, error) {
 	built := &Snapshot{
 		Version:  version,
--- a/internal/core/snapshot/delta.go
+++ b/internal/core/snapshot/delta.go
@@ -51,11 +51,11 @@
 	if delta.From == 0 {
 		current = nil
 	}
-	applied := merge(current, changes)
-	if DigestOf(applied) != delta.Digest {
+	updated := merge(current, changes)
+	if DigestOf(updated) != delta.Digest {
 		return nil, result.New(result.DigestMismatch, "delta from version %d to %d does not lead to its digest", delta.From, delta.To)
 	}
-	return applied, nil
+	return updated, nil
 }
 
 // merge applies the changes to current, which must be sorted by key. If a key has
--- a/internal/core/snapshot/rebuild_test.go
+++ b/internal/core/snapshot/rebuild_test.go
@@ -32,8 +32,8 @@
 
 func TestRebuildDecodesAPayloadThatDiffersUnderAKnownDigest(t *testing.T) {
 	is := is.New(t)
-	held := services(map[string]string{"a": "/a"})
-	before, err := Build(1, held)
+	encoded := services(map[string]string{"a": "/a"})
+	before, err := Build(1, encoded)
 	is.NoErr(err)
 	altered := services(map[string]string{"a": "/a"})
 	altered[0].Payload = services(map[string]string{"a": "/b"})[0].Payload
@@ -41,25 +41,25 @@
 	is.True(err != nil)
 }
 
-func BenchmarkRebuildAfterOneChange(b *testing.B) {
+func BenchmarkRebuildWithoutChanges(b *testing.B) {
 	paths := map[string]string{}
 	for i := range 1500 {
 		paths["service-"+string(rune('a'+i%26))+string(rune('a'+i/26%26))+string(rune('a'+i/676))] = "/health"
 	}
-	held := services(paths)
-	resource.SortEncoded(held)
-	before, err := Build(1, held)
+	encoded := services(paths)
+	resource.SortEncoded(encoded)
+	before, err := Build(1, encoded)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Run("whole", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = Build(2, held)
+			_, _ = Build(2, encoded)
 		}
 	})
 	b.Run("changed", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = Rebuild(before, 2, held)
+			_, _ = Rebuild(before, 2, encoded)
 		}
 	})
 }
--- a/internal/core/snapshot/scope.go
+++ b/internal/core/snapshot/scope.go
@@ -23,11 +23,11 @@
 	return fmt.Sprintf("%s|%s", strings.Join(partners, ","), strings.Join(services, ","))
 }
 
-// Select returns the resources in a scope, sorted by key and closed under
-// references: the routes of its partners (of all partners if it lists none) that
-// refer to a listed service (to any service if it lists none); the services and
-// secrets that these routes use; the listed services; and the back ends of all
-// these services. A secret is only selected through a route that uses it.
+// Select returns the resources in a scope, sorted by key. It selects the routes of the
+// listed partners that refer to a listed service; an empty list matches all partners or
+// services. It adds the services and secrets that these routes use, the listed services
+// and the back ends of all these services, so that no reference is left dangling. A
+// secret is only selected through a route that uses it.
 func (s *Snapshot) Select(scope protocol.Scope) []resource.Encoded {
 	if scope.Relay {
 		return s.Encoded
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -28,7 +28,7 @@
 	Secrets  map[resource.Key]resource.Secret
 	// Routes are sorted by key.
 	Routes []resource.Route
-	// Encoded are the resources as received, sorted by key.
+	// Encoded are the encoded resources, sorted by key.
 	Encoded []resource.Encoded
 	// decoded holds the decoded form of each resource in Encoded, in the same order.
 	decoded []resource.Resource
@@ -37,7 +37,8 @@
 // Build decodes the resources and returns the snapshot of the version. It
 // fails with a *result.Error if a resource can't be decoded (DigestMismatch,
 // UnknownFormat) or if a route refers to a service or secret that is not among
-// them (FileBadReference), so that no proxy gets a dangling route (I2).
+// them (FileBadReference), so that no proxy gets a route with a missing service or
+// secret (I2).
 func Build(version protocol.Version, encoded []resource.Encoded) (*Snapshot, error) {
 	return Rebuild(nil, version, encoded)
 }
@@ -103,7 +104,7 @@
 }
 
 // WithVersion returns a snapshot with the same content at another version. It is used
-// if the versions in between changed nothing in the scope.
+// when a newer version changes none of the snapshot's resources.
 func (s *Snapshot) WithVersion(version protocol.Version) *Snapshot {
 	copied := *s
 	copied.Version = version
--- a/internal/core/snapshot/snapshot_test.go
+++ b/internal/core/snapshot/snapshot_test.go
@@ -43,9 +43,9 @@
 
 func without(resources []resource.Encoded, key resource.Key) []resource.Encoded {
 	var rest []resource.Encoded
-	for _, one := range resources {
-		if one.Key != key {
-			rest = append(rest, one)
+	for _, entry := range resources {
+		if entry.Key != key {
+			rest = append(rest, entry)
 		}
 	}
 	return rest
@@ -106,12 +106,12 @@
 	delta := store.Delta(all, 1, first.Digest)
 	is.True(len(delta.Payload) < len(whole.Payload))
 	is.True(store.Delta(all, 1, first.Digest) == delta) // encoded once
-	moved, err := snapshot.Apply(first.Encoded, delta)
+	updated, err := snapshot.Apply(first.Encoded, delta)
 	is.NoErr(err)
-	is.Equal(snapshot.DigestOf(moved), whole.Digest)
+	is.Equal(snapshot.DigestOf(updated), whole.Digest)
 
-	untouched := snapshot.DigestOf(first.Select(labels))
-	is.Equal(store.Delta(labels, 1, untouched), nil)                 // the scope did not change
+	unchangedDigest := snapshot.DigestOf(first.Select(labels))
+	is.Equal(store.Delta(labels, 1, unchangedDigest), nil)           // the scope did not change
 	is.Equal(store.Delta(all, 1, "other").From, protocol.Version(0)) // unknown content gets a whole snapshot
 }
 
--- a/internal/core/snapshot/store.go
+++ b/internal/core/snapshot/store.go
@@ -7,7 +7,7 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// HistoryLength is the number of released versions that a store keeps. A child
+// HistoryLength is the maximum number of released versions that a store keeps. A child
 // with an older version gets a whole snapshot instead of a delta.
 const HistoryLength = 32
 
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// appendVersion adds a snapshot to the history and drops the cache entries that it makes invalid.
+// appendVersion adds a snapshot to the history, drops the oldest one beyond HistoryLength, and
+// evicts the deltas and selections that are no longer valid.
 func (s *Store) appendVersion(built *Snapshot) {
 	s.history = append(s.history, built)
 	s.deltas = map[deltaKey]*protocol.Delta{}
