--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -1,9 +1,9 @@
-// Package dissemination decides how news of member records reaches the daemons
-// of a mesh. News of one daemon goes to one relay a zone; the relay gathers what
-// comes within a moment and broadcasts it in its zone along a tree, so that the
-// messages grow with the daemons and not with the product of daemons and news.
-// Comparisons of sums (package membership) repair what a broadcast missed. The
-// package does no input or output and reads no clock.
+// Package dissemination decides how changes of member records reach the daemons of a
+// mesh. A daemon sends its change to one relay per zone. The relay batches the changes
+// of a short period and broadcasts them in its zone along a tree, so that the number of
+// messages grows with the number of daemons, not with daemons times changes. Checksum
+// comparisons (package membership) repair missed broadcasts. The package does no input
+// or output and reads no clock.
 package dissemination
 
 import (
@@ -14,14 +14,14 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Peer is where another daemon takes control calls.
+// Peer is another daemon with its control address.
 type Peer struct {
 	ID      protocol.NodeID
 	Address string
 	Zone    string
 	Region  string
-	// Relays tells whether the daemon may be a relay: it is not known to be
-	// leaving.
+	// Relays is set if the daemon may be a relay. It is not set for a daemon that is
+	// known to be leaving.
 	Relays bool
 }
 
@@ -29,50 +29,51 @@
 type Directory struct {
 	self protocol.NodeID
 	zone string
-	// all is in ascending order of id.
+	// all holds the other daemons in ascending order of ID.
 	all   []Peer
 	byID  map[protocol.NodeID]int
 	zones map[string][]Peer
-	// far are those of other zones, in ascending order of id.
-	far []Peer
+	// otherZones holds the daemons of other zones in ascending order of ID.
+	otherZones []Peer
 }
 
-// relayPurpose names the ranking by which relays are chosen.
+// relayPurpose is the purpose passed to membership.Score to rank the daemons of a zone as
+// relays.
 const relayPurpose = "relay"
 
-// NewDirectory indexes the daemons known to a daemon of a zone. Those of each
-// zone are ranked by rendezvous hashing, so that daemons that know the same
-// daemons rank them in the same order.
+// NewDirectory indexes the daemons that a daemon in a zone knows. The daemons of each
+// zone are ranked by rendezvous hashing, so that all daemons with the same members
+// obtain the same order.
 func NewDirectory(self protocol.NodeID, zone string, peers []Peer) *Directory {
-	made := &Directory{
+	directory := &Directory{
 		self:  self,
 		zone:  zone,
 		all:   slices.Clone(peers),
 		byID:  make(map[protocol.NodeID]int, len(peers)),
 		zones: map[string][]Peer{},
 	}
-	slices.SortFunc(made.all, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(directory.all, func(a, b Peer) int { return cmp.Compare(a.ID, b.ID) })
 	scores := make(map[protocol.NodeID]uint64, len(peers))
-	for index, one := range made.all {
-		made.byID[one.ID] = index
-		made.zones[one.Zone] = append(made.zones[one.Zone], one)
-		if one.Zone != zone {
-			made.far = append(made.far, one)
+	for index, peer := range directory.all {
+		directory.byID[peer.ID] = index
+		directory.zones[peer.Zone] = append(directory.zones[peer.Zone], peer)
+		if peer.Zone != zone {
+			directory.otherZones = append(directory.otherZones, peer)
 		}
-		scores[one.ID] = membership.Score(relayPurpose, one.ID)
+		scores[peer.ID] = membership.Score(relayPurpose, peer.ID)
 	}
-	for _, ranked := range made.zones {
+	for _, ranked := range directory.zones {
 		slices.SortFunc(ranked, func(a, b Peer) int {
 			return cmp.Or(cmp.Compare(scores[b.ID], scores[a.ID]), cmp.Compare(a.ID, b.ID))
 		})
 	}
-	return made
+	return directory
 }
 
-// All returns the other daemons in ascending order of id.
+// All returns the other daemons in ascending order of ID.
 func (d *Directory) All() []Peer { return d.all }
 
-// Find returns a daemon by its id.
+// Find returns a daemon by its ID.
 func (d *Directory) Find(id protocol.NodeID) (Peer, bool) {
 	index, found := d.byID[id]
 	if !found {
@@ -81,13 +82,13 @@
 	return d.all[index], true
 }
 
-// Near returns the other daemons of the own zone, ranked.
+// OwnZone returns the other daemons of the own zone, ranked.
 func (d *Directory) OwnZone() []Peer { return d.zones[d.zone] }
 
-// Far returns the daemons of all other zones in ascending order of id.
-func (d *Directory) OtherZones() []Peer { return d.far }
+// OtherZones returns the daemons of all other zones in ascending order of ID.
+func (d *Directory) OtherZones() []Peer { return d.otherZones }
 
-// Zones returns the names of all zones with another daemon, in order.
+// Zones returns the names of all zones that contain another daemon, in ascending order.
 func (d *Directory) Zones() []string {
 	names := make([]string, 0, len(d.zones))
 	for name := range d.zones {
@@ -100,21 +101,22 @@
 // InZone returns the other daemons of a zone, ranked.
 func (d *Directory) InZone(zone string) []Peer { return d.zones[zone] }
 
-// Relays returns the daemons of a zone that may be its relay, best first. Those
-// that do not answer are left out.
-func (d *Directory) Relays(zone string, lost func(protocol.NodeID) bool) []Peer {
+// Relays returns the other daemons of a zone that may be its relay, best first, without
+// the unreachable ones.
+func (d *Directory) Relays(zone string, unreachable func(protocol.NodeID) bool) []Peer {
 	var relays []Peer
-	for _, one := range d.zones[zone] {
-		if one.Relays && !lost(one.ID) {
-			relays = append(relays, one)
+	for _, peer := range d.zones[zone] {
+		if peer.Relays && !unreachable(peer.ID) {
+			relays = append(relays, peer)
 		}
 	}
 	return relays
 }
 
-// IsRelay tells whether the daemon itself ranks before all relays of its zone.
-func (d *Directory) IsRelay(lost func(protocol.NodeID) bool) bool {
-	relays := d.Relays(d.zone, lost)
+// IsRelay reports whether the own daemon is the relay of its zone: it ranks before all
+// reachable daemons of the zone that may be the relay.
+func (d *Directory) IsRelay(unreachable func(protocol.NodeID) bool) bool {
+	relays := d.Relays(d.zone, unreachable)
 	if len(relays) == 0 {
 		return true
 	}
--- a/internal/core/dissemination/dissemination_test.go
+++ b/internal/core/dissemination/dissemination_test.go
@@ -13,11 +13,13 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// sizes are the meshes that the tests play: daemons and zones.
+// sizes are the mesh sizes under test.
 var sizes = []struct{ daemons, zones int }{{13, 4}, {74, 4}, {295, 6}, {295, 7}, {1000, 8}}
 
-func answersAlways(protocol.NodeID) bool { return false }
+// noneUnreachable reports all daemons as reachable.
+func noneUnreachable(protocol.NodeID) bool { return false }
 
+// meshOf returns a number of daemons, distributed evenly over zones.
 func meshOf(daemons, zones int) []Peer {
 	peers := make([]Peer, daemons)
 	for index := range peers {
@@ -27,62 +29,64 @@
 	return peers
 }
 
+// directoryOf returns the directory of one of the daemons.
 func directoryOf(peers []Peer, self int) *Directory {
 	others := make([]Peer, 0, len(peers))
-	for index, one := range peers {
+	for index, peer := range peers {
 		if index != self {
-			others = append(others, one)
+			others = append(others, peer)
 		}
 	}
 	return NewDirectory(peers[self].ID, peers[self].Zone, others)
 }
 
-// broadcast plays one along its tree. It counts the messages that each daemon
-// receives and the most that one sends, and returns the steps to the last one.
-func broadcast(targets []Peer, received map[protocol.NodeID]int, most *int) int {
+// broadcast simulates a broadcast along its tree. It counts the messages that each daemon
+// receives, raises maxBranches to the largest number that one daemon sends, and returns the
+// number of steps to the last daemon.
+func broadcast(targets []Peer, received map[protocol.NodeID]int, maxBranches *int) int {
 	steps := 0
 	branches := Branches(targets)
-	*most = max(*most, len(branches))
+	*maxBranches = max(*maxBranches, len(branches))
 	for _, branch := range branches {
 		received[branch[0].ID]++
-		steps = max(steps, 1+broadcast(branch[1:], received, most))
+		steps = max(steps, 1+broadcast(branch[1:], received, maxBranches))
 	}
 	return steps
 }
 
-func TestABroadcastReachesEachDaemonOfAZoneOnceInFewSteps(t *testing.T) {
+func TestBroadcastReachesEachDaemonOfAZoneOnceInFewSteps(t *testing.T) {
 	for _, size := range sizes {
 		check := is.New(t)
 		peers := meshOf(size.daemons, size.zones)
 		received := map[protocol.NodeID]int{}
-		most := 0
-		near := directoryOf(peers, 0).OwnZone()
-		steps := broadcast(near, received, &most)
-		check.Equal(len(received), len(near))
+		maxBranches := 0
+		targets := directoryOf(peers, 0).OwnZone()
+		steps := broadcast(targets, received, &maxBranches)
+		check.Equal(len(received), len(targets))
 		for _, count := range received {
 			check.Equal(count, 1)
 		}
-		check.True(most <= Fanout)
-		check.True(steps <= 3) // 125 daemons a zone at a thousand
+		check.True(maxBranches <= Fanout)
+		check.True(steps <= 3) // up to 125 daemons per zone
 	}
 }
 
-func TestTheDaemonsOfAMeshAgreeOnTheirRelays(t *testing.T) {
+func TestDaemonsAgreeOnTheRelayOfEachZone(t *testing.T) {
 	for _, size := range sizes {
 		check := is.New(t)
 		peers := meshOf(size.daemons, size.zones)
 		relays := map[string]int{}
 		chosen := map[string]map[protocol.NodeID]bool{}
-		for index, one := range peers {
+		for index, peer := range peers {
 			directory := directoryOf(peers, index)
-			if directory.IsRelay(answersAlways) {
-				relays[one.Zone]++
+			if directory.IsRelay(noneUnreachable) {
+				relays[peer.Zone]++
 				continue
 			}
-			if chosen[one.Zone] == nil {
-				chosen[one.Zone] = map[protocol.NodeID]bool{}
+			if chosen[peer.Zone] == nil {
+				chosen[peer.Zone] = map[protocol.NodeID]bool{}
 			}
-			chosen[one.Zone][directory.Relays(one.Zone, answersAlways)[0].ID] = true
+			chosen[peer.Zone][directory.Relays(peer.Zone, noneUnreachable)[0].ID] = true
 		}
 		for zone := range size.zones {
 			check.Equal(relays[fmt.Sprintf("z%d", zone)], 1)
@@ -91,23 +95,23 @@
 	}
 }
 
-func TestALostOrLeavingDaemonIsNoRelay(t *testing.T) {
+func TestUnreachableOrLeavingDaemonIsNoRelay(t *testing.T) {
 	check := is.New(t)
 	peers := meshOf(12, 1)
 	directory := directoryOf(peers, 0)
-	first := directory.Relays("z0", answersAlways)
-	lost := func(id protocol.NodeID) bool { return id == first[0].ID }
-	check.Equal(directory.Relays("z0", lost), first[1:])
+	first := directory.Relays("z0", noneUnreachable)
+	isUnreachable := func(id protocol.NodeID) bool { return id == first[0].ID }
+	check.Equal(directory.Relays("z0", isUnreachable), first[1:])
 	for index := range peers {
 		peers[index].Relays = peers[index].ID != first[1].ID
 	}
-	check.Equal(directoryOf(peers, 0).Relays("z0", lost)[0].ID, first[2].ID)
-	alone := NewDirectory("d", "z0", nil)
-	check.True(alone.IsRelay(answersAlways))
-	check.Equal(len(alone.Relays("z0", answersAlways)), 0)
+	check.Equal(directoryOf(peers, 0).Relays("z0", isUnreachable)[0].ID, first[2].ID)
+	singleDaemon := NewDirectory("d", "z0", nil)
+	check.True(singleDaemon.IsRelay(noneUnreachable))
+	check.Equal(len(singleDaemon.Relays("z0", noneUnreachable)), 0)
 }
 
-func TestADirectoryFindsItsDaemons(t *testing.T) {
+func TestDirectoryLookups(t *testing.T) {
 	check := is.New(t)
 	directory := directoryOf(meshOf(13, 4), 2)
 	check.Equal(len(directory.All()), 12)
@@ -117,30 +121,31 @@
 	found, known := directory.Find("d0005")
 	check.True(known)
 	check.Equal(found.Zone, "z1")
-	_, known = directory.Find("d0002") // itself
+	_, known = directory.Find("d0002") // the own daemon
 	check.True(!known)
 }
 
-func TestWhatComesWithinAPeriodIsSentTogether(t *testing.T) {
+func TestChangesWithinAPeriodAreBatched(t *testing.T) {
 	check := is.New(t)
 	batch := NewBatch(200 * time.Millisecond)
 	_, schedule := batch.Add(time.Second)
-	check.True(!schedule) // nothing
+	check.True(!schedule) // nothing to send
 	wait, schedule := batch.Add(time.Second, "b")
 	check.True(schedule)
-	check.Equal(wait, time.Duration(0)) // after a quiet time at once
+	check.Equal(wait, time.Duration(0)) // at once after an idle period
 	check.Equal(batch.Take(time.Second), []protocol.NodeID{"b"})
 	wait, schedule = batch.Add(time.Second+50*time.Millisecond, "c")
 	check.True(schedule)
 	check.Equal(wait, 150*time.Millisecond)
 	_, schedule = batch.Add(time.Second+60*time.Millisecond, "a", "c")
-	check.True(!schedule) // rides along
+	check.True(!schedule) // sent with the scheduled broadcast
 	check.Equal(batch.Take(time.Second+200*time.Millisecond), []protocol.NodeID{"a", "c"})
 }
 
-// A mesh whose daemons all have news for some seconds sends no more messages
-// than its daemons and zones and the periods ask for, whatever the news.
-func TestMessagesDoNotGrowWithDaemonsTimesNews(t *testing.T) {
+// There is at most one message per change plus one broadcast per period: while daemons
+// report changes for some seconds, a zone's relay sends at most one broadcast to its zone
+// in each period.
+func TestMessagesGrowLinearlyWithChanges(t *testing.T) {
 	const period = 200 * time.Millisecond
 	const during = 3 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -162,7 +167,7 @@
 			if scheduled && now >= due {
 				send(due)
 			}
-			messages++ // to the relay
+			messages++ // one message to the relay
 			if wait, schedule := batch.Add(now, protocol.NodeID(fmt.Sprint(change))); schedule {
 				due, scheduled = now+wait, true
 			}
--- a/internal/core/distribution/distribution_test.go
+++ b/internal/core/distribution/distribution_test.go
@@ -20,63 +20,62 @@
 	return protocol.Member{ID: protocol.NodeID(id), Incarnation: incarnation, State: protocol.MemberAlive, Region: "windhoek", Zone: zone}
 }
 
-func fold(acks ...protocol.Acknowledgement) []protocol.Acknowledgement {
-	sum := distribution.NewAcknowledgementAggregator()
+func aggregate(acks ...protocol.Acknowledgement) []protocol.Acknowledgement {
+	aggregator := distribution.NewAcknowledgementAggregator()
 	for _, ack := range acks {
-		sum.Add(ack)
+		aggregator.Add(ack)
 	}
-	return sum.List()
+	return aggregator.List()
 }
 
-// TestHoldingNeedsExactlyTheExpected counts members twice, leaves some out,
-// adds unknown ones and an earlier life: nothing is held then.
-func TestHoldingNeedsExactlyTheExpected(t *testing.T) {
+// No version is confirmed if a member is missing, duplicate, unknown or of another
+// incarnation.
+func TestConfirmedVersionNeedsExactlyTheExpectedMembers(t *testing.T) {
 	is := is.New(t)
 	a, b, c := member("x", "a", 1), member("x", "b", 1), member("y", "c", 1)
 	expected := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, b, c})
-	single := distribution.MemberAcknowledgement
-	is.Equal(expected.ConfirmedVersion(fold(single(a, 7), single(b, 8), single(c, 9))), protocol.Version(7))
-	is.Equal(expected.ConfirmedVersion(fold(fold(single(a, 7), single(c, 9))[0], single(b, 8), single(c, 9))), protocol.Version(7)) // folds of folds
-	wrong := [][]protocol.Acknowledgement{
-		fold(single(a, 7), single(c, 9)),
-		fold(single(a, 7), single(a, 7), single(c, 9)),
-		fold(single(a, 7), single(b, 8), single(c, 9), single(member("x", "d", 1), 9)),
-		fold(single(a, 7), single(member("x", "b", 2), 8), single(c, 9)),
-		fold(single(a, 7), single(b, 8)),
+	acknowledge := distribution.MemberAcknowledgement
+	is.Equal(expected.ConfirmedVersion(aggregate(acknowledge(a, 7), acknowledge(b, 8), acknowledge(c, 9))), protocol.Version(7))
+	is.Equal(expected.ConfirmedVersion(aggregate(aggregate(acknowledge(a, 7), acknowledge(c, 9))[0], acknowledge(b, 8), acknowledge(c, 9))), protocol.Version(7)) // aggregates of aggregates
+	mismatching := [][]protocol.Acknowledgement{
+		aggregate(acknowledge(a, 7), acknowledge(c, 9)),
+		aggregate(acknowledge(a, 7), acknowledge(a, 7), acknowledge(c, 9)),
+		aggregate(acknowledge(a, 7), acknowledge(b, 8), acknowledge(c, 9), acknowledge(member("x", "d", 1), 9)),
+		aggregate(acknowledge(a, 7), acknowledge(member("x", "b", 2), 8), acknowledge(c, 9)),
+		aggregate(acknowledge(a, 7), acknowledge(b, 8)),
 		nil,
 	}
-	for _, acks := range wrong {
+	for _, acks := range mismatching {
 		is.Equal(expected.ConfirmedVersion(acks), protocol.Version(0))
 	}
 	dead := b
 	dead.State = protocol.MemberDead
-	without := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, dead, c})
-	is.Equal(without.ConfirmedVersion(fold(single(a, 7), single(c, 9))), protocol.Version(7)) // the dead are not counted
+	withoutDead := distribution.NewExpectedMembers("windhoek", []protocol.Member{a, dead, c})
+	is.Equal(withoutDead.ConfirmedVersion(aggregate(acknowledge(a, 7), acknowledge(c, 9))), protocol.Version(7)) // dead members are not expected
 }
 
-func TestFoldNamesThoseBehind(t *testing.T) {
+func TestAggregateListsMembersBehind(t *testing.T) {
 	is := is.New(t)
 	var acks []protocol.Acknowledgement
 	for i := range 40 {
 		acks = append(acks, distribution.MemberAcknowledgement(member("x", fmt.Sprint("m", i), 1), protocol.Version(3+i/20)))
 	}
-	list := fold(acks...)
+	list := aggregate(acks...)
 	is.Equal(len(list), 1)
 	is.Equal(list[0].Count, uint32(40))
 	is.Equal(list[0].Minimum, protocol.Version(3))
 	is.Equal(len(list[0].Behind), protocol.MaxListedNodes)
 }
 
-// TestClaimsWaitForAnotherRoot claims at once only when the keepers knew of no
-// other root.
-func TestClaimsWaitForAnotherRoot(t *testing.T) {
+// A version may be declared in force at once only if the keepers knew of no other root.
+func TestReleaseIsFencedIfAnotherRootMayExist(t *testing.T) {
 	is := is.New(t)
-	claims := distribution.NewReleaseTracker(lease)
-	claims.RecordRelease(0, 4, true)
-	claims.RecordRelease(time.Second, 5, false)
-	is.Equal(claims.DeclarableVersion(2*time.Second), protocol.Version(4))
-	is.Equal(claims.DeclarableVersion(time.Second+lease), protocol.Version(4)) // the margin for clocks is still open
-	is.Equal(claims.DeclarableVersion(time.Second+distribution.LeaseWithMargin(lease)), protocol.Version(5))
+	tracker := distribution.NewReleaseTracker(lease)
+	tracker.RecordRelease(0, 4, true)
+	tracker.RecordRelease(time.Second, 5, false)
+	is.Equal(tracker.DeclarableVersion(2*time.Second), protocol.Version(4))
+	is.Equal(tracker.DeclarableVersion(time.Second+lease), protocol.Version(4)) // the clock margin has not passed yet
+	is.Equal(tracker.DeclarableVersion(time.Second+distribution.LeaseWithMargin(lease)), protocol.Version(5))
 }
 
 func keepers(write int, ids ...protocol.NodeID) protocol.KeeperSet {
@@ -87,36 +86,35 @@
 	return set
 }
 
-// TestRootLeaseEndsWhenANewerVersionIsStored is the case of a root that is cut
-// off while another stores a newer version at a write quorum.
+// A root is partitioned while another root stores a newer version at a write quorum.
 func TestRootLeaseEndsWhenANewerVersionIsStored(t *testing.T) {
 	is := is.New(t)
 	set := keepers(3, "a", "b", "c", "d")
 	root := distribution.NewRootLease(lease)
-	answer := func(id protocol.NodeID, at time.Duration, stored protocol.Version, other bool) {
-		root.RecordReply(id, at, &protocol.StoreReply{Stored: stored, OtherRoot: other})
+	reply := func(id protocol.NodeID, at time.Duration, stored protocol.Version, otherRoot bool) {
+		root.RecordReply(id, at, &protocol.StoreReply{Stored: stored, OtherRoot: otherRoot})
 	}
-	answer("a", 1*time.Second, 4, false)
+	reply("a", 1*time.Second, 4, false)
 	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // no read quorum yet
-	answer("b", 2*time.Second, 4, false)
-	is.Equal(root.GrantUntil(4, set), time.Second+lease) // the oldest answer of the quorum counts
+	reply("b", 2*time.Second, 4, false)
+	is.Equal(root.GrantUntil(4, set), time.Second+lease) // the oldest reply of the quorum counts
 	is.True(!root.IsOnlyRoot(time.Second, set))          // no write quorum yet
-	answer("c", 3*time.Second, 4, false)
-	answer("d", 4*time.Second, 4, true)
+	reply("c", 3*time.Second, 4, false)
+	reply("d", 4*time.Second, 4, true)
 	is.Equal(root.GrantUntil(4, set), 3*time.Second+lease)
 	is.True(root.IsOnlyRoot(time.Second, set))
-	is.True(!root.IsOnlyRoot(2*time.Second, set)) // d has heard another root
+	is.True(!root.IsOnlyRoot(2*time.Second, set)) // d knows of another root
 
-	answer("b", 5*time.Second, 5, false)
-	answer("c", 5*time.Second, 5, false)
-	answer("d", 5*time.Second, 5, false)
+	reply("b", 5*time.Second, 5, false)
+	reply("c", 5*time.Second, 5, false)
+	reply("d", 5*time.Second, 5, false)
 	is.Equal(root.GrantUntil(4, set), time.Duration(0)) // a newer version is stored at a quorum
-	answer("b", 2*time.Second, 4, false)
-	is.Equal(root.GrantUntil(4, set), time.Duration(0))                       // a late answer counts for nothing
+	reply("b", 2*time.Second, 4, false)
+	is.Equal(root.GrantUntil(4, set), time.Duration(0))                       // a late reply to an older request is ignored
 	is.Equal(root.GrantUntil(5, set, keepers(2, "x", "y")), time.Duration(0)) // both sets must agree
 }
 
-func TestTreeRolesAndParents(t *testing.T) {
+func TestTreeRolesAndParentCandidates(t *testing.T) {
 	is := is.New(t)
 	var members []protocol.Member
 	for i := range 60 {
@@ -127,24 +125,24 @@
 	tree := distribution.NewTree(members[5], members, 24)
 	is.Equal(len(tree.Relays("zone-0")), 2)
 	is.Equal(len(tree.Relays("zone-1")), 2)
-	is.Equal(tree.RootCandidates()[0].ID, members[11].ID) // a reader before all others
-	newcomers := 0
+	is.Equal(tree.RootCandidates()[0].ID, members[11].ID) // readers rank first
+	newRelays := 0
 	for i := range 200 {
-		newcomer := member("zone-0", fmt.Sprint("new", i), 1)
-		joined := distribution.NewTree(members[5], append(slices.Clone(members), newcomer), 24)
-		is.Equal(tree.WouldBeRelay(newcomer), joined.IsRelay(newcomer)) // as it is once it has joined
-		newcomers += lo.Ternary(joined.IsRelay(newcomer), 1, 0)
+		joining := member("zone-0", fmt.Sprint("new", i), 1)
+		treeAfterJoin := distribution.NewTree(members[5], append(slices.Clone(members), joining), 24)
+		is.Equal(tree.WouldBeRelay(joining), treeAfterJoin.IsRelay(joining)) // predicts the role after joining
+		newRelays += lo.Ternary(treeAfterJoin.IsRelay(joining), 1, 0)
 	}
-	is.True(newcomers > 0 && newcomers < 50)
+	is.True(newRelays > 0 && newRelays < 50)
 	parents := tree.ParentCandidates()
-	is.Equal(parents[0].Zone, "zone-1") // the own zone's relays first
+	is.Equal(parents[0].Zone, "zone-1") // relays of the own zone come first
 	is.Equal(parents[1].Zone, "zone-1")
 	for _, parent := range parents {
 		is.True(parent.ID != members[5].ID && parent.ID != members[12].ID)
 	}
 }
 
-func TestBackoffAndAdmissionStayInBounds(t *testing.T) {
+func TestBackoffAndSendLimiterBounds(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	backoff := distribution.Backoff{Base: time.Second, Max: 8 * time.Second}
@@ -156,14 +154,14 @@
 	}
 	is.True(longest > backoff.Max/2)
 
-	admission := distribution.NewSendLimiter(100, 200)
-	_, admitted := admission.Admit(0, 150)
+	limiter := distribution.NewSendLimiter(100, 200)
+	_, admitted := limiter.Admit(0, 150)
 	is.True(admitted)
-	wait, admitted := admission.Admit(0, 150)
+	wait, admitted := limiter.Admit(0, 150)
 	is.True(!admitted)
 	is.Equal(wait, time.Second)
-	_, admitted = admission.Admit(wait, 150)
+	_, admitted = limiter.Admit(wait, 150)
 	is.True(admitted)
-	_, admitted = admission.Admit(10*time.Second, 1000)
+	_, admitted = limiter.Admit(10*time.Second, 1000)
 	is.True(admitted) // larger than the bucket, but the bucket is full
 }
--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -3,46 +3,47 @@
 import "time"
 
 const (
-	// ejectionFloor is the share of a set that is always left in use: when more
-	// than that is ejected, ejections are not heeded.
+	// ejectionFloor is the minimum share of a set that is not ejected. Ejections are
+	// ignored while fewer endpoints than that are left.
 	ejectionFloor = 0.5
-	// degradedLimit is the share of a set that may be degraded. When more is, the
-	// cause is likely common to all, such as a service that they call, and to
-	// leave some out would only burden the others.
+	// degradedLimit is the largest degraded share of a set whose endpoints are
+	// avoided. A larger share points to a common cause, such as a shared
+	// dependency; avoiding some endpoints would then only overload the others.
 	degradedLimit = 0.3
 )
 
-// Spill says how much load calls bear to stay near. Loads are calls by slots, so
-// that 1 is an endpoint whose slots are all taken.
+// Spillover sets the load thresholds at which calls leave the own zone. The load is that of
+// Endpoint.load: at 1 the new call occupies the last slot of a warm endpoint.
 type Spillover struct {
-	// Above is the load of the better choice in the own zone above which the
-	// next zone is looked at.
+	// Above is the load of the better candidate of the own zone above which
+	// endpoints of other zones are considered.
 	Above float64
-	// Zone and Region are how much less loaded an endpoint of another zone or
-	// region must be.
+	// Zone and Region are the load difference by which an endpoint of another
+	// zone or region must be less loaded to be preferred.
 	Zone   float64
 	Region float64
 }
 
-// DefaultSpill looks at the next zone before the slots of the own are full.
+// DefaultSpillover returns thresholds at which endpoints of other zones are considered before
+// all slots of the own zone are occupied.
 func DefaultSpillover() Spillover { return Spillover{Above: 0.75, Zone: 0.25, Region: 1} }
 
-// penalty is what an endpoint at a distance must be less loaded by.
+// penalty returns the load added to an endpoint at a distance.
 func (s Spillover) penalty(distance int) float64 {
 	return [tierCount]float64{0, s.Zone, s.Region}[distance]
 }
 
 // Choose picks the endpoint of a call: the less loaded of two drawn at random
-// in the own zone, or of two farther ones when those are close to full. Random
-// is a uniform random number. It answers nil when no endpoint may take the
-// call; those tried already are chosen again only if there is no other.
+// in the own zone or, when those are nearly full, of two in other zones. random
+// must be uniform. Choose returns nil when no endpoint may receive the call;
+// endpoints in tried are chosen again only if there is no other.
 func (s *Set) Choose(now time.Duration, random uint64, tried Tried) *Endpoint {
 	chosen := s.choose(now, random, tried, true)
 	if chosen == nil && s.ColdWait(now) > 0 {
-		return nil // soon a cold one has a start
+		return nil // a cold endpoint accepts a call soon
 	}
 	if chosen == nil {
-		// Everything left is ejected. Trying it beats refusing the call.
+		// All remaining endpoints are ejected; try one rather than refuse the call.
 		chosen = s.choose(now, random, tried, false)
 	}
 	if chosen == nil && len(tried) > 0 {
@@ -51,15 +52,17 @@
 	return chosen
 }
 
-func (s *Set) choose(now time.Duration, random uint64, tried Tried, heedEvidence bool) *Endpoint {
+// choose picks an endpoint for Choose. Unless avoidUnhealthy is set, it also considers
+// ejected and degraded endpoints.
+func (s *Set) choose(now time.Duration, random uint64, tried Tried, avoidUnhealthy bool) *Endpoint {
 	var best *Endpoint
 	bestLoad := 0.0
-	var heed heeded
-	if heedEvidence {
-		heed = s.heeds(now)
+	var excluded exclusions
+	if avoidUnhealthy {
+		excluded = s.exclusionsAt(now)
 	}
 	for distance, tier := range s.tiers {
-		candidate := betterOfTwo(tier, now, random, tried, heed)
+		candidate := betterOfTwo(tier, now, random, tried, excluded)
 		if candidate == nil {
 			continue
 		}
@@ -75,19 +78,19 @@
 	return best
 }
 
-// heeded says which evidence against endpoints is heeded in a choice.
-type heeded struct {
-	ejections bool
-	degraded  bool
+// exclusions selects which kinds of unhealthy endpoints a choice skips.
+type exclusions struct {
+	ejected  bool
+	degraded bool
 }
 
-// bars tells whether an endpoint is left out.
-func (h heeded) bars(candidate *Endpoint, now time.Duration) bool {
-	return (h.ejections && candidate.Ejected(now)) || (h.degraded && candidate.degraded())
+// excludes reports whether the endpoint is skipped.
+func (x exclusions) excludes(candidate *Endpoint, now time.Duration) bool {
+	return (x.ejected && candidate.Ejected(now)) || (x.degraded && candidate.degraded())
 }
 
-// heeds tells which evidence leaves enough of the set in use.
-func (s *Set) heeds(now time.Duration) heeded {
+// exclusionsAt returns the exclusions that leave enough endpoints of the set in use.
+func (s *Set) exclusionsAt(now time.Duration) exclusions {
 	ejected := 0
 	degraded := 0
 	for _, tier := range s.tiers {
@@ -100,43 +103,43 @@
 			}
 		}
 	}
-	return heeded{
-		ejections: float64(ejected) <= float64(s.usable)*ejectionFloor,
-		degraded:  float64(degraded) <= float64(s.usable)*degradedLimit,
+	return exclusions{
+		ejected:  float64(ejected) <= float64(s.usable)*ejectionFloor,
+		degraded: float64(degraded) <= float64(s.usable)*degradedLimit,
 	}
 }
 
-// betterOfTwo draws two endpoints of a tier and returns the one that is expected
-// to be done sooner.
-func betterOfTwo(tier []*Endpoint, now time.Duration, random uint64, tried Tried, heed heeded) *Endpoint {
+// betterOfTwo draws two endpoints of a tier and returns the one with the shorter
+// expected completion time. It returns nil when the tier has no usable endpoint.
+func betterOfTwo(tier []*Endpoint, now time.Duration, random uint64, tried Tried, excluded exclusions) *Endpoint {
 	if len(tier) == 0 {
 		return nil
 	}
 	high := int(random >> 32)
 	low := int(random & 0xffffffff)
-	first := usableFrom(tier, high, now, tried, heed, nil)
+	first := firstUsableFrom(tier, high, now, tried, excluded, nil)
 	if first == nil {
 		return nil
 	}
-	second := usableFrom(tier, low, now, tried, heed, first)
+	second := firstUsableFrom(tier, low, now, tried, excluded, first)
 	if second != nil && first.cold() != second.cold() {
-		return warmOrCold(first, second, now, random)
+		return pickWarmOrCold(first, second, now, random)
 	}
-	if second == nil || first.goesBefore(second, now, random) {
+	if second == nil || first.preferredOver(second, now, random) {
 		return first
 	}
 	return second
 }
 
-// usableFrom returns the first endpoint that may be used, from a random place
-// on, other than one that was drawn already.
-func usableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, heed heeded, drawn *Endpoint) *Endpoint {
+// firstUsableFrom returns the first usable endpoint at or after the start position,
+// wrapping around and skipping the one already drawn.
+func firstUsableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, excluded exclusions, drawn *Endpoint) *Endpoint {
 	for step := range tier {
 		candidate := tier[(start+step)%len(tier)]
-		if candidate == drawn || tried.has(candidate) || candidate.shut(now) {
+		if candidate == drawn || tried.contains(candidate) || candidate.refusesCalls(now) {
 			continue
 		}
-		if heed.bars(candidate, now) {
+		if excluded.excludes(candidate, now) {
 			continue
 		}
 		return candidate
@@ -144,31 +147,31 @@
 	return nil
 }
 
-// ChooseKeyed picks by the hash of a request key, so that two sendings of one
-// operation meet at the same gate, which refuses the second. It heeds load no
-// more than ejection does. With membership changing it is a help only.
+// ChooseByRequestKey picks by the hash of a request key and ignores load and ejections,
+// so that two requests for one operation reach the same gate, which refuses the
+// second. This is best effort: a membership change can move a key.
 func (s *Set) ChooseByRequestKey(now time.Duration, key uint64, tried Tried) *Endpoint {
-	best := s.firstRanked(now, key, tried, heeded{})
+	best := s.highestRanked(now, key, tried, exclusions{})
 	if best == nil {
 		return s.Choose(now, key, tried)
 	}
 	return best
 }
 
-// ChooseRanked picks by the hash of what is sent, so that all callers' sides send it to the
-// same gate, whatever the load there. Other than with a request key, a gate that does not
-// answer is passed over.
+// ChooseByContentHash picks by the hash of the request content and ignores load, so that all
+// daemons send equal requests to the same gate. Unlike with a request key, ejected
+// endpoints are skipped.
 func (s *Set) ChooseByContentHash(now time.Duration, key uint64, tried Tried) *Endpoint {
-	best := s.firstRanked(now, key, tried, heeded{ejections: true})
+	best := s.highestRanked(now, key, tried, exclusions{ejected: true})
 	if best == nil {
 		return s.Choose(now, key, tried)
 	}
 	return best
 }
 
-// firstRanked is the first by rendezvous hashing of those that may be used, outside of the
-// own region only if there is none inside.
-func (s *Set) firstRanked(now time.Duration, key uint64, tried Tried, heed heeded) *Endpoint {
+// highestRanked returns the usable endpoint with the highest rendezvous hash. Endpoints of
+// other regions are used only if the own region has none.
+func (s *Set) highestRanked(now time.Duration, key uint64, tried Tried, excluded exclusions) *Endpoint {
 	var best *Endpoint
 	var bestHash uint64
 	for distance, tier := range s.tiers {
@@ -176,10 +179,10 @@
 			break
 		}
 		for _, candidate := range tier {
-			if tried.has(candidate) || candidate.shut(now) || heed.bars(candidate, now) {
+			if tried.contains(candidate) || candidate.refusesCalls(now) || excluded.excludes(candidate, now) {
 				continue
 			}
-			if hash := keyedHash(key, candidate.Backend); best == nil || hash > bestHash {
+			if hash := rendezvousHash(key, candidate.Backend); best == nil || hash > bestHash {
 				best = candidate
 				bestHash = hash
 			}
@@ -188,21 +191,22 @@
 	return best
 }
 
-// ChooseInTurn takes the endpoints one after the other, whatever their load
-// and place. It is for comparisons only.
+// ChooseRoundRobin picks endpoints round robin, regardless of load and distance. It
+// is a baseline for comparisons only.
 func (s *Set) ChooseRoundRobin(now time.Duration, turn uint64, tried Tried) *Endpoint {
 	if s.usable == 0 {
 		return nil
 	}
 	for step := range uint64(s.usable) {
 		candidate := s.nth(int((turn + step) % uint64(s.usable)))
-		if !tried.has(candidate) && !candidate.shut(now) {
+		if !tried.contains(candidate) && !candidate.refusesCalls(now) {
 			return candidate
 		}
 	}
 	return s.nth(int(turn % uint64(s.usable)))
 }
 
+// nth returns the usable endpoint at an index, counted across the tiers.
 func (s *Set) nth(index int) *Endpoint {
 	for _, tier := range s.tiers {
 		if index < len(tier) {
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -1,7 +1,7 @@
-// Package endpoint keeps what a callers' side knows of the back ends of a
-// service and chooses one for each call. A set is immutable and replaced
-// whole; the counts of an endpoint are atomics that outlive the sets. It reads
-// no clock and draws no random numbers; both are passed in.
+// Package endpoint keeps the calling daemon's view of the back ends of a service
+// and chooses one for each call. A set is immutable and replaced as a whole; the
+// statistics of an endpoint are atomics shared by successive sets. The package
+// reads no clock and draws no random numbers; both are passed in.
 package endpoint
 
 import (
@@ -14,269 +14,277 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// The rules by which evidence is weighed.
+// Parameters of load estimation, warm-up and ejection.
 const (
-	// warmUp is how long a cold endpoint takes to get its full share.
-	warmUp = 10 * time.Second
-	// coldShare is the share of an endpoint that has just come.
-	coldShare = 0.1
-	// warmingShare is the most that an endpoint gets while it says itself that
-	// it is warming.
-	warmingShare = 0.5
-	// reportLife is when a load report counts for nothing any more.
-	reportLife = 2 * time.Second
-	// leavingLife is how long a gate's refusal to take new work stands against
-	// the member record known then. A newer record ends it earlier.
-	leavingLife = 5 * time.Second
-	// refusalLife and refusalLoad keep calls from a gate that has just refused
-	// one for load while there are others. Its queue may be short because its
-	// back end is slow, and would draw the calls that it then refuses.
-	refusalLife = 200 * time.Millisecond
-	refusalLoad = 100
-	// brokenLimit and errorLimit are the consecutive broken calls, and answers
-	// of server error, after which an endpoint is ejected. One failure to
-	// connect is enough.
+	// warmUpPeriod is the time in which a new endpoint's share of calls rises to 1.
+	warmUpPeriod = 10 * time.Second
+	// initialShare is the share of calls of an endpoint that has just been added.
+	initialShare = 0.1
+	// maxWarmingShare is the largest share of an endpoint that reports that it is
+	// warming up.
+	maxWarmingShare = 0.5
+	// reportLifetime is the age at which a load report is ignored.
+	reportLifetime = 2 * time.Second
+	// notAcceptingPeriod is how long an endpoint is avoided after its gate refused new
+	// calls. A newer member record ends it earlier.
+	notAcceptingPeriod = 5 * time.Second
+	// overloadPeriod is how long overloadPenalty is added to the load of an endpoint
+	// whose gate refused a call for load, so that other endpoints are preferred.
+	// The queue of a slow back end may be short; without the addition it would
+	// attract calls only to refuse them.
+	overloadPeriod  = 200 * time.Millisecond
+	overloadPenalty = 100
+	// brokenLimit and errorLimit are the numbers of broken calls and of server
+	// errors without a success in between after which an endpoint is ejected. A
+	// failure to connect ejects at once.
 	brokenLimit = 3
 	errorLimit  = 10
-	// ejectionUnit is the first ejection; each one after it without a success
-	// between doubles, up to ejectionLimit.
-	ejectionUnit  = time.Second
-	ejectionLimit = 30 * time.Second
+	// firstEjection is the duration of the first ejection. It doubles with each
+	// further ejection, up to maxEjection, until a call succeeds.
+	firstEjection = time.Second
+	maxEjection   = 30 * time.Second
 )
 
-// Endpoint is one back end as a set knows it. It is immutable but for Stats.
+// Endpoint is one back end in a set. It is immutable except for its statistics.
 type Endpoint struct {
 	Service resource.ServiceRef
 	Backend string
-	// Address is the data address of the daemon beside it.
+	// Address is the data address of the back end's daemon.
 	Address string
 	Region  string
 	Zone    string
 	Slots   int
 	// Software is the version of the back end's software; empty when not known.
 	Software string
-	// Born is when the back end started by its own word; 0 when it does not tell.
+	// Born is the start time that the back end reports; 0 if it reports none.
 	Born int64
-	// Node, Incarnation and Sequence are those of the daemon's own record; zero
-	// when the daemon has not been heard of.
+	// Node, Incarnation and Sequence are taken from the daemon's member record;
+	// they are zero while no record is known.
 	Node        protocol.NodeID
 	Incarnation protocol.Incarnation
 	Sequence    uint64
-	// State is what the daemon says of its back end; EndpointNone when it has
-	// not been heard of.
+	// State is the state that the daemon reports for its back end; EndpointNone
+	// while no record is known.
 	State protocol.EndpointState
-	// ColdRate is how many calls a second it bears while it is cold; 0 when not stated.
+	// ColdRate is the calls per second that the back end can serve while it is cold; 0
+	// if not configured.
 	ColdRate float64
-	// Doubted is set while the daemon is silent or not heard of yet.
+	// Doubted is set while the daemon is suspected to have failed or has no member
+	// record yet.
 	Doubted bool
 
 	stats *stats
 }
 
-// stats is what the calls of this process have met at an endpoint. It belongs
-// to one incarnation of the daemon beside it. It fills two cache lines: neighbours on one
-// would slow each other down.
+// stats holds the statistics of this process's calls to an endpoint. They are replaced when
+// the back end or, without Locality.TrustStates, its daemon restarts. The struct fills two
+// cache lines, which avoids false sharing between endpoints.
 type stats struct {
 	outstanding atomic.Int64
-	// others is the load of other callers when last reported, float64 bits.
-	others     atomic.Uint64
+	// otherCalls is the number of other callers' calls computed from the last load report,
+	// as float64 bits; reportedAt is when that report was received.
+	otherCalls atomic.Uint64
 	reportedAt atomic.Int64
-	// service is the gate's mean service time, in nanoseconds.
-	service atomic.Int64
-	// failures and errors count since the last success.
-	failures     atomic.Int64
-	errors       atomic.Int64
+	// serviceTime is the gate's mean service time, in nanoseconds.
+	serviceTime atomic.Int64
+	// brokenCalls and serverErrors count since the last success.
+	brokenCalls  atomic.Int64
+	serverErrors atomic.Int64
 	ejections    atomic.Int64
 	ejectedUntil atomic.Int64
-	// leavingUntil and leavingSequence hold a refusal to take new work.
-	leavingUntil    atomic.Int64
-	leavingSequence atomic.Uint64
-	// recordAt is when the present record of the daemon came.
-	recordAt atomic.Int64
-	// noStartUntil is until when the gate of a cold back end has no start for calls of each class.
-	noStartUntil [warmup.ClassCount]atomic.Int64
-	// refusingUntil holds a refusal for load.
-	refusingUntil atomic.Int64
-	// readyAt is when the endpoint was first seen by this process.
-	readyAt atomic.Int64
+	// notAcceptingUntil is until when the endpoint is avoided after a refusal of new calls,
+	// notAcceptingSequence the sequence of the member record at that time.
+	notAcceptingUntil    atomic.Int64
+	notAcceptingSequence atomic.Uint64
+	// recordReceivedAt is when the daemon's current member record was received.
+	recordReceivedAt atomic.Int64
+	// coldUntil is, for each class, until when the gate of a cold back end accepts no call.
+	coldUntil [warmup.ClassCount]atomic.Int64
+	// overloadedUntil is until when overloadPenalty is added after a refusal for load.
+	overloadedUntil atomic.Int64
+	// warmUpStartedAt is the time from which the warm-up is counted.
+	warmUpStartedAt atomic.Int64
 }
 
-// Outcome is how a call at an endpoint ended, as evidence.
+// Outcome is the result of a call as far as it concerns the health of the endpoint.
 type Outcome int
 
 // The outcomes of calls.
 const (
-	// Fine: an answer of the back end.
+	// Succeeded means that the back end answered.
 	Succeeded Outcome = iota + 1
-	// ServerError: an answer that the back end failed.
+	// ServerError means that the back end answered with a server error.
 	ServerError
-	// Unreachable: no connection could be made.
+	// Unreachable means that no connection could be made.
 	Unreachable
-	// Broken: the connection broke or the time ran out.
+	// Broken means that the connection broke or the call timed out.
 	Broken
-	// Leaving: the gate takes no new work or is not that back end.
+	// NotAccepting means that the gate accepts no new calls or belongs to another back end.
 	NotAccepting
-	// Full: the gate refused the call for load.
+	// Overloaded means that the gate refused the call for load.
 	Overloaded
-	// Withdrawn: the caller hung up, which says nothing of the endpoint.
+	// Cancelled means that the caller cancelled; it does not affect the endpoint.
 	Cancelled
 )
 
-// Begin counts a call sent to the endpoint; End must follow.
+// Begin counts a call sent to the endpoint. Each Begin must be followed by an End.
 func (e *Endpoint) Begin() { e.stats.outstanding.Add(1) }
 
-// End counts the end of a call and weighs its outcome.
+// End counts the end of a call and updates the endpoint's health by its outcome.
 func (e *Endpoint) End(now time.Duration, outcome Outcome) {
 	e.stats.outstanding.Add(-1)
 	switch outcome {
 	case Succeeded:
-		e.stats.success()
+		e.stats.clearFailures()
 	case ServerError:
-		if e.stats.errors.Add(1) >= errorLimit {
+		if e.stats.serverErrors.Add(1) >= errorLimit {
 			e.stats.eject(now)
 		}
 	case Unreachable:
 		e.stats.eject(now)
 	case Broken:
-		if e.stats.failures.Add(1) >= brokenLimit {
+		if e.stats.brokenCalls.Add(1) >= brokenLimit {
 			e.stats.eject(now)
 		}
 	case Overloaded:
-		e.stats.refusingUntil.Store(int64(now + refusalLife))
+		e.stats.overloadedUntil.Store(int64(now + overloadPeriod))
 	case NotAccepting:
-		e.stats.leavingSequence.Store(e.Sequence)
-		e.stats.leavingUntil.Store(int64(now + leavingLife))
+		e.stats.notAcceptingSequence.Store(e.Sequence)
+		e.stats.notAcceptingUntil.Store(int64(now + notAcceptingPeriod))
 	}
 }
 
-// RecordAge is how long ago the daemon's present record came.
+// RecordAge returns the time since the daemon's current member record was received.
 func (e *Endpoint) RecordAge(now time.Duration) time.Duration {
-	return now - time.Duration(e.stats.recordAt.Load())
+	return now - time.Duration(e.stats.recordReceivedAt.Load())
 }
 
-// SetReachable says whether the daemon beside the back end answers its peers.
-// While it does not, calls go elsewhere, if there is an elsewhere.
+// SetReachable records whether the back end's daemon answers its peers. While it does
+// not, the endpoint is ejected.
 func (e *Endpoint) SetReachable(reachable bool) {
 	if reachable {
-		e.stats.success()
+		e.stats.clearFailures()
 		return
 	}
 	e.stats.ejectedUntil.Store(math.MaxInt64)
 }
 
-// Outstanding is the number of this process's calls at the endpoint.
+// Outstanding returns the number of this process's calls in flight to the endpoint.
 func (e *Endpoint) Outstanding() int { return int(e.stats.outstanding.Load()) }
 
-// success clears the counts of failure. It writes only what is not clear, so
-// that the usual case leaves the cache line shared.
-func (s *stats) success() {
-	for _, counter := range [...]*atomic.Int64{&s.failures, &s.errors, &s.ejections, &s.ejectedUntil} {
+// clearFailures resets the failure counters and ends an ejection. It writes only non-zero
+// counters, so that the cache line usually stays shared between processors.
+func (s *stats) clearFailures() {
+	for _, counter := range [...]*atomic.Int64{&s.brokenCalls, &s.serverErrors, &s.ejections, &s.ejectedUntil} {
 		if counter.Load() != 0 {
 			counter.Store(0)
 		}
 	}
 }
 
-// eject keeps new calls away for a time that doubles with each ejection. Calls
-// that fail together count once.
+// eject excludes the endpoint from choices for a time that doubles with each ejection.
+// Failures during an ejection do not extend it.
 func (s *stats) eject(now time.Duration) {
 	until := s.ejectedUntil.Load()
 	if int64(now) < until {
 		return
 	}
 	doublings := min(s.ejections.Load(), 5)
-	next := now + min(ejectionUnit<<doublings, ejectionLimit)
+	next := now + min(firstEjection<<doublings, maxEjection)
 	if s.ejectedUntil.CompareAndSwap(until, int64(next)) {
 		s.ejections.Add(1)
 	}
 }
 
-// Report is a load report from the daemon beside the back end.
+// LoadReport is a load report from the back end's daemon.
 type LoadReport struct {
-	// Running and Queued are the gate's own counts, at the sending.
+	// Running and Queued are the gate's counts of calls when the report was sent.
 	Running int
 	Queued  int
-	// Service is the gate's mean service time; 0 when not known.
+	// Service is the mean service time that the gate measured; 0 if unknown.
 	Service time.Duration
-	// Own is what the back end says of its load, in calls; negative when it
-	// says nothing. It may lie, so it only ever adds to what the gate counts.
+	// Own is the load that the back end itself reports, in calls; negative if it
+	// reports none. It is not trusted, so it can only raise the gate's count.
 	Own float64
-	// OwnAge is how old Own was at the sending.
+	// OwnAge is the age of Own when the report was sent.
 	OwnAge time.Duration
 }
 
-// Learn takes a load report that came with an answer, before End of that call.
+// ApplyLoadReport applies a load report received with the response to a call. It must be called
+// before End of that call.
 func (e *Endpoint) ApplyLoadReport(now time.Duration, report LoadReport) {
 	counted := float64(report.Running + report.Queued)
-	others := max(0, counted-float64(e.stats.outstanding.Load()))
-	unseen := min(max(0, report.Own-counted), float64(e.Slots))
-	others += unseen * freshness(report.OwnAge)
-	e.stats.others.Store(math.Float64bits(others))
+	otherCalls := max(0, counted-float64(e.stats.outstanding.Load()))
+	uncounted := min(max(0, report.Own-counted), float64(e.Slots))
+	otherCalls += uncounted * reportWeight(report.OwnAge)
+	e.stats.otherCalls.Store(math.Float64bits(otherCalls))
 	e.stats.reportedAt.Store(int64(now))
 	if report.Service > 0 {
-		e.stats.service.Store(int64(report.Service))
+		e.stats.serviceTime.Store(int64(report.Service))
 	}
 }
 
-// freshness falls from 1 to 0 over the life of a report.
-func freshness(age time.Duration) float64 {
-	return min(1, max(0, 1-float64(age)/float64(reportLife)))
+// reportWeight returns the weight of a load report, which falls from 1 to 0 over reportLifetime.
+func reportWeight(age time.Duration) float64 {
+	return min(1, max(0, 1-float64(age)/float64(reportLifetime)))
 }
 
-// load is the expected number of calls at the endpoint with one more, divided
-// by its slots and its share: the number that choices compare.
+// load returns the load by which choices compare endpoints: the estimated number of calls
+// including the new one, divided by the slots that count by capacityShare, plus additions
+// for a doubted or overloaded endpoint.
 func (e *Endpoint) load(now time.Duration) float64 {
-	load := (e.calls(now) + 1) / (float64(max(e.Slots, 1)) * e.share(now))
+	load := (e.calls(now) + 1) / (float64(max(e.Slots, 1)) * e.capacityShare(now))
 	if e.Doubted {
 		load++
 	}
-	if e.refusing(now) {
-		load += refusalLoad
+	if e.overloaded(now) {
+		load += overloadPenalty
 	}
 	return load
 }
 
-// calls is the expected number of calls at the endpoint.
+// calls returns the estimated number of calls at the endpoint, from all callers.
 func (e *Endpoint) calls(now time.Duration) float64 {
 	calls := float64(e.stats.outstanding.Load())
-	if age := now - time.Duration(e.stats.reportedAt.Load()); age < reportLife {
-		calls += math.Float64frombits(e.stats.others.Load()) * freshness(age)
+	if age := now - time.Duration(e.stats.reportedAt.Load()); age < reportLifetime {
+		calls += math.Float64frombits(e.stats.otherCalls.Load()) * reportWeight(age)
 	}
 	return calls
 }
 
-// refusing tells whether the gate has just refused a call for load.
-func (e *Endpoint) refusing(now time.Duration) bool {
-	return int64(now) < e.stats.refusingUntil.Load()
+// overloaded reports whether the gate refused a call for load within overloadPeriod.
+func (e *Endpoint) overloaded(now time.Duration) bool {
+	return int64(now) < e.stats.overloadedUntil.Load()
 }
 
-// share rises from coldShare to 1 while the endpoint warms up.
-func (e *Endpoint) share(now time.Duration) float64 {
-	age := now - time.Duration(e.stats.readyAt.Load())
+// capacityShare returns the fraction of its slots that the endpoint counts for. It rises from
+// initialShare to 1 during the warm-up.
+func (e *Endpoint) capacityShare(now time.Duration) float64 {
+	age := now - time.Duration(e.stats.warmUpStartedAt.Load())
 	if e.ColdRate > 0 {
-		return e.shareWhileCold()
+		return e.coldCapacityShare()
 	}
-	if age >= warmUp && e.State != protocol.EndpointWarming {
+	if age >= warmUpPeriod && e.State != protocol.EndpointWarming {
 		return 1
 	}
-	share := min(1, coldShare+(1-coldShare)*max(0, float64(age))/float64(warmUp))
+	share := min(1, initialShare+(1-initialShare)*max(0, float64(age))/float64(warmUpPeriod))
 	if e.State == protocol.EndpointWarming {
-		return min(share, warmingShare)
+		return min(share, maxWarmingShare)
 	}
 	return share
 }
 
-// leaving tells whether the gate refused new work and no newer word of its
-// own has come since.
-func (e *Endpoint) leaving(now time.Duration) bool {
-	return int64(now) < e.stats.leavingUntil.Load() && e.stats.leavingSequence.Load() >= e.Sequence
+// notAccepting reports whether the gate refused new calls within notAcceptingPeriod and the
+// sequence number of the member record has not risen since.
+func (e *Endpoint) notAccepting(now time.Duration) bool {
+	return int64(now) < e.stats.notAcceptingUntil.Load() && e.stats.notAcceptingSequence.Load() >= e.Sequence
 }
 
-// Ejected tells whether this process keeps calls away since it has met too many failures
-// here lately, or since the daemon does not answer.
+// Ejected reports whether this process sends no calls to the endpoint because of recent
+// failures or because its daemon does not answer.
 func (e *Endpoint) Ejected(now time.Duration) bool {
 	return int64(now) < e.stats.ejectedUntil.Load()
 }
 
-// degraded tells whether the gate says that its back end fails many calls.
+// degraded reports whether the member record states that the back end fails many calls.
 func (e *Endpoint) degraded() bool { return e.State == protocol.EndpointDegraded }
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -13,8 +13,8 @@
 
 var home = Locality{Region: "windhoek", Zone: "eros-hall"}
 
-// fixture makes back ends b0, b1, ... with their members, one for each zone
-// named.
+// fixture returns back ends b0, b1, ... and their member records, one for each zone
+// listed.
 func fixture(zones ...string) ([]resource.Backend, []protocol.Member) {
 	var backends []resource.Backend
 	var members []protocol.Member
@@ -42,8 +42,8 @@
 	return zones
 }
 
-// spread chooses many times, ending each call before the next, and counts.
-func spread(set *Set, now time.Duration, calls int) map[string]int {
+// countChoices counts the choices by back end over a number of calls, without calls in flight.
+func countChoices(set *Set, now time.Duration, calls int) map[string]int {
 	random := rand.New(rand.NewPCG(1, 2))
 	counts := map[string]int{}
 	for range calls {
@@ -53,7 +53,7 @@
 	return counts
 }
 
-func TestStateIsTheDaemonsOwnWord(t *testing.T) {
+func TestStateIsTakenFromTheMemberRecord(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(5)...)
 	members[0].Endpoint = protocol.EndpointDraining
@@ -61,16 +61,16 @@
 	members[2].State = protocol.MemberLeft
 	members[3].Endpoint = protocol.EndpointDown
 	set := Build(nil, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50), map[string]int{"b4": 50})
-	returned := members[1]
-	returned.Incarnation = 2
-	returned.State = protocol.MemberAlive
-	set = Build(set, home, backends, append(members, returned), 0)
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b4": 50})
+	restarted := members[1]
+	restarted.Incarnation = 2
+	restarted.State = protocol.MemberAlive
+	set = Build(set, home, backends, append(members, restarted), 0)
 	check.Equal(set.UsableCount(), 2)                                // the newer incarnation counts
-	check.Equal(Build(nil, home, backends, nil, 0).UsableCount(), 5) // none heard of yet
+	check.Equal(Build(nil, home, backends, nil, 0).UsableCount(), 5) // no records yet
 }
 
-func TestOwnCallsCountWhereNoLoadIsReported(t *testing.T) {
+func TestOwnCallsCountWithoutLoadReports(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(3)...)
 	set := Build(nil, home, backends, members, 0)
@@ -79,25 +79,25 @@
 		chosen := set.Choose(0, random.Uint64(), nil)
 		chosen.Begin()
 		if chosen.Backend == "b0" {
-			chosen.ApplyLoadReport(0, LoadReport{Own: -1}) // reports nothing, or zero for ever
+			chosen.ApplyLoadReport(0, LoadReport{Own: -1}) // always reports zero load
 		} else {
 			chosen.ApplyLoadReport(0, LoadReport{Running: chosen.Outstanding(), Own: -1})
 		}
 	}
-	for _, one := range set.All {
-		check.True(one.Outstanding() > 80 && one.Outstanding() < 120)
+	for _, endpoint := range set.All {
+		check.True(endpoint.Outstanding() > 80 && endpoint.Outstanding() < 120)
 	}
 }
 
-func TestReportedLoadOfOthersFades(t *testing.T) {
+func TestReportedLoadOfOtherCallersExpires(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
 	set.All[0].ApplyLoadReport(0, LoadReport{Running: 6, Queued: 3, Own: -1})
-	check.Equal(spread(set, 0, 100)["b0"], 0)
-	check.True(spread(set, reportLife, 100)["b0"] > 20)
-	set.All[1].ApplyLoadReport(reportLife, LoadReport{Own: 1e9}) // a lie adds at most the slots
-	check.True(set.All[1].load(reportLife) < 1.2)
+	check.Equal(countChoices(set, 0, 100)["b0"], 0)
+	check.True(countChoices(set, reportLifetime, 100)["b0"] > 20)
+	set.All[1].ApplyLoadReport(reportLifetime, LoadReport{Own: 1e9}) // a false report adds at most the slots
+	check.True(set.All[1].load(reportLifetime) < 1.2)
 }
 
 func TestSlowEndpointGetsFewerCalls(t *testing.T) {
@@ -113,9 +113,9 @@
 	check.Equal(set.All[0].Outstanding(), 10)
 }
 
-// TestFasterEndpointFillsFirst: a call waits only where all slots are taken, so the
-// faster one is better until then, and the less loaded of two alike.
-func TestFasterEndpointFillsFirst(t *testing.T) {
+// A call queues only when all slots are occupied: until then the faster endpoint is
+// preferred, and of two equally fast ones the less loaded.
+func TestFasterEndpointIsPreferredWhileItHasFreeSlots(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -127,38 +127,38 @@
 	}
 	check.Equal(set.All[1].Outstanding(), 6)
 	set.All[0].ApplyLoadReport(0, LoadReport{Own: -1, Service: 10 * time.Millisecond})
-	check.Equal(spread(set, 0, 50), map[string]int{"b0": 50})
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b0": 50})
 }
 
-func TestRefusalForLoadSendsCallsElsewhere(t *testing.T) {
+func TestOverloadedEndpointIsAvoided(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "olympia-hall")
 	set := Build(nil, home, backends, members, 0)
 	for range 20 {
-		set.All[1].Begin() // busy, but it takes calls
+		set.All[1].Begin() // busy, but accepting calls
 	}
 	set.All[0].Begin()
 	set.All[0].End(0, Overloaded)
-	check.Equal(spread(set, 0, 50), map[string]int{"b1": 50})
-	check.Equal(spread(set, refusalLife, 50), map[string]int{"b0": 50})
-	check.Equal(set.Choose(0, 0, Tried{set.All[1]}).Backend, "b0") // rather than none
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b1": 50})
+	check.Equal(countChoices(set, overloadPeriod, 50), map[string]int{"b0": 50})
+	check.Equal(set.Choose(0, 0, Tried{set.All[1]}).Backend, "b0") // the only one left
 }
 
 func TestZoneSpillsOverBeforeItOverloads(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone, "olympia-hall", "ludwigs-hall")
 	set := Build(nil, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50), map[string]int{"b0": 50})
+	check.Equal(countChoices(set, 0, 50), map[string]int{"b0": 50})
 	random := rand.New(rand.NewPCG(5, 6))
 	for range 18 {
 		set.Choose(0, random.Uint64(), nil).Begin()
 	}
-	for _, one := range set.All {
-		check.True(one.Outstanding() >= 4 && one.Outstanding() <= 8)
+	for _, endpoint := range set.All {
+		check.True(endpoint.Outstanding() >= 4 && endpoint.Outstanding() <= 8)
 	}
 }
 
-func TestEjectionHasAFloorAndEnds(t *testing.T) {
+func TestEjectionExpiresAndHasAFloor(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(4)...)
 	set := Build(nil, home, backends, members, 0)
@@ -167,29 +167,29 @@
 		set.All[index].End(0, outcome)
 	}
 	fail(0, Unreachable)
-	check.Equal(spread(set, 0, 100)["b0"], 0)
-	check.True(spread(set, ejectionUnit, 100)["b0"] > 10) // tried again
+	check.Equal(countChoices(set, 0, 100)["b0"], 0)
+	check.True(countChoices(set, firstEjection, 100)["b0"] > 10) // tried again
 	fail(1, Unreachable)
-	check.Equal(len(spread(set, 0, 100)), 2)
+	check.Equal(len(countChoices(set, 0, 100)), 2)
 	fail(2, Unreachable)
-	check.Equal(len(spread(set, 0, 200)), 4) // below the floor nothing is ejected
+	check.Equal(len(countChoices(set, 0, 200)), 4) // below the floor ejections are ignored
 }
 
-func TestRefusalToTakeWorkStandsUntilNewerWord(t *testing.T) {
+func TestRefusingEndpointIsAvoidedUntilANewerRecord(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
 	set.All[0].Begin()
 	set.All[0].End(0, NotAccepting)
-	check.Equal(spread(set, 0, 50)["b0"], 0)
+	check.Equal(countChoices(set, 0, 50)["b0"], 0)
 	set = Build(set, home, backends, members, 0)
-	check.Equal(spread(set, 0, 50)["b0"], 0) // the same record again changes nothing
+	check.Equal(countChoices(set, 0, 50)["b0"], 0) // the record is unchanged
 	members[0].Sequence++
 	set = Build(set, home, backends, members, 0)
-	check.True(spread(set, 0, 50)["b0"] > 10)
+	check.True(countChoices(set, 0, 50)["b0"] > 10)
 }
 
-func TestColdEndpointGetsItsShareSlowly(t *testing.T) {
+func TestShareOfANewEndpointRises(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -200,10 +200,10 @@
 		set.Choose(0, random.Uint64(), nil).Begin()
 	}
 	check.True(set.All[0].Outstanding() <= 2)
-	check.True(set.All[0].share(warmUp) == 1)
+	check.True(set.All[0].capacityShare(warmUpPeriod) == 1)
 }
 
-func TestTriedEndpointsComeLast(t *testing.T) {
+func TestTriedEndpointsAreChosenLast(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -211,11 +211,11 @@
 	rebuilt := Build(set, home, backends, members, 0)
 	check.Equal(rebuilt.Choose(0, 0, Tried{set.All[0]}).Backend, "b1")
 	check.True(!set.HasUntried(0, set.All))
-	check.True(set.Choose(0, 0, set.All) != nil) // rather again than not at all
+	check.True(set.Choose(0, 0, set.All) != nil) // all tried: one is tried again
 	check.True(Build(nil, home, nil, nil, 0).Choose(0, 0, nil) == nil)
 }
 
-func TestKeysKeepTheirEndpoint(t *testing.T) {
+func TestRequestKeysKeepTheirEndpoint(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(7)...)
 	set := Build(nil, home, backends, members, 0)
@@ -240,9 +240,9 @@
 	backends, members := fixture(sameZone(count)...)
 	set := Build(nil, home, backends, members, 0)
 	b.ReportAllocs()
-	b.RunParallel(func(loop *testing.PB) {
+	b.RunParallel(func(parallel *testing.PB) {
 		random := rand.New(rand.NewPCG(9, rand.Uint64()))
-		for loop.Next() {
+		for parallel.Next() {
 			chosen := set.Choose(time.Second, random.Uint64(), nil)
 			chosen.Begin()
 			chosen.End(time.Second, Succeeded)
@@ -250,20 +250,20 @@
 	})
 }
 
-// BenchmarkChoose measures choice, begin and end, which write one counter of
-// the endpoint that was chosen.
+// BenchmarkChoose measures Choose, Begin and End, which write one counter of the chosen
+// endpoint.
 func BenchmarkChoose(b *testing.B) { benchmarkChoose(b, 7) }
 
 func BenchmarkChooseOf100(b *testing.B) { benchmarkChoose(b, 100) }
 
-// BenchmarkChooseOnly measures the choice alone, which writes nothing.
+// BenchmarkChooseOnly measures Choose alone, which writes nothing.
 func BenchmarkChooseOnly(b *testing.B) {
 	backends, members := fixture(sameZone(7)...)
 	set := Build(nil, home, backends, members, 0)
 	b.ReportAllocs()
-	b.RunParallel(func(loop *testing.PB) {
+	b.RunParallel(func(parallel *testing.PB) {
 		random := rand.New(rand.NewPCG(9, rand.Uint64()))
-		for loop.Next() {
+		for parallel.Next() {
 			set.Choose(time.Second, random.Uint64(), nil)
 		}
 	})
@@ -274,30 +274,30 @@
 	backends, members := fixture(sameZone(4)...)
 	members[0].Endpoint = protocol.EndpointDegraded
 	set := Build(nil, home, backends, members, 0)
-	counts := spread(set, time.Hour, 300)
+	counts := countChoices(set, time.Hour, 300)
 	check.Equal(counts["b0"], 0)
 	check.Equal(len(counts), 3)
 
 	tried := Tried{set.All[1], set.All[2], set.All[3]}
-	check.Equal(set.Choose(time.Hour, 1, tried).Backend, "b0") // better than no answer
+	check.Equal(set.Choose(time.Hour, 1, tried).Backend, "b0") // the only one untried
 }
 
-func TestTroubleThatIsCommonEjectsNobody(t *testing.T) {
+func TestWidespreadDegradationIsIgnored(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(6)...)
 	for index := range 3 {
 		members[index].Endpoint = protocol.EndpointDegraded
 	}
 	set := Build(nil, home, backends, members, 0)
-	check.Equal(len(spread(set, time.Hour, 600)), 6)
+	check.Equal(len(countChoices(set, time.Hour, 600)), 6)
 	set.All[5].Begin()
-	set.All[5].End(time.Hour, Unreachable) // what this process met itself is heeded all the same
-	check.Equal(len(spread(set, time.Hour, 600)), 5)
+	set.All[5].End(time.Hour, Unreachable) // this process's own ejections still apply
+	check.Equal(len(countChoices(set, time.Hour, 600)), 5)
 }
 
-// TestOthersThatRefuseAreNotAsked: an endpoint that has just refused a call for load
-// counts as none that might take another, for a while.
-func TestOthersThatRefuseAreNotAsked(t *testing.T) {
+// An endpoint that has just refused a call for load does not count as able to accept
+// another one.
+func TestOverloadedEndpointDoesNotCountAsAlternative(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
 	set := Build(nil, home, backends, members, 0)
@@ -307,25 +307,25 @@
 	set.All[1].End(0, Overloaded)
 	check.True(!set.HasUntriedWithCapacity(0, tried))
 	check.True(set.HasUntried(0, tried))
-	check.True(set.HasUntriedWithCapacity(refusalLife, tried))
+	check.True(set.HasUntriedWithCapacity(overloadPeriod, tried))
 }
 
-// Endpoints whose load nobody has told of lately get calls in about the proportion of
-// their speeds, and the fastest not all that meet it.
-func TestEndpointsOfUnknownLoadGetWhatTheirSpeedIsWorth(t *testing.T) {
+// Endpoints with outdated load reports receive calls roughly in proportion to their speed.
+// The fastest does not receive every call for which it is drawn.
+func TestOutdatedLoadReportsGiveCallsInProportionToSpeed(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(30)...)
 	set := Build(nil, home, backends, members, 0)
 	speeds := []float64{0.6, 1.0, 1.4}
-	for index, one := range set.All {
+	for index, endpoint := range set.All {
 		service := time.Duration(float64(100*time.Millisecond) / speeds[index%len(speeds)])
-		one.ApplyLoadReport(0, LoadReport{Running: 1, Own: -1, Service: service})
+		endpoint.ApplyLoadReport(0, LoadReport{Running: 1, Own: -1, Service: service})
 	}
 	const calls = 60_000
-	counts := spread(set, time.Minute, calls)
+	counts := countChoices(set, time.Minute, calls)
 	shares := make([]float64, len(speeds))
-	for index, one := range set.All {
-		shares[index%len(speeds)] += float64(counts[one.Backend]) * float64(len(speeds)) / calls
+	for index, endpoint := range set.All {
+		shares[index%len(speeds)] += float64(counts[endpoint.Backend]) * float64(len(speeds)) / calls
 	}
 	for index, share := range shares {
 		check.True(share > 0.9*speeds[index])
@@ -333,26 +333,26 @@
 	}
 }
 
-// A back end that starts again has failed nobody yet.
-func TestANewStartForgetsWhatCallsMet(t *testing.T) {
+// Failures before a back end's restart do not count after it.
+func TestRestartResetsFailures(t *testing.T) {
 	check := is.New(t)
-	trusting := home
-	trusting.TrustStates = true
+	locality := home
+	locality.TrustStates = true
 	backends, members := fixture(sameZone(4)...)
 	members[0].Born = 100
-	set := Build(nil, trusting, backends, members, 0)
+	set := Build(nil, locality, backends, members, 0)
 	set.All[0].Begin()
 	set.All[0].End(0, Unreachable)
-	check.Equal(spread(set, 0, 100)["b0"], 0)
-	set = Build(set, trusting, backends, members, 0)
-	check.Equal(spread(set, 0, 100)["b0"], 0) // the same start
+	check.Equal(countChoices(set, 0, 100)["b0"], 0)
+	set = Build(set, locality, backends, members, 0)
+	check.Equal(countChoices(set, 0, 100)["b0"], 0) // not restarted
 	members[0].Born = 200
-	set = Build(set, trusting, backends, members, 0)
-	check.True(spread(set, 0, 100)["b0"] > 10)
+	set = Build(set, locality, backends, members, 0)
+	check.True(countChoices(set, 0, 100)["b0"] > 10)
 }
 
-// Where the records of two daemons name a back end, it is where it started last.
-func TestTheNewerStartOfABackEndHolds(t *testing.T) {
+// If the records of two daemons name the same back end, the one with the later start is used.
+func TestRecordWithTheLaterStartIsUsed(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(home.Zone)
 	moved := members[0]
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -9,31 +9,32 @@
 	"pgregory.net/rapid"
 )
 
-// meshSizes are the numbers of daemons that the tests divide a budget among.
+// meshSizes are the numbers of daemons among which the tests divide a budget.
 var meshSizes = []int{13, 74, 295, 1000}
 
 const (
 	testWindow = 10 * time.Second
-	// allowedRatio and allowedSlack are what all daemons may retry together in any
+	// allowedRatio and allowedSlack bound the retries of all daemons together in any
 	// window.
 	allowedRatio = 0.2
 	allowedSlack = 630
 )
 
-// partOf is the budget of one daemon among many.
-func partOf(daemons int) Limits {
+// limitsOfOneDaemon returns the limits of each of the daemons that share allowedRatio and
+// allowedSlack in a chain of two services.
+func limitsOfOneDaemon(daemons int) Limits {
 	return LimitsForChain(allowedRatio, allowedSlack, 2, daemons, testWindow)
 }
 
-// A call that is not urgent can be sent again by a daemon among any number, once
-// the daemon has made some calls.
-func TestADaemonAmongManyMayRetryCallsThatAreNotUrgent(t *testing.T) {
+// However many daemons share the budget, a daemon can retry a call that is not urgent
+// after a few seconds of calls.
+func TestDaemonOfALargeMeshCanRetryOrdinaryCalls(t *testing.T) {
 	for _, daemons := range meshSizes {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			check := is.New(t)
-			budget := NewBudgetWithLimits(partOf(daemons))
+			budget := NewBudgetWithLimits(limitsOfOneDaemon(daemons))
 			now := time.Duration(0)
-			for range 40 { // four seconds of ten calls
+			for range 40 { // four seconds with ten calls each
 				now += 100 * time.Millisecond
 				budget.Deposit(now, 0)
 			}
@@ -42,8 +43,8 @@
 	}
 }
 
-// What calls have earned does not outlive the window.
-func TestEarningsLapse(t *testing.T) {
+// Retries earned by calls expire with the window.
+func TestEarnedRetriesExpire(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Ratio: 0.5, Window: testWindow})
 	for range 20 {
@@ -53,34 +54,36 @@
 	check.True(!budget.Withdraw(25*time.Second, 0, 1, true))
 }
 
-// meshRun is many daemons with a budget each, and what they have called and
-// retried in each tenth of a second.
-type meshRun struct {
+// meshSimulation simulates daemons with one budget each and counts their calls and retries in
+// each tick.
+type meshSimulation struct {
 	budgets []*Budget
 	calls   []int
 	retries []int
 }
 
+// testTick is the length of a simulated tick.
 const testTick = 100 * time.Millisecond
 
-// step plays one tick: calls at drawn daemons, of which a share fails and is sent
-// again as often as the budget allows.
-func (m *meshRun) step(t *rapid.T, calls int, failing bool) {
+// step simulates one tick of calls at drawn daemons. If failing is set, each call is retried
+// as often as the budget allows.
+func (m *meshSimulation) step(t *rapid.T, calls int, failing bool) {
 	now := time.Duration(len(m.calls)) * testTick
-	seed := rapid.IntRange(0, len(m.budgets)-1).Draw(t, "daemon")
+	firstDaemon := rapid.IntRange(0, len(m.budgets)-1).Draw(t, "daemon")
 	stride := rapid.IntRange(1, len(m.budgets)).Draw(t, "stride")
-	retried := 0
+	retries := 0
 	for call := range calls {
-		budget := m.budgets[(seed+call*stride)%len(m.budgets)]
+		budget := m.budgets[(firstDaemon+call*stride)%len(m.budgets)]
 		budget.Deposit(now, 0)
 		for failing && budget.Withdraw(now, 0, 1, call%3 == 0) {
-			retried++
+			retries++
 		}
 	}
 	m.calls = append(m.calls, calls)
-	m.retries = append(m.retries, retried)
+	m.retries = append(m.retries, retries)
 }
 
+// sum returns the total of the counts from index from up to index to.
 func sum(counts []int, from, to int) (total int) {
 	for _, count := range counts[max(0, from):max(0, min(to, len(counts)))] {
 		total += count
@@ -88,36 +91,37 @@
 	return total
 }
 
-// All daemons together stay within the ratio and the slack in every window, with
-// whatever calls, failures and number of daemons. The calls of a window count as
-// those of the window before it where these are more.
-func TestTheMeshStaysWithinTheBudgetInEveryWindow(t *testing.T) {
+// The retries of all daemons together stay within the ratio and the slack in every window,
+// for any calls, failures and number of daemons. The allowed number follows from
+// the largest number of calls in the same window, the one before it or the one halfway
+// between them.
+func TestMeshStaysWithinTheBudgetInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
 		daemons := rapid.SampledFrom(meshSizes).Draw(t, "daemons")
-		run := &meshRun{}
+		simulation := &meshSimulation{}
 		for range daemons {
-			run.budgets = append(run.budgets, NewBudgetWithLimits(partOf(daemons)))
+			simulation.budgets = append(simulation.budgets, NewBudgetWithLimits(limitsOfOneDaemon(daemons)))
 		}
 		for range rapid.IntRange(1, 8).Draw(t, "phases") {
 			calls := rapid.IntRange(0, 200).Draw(t, "calls")
 			failing := rapid.Bool().Draw(t, "failing")
 			for range rapid.IntRange(1, 80).Draw(t, "ticks") {
-				run.step(t, calls, failing)
+				simulation.step(t, calls, failing)
 			}
 		}
 		window := int(testWindow / testTick)
-		for at := range run.calls {
-			requests := max(sum(run.calls, at, at+window), sum(run.calls, at-window, at), sum(run.calls, at-window/2, at+window/2))
+		for start := range simulation.calls {
+			requests := max(sum(simulation.calls, start, start+window), sum(simulation.calls, start-window, start), sum(simulation.calls, start-window/2, start+window/2))
 			allowed := allowedRatio*float64(requests) + allowedSlack
-			check.True(float64(sum(run.retries, at, at+window)) <= allowed)
+			check.True(float64(sum(simulation.retries, start, start+window)) <= allowed)
 		}
 	})
 }
 
-// Calls on trial leave half of what is allowed to others, and give back what they did
-// not need.
-func TestCallsOnTrialLeaveRetriesToOthers(t *testing.T) {
+// Calls to a version on trial leave half of the budget to other calls and refund unused
+// retries.
+func TestTrialCallsLeaveRetriesToOtherCalls(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Part: 8, Window: testWindow})
 	policy := Policy{Repeatable: true, Attempts: 3, Deadline: time.Hour}
@@ -132,20 +136,20 @@
 	}
 	check.True(!budget.Withdraw(time.Second, 0, 1, true))
 	failed := Outcome{Kind: Broken, Replayable: true, Others: true}
-	check.Equal(trials[0].Next(2*time.Second, failed).Action, Send) // paid for
+	check.Equal(trials[0].Next(2*time.Second, failed).Action, Send) // charged in advance
 	for _, trial := range trials {
 		trial.ReleaseTrialRetry()
-		trial.ReleaseTrialRetry() // once is enough
+		trial.ReleaseTrialRetry() // no second refund
 	}
-	for range 3 { // the fourth was used
+	for range 3 { // the fourth retry was used
 		check.True(budget.Withdraw(3*time.Second, 0, 1, true))
 	}
 	check.True(!budget.Withdraw(3*time.Second, 0, 1, true))
 }
 
-// A call that may not be repeated is put on trial without paying, one that has no second
-// attempt is not.
-func TestWhichCallsMayBePutOnTrial(t *testing.T) {
+// A call that is not repeatable may go to a version on trial without charge. A repeatable
+// one that can't be retried may not.
+func TestReserveTrialRetryByPolicy(t *testing.T) {
 	check := is.New(t)
 	empty := NewBudgetWithLimits(Limits{Window: testWindow})
 	check.True(NewCall(Policy{Attempts: 3}, empty).ReserveTrialRetry(0))
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -21,7 +21,7 @@
 	return NewCall(policy, NewBudget())
 }
 
-func TestNonRepeatableIsSentAgainOnlyIfItDidNotRun(t *testing.T) {
+func TestNonRepeatableCallIsResentOnlyIfItDidNotRun(t *testing.T) {
 	draining := Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true, Others: true}
 	cases := []struct {
 		name    string
@@ -47,57 +47,57 @@
 		{"no endpoint", Outcome{Kind: NoEndpoint}, Step{Action: Refuse, Code: result.NoEndpoint, Ran: result.RanNo, RetryAfter: defaultRetryAfter}},
 		{"answered 503", Outcome{Kind: Answered, Replayable: true, Others: true}, Step{Action: Deliver}},
 	}
-	for _, given := range cases {
-		t.Run(given.name, func(t *testing.T) {
-			is.New(t).Equal(newCall(Policy{}).Next(0, given.outcome), given.want)
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			is.New(t).Equal(newCall(Policy{}).Next(0, testCase.outcome), testCase.want)
 		})
 	}
 }
 
-func TestDeadlineTellsWhetherItRan(t *testing.T) {
+func TestDeadlineCodeStatesWhetherTheCallRan(t *testing.T) {
 	check := is.New(t)
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true, Others: true}
 	check.Equal(newCall(Policy{Deadline: 1}).Next(2, refusal).Code, result.DeadlineBeforeStart)
 	check.Equal(newCall(Policy{Deadline: 1}).Next(2, Outcome{Kind: Broken}).Code, result.DeadlineInFlight)
 }
 
-func TestLaterRefusalDoesNotHideAnEarlierAttempt(t *testing.T) {
+func TestRefusalDoesNotHideAnEarlierUncertainAttempt(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true})
 	check.Equal(call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
 	step := call.Next(0, Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true})
 	check.Equal(step, Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown})
 	late := Outcome{Kind: Refused, Code: result.DeadlineInFlight, Ran: result.RanUnknown, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Repeatable: true}).Next(0, late).Code, result.DeadlineInFlight) // no time for another
+	check.Equal(newCall(Policy{Repeatable: true}).Next(0, late).Code, result.DeadlineInFlight) // no time for another attempt
 }
 
-// What an attempt in doubt ends with later counts for that attempt alone.
-func TestADoubtIsTakenBackByProofOnly(t *testing.T) {
+// The late outcome of an attempt that may have run applies to that attempt only.
+func TestUncertainAttemptIsResolvedOnlyByProof(t *testing.T) {
 	check := is.New(t)
-	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
+	broken := Outcome{Kind: Broken, Replayable: true, Others: true}
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second, Replayable: true}
 	unknown := Outcome{Kind: Refused, Code: result.DeadlineInFlight, Ran: result.RanUnknown}
 	draining := Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true}
 
 	call := newCall(Policy{Repeatable: true})
-	check.Equal(call.Next(0, lost).Action, Send)
-	decided := call.Next(0, draining)
-	check.True(!call.ResolveUncertainAttempt(lost))
+	check.Equal(call.Next(0, broken).Action, Send)
+	refusalStep := call.Next(0, draining)
+	check.True(!call.ResolveUncertainAttempt(broken))
 	check.True(!call.ResolveUncertainAttempt(unknown))
-	check.Equal(call.FinalStep(decided), decided) // no proof
+	check.Equal(call.FinalStep(refusalStep), refusalStep) // no proof
 	check.True(call.ResolveUncertainAttempt(refusal))
-	check.Equal(call.FinalStep(decided), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
-	check.True(!call.ResolveUncertainAttempt(refusal)) // once
+	check.Equal(call.FinalStep(refusalStep), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
+	check.True(!call.ResolveUncertainAttempt(refusal)) // no uncertain attempt is left
 
-	twice := newCall(Policy{Repeatable: true})
-	check.Equal(twice.Next(0, lost).Action, Send)
-	check.Equal(twice.Next(0, lost).Action, Send)
-	decided = twice.Next(0, draining)
-	check.True(twice.ResolveUncertainAttempt(refusal))
-	check.Equal(twice.FinalStep(decided), decided) // the other one may have run
+	callBrokenTwice := newCall(Policy{Repeatable: true})
+	check.Equal(callBrokenTwice.Next(0, broken).Action, Send)
+	check.Equal(callBrokenTwice.Next(0, broken).Action, Send)
+	refusalStep = callBrokenTwice.Next(0, draining)
+	check.True(callBrokenTwice.ResolveUncertainAttempt(refusal))
+	check.Equal(callBrokenTwice.FinalStep(refusalStep), refusalStep) // the other attempt may have run
 }
 
-func TestMarkStopsRetriesButNotRelocation(t *testing.T) {
+func TestNoRetryMarkStopsRetriesButNotRelocation(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true, NoRetry: true})
 	check.True(call.First().Mark)
@@ -116,24 +116,24 @@
 			retries++
 		}
 	}
-	check.True(retries >= 50)  // second retries cost two
-	check.True(retries <= 100) // a tenth of the calls
+	check.True(retries >= 50)  // a second retry costs two
+	check.True(retries <= 100) // 10 % of the calls
 	ordinary := NewBudget()
 	urgent := NewBudget()
 	for range 1000 {
 		ordinary.Deposit(0, 0)
 		urgent.Deposit(0, 0)
 	}
-	check.Equal(withdrawn(ordinary, 0, false), 75) // three parts of four
-	check.Equal(withdrawn(ordinary, 0, true), 25)  // the rest is kept for urgent calls
-	check.Equal(withdrawn(urgent, 0, true), 100)
-	check.Equal(withdrawn(urgent, 5*time.Second, true), 0)
-	check.Equal(withdrawn(urgent, 12*time.Second, true), 10) // a window later the part alone
+	check.Equal(withdrawAll(ordinary, 0, false), 75) // 75 %
+	check.Equal(withdrawAll(ordinary, 0, true), 25)  // 25 % are reserved for urgent calls
+	check.Equal(withdrawAll(urgent, 0, true), 100)
+	check.Equal(withdrawAll(urgent, 5*time.Second, true), 0)
+	check.Equal(withdrawAll(urgent, 12*time.Second, true), 10) // one window later only Limits.Part is left
 }
 
-// TestAtMostOnce draws outcomes of attempts and holds the machine to I5 and
-// I6: a call that may not be repeated is never sent after an attempt that may
-// have run, and "did not run" is said only when it is true of all attempts.
+// TestAtMostOnce checks I5 and I6 for drawn outcomes of attempts: a call that is not
+// repeatable is never resent after an attempt that may have run, and "did not run" is
+// reported only if it is true of all attempts.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := Policy{Repeatable: rapid.Bool().Draw(t, "repeatable"), NoRetry: rapid.Bool().Draw(t, "mark")}
@@ -147,9 +147,9 @@
 				Others:     rapid.Bool().Draw(t, "others"),
 			}
 			outcome.Ran = rapid.SampledFrom([]result.Execution{result.RanNo, result.RanUnknown}).Draw(t, "ran")
-			certain := outcome.Kind == NotSent || outcome.Kind == NoEndpoint ||
+			certainlyNotRun := outcome.Kind == NotSent || outcome.Kind == NoEndpoint ||
 				(outcome.Kind == Refused && outcome.Ran == result.RanNo)
-			mayHaveRun = mayHaveRun || !certain
+			mayHaveRun = mayHaveRun || !certainlyNotRun
 			step := call.Next(0, outcome)
 			if step.Action == Send && mayHaveRun && !policy.Repeatable {
 				t.Fatal("a call that may have run was sent again")
@@ -158,7 +158,7 @@
 				t.Fatal("a call was sent without its body")
 			}
 			if step.Action == Refuse && (step.Ran == result.RanNo) == mayHaveRun {
-				t.Fatalf("said ran=%s, may have run: %v", step.Ran, mayHaveRun)
+				t.Fatalf("refusal states ran=%s; an attempt may have run: %v", step.Ran, mayHaveRun)
 			}
 			if attempt > 3+relocationLimit {
 				t.Fatal("too many attempts")
@@ -170,8 +170,8 @@
 	})
 }
 
-// withdrawn is how many retries a budget allows at a time.
-func withdrawn(budget *Budget, now time.Duration, urgent bool) (count int) {
+// withdrawAll withdraws retries until the budget refuses and returns their number.
+func withdrawAll(budget *Budget, now time.Duration, urgent bool) (count int) {
 	for budget.Withdraw(now, 0, 1, urgent) {
 		count++
 	}
@@ -180,14 +180,14 @@
 
 func BenchmarkBudget(b *testing.B) {
 	budget := NewBudget()
-	b.RunParallel(func(loop *testing.PB) {
-		for loop.Next() {
+	b.RunParallel(func(parallel *testing.PB) {
+		for parallel.Next() {
 			budget.Deposit(0, 0)
 		}
 	})
 }
 
-func TestNoAttemptFollowsWithoutTimeForIt(t *testing.T) {
+func TestNoAttemptWithinTheMarginBeforeTheDeadline(t *testing.T) {
 	check := is.New(t)
 	policy := Policy{Repeatable: true, RetryFailures: true, Deadline: 100, Margin: 10}
 	failed := Outcome{Kind: Answered, Failed: true, Replayable: true, Others: true}
@@ -198,10 +198,10 @@
 	check.Equal(newCall(policy).Next(90, broken).Action, Refuse)
 }
 
-func TestAnAnsweredFailureIsTriedElsewhereOnlyWhereItMayBe(t *testing.T) {
+func TestAnsweredFailureIsRetriedOnlyIfPolicyAllows(t *testing.T) {
 	check := is.New(t)
 	failed := Outcome{Kind: Answered, Failed: true, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Repeatable: true}).Next(0, failed).Action, Deliver) // not asked for
+	check.Equal(newCall(Policy{Repeatable: true}).Next(0, failed).Action, Deliver) // without RetryFailures
 	check.Equal(newCall(Policy{RetryFailures: true}).Next(0, failed).Action, Deliver)
 	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, NoRetry: true}).Next(0, failed).Action, Deliver)
 	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, Attempts: 1}).Next(0, failed).Action, Deliver)
@@ -209,49 +209,49 @@
 	check.Equal(call.Next(0, failed).Action, Send)
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true}
 	check.Equal(call.Next(0, refusal).Action, Send)
-	check.Equal(call.Next(0, refusal).Ran, result.RanUnknown) // the first attempt has run
+	check.Equal(call.Next(0, refusal).Ran, result.RanUnknown) // the first attempt ran
 }
 
-func TestAGatesRefusalCostsNoBudgetUnlessTheBackEndSawIt(t *testing.T) {
+func TestGateRefusalCostsBudgetOnlyIfItReachedTheBackEnd(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Ratio: 0, Part: 1})
 	policy := Policy{RetryFailures: true, Attempts: 3, Deadline: 100}
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true, Others: true}
 	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send)
 	refusal.Code, refusal.Arrived = result.BackendRefused, true
-	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send) // the part
+	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send) // allowed by Limits.Part
 	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Refuse)
 }
 
-func TestABudgetShrinksWithItsShare(t *testing.T) {
+func TestSetMinimumRetriesLeavesEarnedRetries(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudgetWithLimits(Limits{Ratio: 0.5, Part: 4})
 	budget.SetMinimumRetries(1)
-	check.Equal(withdrawn(budget, 0, true), 1)
+	check.Equal(withdrawAll(budget, 0, true), 1)
 	for range 10 {
 		budget.Deposit(0, 0)
 	}
-	check.Equal(withdrawn(budget, 0, true), 4) // what calls earn is not divided; one was taken
+	check.Equal(withdrawAll(budget, 0, true), 4) // Ratio is unchanged: 10 calls earn 5, one is used
 }
 
-func TestAnAttemptIsBrokenOffOnlyIfAnotherIsPaidFor(t *testing.T) {
+func TestReserveRetryByPolicyAndBudget(t *testing.T) {
 	check := is.New(t)
-	lost := Outcome{Kind: Broken, Replayable: true, Others: true}
+	broken := Outcome{Kind: Broken, Replayable: true, Others: true}
 	policy := Policy{Repeatable: true, RetryFailures: true, Attempts: 3, Deadline: 100, Margin: 10}
 	budget := NewBudgetWithLimits(Limits{Part: 1})
 	first, second := NewCall(policy, budget), NewCall(policy, budget)
-	check.True(first.ReserveRetry(0, lost))
-	check.True(first.ReserveRetry(0, lost)) // paid for once
-	check.True(!second.ReserveRetry(0, lost))
-	check.Equal(first.Next(1, lost).Action, Send)
-	check.Equal(first.Next(2, lost).Action, Refuse) // what was paid for is used up
+	check.True(first.ReserveRetry(0, broken))
+	check.True(first.ReserveRetry(0, broken)) // charged only once
+	check.True(!second.ReserveRetry(0, broken))
+	check.Equal(first.Next(1, broken).Action, Send)
+	check.Equal(first.Next(2, broken).Action, Refuse) // the charged retry is used
 
-	plenty := Limits{Part: 100}
-	unsafe := policy
-	unsafe.Repeatable = false
-	check.True(!NewCall(unsafe, NewBudgetWithLimits(plenty)).ReserveRetry(0, lost))
-	check.True(!NewCall(policy, NewBudgetWithLimits(plenty)).ReserveRetry(95, lost)) // too late
-	alone := lost
-	alone.Others = false
-	check.True(!NewCall(policy, NewBudgetWithLimits(plenty)).ReserveRetry(0, alone))
+	largeLimits := Limits{Part: 100}
+	notRepeatable := policy
+	notRepeatable.Repeatable = false
+	check.True(!NewCall(notRepeatable, NewBudgetWithLimits(largeLimits)).ReserveRetry(0, broken))
+	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(95, broken)) // too late
+	withoutOthers := broken
+	withoutOthers.Others = false
+	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(0, withoutOthers))
 }
--- a/internal/core/roundtrip/roundtrip.go
+++ b/internal/core/roundtrip/roundtrip.go
@@ -1,6 +1,6 @@
-// Package roundtrip estimates how long answers of peers take, as TCP does for its
-// retransmissions (RFC 6298), so that a timeout fits the links and processors that it
-// is used on.
+// Package roundtrip estimates the response times of peers as TCP does for its
+// retransmission timer (RFC 6298), so that timeouts adapt to the network and the
+// machines.
 package roundtrip
 
 import (
@@ -8,42 +8,46 @@
 	"time"
 )
 
-// The weights of a new measurement in the mean and in the mean deviation, and how many
-// deviations a timeout allows (RFC 6298).
+// The constants of RFC 6298.
 const (
-	meanParts      = 8
-	deviationParts = 4
-	deviations     = 4
+	// meanDivisor and deviationDivisor are the inverse weights of a new measurement in the
+	// mean and in the mean deviation.
+	meanDivisor      = 8
+	deviationDivisor = 4
+	// timeoutDeviations is the number of mean deviations that a timeout adds to the mean.
+	timeoutDeviations = 4
 )
 
-// Estimator keeps the moving mean of round trips and of their deviation. The zero value
-// knows nothing. It may be used from several goroutines.
+// Estimator keeps the moving mean of round-trip times and of their deviation. The zero
+// value has no measurements. It is safe for concurrent use.
 type Estimator struct {
-	mutex     sync.Mutex
-	known     bool
-	mean      time.Duration
-	deviation time.Duration
+	mutex          sync.Mutex
+	hasMeasurement bool
+	mean           time.Duration
+	meanDeviation  time.Duration
 }
 
-// Observe takes a round trip that was answered, also late.
-func (e *Estimator) Observe(took time.Duration) {
-	took = max(took, 0)
+// Observe adds the time of a round trip. Callers must also report answers that arrive after
+// the timeout.
+func (e *Estimator) Observe(roundTrip time.Duration) {
+	roundTrip = max(roundTrip, 0)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !e.known {
-		e.known = true
-		e.mean = took
-		e.deviation = took / 2
+	if !e.hasMeasurement {
+		e.hasMeasurement = true
+		e.mean = roundTrip
+		e.meanDeviation = roundTrip / 2
 		return
 	}
-	distance := max(took-e.mean, e.mean-took)
-	e.deviation += (distance - e.deviation) / deviationParts
-	e.mean += (took - e.mean) / meanParts
+	absoluteDifference := max(roundTrip-e.mean, e.mean-roundTrip)
+	e.meanDeviation += (absoluteDifference - e.meanDeviation) / deviationDivisor
+	e.mean += (roundTrip - e.mean) / meanDivisor
 }
 
-// Timeout is within what time nearly all answers come; 0 when nothing is known.
+// Timeout returns the mean plus timeoutDeviations mean deviations, an estimate of the time
+// within which nearly all answers arrive; 0 if no round trip has been observed.
 func (e *Estimator) Timeout() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.mean + deviations*e.deviation
+	return e.mean + timeoutDeviations*e.meanDeviation
 }
--- a/internal/core/snapshot/codec.go
+++ b/internal/core/snapshot/codec.go
@@ -10,14 +10,14 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// MaxDeltaBytes bounds a delta after decompression. A larger one is refused
-// before it is unpacked.
+// MaxDeltaBytes is the maximum size of a delta after decompression. A larger one
+// is rejected without being decompressed in full.
 const MaxDeltaBytes = 32 << 20
 
-// encoderWindow keeps the memory of the shared compressor small.
+// encoderWindow is the compressor's window in bytes. It is small to save memory.
 const encoderWindow = 512 << 10
 
-// change is one entry of a delta: a resource put, or a key removed.
+// change is one entry of a delta: a resource to put or a key to remove.
 type change struct {
 	key     resource.Key
 	removed bool
@@ -56,74 +56,74 @@
 // encodeChanges writes the changes as length-prefixed fields and compresses
 // them. Digests are left out: the receiver computes them from the payloads.
 func encodeChanges(changes []change) []byte {
-	var plain []byte
-	for _, one := range changes {
-		if one.removed {
-			plain = append(plain, operationRemove)
+	var encoded []byte
+	for _, entry := range changes {
+		if entry.removed {
+			encoded = append(encoded, operationRemove)
 		} else {
-			plain = append(plain, operationPut)
+			encoded = append(encoded, operationPut)
 		}
-		plain = appendField(plain, []byte(one.key.Partner))
-		plain = appendField(plain, []byte(one.key.Kind))
-		plain = appendField(plain, []byte(one.key.Name))
-		if !one.removed {
-			plain = appendField(plain, one.payload)
+		encoded = appendField(encoded, []byte(entry.key.Partner))
+		encoded = appendField(encoded, []byte(entry.key.Kind))
+		encoded = appendField(encoded, []byte(entry.key.Name))
+		if !entry.removed {
+			encoded = appendField(encoded, entry.payload)
 		}
 	}
-	return compressor.EncodeAll(plain, nil)
+	return compressor.EncodeAll(encoded, nil)
 }
 
-func appendField(plain, field []byte) []byte {
-	plain = binary.AppendUvarint(plain, uint64(len(field)))
-	return append(plain, field...)
+func appendField(encoded, field []byte) []byte {
+	encoded = binary.AppendUvarint(encoded, uint64(len(field)))
+	return append(encoded, field...)
 }
 
-// decodeChanges reads what encodeChanges wrote. It refuses everything else
-// with DigestMismatch, and never allocates more than MaxDeltaBytes and a small
+// decodeChanges decodes the output of encodeChanges. It rejects any other input
+// with DigestMismatch and never allocates more than MaxDeltaBytes plus a small
 // multiple of the input.
 func decodeChanges(payload []byte) ([]change, error) {
-	plain, err := decompressor.DecodeAll(payload, nil)
+	decompressed, err := decompressor.DecodeAll(payload, nil)
 	if err != nil {
 		return nil, result.New(result.DigestMismatch, "delta does not decompress: %v", err)
 	}
-	fields := fieldReader{rest: plain}
+	fields := fieldReader{rest: decompressed}
 	var changes []change
-	for len(fields.rest) > 0 && !fields.broken {
+	for len(fields.rest) > 0 && !fields.malformed {
 		changes = append(changes, fields.change())
 	}
-	if fields.broken {
+	if fields.malformed {
 		return nil, result.New(result.DigestMismatch, "delta is malformed after %d changes", len(changes))
 	}
 	return changes, nil
 }
 
-// fieldReader takes fields off the front of a plain delta.
+// fieldReader reads fields from the front of a decompressed delta.
 type fieldReader struct {
-	rest   []byte
-	broken bool
+	rest      []byte
+	malformed bool
 }
 
 func (f *fieldReader) change() change {
 	operation := f.rest[0]
 	f.rest = f.rest[1:]
-	one := change{removed: operation == operationRemove}
+	entry := change{removed: operation == operationRemove}
 	if operation != operationPut && operation != operationRemove {
-		f.broken = true
-		return one
+		f.malformed = true
+		return entry
 	}
-	one.key.Partner = resource.Partner(f.field())
-	one.key.Kind = resource.Kind(f.field())
-	one.key.Name = string(f.field())
-	if !one.removed {
-		one.payload = f.field()
+	entry.key.Partner = resource.Partner(f.field())
+	entry.key.Kind = resource.Kind(f.field())
+	entry.key.Name = string(f.field())
+	if !entry.removed {
+		entry.payload = f.field()
 	}
-	return one
+	return entry
 }
 
 func (f *fieldReader) field() []byte {
 	length, size := binary.Uvarint(f.rest)
 	if size <= 0 || length > uint64(len(f.rest)-size) {
-		f.broken = true
+		f.malformed = true
 		return nil
 	}
 	end := size + int(length)
--- a/internal/core/snapshot/delta.go
+++ b/internal/core/snapshot/delta.go
@@ -8,8 +8,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// makeDelta returns the delta between two sets that are sorted by key. An
-// empty from with version 0 makes a whole snapshot.
+// makeDelta returns the delta between two sets that are sorted by key. With
+// version 0 and an empty set before, the delta is a whole snapshot.
 func makeDelta(from, to protocol.Version, before, after []resource.Encoded) *protocol.Delta {
 	return &protocol.Delta{
 		From:    from,
@@ -19,7 +19,7 @@
 	}
 }
 
-// difference merges two sorted sets into the changes between them.
+// difference returns the changes between two sets that are sorted by key.
 func difference(before, after []resource.Encoded) []change {
 	var changes []change
 	for len(before) > 0 || len(after) > 0 {
@@ -40,10 +40,9 @@
 	return changes
 }
 
-// Apply returns the resources that result from a delta, sorted by key. It
-// applies the whole delta or nothing: unless the result has the digest that
-// the delta announces, it fails with DigestMismatch and the caller asks for a
-// whole snapshot.
+// Apply returns the resources that result from a delta, sorted by key. It applies
+// the whole delta or nothing: unless the result has the delta's digest, it fails
+// with DigestMismatch. The caller should then request a whole snapshot.
 func Apply(current []resource.Encoded, delta *protocol.Delta) ([]resource.Encoded, error) {
 	changes, err := decodeChanges(delta.Payload)
 	if err != nil {
@@ -52,35 +51,34 @@
 	if delta.From == 0 {
 		current = nil
 	}
-	applied := merge(current, changes)
-	if DigestOf(applied) != delta.Digest {
+	updated := merge(current, changes)
+	if DigestOf(updated) != delta.Digest {
 		return nil, result.New(result.DigestMismatch, "delta from version %d to %d does not lead to its digest", delta.From, delta.To)
 	}
-	return applied, nil
+	return updated, nil
 }
 
-// merge returns current, which is sorted by key, with the changes made; of
-// several for one key the last counts. The work for what did not change is one
-// look each.
+// merge applies the changes to current, which must be sorted by key. If a key has
+// several changes, the last one counts. An unchanged resource costs one lookup.
 func merge(current []resource.Encoded, changes []change) []resource.Encoded {
-	last := lo.KeyBy(changes, func(one change) resource.Key { return one.key })
+	lastChanges := lo.KeyBy(changes, func(entry change) resource.Key { return entry.key })
 	var added []resource.Encoded
-	for key, one := range last {
-		if !one.removed {
-			added = append(added, resource.Encoded{Key: key, Digest: resource.DigestOf(one.payload), Payload: one.payload})
+	for key, entry := range lastChanges {
+		if !entry.removed {
+			added = append(added, resource.Encoded{Key: key, Digest: resource.DigestOf(entry.payload), Payload: entry.payload})
 		}
 	}
 	resource.SortEncoded(added)
 	merged := make([]resource.Encoded, 0, len(current)+len(added))
-	for _, one := range current {
-		if _, changed := last[one.Key]; changed {
+	for _, entry := range current {
+		if _, changed := lastChanges[entry.Key]; changed {
 			continue
 		}
-		for len(added) > 0 && added[0].Key.Less(one.Key) {
+		for len(added) > 0 && added[0].Key.Less(entry.Key) {
 			merged = append(merged, added[0])
 			added = added[1:]
 		}
-		merged = append(merged, one)
+		merged = append(merged, entry)
 	}
 	return append(merged, added...)
 }
--- a/internal/core/snapshot/digest.go
+++ b/internal/core/snapshot/digest.go
@@ -8,22 +8,22 @@
 )
 
 // DigestOf returns the digest of a set of resources that is sorted by key. It
-// covers every key and every payload's digest, so that two sets with the same
-// digest hold the same configuration.
+// covers all keys and all payload digests, so two sets with the same digest hold
+// the same configuration.
 func DigestOf(sorted []resource.Encoded) resource.Digest {
 	hash := sha256.New()
 	var fields []byte
-	for _, one := range sorted {
-		fields = appendEnded(fields[:0], string(one.Key.Partner))
-		fields = appendEnded(fields, string(one.Key.Kind))
-		fields = appendEnded(fields, one.Key.Name)
-		fields = appendEnded(fields, string(one.Digest))
+	for _, entry := range sorted {
+		fields = appendTerminated(fields[:0], string(entry.Key.Partner))
+		fields = appendTerminated(fields, string(entry.Key.Kind))
+		fields = appendTerminated(fields, entry.Key.Name)
+		fields = appendTerminated(fields, string(entry.Digest))
 		_, _ = hash.Write(fields) // never fails
 	}
 	return resource.Digest(hex.EncodeToString(hash.Sum(nil)))
 }
 
-// appendEnded ends each field with a zero byte, which no name may hold.
-func appendEnded(fields []byte, field string) []byte {
+// appendTerminated appends a field and a zero byte, which no field may contain.
+func appendTerminated(fields []byte, field string) []byte {
 	return append(append(fields, field...), 0)
 }
--- a/internal/core/snapshot/scope.go
+++ b/internal/core/snapshot/scope.go
@@ -11,7 +11,7 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// scopeKey identifies a scope, whatever the order of its lists.
+// scopeKey returns a key that identifies a scope regardless of the order of its lists.
 func scopeKey(scope protocol.Scope) string {
 	if scope.Relay {
 		return "relay"
@@ -23,20 +23,21 @@
 	return fmt.Sprintf("%s|%s", strings.Join(partners, ","), strings.Join(services, ","))
 }
 
-// Select returns the resources that a scope holds, sorted by key and closed
-// under references: the routes of its partners (of all when it lists none)
-// that lead to a listed service (to any when it lists none); the services and
-// secrets that these routes use; the listed services; and the back ends of all
-// these services. A secret is only selected through a route that uses it.
+// Select returns the resources in a scope, sorted by key. It selects the routes of the
+// listed partners that refer to a listed service; an empty list matches all partners or
+// services. It adds the services and secrets that these routes use, the listed services
+// and the back ends of all these services, so that no reference is left dangling. A
+// secret is only selected through a route that uses it.
 func (s *Snapshot) Select(scope protocol.Scope) []resource.Encoded {
 	if scope.Relay {
 		return s.Encoded
 	}
-	wanted := s.wanted(scope)
-	return lo.Filter(s.Encoded, func(one resource.Encoded, _ int) bool { return wanted[one.Key] })
+	wanted := s.keysInScope(scope)
+	return lo.Filter(s.Encoded, func(entry resource.Encoded, _ int) bool { return wanted[entry.Key] })
 }
 
-func (s *Snapshot) wanted(scope protocol.Scope) map[resource.Key]bool {
+// keysInScope returns the keys of the resources that Select returns for a scope.
+func (s *Snapshot) keysInScope(scope protocol.Scope) map[resource.Key]bool {
 	wanted := map[resource.Key]bool{}
 	services := lo.Keyify(scope.Services)
 	for _, route := range s.Routes {
@@ -48,16 +49,17 @@
 			wanted[secretKey(route)] = true
 		}
 		for _, destination := range route.Split {
-			s.wantService(wanted, destination.Service)
+			s.addServiceKeys(wanted, destination.Service)
 		}
 	}
 	for _, service := range scope.Services {
-		s.wantService(wanted, service)
+		s.addServiceKeys(wanted, service)
 	}
 	return wanted
 }
 
-func (s *Snapshot) wantService(wanted map[resource.Key]bool, service resource.ServiceRef) {
+// addServiceKeys adds the keys of a service and of its back ends.
+func (s *Snapshot) addServiceKeys(wanted map[resource.Key]bool, service resource.ServiceRef) {
 	if wanted[service.Key()] {
 		return
 	}
@@ -67,6 +69,8 @@
 	}
 }
 
+// inScope reports whether a route belongs to a scope's partners and refers to one of its
+// services. An empty list matches all.
 func inScope(route resource.Route, partners []resource.Partner, services map[resource.ServiceRef]struct{}) bool {
 	if len(partners) > 0 && !slices.Contains(partners, route.Partner) {
 		return false
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot holds what one proxy has in force: built whole, checked,
-// immutable and swapped by one pointer. It also selects scopes, and makes and
-// applies the deltas that lead from one version to another.
+// Package snapshot holds the configuration that one proxy applies. A snapshot is
+// built and checked as a whole, immutable, and replaced by swapping one pointer. The
+// package also selects scopes, and makes and applies deltas between versions.
 package snapshot
 
 import (
@@ -14,38 +14,38 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Snapshot is everything that a proxy holds at one version. It is never
-// changed after it was built, so readers need no lock.
+// Snapshot is the whole configuration that a proxy holds at one version. It is not
+// changed once built, so readers need no lock.
 type Snapshot struct {
 	// Version is the configuration version.
 	Version protocol.Version
-	// Digest covers the sorted keys and digests of all resources held.
+	// Digest covers the sorted keys and digests of all resources; see DigestOf.
 	Digest resource.Digest
 	// Services, Backends, Secrets and Routes are the decoded resources.
 	Services map[resource.ServiceRef]resource.Service
-	// Backends are grouped by the service that they belong to, sorted by name.
+	// Backends are grouped by service and sorted by name.
 	Backends map[resource.ServiceRef][]resource.Backend
 	Secrets  map[resource.Key]resource.Secret
 	// Routes are sorted by key.
 	Routes []resource.Route
-	// Encoded are the resources as received, sorted by key.
+	// Encoded are the encoded resources, sorted by key.
 	Encoded []resource.Encoded
-	// decoded holds what each of Encoded decodes to, in the same order.
+	// decoded holds the decoded form of each resource in Encoded, in the same order.
 	decoded []resource.Resource
 }
 
 // Build decodes the resources and returns the snapshot of the version. It
-// fails with a *result.Error when a resource does not decode (DigestMismatch,
-// UnknownFormat) or when a route names a service or secret that is not among
-// them (FileBadReference): no proxy ever gets a route that leads nowhere (I2).
+// fails with a *result.Error if a resource can't be decoded (DigestMismatch,
+// UnknownFormat) or if a route refers to a service or secret that is not among
+// them (FileBadReference), so that no proxy gets a route with a missing service or
+// secret (I2).
 func Build(version protocol.Version, encoded []resource.Encoded) (*Snapshot, error) {
 	return Rebuild(nil, version, encoded)
 }
 
-// Rebuild is Build with the work in proportion to what changed: resources
-// whose key, digest and payload are those of previous, which may be nil, are
-// taken from there instead of being decoded again. The result does not depend
-// on previous.
+// Rebuild is like Build, but decodes only what changed: resources with the same
+// key, digest and payload in previous, which may be nil, are taken from there. The
+// result does not depend on previous.
 func Rebuild(previous *Snapshot, version protocol.Version, encoded []resource.Encoded) (*Snapshot, error) {
 	sorted := slices.Clone(encoded)
 	resource.SortEncoded(sorted)
@@ -58,12 +58,12 @@
 		Encoded:  sorted,
 		decoded:  make([]resource.Resource, 0, len(sorted)),
 	}
-	known := earlier{from: previous}
+	decoder := incrementalDecoder{previous: previous}
 	if previous != nil && len(previous.decoded) != len(previous.Encoded) {
-		known.from = nil // it was not built here
+		decoder.previous = nil // not made by Rebuild, so its decoded resources are missing
 	}
-	for _, one := range sorted {
-		decoded, err := known.decode(one)
+	for _, entry := range sorted {
+		decoded, err := decoder.decode(entry)
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
@@ -76,40 +76,42 @@
 	return built, nil
 }
 
-// earlier walks over an earlier snapshot in the order of keys.
-type earlier struct {
-	from *Snapshot
-	next int
+// incrementalDecoder decodes resources in key order and reuses the decoded resources of an
+// earlier snapshot.
+type incrementalDecoder struct {
+	previous *Snapshot
+	next     int
 }
 
-// decode returns what a resource decodes to. Keys must come in order.
-func (e *earlier) decode(one resource.Encoded) (resource.Resource, error) {
-	if e.from == nil {
-		return resource.Decode(one)
+// decode returns the decoded form of a resource, from the earlier snapshot if it is
+// unchanged. Successive calls must pass resources in key order.
+func (d *incrementalDecoder) decode(entry resource.Encoded) (resource.Resource, error) {
+	if d.previous == nil {
+		return resource.Decode(entry)
 	}
-	for e.next < len(e.from.Encoded) && e.from.Encoded[e.next].Key.Less(one.Key) {
-		e.next++
+	for d.next < len(d.previous.Encoded) && d.previous.Encoded[d.next].Key.Less(entry.Key) {
+		d.next++
 	}
-	if e.next == len(e.from.Encoded) {
-		return resource.Decode(one)
+	if d.next == len(d.previous.Encoded) {
+		return resource.Decode(entry)
 	}
-	candidate := e.from.Encoded[e.next]
-	same := candidate.Key == one.Key && candidate.Digest == one.Digest && bytes.Equal(candidate.Payload, one.Payload)
+	candidate := d.previous.Encoded[d.next]
+	same := candidate.Key == entry.Key && candidate.Digest == entry.Digest && bytes.Equal(candidate.Payload, entry.Payload)
 	if !same {
-		return resource.Decode(one)
+		return resource.Decode(entry)
 	}
-	return e.from.decoded[e.next], nil
+	return d.previous.decoded[d.next], nil
 }
 
-// AtVersion returns the same content at another version. It serves a scope
-// that the versions in between did not touch.
+// WithVersion returns a snapshot with the same content at another version. It is used
+// when a newer version changes none of the snapshot's resources.
 func (s *Snapshot) WithVersion(version protocol.Version) *Snapshot {
-	moved := *s
-	moved.Version = version
-	return &moved
+	copied := *s
+	copied.Version = version
+	return &copied
 }
 
-// Empty returns the snapshot that holds nothing.
+// Empty returns a snapshot of version 0 without resources.
 func Empty() *Snapshot {
 	empty, _ := Build(0, nil)
 	return empty
@@ -128,6 +130,7 @@
 	}
 }
 
+// checkReferences fails if a route refers to a service or secret that the snapshot lacks.
 func (s *Snapshot) checkReferences() error {
 	for _, route := range s.Routes {
 		for _, destination := range route.Split {
@@ -146,8 +149,8 @@
 	return nil
 }
 
-// secretKey returns the key of the secret that a route uses. Secrets are only
-// used by routes of their own partner.
+// secretKey returns the key of the secret that a route uses. A route can only use
+// secrets of its own partner.
 func secretKey(route resource.Route) resource.Key {
 	return resource.Key{Partner: route.Partner, Kind: resource.KindSecret, Name: route.Secret.Name}
 }
--- a/internal/core/snapshot/snapshot_test.go
+++ b/internal/core/snapshot/snapshot_test.go
@@ -12,7 +12,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// shop returns a file with two services, of which one needs a secret.
+// shop returns the resources of a file with two services. The route to one of them uses a
+// secret.
 func shop(slots int) []resource.Encoded {
 	return resource.Encode(&resource.File{
 		Partner:  "kameeldoring",
@@ -42,9 +43,9 @@
 
 func without(resources []resource.Encoded, key resource.Key) []resource.Encoded {
 	var rest []resource.Encoded
-	for _, one := range resources {
-		if one.Key != key {
-			rest = append(rest, one)
+	for _, entry := range resources {
+		if entry.Key != key {
+			rest = append(rest, entry)
 		}
 	}
 	return rest
@@ -58,7 +59,7 @@
 	return result.Internal
 }
 
-func TestBuildRefusesDanglingRoutes(t *testing.T) {
+func TestBuildRejectsDanglingRoutes(t *testing.T) {
 	is := is.New(t)
 	built, err := snapshot.Build(3, shop(6))
 	is.NoErr(err)
@@ -72,7 +73,7 @@
 	}
 }
 
-func TestScopeIsClosedAndHoldsNoOtherSecret(t *testing.T) {
+func TestScopeIsClosedUnderReferencesWithoutUnusedSecrets(t *testing.T) {
 	is := is.New(t)
 	built, err := snapshot.Build(3, shop(6))
 	is.NoErr(err)
@@ -87,7 +88,7 @@
 	is.Equal(len(built.Select(protocol.Scope{Relay: true})), len(built.Encoded))
 }
 
-func TestStoreGivesDeltasThatApply(t *testing.T) {
+func TestStoreDeltasCanBeApplied(t *testing.T) {
 	is := is.New(t)
 	store := snapshot.NewStore()
 	is.NoErr(store.Add(1, shop(6)))
@@ -105,16 +106,16 @@
 	delta := store.Delta(all, 1, first.Digest)
 	is.True(len(delta.Payload) < len(whole.Payload))
 	is.True(store.Delta(all, 1, first.Digest) == delta) // encoded once
-	moved, err := snapshot.Apply(first.Encoded, delta)
+	updated, err := snapshot.Apply(first.Encoded, delta)
 	is.NoErr(err)
-	is.Equal(snapshot.DigestOf(moved), whole.Digest)
+	is.Equal(snapshot.DigestOf(updated), whole.Digest)
 
-	untouched := snapshot.DigestOf(first.Select(labels))
-	is.Equal(store.Delta(labels, 1, untouched), nil)                 // the scope did not change
+	unchangedDigest := snapshot.DigestOf(first.Select(labels))
+	is.Equal(store.Delta(labels, 1, unchangedDigest), nil)           // the scope did not change
 	is.Equal(store.Delta(all, 1, "other").From, protocol.Version(0)) // unknown content gets a whole snapshot
 }
 
-func TestStoreNeverMovesBackAndRefusesBadVersions(t *testing.T) {
+func TestStoreIgnoresOlderAndRejectsInvalidVersions(t *testing.T) {
 	is := is.New(t)
 	store := snapshot.NewStore()
 	is.NoErr(store.Add(5, shop(6)))
@@ -129,7 +130,7 @@
 	is.Equal(store.Delta(protocol.Scope{}, 5, "x").From, protocol.Version(0)) // history is bounded
 }
 
-func TestApplyIsWholeOrNothing(t *testing.T) {
+func TestApplyIsAtomic(t *testing.T) {
 	is := is.New(t)
 	store := snapshot.NewStore()
 	is.NoErr(store.Add(1, shop(6)))
@@ -143,16 +144,16 @@
 		broken.Payload[position] ^= 0x55
 		applied, err := snapshot.Apply(first.Encoded, &broken)
 		if err == nil {
-			is.Equal(snapshot.DigestOf(applied), delta.Digest) // only an unchanged result passes
+			is.Equal(snapshot.DigestOf(applied), delta.Digest) // accepted only if the result is the same
 		} else {
 			is.Equal(codeOf(err), result.DigestMismatch)
 		}
 	}
 	_, err = snapshot.Apply(shop(9), delta)
-	is.NoErr(err) // the delta replaces what differs
+	is.NoErr(err) // the delta replaces the resources that differ
 	other := append(shop(6), resource.Encode(&resource.File{Partner: "adomako", Services: []resource.Service{{Partner: "adomako", Name: "clock"}}})...)
 	_, err = snapshot.Apply(other, delta)
-	is.Equal(codeOf(err), result.DigestMismatch) // a base with more than the delta's base is refused
+	is.Equal(codeOf(err), result.DigestMismatch) // rejected: this base has a resource more than the delta's
 }
 
 func FuzzApply(f *testing.F) {
