--- a/internal/core/following/eras_test.go
+++ b/internal/core/following/eras_test.go
@@ -12,7 +12,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// readingIn is a reading at a place of an era.
+// readingIn returns a reading at a position of an era.
 func readingIn(era, revision uint64, version protocol.Version, body string) authority.Reading {
 	return authority.Reading{
 		Code: result.OK, At: authority.Position{Era: era, Revision: revision},
@@ -20,8 +20,9 @@
 	}
 }
 
-// A store that came back from an older copy is read anew and watched from where it is, although its
-// revisions are lower: a watch from an old one would miss what stands at those given out again.
+// TestALaterEraIsFollowedFromItsOwnRevisions checks that a store restored from an older copy is read
+// again and watched from its new position, although its revisions are lower: a watch from an old
+// revision would miss the changes at revisions that are issued again.
 func TestALaterEraIsFollowedFromItsOwnRevisions(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
@@ -31,7 +32,7 @@
 	actions := follower.HandleStoreRead(time.Minute, authority.Reading{Code: result.PlatformCompacted})
 	check.Equal(kinds(actions), []ActionKind{Read})
 	check.Equal(actions[0].Freshness, authority.Lagging)
-	actions = follower.HandleStoreRead(time.Minute, readingIn(1, 890, 7, "a")) // of a replica that is behind
+	actions = follower.HandleStoreRead(time.Minute, readingIn(1, 890, 7, "a")) // from a lagging replica
 	check.Equal(kinds(actions), []ActionKind{Read})
 	check.Equal(actions[0].Freshness, authority.Linearizable)
 	actions = follower.HandleStoreRead(time.Minute, readingIn(2, 885, 8, "b"))
@@ -39,8 +40,9 @@
 	check.Equal(actions[1].From, authority.Position{Era: 2, Revision: 885})
 }
 
-// A watch that is answered in a later era than it was made in may have missed changes.
-func TestAWatchAnsweredInALaterEraIsNoWholeAccount(t *testing.T) {
+// TestAWatchAnsweredInALaterEraLeadsToARead guards against missed changes: an answer in a later era
+// than that of the watch does not include all changes.
+func TestAWatchAnsweredInALaterEraLeadsToARead(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
@@ -48,21 +50,21 @@
 	check.Equal(kinds(actions), []ActionKind{Read})
 }
 
-// A version that was lost and is written again with other content replaces the one held, once, and
-// only by the store's word.
-func TestALostVersionThatIsWrittenAgainOtherwiseIsTaken(t *testing.T) {
+// TestALostVersionRewrittenWithOtherContentIsAdopted checks that a version that was lost and rewritten
+// with other content replaces the one held, once, and only if it is read from the store.
+func TestALostVersionRewrittenWithOtherContentIsAdopted(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
 	check.Equal(kinds(follower.HandlePeerDocument(0, "p", authority.Document{Version: 7, Body: []byte("b")})), nil)
-	check.Equal(kinds(follower.HandlePoll(0, readingIn(1, 901, 7, "b"))), nil) // no era has passed
-	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 880, 6, "z"))), nil) // older than what is held
+	check.Equal(kinds(follower.HandlePoll(0, readingIn(1, 901, 7, "b"))), nil) // same era
+	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 880, 6, "z"))), nil) // older than the one held
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 885, 7, "b")))[0], Adopt)
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 890, 7, "b"))), nil)
 }
 
-// In no order of readings, eras and peers' answers is a lower version taken, or a position of an
-// earlier era than is known watched.
+// TestErasNeverLeadBack checks that no order of store reads, eras and peers' replies leads to the
+// adoption of a lower version, or to a watch from a position of an earlier era than the newest known.
 func TestErasNeverLeadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		follower := newFollower()
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -1,9 +1,9 @@
-// Package following decides how a daemon follows an external configuration
-// authority: when it reads and watches the store, when it asks other daemons,
-// and which version it takes. It is a pure state machine, stepped with events;
-// the actions that it returns are carried out by the daemon, and their results
-// come back as events. What must hold: a version is never followed by a lower
-// one, whatever the store, a peer or an old answer says.
+// Package following decides how a daemon follows an external configuration authority:
+// when it reads and watches the store, when it fetches from other daemons, and which
+// version it adopts. It is a pure state machine, stepped with events. The daemon carries
+// out the returned actions, and their results are passed back as events. Invariant: an
+// adopted version is never followed by a lower one, whatever the store, a peer or a late
+// reply reports.
 package following
 
 import (
@@ -18,33 +18,33 @@
 
 // Config holds the periods of a follower.
 type Config struct {
-	// Pace is the least time between the starts of two watches, and between the
-	// versions taken from peers, so that a storm of versions costs a bounded number
-	// of calls and of versions put in force.
+	// Pace is the least time between the starts of two watches, and between adopted
+	// versions from peers. It bounds the number of calls, and of versions put in
+	// force, during a burst of versions.
 	Pace time.Duration
-	// WatchWait is how long the store may hold a watch without news.
+	// WatchWait is how long the store may hold a watch without changes.
 	WatchWait time.Duration
-	// PeerGrace is how long a version that a peer has may still come from the
-	// store before the peer is asked for it.
+	// PeerGrace is how long to wait for a peer's version to arrive from the store
+	// before it is fetched from the peer.
 	PeerGrace time.Duration
-	// Retry is the pause after a failure.
+	// Retry is the delay after a failure.
 	Retry Backoff
 }
 
-// paceParts divides the time in which a version has to be in force everywhere: one
-// part may pass before a watch is made again, the others are for the store's lag, for
-// peers that pass the version on, and for putting it in force.
+// paceParts is the number of parts into which the apply time is divided. One part may
+// pass before the next watch starts; the others are left for the store's lag, for
+// propagation between peers, and for putting the version in force.
 const paceParts = 4
 
-// DefaultApply is the time in which a version has to be in force everywhere where
-// nothing else is stated.
+// DefaultApplyTime is the default time within which a version must be in force
+// everywhere.
 const DefaultApplyTime = 2 * time.Second
 
-// DefaultConfig is ConfigFor the default time.
+// DefaultConfig returns the configuration for DefaultApplyTime.
 func DefaultConfig() Config { return ConfigForApplyTime(DefaultApplyTime) }
 
-// ConfigFor returns the periods where a version has to be in force everywhere within
-// a time.
+// ConfigForApplyTime returns the configuration with which a version is to be in force
+// everywhere within the apply time.
 func ConfigForApplyTime(apply time.Duration) Config {
 	return Config{
 		Pace:      apply / paceParts,
@@ -54,42 +54,44 @@
 	}
 }
 
-// ActionKind tells the actions apart.
+// ActionKind is the kind of an action.
 type ActionKind int
 
 // The actions.
 const (
-	// Read reads the newest configuration from the store, as Action.Freshness says.
+	// Read reads the newest configuration from the store, with Action.Freshness.
 	Read ActionKind = iota + 1
 	// Watch waits for changes after Action.From.
 	Watch
-	// AskPeer asks a peer for its document.
+	// FetchFromPeer fetches the document of Action.Peer.
 	FetchFromPeer
-	// Adopt puts Action.Document in force, if it can be decoded.
+	// Adopt puts Action.Document in force if it can be decoded.
 	Adopt
-	// Rewatch makes the watch of Action.Turn again over a new connection, if it still waits then.
+	// Rewatch restarts the watch of Action.Turn over a new connection if it is still pending
+	// after Action.After.
 	Rewatch
 )
 
-// Action is one thing to do.
+// Action is an action that the daemon is to carry out.
 type Action struct {
 	Kind ActionKind
-	// After is the pause before it.
+	// After is the delay before the action.
 	After time.Duration
-	From  authority.Position
-	// Turn tells the follower's watches apart.
+	// From is the position from which to watch.
+	From authority.Position
+	// Turn is the number of the watch to start or restart.
 	Turn uint64
-	// Freshness is that of Read.
+	// Freshness is the required freshness of a Read.
 	Freshness authority.Freshness
 	Peer      protocol.NodeID
-	// Version is what the peer said it has.
+	// Version is the version that the peer reported.
 	Version  protocol.Version
 	Document authority.Document
-	// Source names where the document came from, for logs.
+	// Source is the origin of the document, for logs.
 	Source string
 }
 
-// The names of sources in logs.
+// The values of Action.Source, as logged.
 const (
 	SourceStore = "store"
 	SourcePoll  = "poll"
@@ -100,53 +102,58 @@
 // use.
 type Follower struct {
 	config Config
-	// random returns a uniform number; it spreads retries.
+	// random returns a uniform random number, used for jitter.
 	random func() uint64
-	// position is the newest position of the store that was read.
+	// position is the newest position read from the store.
 	position authority.Position
-	// era is the newest era of the store that is known; it may be later than that of position.
+	// era is the newest known era of the store; it may be later than that of position.
 	era uint64
-	// document is the newest one handed out, and documentEra the era in which the store held it.
+	// document is the newest document emitted for adoption, and documentEra the era in which
+	// the store held it.
 	document    authority.Document
 	documentEra uint64
-	// turn is that of the newest watch; watching is set while it waits.
+	// turn is the number of the newest watch; watching is set while that is pending.
 	turn     uint64
 	watching bool
-	// failures counts the store's failures in a row.
+	// failures counts the store's consecutive failures.
 	failures int
-	// answered is set once the store has answered at all.
-	answered  bool
+	// answered is set once the store has answered.
+	answered bool
+	// watchedAt is when the newest watch started or is due to start.
 	watchedAt time.Duration
-	// adoptedAt is when a version was last handed out; adopted is set by the first.
+	// adoptedAt is when a document was last emitted for adoption; adopted is set by the
+	// first.
 	adoptedAt time.Duration
 	adopted   bool
-	asking    map[protocol.NodeID]bool
+	// fetching holds the peers whose document is being fetched.
+	asking map[protocol.NodeID]bool
 }
 
-// New returns a follower that has nothing yet.
+// New returns a follower that holds no document.
 func New(config Config, random func() uint64) *Follower {
 	return &Follower{config: config, random: random, asking: map[protocol.NodeID]bool{}}
 }
 
-// Version is the newest version handed out to be adopted.
+// Version returns the newest version emitted for adoption.
 func (f *Follower) Version() protocol.Version { return f.document.Version }
 
-// StoreAnswered tells whether the store's last answer was one.
+// IsStoreAvailable reports whether the last call to the store succeeded.
 func (f *Follower) IsStoreAvailable() bool { return f.answered && f.failures == 0 }
 
-// Start begins with a read that may lag: watches and peers bring what it lacks.
+// Start returns the first action: a read that may lag, since watches and peers supply
+// later versions.
 func (f *Follower) Start() []Action { return []Action{{Kind: Read, Freshness: authority.Lagging}} }
 
-// NewEra takes that the store has come back from an older copy. A watch from a position of an
-// earlier era tells nothing more.
+// ObserveEra records an era of the store, which is raised when the store is restored from an
+// older copy. A watch from a position of an earlier era reports no further changes.
 func (f *Follower) ObserveEra(era uint64) { f.era = max(f.era, era) }
 
-// Lapsed tells whether a position is of an era that has ended: its revision may be given out again,
-// or not be known to the store.
+// IsStale reports whether a position is of an earlier era: its revision may be issued again, or
+// may be unknown to the store.
 func (f *Follower) IsStale(from authority.Position) bool { return from.Era < f.era }
 
-// StoreRead takes the result of Read or Watch. A watch may be answered by a replica
-// that lags behind what was read before; it goes on from the latter.
+// HandleStoreRead handles the result of Read or Watch. A watch may be answered by a replica
+// that lags behind an earlier read; the next watch then starts from the earlier read.
 func (f *Follower) HandleStoreRead(now time.Duration, reading authority.Reading) []Action {
 	watched := f.watching
 	f.watching = false
@@ -157,7 +164,7 @@
 		f.failures++
 		return []Action{{Kind: Read, Freshness: authority.Lagging, After: f.backoff()}}
 	case f.IsStale(reading.At):
-		// A replica that has not come to the era yet, or a late answer.
+		// The replica has not reached the era yet, or the answer is late.
 		f.failures++
 		return []Action{{Kind: Read, Freshness: authority.Linearizable, After: f.backoff()}}
 	}
@@ -166,7 +173,7 @@
 	f.era = reading.At.Era
 	actions := f.offerOfStore(now, reading, SourceStore)
 	if watched && f.IsStale(f.position) {
-		// What was written in the era before the answer is not in it.
+		// The answer misses the changes that were written in the new era before it.
 		return append(actions, f.readAgain())
 	}
 	pause := max(0, f.watchedAt+f.config.Pace-now)
@@ -177,8 +184,8 @@
 	return append(actions, Action{Kind: Watch, From: f.position, Turn: f.turn, After: pause})
 }
 
-// StorePolled takes the result of a read that was made besides the watch: a
-// watch may be silent about a change, a linearizable read is not.
+// HandlePoll handles the result of a read made in addition to the watch: a watch may miss a
+// change, while a linearizable read does not.
 func (f *Follower) HandlePoll(now time.Duration, reading authority.Reading) []Action {
 	if reading.Code != result.OK || f.IsStale(reading.At) {
 		return nil
@@ -187,11 +194,12 @@
 	return f.thenRewatch(f.offerOfStore(now, reading, SourcePoll))
 }
 
-// WatchWaits tells whether the watch of a turn has not been answered yet.
+// IsWatchPending reports whether the watch with the number has not been answered yet.
 func (f *Follower) IsWatchPending(turn uint64) bool { return f.watching && f.turn == turn }
 
-// readAgain reads what was missed of a history that is gone. Where that is one of an earlier era, so
-// it is for all daemons at the same time; a reading that may lag is enough for most then.
+// readAgain returns a read that replaces changes no longer available to a watch. After a change of
+// era, all daemons read at the same time; the read is then jittered and may lag, which is enough for
+// most of them.
 func (f *Follower) readAgain() Action {
 	if f.IsStale(f.position) {
 		return Action{Kind: Read, Freshness: authority.Lagging, After: f.jitter()}
@@ -199,13 +207,13 @@
 	return Action{Kind: Read, Freshness: authority.Linearizable}
 }
 
-// jitter spreads the reads that all daemons make at the same time.
+// jitter returns a random delay that spreads the reads of all daemons.
 func (f *Follower) jitter() time.Duration {
 	return time.Duration(f.random() % uint64(f.config.Pace/2))
 }
 
-// thenRewatch adds to the adoption of a document that did not come by the watch. One that the watch
-// does not tell of within a pace shows that the watch hears nothing, or lags.
+// thenRewatch appends a Rewatch to the adoption of a document that did not arrive by the watch. If
+// the watch does not report the document within Pace, it is dead or lags.
 func (f *Follower) thenRewatch(actions []Action) []Action {
 	if len(actions) == 0 || !f.watching {
 		return actions
@@ -213,11 +221,12 @@
 	return append(actions, Action{Kind: Rewatch, Turn: f.turn, After: f.config.Pace})
 }
 
-// Lacks tells whether a version is newer than all that were handed out.
+// IsNewer reports whether a version is newer than every version emitted for adoption.
 func (f *Follower) IsNewer(version protocol.Version) bool { return version > f.Version() }
 
-// offerOfStore takes a document that the store holds. One of a version that was lost with an
-// earlier era, and written again in this one with other content, replaces what is held.
+// adoptFromStore adopts a document of the store if it is newer than the one held. A document of the
+// same version also replaces it if the version was lost with an earlier era and rewritten in this one
+// with other content.
 func (f *Follower) offerOfStore(now time.Duration, reading authority.Reading, source string) []Action {
 	document := reading.Document
 	again := document.Version != 0 && document.Version == f.Version() && f.documentEra < reading.At.Era
@@ -232,7 +241,7 @@
 	return actions
 }
 
-// offer takes a document if it is newer than all before.
+// adoptIfNewer adopts a document if its version is newer than the one held.
 func (f *Follower) offer(now time.Duration, document authority.Document, source string) []Action {
 	if document.Version <= f.Version() {
 		return nil
@@ -240,7 +249,7 @@
 	return f.handOut(now, document, source)
 }
 
-// handOut has a document put in force.
+// adopt emits the action that puts a document in force.
 func (f *Follower) handOut(now time.Duration, document authority.Document, source string) []Action {
 	f.document = document
 	f.adoptedAt = now
@@ -248,7 +257,7 @@
 	return []Action{{Kind: Adopt, Document: document, Source: source}}
 }
 
-// PeerVersion takes a peer's word of the version that it has in force.
+// HandlePeerVersion handles the version that a peer reports to have in force.
 func (f *Follower) HandlePeerVersion(now time.Duration, peer protocol.NodeID, version protocol.Version) []Action {
 	if version <= f.Version() || f.asking[peer] {
 		return nil
@@ -264,11 +273,11 @@
 	return []Action{{Kind: FetchFromPeer, Peer: peer, Version: version, After: grace}}
 }
 
-// PeerAnswered takes a peer's document; one without a version is none.
+// HandlePeerDocument handles a peer's document; version 0 means that the peer sent none.
 func (f *Follower) HandlePeerDocument(now time.Duration, peer protocol.NodeID, document authority.Document) []Action {
 	delete(f.asking, peer)
 	return f.thenRewatch(f.offer(now, document, SourcePeer))
 }
 
-// backoff is the pause after the present failure.
+// backoff returns the delay after the current failure.
 func (f *Follower) backoff() time.Duration { return f.config.Retry.Delay(f.failures, f.random()) }
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -30,7 +30,7 @@
 	return found
 }
 
-func TestItReadsThenWatchesFromWhereItRead(t *testing.T) {
+func TestWatchStartsAtThePositionOfTheFirstRead(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	check.Equal(kinds(follower.Start()), []ActionKind{Read})
@@ -41,7 +41,7 @@
 	check.Equal(actions[1].After, time.Duration(0))
 }
 
-func TestAStormOfVersionsCostsOneWatchAPace(t *testing.T) {
+func TestABurstOfVersionsCostsOneWatchPerPace(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(time.Minute, reading(1, 1))
@@ -50,13 +50,13 @@
 	check.Equal(actions[1].After, DefaultConfig().Pace-10*time.Millisecond)
 }
 
-func TestAForgottenHistoryIsReadAgainAtOnce(t *testing.T) {
+func TestACompactedHistoryIsReadAgainAtOnce(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(0, reading(5, 5))
 	actions := follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted})
 	check.Equal(kinds(actions), []ActionKind{Read})
-	check.Equal(kinds(follower.HandleStoreRead(time.Minute, reading(3, 9))), []ActionKind{Watch}) // it lags
+	check.Equal(kinds(follower.HandleStoreRead(time.Minute, reading(3, 9))), []ActionKind{Watch}) // the replica lags
 	check.Equal(follower.Version(), protocol.Version(5))
 }
 
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestAPeerWithANewerVersionIsAskedOnce(t *testing.T) {
+func TestANewerVersionIsFetchedFromAPeerOnce(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(0, reading(5, 5))
@@ -84,7 +84,7 @@
 	check.Equal(kinds(follower.HandlePeerDocument(0, "p", authority.Document{})), nil)
 }
 
-func TestAPollFindsWhatTheWatchWasSilentAbout(t *testing.T) {
+func TestAPollFindsAVersionThatTheWatchMissed(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(0, reading(5, 5))
@@ -95,7 +95,7 @@
 	check.True(follower.IsNewer(7))
 }
 
-func TestAPeerIsAskedAtOnceOnlyWhileTheStoreFails(t *testing.T) {
+func TestPeersAreFetchedFromAtOnceOnlyWhileTheStoreFails(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	check.Equal(follower.HandlePeerVersion(0, "p", 5)[0].After, time.Duration(0)) // nothing read yet
@@ -105,18 +105,19 @@
 	check.Equal(follower.HandlePeerVersion(time.Minute, "r", 6)[0].After, time.Duration(0))
 }
 
-func TestAWatchThatLagsLowersNothing(t *testing.T) {
+func TestALaggingWatchDoesNotLowerVersionOrPosition(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(0, reading(7, 40))
 	actions := follower.HandleStoreRead(time.Minute, reading(6, 35))
 	check.Equal(kinds(actions), []ActionKind{Watch})
-	check.Equal(actions[0].From, at(40)) // and not what it has seen again
+	check.Equal(actions[0].From, at(40)) // changes already read are not watched again
 	check.Equal(follower.Version(), protocol.Version(7))
 	check.Equal(follower.HandleStoreRead(2*time.Minute, reading(8, 41))[1].From, at(41))
 }
 
-// No order of readings and peers' answers leads to a lower version.
+// TestVersionsNeverGoBack checks that no order of store reads and peers' replies leads to a lower
+// version.
 func TestVersionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		follower := newFollower()
@@ -146,7 +147,7 @@
 	})
 }
 
-func TestAStormOfVersionsIsTakenFromPeersAtAPace(t *testing.T) {
+func TestABurstOfVersionsIsFetchedFromPeersAtThePace(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(time.Minute, reading(5, 5))
@@ -156,14 +157,15 @@
 	check.Equal(follower.HandlePeerVersion(late, "q", 6)[0].After, DefaultConfig().PeerGrace)
 }
 
-func TestThePaceLeavesMostOfTheTimeToApply(t *testing.T) {
+func TestPaceIsAQuarterOfTheApplyTime(t *testing.T) {
 	check := is.New(t)
 	check.Equal(DefaultConfig().Pace, 500*time.Millisecond)
 	check.Equal(ConfigForApplyTime(3*time.Second).Pace, 750*time.Millisecond)
 }
 
-// A watch that does not tell of what others know is made again over a new connection, once.
-func TestAWatchThatMissesAVersionIsMadeAgain(t *testing.T) {
+// TestAWatchThatMissesAVersionIsRestarted checks that a watch is restarted over a new connection,
+// once, if it does not report a version found by a poll.
+func TestAWatchThatMissesAVersionIsRestarted(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	first := follower.HandleStoreRead(time.Minute, reading(5, 5))[1]
@@ -173,9 +175,9 @@
 	check.Equal(missed.After, DefaultConfig().Pace)
 	check.True(follower.IsWatchPending(missed.Turn))
 	second := follower.HandleStoreRead(time.Minute, reading(6, 9))[0]
-	check.True(!follower.IsWatchPending(missed.Turn)) // it has been answered
+	check.True(!follower.IsWatchPending(missed.Turn)) // answered
 	check.True(follower.IsWatchPending(second.Turn))
 	follower.HandleStoreRead(time.Minute, authority.Reading{Code: result.PlatformUnavailable})
 	check.True(!follower.IsWatchPending(second.Turn))
-	check.Equal(kinds(follower.HandlePoll(time.Minute, reading(7, 12))), []ActionKind{Adopt}) // none waits
+	check.Equal(kinds(follower.HandlePoll(time.Minute, reading(7, 12))), []ActionKind{Adopt}) // no watch is pending
 }
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -29,7 +29,7 @@
 		{record("a", 5, 2, protocol.MemberAlive), true}, // refuted
 		{record("a", 5, 1, protocol.MemberDead), false}, // late
 		{record("a", 5, 2, protocol.MemberDead), true},
-		{record("a", 4, 9, protocol.MemberAlive), false}, // an earlier life
+		{record("a", 4, 9, protocol.MemberAlive), false}, // an earlier incarnation
 		{record("a", 6, 1, protocol.MemberAlive), true},
 	}
 	roster := membership.NewRoster()
@@ -41,8 +41,8 @@
 	is.Equal(held, steps[len(steps)-1].member)
 }
 
-// TestCursorsConverge follows one roster from another by cursor under random
-// merges, and expects both to hold the same.
+// TestCursorsConverge copies changes from one roster to another by cursor while records
+// are merged, and checks that both hold the same records.
 func TestCursorsConverge(t *testing.T) {
 	is := is.New(t)
 	source, follower := membership.NewRoster(), membership.NewRoster()
@@ -59,13 +59,13 @@
 		cursor = source.Cursor()
 		is.Equal(follower.All(), source.All())
 	}
-	is.Equal(len(source.Since(cursor+100)), 23) // a cursor never given out asks for all
-	is.Equal(len(follower.SubtreeSince(0)), 0)  // all heard from above
+	is.Equal(len(source.Since(cursor+100)), 23) // a cursor that was never issued requests all records
+	is.Equal(len(follower.SubtreeSince(0)), 0)    // all records are from SourceOutside
 	follower.MarkUnreported("3")
 	is.Equal(len(follower.SubtreeSince(0)), 1)
 }
 
-func TestForgetKeepsTheDeadForAWhile(t *testing.T) {
+func TestDeadMembersAreRemovedAfterTheRetention(t *testing.T) {
 	is := is.New(t)
 	roster := membership.NewRoster()
 	roster.Merge(0, record("a", 1, 1, protocol.MemberDead), membership.SourceSubtree)
@@ -76,18 +76,18 @@
 	is.Equal(len(roster.All()), 1)
 }
 
-// TestRankMovesFew takes one of many members away: the order of the others
-// stays, which is what rendezvous hashing is for.
-func TestRankMovesFew(t *testing.T) {
+// TestRankIsStableUnderRemoval removes one of many members: the order of the others does
+// not change, which is the purpose of rendezvous hashing.
+func TestRankIsStableUnderRemoval(t *testing.T) {
 	is := is.New(t)
 	var members []protocol.Member
 	for i := range 50 {
 		members = append(members, record(fmt.Sprint("m", i), 1, 1, protocol.MemberAlive))
 	}
 	ranked := membership.Rank("relay/x", members)
-	gone := ranked[7].ID
-	fewer := slices.DeleteFunc(slices.Clone(members), func(m protocol.Member) bool { return m.ID == gone })
-	expected := slices.DeleteFunc(slices.Clone(ranked), func(m protocol.Member) bool { return m.ID == gone })
+	removed := ranked[7].ID
+	fewer := slices.DeleteFunc(slices.Clone(members), func(m protocol.Member) bool { return m.ID == removed })
+	expected := slices.DeleteFunc(slices.Clone(ranked), func(m protocol.Member) bool { return m.ID == removed })
 	is.Equal(membership.Rank("relay/x", fewer), expected)
 	slices.Reverse(members)
 	is.Equal(membership.Rank("relay/x", members), ranked) // the order of the input does not matter
--- a/internal/core/membership/rank.go
+++ b/internal/core/membership/rank.go
@@ -1,6 +1,6 @@
-// Package membership keeps one soft record a daemon: merging by incarnation,
-// sequence and state, a change log that peers follow by cursor, and ranks by
-// rendezvous hashing. It does no input or output.
+// Package membership keeps the soft-state record of each daemon. It merges records by
+// incarnation, sequence and state, keeps a change log that peers read by cursor, and
+// ranks members by rendezvous hashing. It does no input or output.
 package membership
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// Hash returns the hash that identifies one life of a daemon in the sums of
-// protocol.Acknowledgement.
+// IncarnationHash returns the hash that identifies one incarnation of a daemon in
+// protocol.Acknowledgement.MemberSum.
 func IncarnationHash(id protocol.NodeID, incarnation protocol.Incarnation) uint64 {
 	text := binary.BigEndian.AppendUint64([]byte(id), uint64(incarnation))
 	return xxhash.Sum64(text)
 }
 
-// Score is the rendezvous weight of a member for a purpose, such as the relays
-// of a zone. Every daemon computes the same score without any exchange.
+// Score returns the rendezvous weight of a member for a purpose, such as the choice of
+// a zone's relays. All daemons compute the same score without communication.
 func Score(purpose string, id protocol.NodeID) uint64 {
 	return xxhash.Sum64String(purpose + "\x00" + string(id))
 }
@@ -49,18 +49,18 @@
 	return ranked
 }
 
-// Live reports whether a member may still serve, so that it is counted.
+// Live reports whether a member may still serve and is therefore counted.
 func Live(member protocol.Member) bool {
 	return member.State != protocol.MemberLeft && member.State != protocol.MemberDead
 }
 
-// MayBeParent reports whether a member may have a role in the tree. One that
-// is draining still serves and counts, but takes no children any more.
+// MayBeParent reports whether a member may be a root or relay. A draining member still
+// serves and is counted, but accepts no children.
 func MayBeParent(member protocol.Member) bool {
 	return Live(member) && member.State != protocol.MemberDraining
 }
 
-// Newer reports whether record a wins over record b of the same daemon.
+// Newer reports whether record a supersedes record b of the same daemon.
 func Newer(a, b protocol.Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -12,48 +12,49 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// ForgetAfter is how long the record of a dead or left member is kept, so that
-// a late record of it is not taken for a new member.
+// TombstoneRetention is how long the record of a dead or left member is kept, so that a
+// late record does not add the member again.
 const TombstoneRetention = time.Hour
 
-// Source says from where a record was heard.
+// Source is the direction from which a record was received.
 type Source int
 
 // The sources of a record.
 const (
-	// Below is this daemon itself or a child, so that the parent may not know
-	// the record yet.
+	// SourceSubtree is this daemon or its subtree: the parent may not know the
+	// record yet.
 	SourceSubtree Source = iota + 1
-	// Above is the parent, or another region.
+	// SourceOutside is the parent, another region, or the reply to a probe.
 	SourceOutside
 )
 
-// Cursor is a position in a roster's change log. 0 is before everything.
+// Cursor is a position in a roster's change log. 0 precedes all changes.
 type Cursor = uint64
 
-// Roster is what one daemon knows of all members. It is not safe for
-// concurrent use.
+// Roster holds the member records that one daemon knows. It is not safe for concurrent
+// use.
 type Roster struct {
 	entries map[protocol.NodeID]*entry
-	// log lists changes in order. An item is stale once its member changed
+	// log lists the changes in order. An item is stale once its member has changed
 	// again; stale items are dropped when they outnumber the members.
 	log  []change
 	next Cursor
 	// order holds the entries in ascending order of id.
 	order []*entry
-	// structure counts the changes that Structure speaks of.
+	// structureRevision is the counter returned by StructureRevision.
 	structure uint64
-	// sums hold, by bucket of ids, the sum of the hashes of all records.
+	// sums holds the sum of the record hashes, by bucket of member ids.
 	sums BucketSums
 }
 
-// Buckets is into how many parts the records are divided for Sums.
+// BucketCount is the number of buckets into which records are divided for BucketSums.
 const BucketCount = 64
 
-// Sums tell two rosters apart, bucket by bucket, without sending records.
+// BucketSums are checksums of a roster by bucket. Two rosters are compared by them
+// without sending records.
 type BucketSums [BucketCount]uint64
 
-// Total sums all buckets up: equal rosters have equal totals.
+// Total returns the sum over all buckets: equal rosters have equal totals.
 func (s BucketSums) Total() uint64 {
 	total := uint64(0)
 	for _, sum := range s {
@@ -79,8 +80,8 @@
 	return &Roster{entries: map[protocol.NodeID]*entry{}, next: 1}
 }
 
-// Merge takes a record heard from source at now and reports whether it
-// replaced what was known.
+// Merge merges a record received from source at now and reports whether it was new or
+// replaced the known one.
 func (r *Roster) Merge(now time.Duration, member protocol.Member, source Source) bool {
 	known, found := r.entries[member.ID]
 	if found && !Newer(member, known.member) {
@@ -111,15 +112,15 @@
 
 func compareEntry(one *entry, id protocol.NodeID) int { return cmp.Compare(one.member.ID, id) }
 
-// structureDiffers reports whether a change concerns who counts and who may be
-// whose parent, and not only an endpoint.
+// structureDiffers reports whether two records of a member differ in what determines
+// the counted members or the tree, and not only in the endpoint.
 func structureDiffers(a, b protocol.Member) bool {
 	return a.Incarnation != b.Incarnation || Live(a) != Live(b) || MayBeParent(a) != MayBeParent(b) || a.Reader != b.Reader || a.Root != b.Root ||
 		a.Zone != b.Zone || a.Region != b.Region || a.ControlAddress != b.ControlAddress
 }
 
-// recordHash identifies one state of a record: two records of a daemon with
-// the same place in the order of merging are the same.
+// recordHash identifies a record: two records of a daemon with the same incarnation,
+// sequence and state are equal.
 func recordHash(member protocol.Member) uint64 {
 	text := []byte(member.ID)
 	text = binary.BigEndian.AppendUint64(text, uint64(member.Incarnation))
@@ -130,13 +131,15 @@
 
 func bucketOf(id protocol.NodeID) int { return int(xxhash.Sum64String(string(id)) % BucketCount) }
 
-// Structure grows with each change of who counts and who may be whose parent.
+// StructureRevision returns a counter that grows with each change of the counted
+// members or of what determines the tree.
 func (r *Roster) StructureRevision() uint64 { return r.structure }
 
-// Sums returns the sums of all records.
+// Sums returns the checksums of all records.
 func (r *Roster) Sums() BucketSums { return r.sums }
 
-// Differing returns the records in buckets whose sums differ from the given.
+// InDifferingBuckets returns the records in the buckets whose sums differ from the given
+// ones.
 func (r *Roster) InDifferingBuckets(sums BucketSums) []protocol.Member {
 	var members []protocol.Member
 	for _, known := range r.order {
@@ -148,8 +151,8 @@
 	return members
 }
 
-// MergeQuietly is Merge for a judgement that is not news from the member, such
-// as suspicion: ChangedAt stays what it was.
+// MergeKeepingChangedAt is Merge for a state that another daemon has assigned to the
+// member, such as suspect. It is no sign of life, so ChangedAt stays unchanged.
 func (r *Roster) MergeKeepingChangedAt(now time.Duration, member protocol.Member, source Source) bool {
 	heard := r.ChangedAt(member.ID)
 	if !r.Merge(now, member, source) {
@@ -159,8 +162,8 @@
 	return true
 }
 
-// ReportAgain makes a record count as changed below, so that a new parent
-// hears it.
+// MarkUnreported marks a record as changed in the subtree, so that it is sent to a new
+// parent.
 func (r *Roster) MarkUnreported(id protocol.NodeID) {
 	known, found := r.entries[id]
 	if !found {
@@ -177,8 +180,8 @@
 	r.compact()
 }
 
-// compact drops stale log items, so that the log stays in proportion to the
-// number of members.
+// compact drops stale log items, so that the length of the log stays proportional to
+// the number of members.
 func (r *Roster) compact() {
 	const slack = 64
 	if len(r.log) < 2*len(r.entries)+slack {
@@ -201,7 +204,7 @@
 	return known.member, true
 }
 
-// ChangedAt returns when the member's record last changed here.
+// ChangedAt returns when the member's record last changed in this roster.
 func (r *Roster) ChangedAt(id protocol.NodeID) time.Duration {
 	if known, found := r.entries[id]; found {
 		return known.at
@@ -218,41 +221,41 @@
 	return members
 }
 
-// Each calls visit with every record in ascending order of id. Records may be
-// merged meanwhile.
+// Each calls visit with every record in ascending order of id. The callback may merge
+// records.
 func (r *Roster) Each(visit func(protocol.Member)) {
 	for _, known := range slices.Clone(r.order) {
 		visit(known.member)
 	}
 }
 
-// Where returns the records that fit, in ascending order of id.
-func (r *Roster) Where(fits func(protocol.Member) bool) []protocol.Member {
+// Where returns the records for which matches returns true, in ascending order of id.
+func (r *Roster) Where(matches func(protocol.Member) bool) []protocol.Member {
 	var members []protocol.Member
 	for _, known := range r.order {
-		if fits(known.member) {
+		if matches(known.member) {
 			members = append(members, known.member)
 		}
 	}
 	return members
 }
 
-// Cursor returns the position after the newest change.
+// Cursor returns the position of the newest change.
 func (r *Roster) Cursor() Cursor { return r.next - 1 }
 
-// Since returns the records that changed after the cursor, each once and in
-// the order of their changes. After a cursor that this roster never gave out,
-// it returns everything.
+// Since returns the records that changed after the cursor, each once and in the order
+// of their changes. For a cursor beyond the newest change, which this roster never
+// issued, it returns all records.
 func (r *Roster) Since(cursor Cursor) []protocol.Member {
 	return r.since(cursor, func(*entry) bool { return true })
 }
 
-// SinceBelow is Since for records heard from below only.
+// SubtreeSince is Since restricted to records from SourceSubtree.
 func (r *Roster) SubtreeSince(cursor Cursor) []protocol.Member {
 	return r.since(cursor, func(known *entry) bool { return known.source == SourceSubtree })
 }
 
-func (r *Roster) since(cursor Cursor, fits func(*entry) bool) []protocol.Member {
+func (r *Roster) since(cursor Cursor, matches func(*entry) bool) []protocol.Member {
 	if cursor >= r.next {
 		cursor = 0
 	}
@@ -261,14 +264,15 @@
 	})
 	var members []protocol.Member
 	for _, item := range r.log[from:] {
-		if r.current(item) && fits(r.entries[item.id]) {
+		if r.current(item) && matches(r.entries[item.id]) {
 			members = append(members, r.entries[item.id].member)
 		}
 	}
 	return members
 }
 
-// Forget drops members that have been dead or left for ForgetAfter.
+// RemoveExpired removes the records of members that have been dead or left for longer
+// than TombstoneRetention.
 func (r *Roster) RemoveExpired(now time.Duration) {
 	r.order = slices.DeleteFunc(r.order, func(known *entry) bool {
 		forgotten := !Live(known.member) && now-known.at > TombstoneRetention
--- a/internal/core/node/calls.go
+++ b/internal/core/node/calls.go
@@ -7,7 +7,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// calls pairs the effects that expect an answer with what to do with it.
+// callTable holds the callbacks of the peer calls that await a reply.
 type calls struct {
 	next    Token
 	waiting map[Token]func(body any)
@@ -22,8 +22,8 @@
 	return n.calls.next
 }
 
-// call asks another daemon and calls done with the reply, or with nil when no
-// answer came, which leaves open whether the call had its effect.
+// call sends a request to another daemon and calls done with the reply, or with
+// nil when none arrived; the request may have taken effect even then.
 func (n *Node) call(address string, body any, timeout time.Duration, done func(reply any)) Token {
 	token := n.newToken()
 	n.calls.waiting[token] = done
@@ -31,8 +31,8 @@
 	return token
 }
 
-// finishCall hands a reply to the one who waits for it. A reply that nobody
-// waits for is late or a duplicate and is dropped.
+// handlePeerReply passes a reply to the callback of its call. A reply without a
+// pending call is late or a duplicate and is dropped.
 func (n *Node) finishCall(reply PeerReply) {
 	done, found := n.calls.waiting[reply.Token]
 	if !found {
@@ -46,7 +46,8 @@
 	done(reply.Body)
 }
 
-// handlePeerRequest answers another daemon, at once or later.
+// handlePeerRequest dispatches a request from another daemon; the answer may be
+// sent in a later step.
 func (n *Node) handlePeerRequest(request PeerRequest) {
 	switch body := request.Body.(type) {
 	case *protocol.FetchRequest:
@@ -66,10 +67,12 @@
 	n.emit(PeerAnswer{Token: token, Body: body})
 }
 
-// knownFormat reports whether a peer's message can be understood whole.
+// isKnownFormat reports whether this daemon understands every field of a peer's
+// message.
 func knownFormat(format int) bool { return format == protocol.Format }
 
-// refusal returns the fetch reply of a daemon that is no parent for the sender.
+// newRefusal returns the fetch reply of a daemon that does not accept the sender
+// as a child.
 func refusal(code result.Code, retryAfter time.Duration) *protocol.FetchReply {
 	return &protocol.FetchReply{Format: protocol.Format, Code: code, RetryAfter: retryAfter}
 }
--- a/internal/core/node/chaos_test.go
+++ b/internal/core/node/chaos_test.go
@@ -15,7 +15,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// chaos draws faults over a cluster of two regions.
+// chaos injects random faults into a cluster of two regions.
 type chaos struct {
 	*cluster
 	random  *rand.Rand
@@ -24,12 +24,12 @@
 	pending []func() *protocol.SubmitReply
 }
 
-// TestChaos draws steps and faults by seed: daemons die alone and in herds,
-// return, pause, are cut off one way or both; the platform goes down;
-// operators race; messages are lost and reordered. After each step nothing has
-// moved back and nothing older is served than what is called in force. Once
-// the faults stop, the newest accepted version comes in force everywhere.
-// CHAOS_SEEDS and CHAOS_FIRST choose the seeds of a longer campaign.
+// TestChaos runs random faults by seed: daemons crash one by one or many at once,
+// restart, pause, and lose connectivity in one or both directions; the platform goes
+// down; operators submit concurrently; messages are lost and reordered. Throughout,
+// no version moves back and no daemon serves a version older than the one declared
+// in force. Once the faults stop, the newest accepted version comes in force
+// everywhere. CHAOS_SEEDS sets the number of seeds and CHAOS_FIRST the first one.
 func TestChaos(t *testing.T) {
 	seeds := slices.Clone(foundSeeds)
 	if count, err := strconv.Atoi(os.Getenv("CHAOS_SEEDS")); err == nil {
@@ -41,9 +41,9 @@
 	}
 }
 
-// foundSeeds failed once: 3 and 13 by two roots that never met, 2003, 2012 and
-// 2029 by a new root that called a version in force without knowing of the
-// other region.
+// regressionSeeds are seeds that have failed: 3 and 13 because two roots never
+// discovered each other; 2003, 2012 and 2029 because a new root declared a version
+// in force without knowing the other region.
 var foundSeeds = []int{3, 13, 2003, 2012, 2029}
 
 func runChaos(t *testing.T, seed uint64) {
@@ -67,7 +67,7 @@
 	c.settle()
 }
 
-// addresses of the daemons, all of which are seeds for some others.
+// address returns the control address of the daemon with the index.
 func address(i int) string { return fmt.Sprintf("addr-d%02d", i) }
 
 func (c *chaos) startAgain(i int) {
@@ -114,7 +114,8 @@
 	}
 }
 
-// cutSome cuts a daemon from some others, one way or both, or the regions.
+// cutLinks cuts the links of a daemon to random others or to the other region, in
+// one direction or both.
 func (c *chaos) cutSome(one *daemon) {
 	regions := c.random.IntN(3) == 0
 	bothWays := c.random.IntN(2) == 0
@@ -149,7 +150,7 @@
 	}
 }
 
-// settle checks liveness once the faults have stopped.
+// checkConvergence checks that a change comes in force once the faults have stopped.
 func (c *chaos) settle() {
 	c.run(30 * time.Second)
 	var version protocol.Version
--- a/internal/core/node/cluster_test.go
+++ b/internal/core/node/cluster_test.go
@@ -16,10 +16,10 @@
 	"github.com/springstack/springstack/internal/sim/timeline"
 )
 
-// delay is the one-way time of every message.
+// delay is the one-way latency of every message.
 const delay = time.Millisecond
 
-// cluster runs nodes, a platform and a network on virtual time.
+// cluster simulates nodes, a platform and a network in virtual time.
 type cluster struct {
 	is       *is.I
 	timeline *timeline.Timeline
@@ -27,20 +27,20 @@
 	daemons  map[string]*daemon
 	// cut drops messages between two addresses when it returns true.
 	cut func(from, to string) bool
-	// random draws delays and losses when set; without it each message takes
-	// the same time.
+	// random draws latencies and losses when set; otherwise every message has the
+	// same latency and none is lost.
 	random   *rand.Rand
 	loss     float64
 	platform *platform
-	// observe sees every message.
+	// observe is called with every message.
 	observe func(from, to string, body any)
 	// submitted is set once the file exists.
 	submitted bool
-	// logs prints log events when set.
+	// logs receives log lines when set.
 	logs func(line string)
 }
 
-// daemon is one node with the least of a shell.
+// daemon is one node with a minimal shell.
 type daemon struct {
 	id           protocol.NodeID
 	config       node.Config
@@ -51,13 +51,15 @@
 	operator     map[node.Token]any
 	answers      map[node.Token]func(any)
 	highest      protocol.Version
-	// life grows with each start; messages to an earlier life are dropped.
+	// generation grows with each start and stop; messages to an earlier one are
+	// dropped.
 	life    int
 	running bool
-	// holdsSwaps keeps swaps from being confirmed; swapped sees each.
+	// withholdsConfirmations leaves swaps unconfirmed; onSwap is called for each
+	// swap when set.
 	holdsSwaps bool
 	swapped    func()
-	// pausedUntil is when a paused daemon wakes.
+	// pausedUntil is when a paused daemon resumes.
 	pausedUntil time.Duration
 }
 
@@ -79,7 +81,7 @@
 
 func (c *cluster) wallClock() time.Time { return time.Unix(1_700_000_000, 0).Add(c.now()) }
 
-// run lets virtual time pass.
+// run advances the virtual time by the period.
 func (c *cluster) run(period time.Duration) {
 	end := c.now() + period
 	for c.timeline.Step(end) {
@@ -87,7 +89,8 @@
 	c.timeline.AdvanceTo(end)
 }
 
-// until runs until the condition holds, and fails when it does not in time.
+// until advances the time until the condition holds, and fails the test when that
+// takes longer than the limit. It returns the time taken.
 func (c *cluster) until(what string, limit time.Duration, condition func() bool) time.Duration {
 	started := c.now()
 	for !condition() {
@@ -101,7 +104,7 @@
 	return c.now() - started
 }
 
-// start starts a daemon, or starts it again with nothing remembered.
+// start starts a daemon, or restarts it without any state.
 func (c *cluster) start(region, zone, id string, seeds ...string) *daemon {
 	address := "addr-" + id
 	d, known := c.daemons[address]
@@ -143,7 +146,7 @@
 	c.after(node.TickInterval, func() { c.tick(d, life) })
 }
 
-// step gives a node a message; a paused one gets it when it wakes.
+// step delivers a message to a node; a paused node receives it when it resumes.
 func (c *cluster) step(d *daemon, message node.Message) {
 	if c.now() < d.pausedUntil {
 		life := d.life
@@ -204,8 +207,8 @@
 	}
 }
 
-// checkInForce holds what a node calls in force against what all daemons may
-// serve at that moment (I9).
+// checkInForce checks a version that a node declares in force against the versions
+// that all daemons may serve at that moment (I9).
 func (c *cluster) checkInForce(claimed string) {
 	version, err := strconv.ParseUint(claimed, 10, 64)
 	c.is.NoErr(err)
@@ -216,7 +219,7 @@
 	}
 }
 
-// confirm tells a node that its newest snapshot is in force.
+// confirm confirms to a node that its newest snapshot is in force.
 func (c *cluster) confirm(d *daemon) { c.step(d, node.SnapshotInForce{Version: d.snapshot.Version}) }
 
 func (c *cluster) printLog(d *daemon, one node.LogEvent) {
@@ -241,7 +244,7 @@
 	return delay + time.Duration(c.random.ExpFloat64()*float64(5*time.Millisecond))
 }
 
-// callPeer carries a call; each half may be cut.
+// callPeer delivers a call; the request and the reply may each be dropped.
 func (c *cluster) callPeer(from *daemon, life int, call node.CallPeer) {
 	done := false
 	reply := func(body any, failed bool) {
@@ -278,12 +281,12 @@
 	c.step(to, node.PeerRequest{Token: token, Body: body})
 }
 
-// serving reports whether a daemon may serve now.
+// serving reports whether a daemon may serve at this time.
 func (c *cluster) serving(d *daemon) bool {
 	return d.running && d.snapshot != nil && c.now() < d.servingUntil
 }
 
-// allServe reports whether all running daemons serve the version or a later.
+// allServe reports whether all running daemons serve the version or a later one.
 func (c *cluster) allServe(version protocol.Version) bool {
 	for _, d := range c.daemons {
 		if d.running && (!c.serving(d) || d.snapshot.Version < version) {
@@ -293,7 +296,8 @@
 	return true
 }
 
-// submit sends a change through a daemon and returns where its answer appears.
+// submit sends a change through a daemon and returns a function that returns the
+// reply, or nil before it arrives.
 func (c *cluster) submit(d *daemon, content string) func() *protocol.SubmitReply {
 	c.order++
 	token := node.Token(c.order) | 1<<41
@@ -315,7 +319,7 @@
 	}
 }
 
-// status asks a daemon for its status.
+// status returns the status that a daemon reports to an operator.
 func (c *cluster) status(d *daemon) *protocol.StatusReply {
 	c.order++
 	token := node.Token(c.order) | 1<<41
--- a/internal/core/node/downstream.go
+++ b/internal/core/node/downstream.go
@@ -13,17 +13,17 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// downstream is this daemon's side of the calls of its children.
+// downstream holds the state of this daemon's children.
 type downstream struct {
 	children map[protocol.NodeID]*child
 	// order lists the children in ascending order of id.
 	order []protocol.NodeID
-	// acksChanged is set when the fold may have changed.
+	// acksChanged is set when the aggregated acknowledgements may have changed.
 	acksChanged bool
 	admission   *distribution.SendLimiter
 }
 
-// child is one daemon that fetches from this one.
+// child is a daemon that fetches from this one.
 type child struct {
 	id          protocol.NodeID
 	incarnation protocol.Incarnation
@@ -33,36 +33,43 @@
 	digest      resource.Digest
 	acks        []protocol.Acknowledgement
 	heardAt     time.Duration
-	// cursor is how far in this daemon's change log the child has heard.
+	// cursor is the position in this daemon's change log up to which the child
+	// has received records.
 	cursor         membership.Cursor
 	keeperRevision protocol.Version
-	// sums tell which records the child lacks, when it has no cursor.
+	// rosterSums are the checksums of the child's roster by bucket. Without a
+	// cursor they show which records the child is missing.
 	sums []uint64
-	// joinedAt is the position in the change log at which the child's record
-	// was known.
+	// joinedAt is the position in the change log just after the child's record
+	// was added.
 	joinedAt membership.Cursor
-	// leased is set once a lease was granted in this stay.
+	// leaseGranted is set once this daemon has granted a lease to the child since
+	// it joined.
 	leased bool
-	// token is that of the held fetch; 0 for none.
+	// heldToken is the token of the fetch that is held open; 0 for none.
 	token Token
 	wait  time.Duration
 }
 
 // The bounds of the downstream side.
 const (
-	// A root has places for these multiples of the fan-out: for any daemon, for
-	// relays as well, and for daemons that bring readers or subtrees as well, so
-	// that leaves that came first in a herd don't keep a subtree out.
+	// A root accepts children up to these multiples of the fan-out: leaves up to
+	// the first, relays up to the second, readers and daemons with a subtree up
+	// to the third. Leaves that arrive first when many daemons start together
+	// thus cannot exclude a subtree.
 	rootPlacesAny     = 2
 	rootPlacesRelay   = 4
 	rootPlacesSubtree = 8
-	// memberNews gathers changes of members before a held fetch is answered.
+	// memberBatchDelay is how long member changes are batched before a held fetch
+	// is answered.
 	memberNews = 500 * time.Millisecond
-	// maxHints bounds the members named in a refusal.
+	// maxHints is the maximum number of members listed in a refusal.
 	maxHints = 8
-	// retryNotReady is the wait told by a daemon that holds nothing yet.
+	// notReadyRetryAfter is the retry delay in the refusal of a daemon that holds
+	// no configuration yet.
 	retryNotReady = 200 * time.Millisecond
-	// smallDelta is admitted without limit.
+	// unlimitedDeltaBytes is the payload size up to which deltas bypass the send
+	// limiter.
 	smallDelta = 16 << 10
 )
 
@@ -73,7 +80,8 @@
 	}
 }
 
-// handleFetch takes a fetch and holds it until there is something to say.
+// handleFetch handles a child's fetch. A fetch that is accepted is held open until
+// a reply is due.
 func (n *Node) handleFetch(token Token, request *protocol.FetchRequest) {
 	if !knownFormat(request.Format) {
 		n.answer(token, refusal(result.UnknownFormat, n.config.Timing.DeadAfter))
@@ -99,9 +107,9 @@
 	n.takeFetch(known, token, request)
 }
 
-// acceptance decides whether the sender may be a child. Relays are only taken
-// by a root and leaves by a root or by a relay below one, so that the tree has
-// at most three levels.
+// checkChild decides whether the sender may be a child. Only a root accepts
+// relays; leaves are accepted by a root or by a relay directly below one. The tree
+// therefore has at most three levels.
 func (n *Node) acceptance(request *protocol.FetchRequest) result.Code {
 	if _, known := n.floor(); !known || n.holding.store.Version() == 0 {
 		if n.root.active {
@@ -125,8 +133,8 @@
 	}
 }
 
-// rootPlaces returns how many children this root may have for the sender to be
-// one more.
+// rootChildLimit returns how many children this root accepts, which depends on the
+// kind of the sender.
 func (n *Node) rootPlaces(request *protocol.FetchRequest) int {
 	below := lo.SumBy(request.Acknowledgements, func(ack protocol.Acknowledgement) uint32 { return ack.Count })
 	fanOut := n.config.Timing.FanOut
@@ -140,9 +148,10 @@
 	}
 }
 
-// newcomerIsCurrent refuses a newcomer's late duplicate: one from an earlier
-// life, or from before it turned to another parent. Counting it here as well
-// would hold in force back.
+// isCurrentFetch reports whether the first fetch of a new child is current. A late
+// duplicate, sent by an earlier incarnation or before the sender switched to
+// another parent, is not: counting the sender here as well as there would delay
+// the in-force version.
 func (n *Node) newcomerIsCurrent(request *protocol.FetchRequest) bool {
 	if request.Self.ID != request.From || request.Self.Parent != n.self.ID {
 		return false
@@ -166,8 +175,8 @@
 	return added
 }
 
-// supersede answers a held fetch when a newer one of the same child arrives.
-// The child waits for the newer only.
+// supersedeHeldFetch ends a held fetch with an empty reply. The child waits only
+// for its newest fetch.
 func (n *Node) supersede(known *child) {
 	if known.token == 0 {
 		return
@@ -202,7 +211,7 @@
 	}
 }
 
-// childMoved forgets a child that has another parent now, or has left or died.
+// removeChild removes a child that has switched to another parent, left or died.
 func (n *Node) childMoved(member protocol.Member) {
 	known, found := n.downstream.children[member.ID]
 	if !found || known.incarnation > member.Incarnation {
@@ -214,12 +223,12 @@
 	n.downstream.acksChanged = true
 }
 
-// acknowledgements folds what this daemon and all below it hold.
+// acknowledgements aggregates the versions held by this daemon and its subtree.
 //
-// What must hold: a child is counted from its first fetch until every lease
-// that this daemon granted to it has certainly ended, or until it is known to
-// be counted elsewhere, so that no version is called in force while it may
-// serve an older one.
+// Invariant: a child is counted from its first fetch until every lease that this
+// daemon granted to it has certainly expired, or until it is known to be counted
+// elsewhere. Otherwise a version could be declared in force while the child may
+// still serve an older one.
 func (n *Node) acknowledgements() []protocol.Acknowledgement {
 	fold := distribution.NewAcknowledgementAggregator()
 	if membership.Live(n.self) {
@@ -237,12 +246,14 @@
 	return fold.List()
 }
 
-// leaseEnded reports that the lease granted to a child has certainly ended.
+// hasLeaseExpired reports whether every lease granted to a child has certainly
+// expired.
 func (n *Node) leaseEnded(known *child) bool {
 	return n.now-known.heardAt > marginOf(n.config.Timing.ServingLease)
 }
 
-// sweepChildren notices children whose leases have ended.
+// sweepChildren marks the acknowledgements as changed when a child's lease has
+// expired since the last sweeps.
 func (n *Node) sweepChildren() {
 	margin := marginOf(n.config.Timing.ServingLease)
 	for _, id := range n.downstream.order {
@@ -253,7 +264,7 @@
 	}
 }
 
-// serveChildren answers the held fetches that have an answer now.
+// answerHeldFetches answers the held fetches for which a reply is due.
 func (n *Node) serveChildren() {
 	for _, id := range n.downstream.order {
 		known := n.downstream.children[id]
@@ -277,15 +288,15 @@
 	}
 }
 
-// mayLease reports whether a child may serve: its record has reached the root,
-// which then waits for it before calling anything in force, even when this
-// daemon dies in the next moment.
+// canGrantLease reports whether a child may be granted a lease. Its record must
+// have reached the root: the root then waits for the child before it declares a
+// version in force, even if this daemon crashes.
 func (n *Node) mayLease(known *child) bool {
 	reported := n.root.active || (n.upstream.joined && n.upstream.reported >= known.joinedAt)
 	return reported && n.holding.grantUntil > n.now
 }
 
-// serve answers a held fetch.
+// answerFetch answers a held fetch.
 func (n *Node) serve(known *child) {
 	token := known.token
 	known.token = 0
@@ -320,8 +331,9 @@
 	n.answer(token, reply)
 }
 
-// membersFor returns the records that a child lacks: those that changed since
-// its cursor, or, without one, those in which its roster differs.
+// membersToSend returns the records that a child is missing: those that changed
+// since its cursor or, without a cursor, those in the buckets whose checksums
+// differ.
 func (n *Node) membersFor(known *child) []protocol.Member {
 	if known.cursor == 0 && len(known.sums) == membership.BucketCount {
 		return n.roster.InDifferingBuckets(membership.BucketSums(known.sums))
@@ -329,7 +341,8 @@
 	return n.roster.Since(known.cursor)
 }
 
-// admit limits the bytes that go out at once.
+// admitDelta applies the send limiter to a delta. It returns the time to wait and
+// false when the delta may not be sent now.
 func (n *Node) admit(delta *protocol.Delta) (time.Duration, bool) {
 	if delta == nil || len(delta.Payload) <= smallDelta {
 		return 0, true
@@ -337,9 +350,9 @@
 	return n.downstream.admission.Admit(n.now, len(delta.Payload))
 }
 
-// grant returns the lease of a child, from the sending of its request: what
-// this daemon itself was granted at most, plus the time that the request was
-// held here, which has certainly passed at the child too.
+// grantLease returns the lease of a child, counted from when the child sent its
+// request: at most the remainder of this daemon's own lease, plus the time for
+// which the request was held here, which has certainly passed at the child too.
 func (n *Node) grant(known *child) time.Duration {
 	if !n.mayLease(known) {
 		return 0
--- a/internal/core/node/failure_test.go
+++ b/internal/core/node/failure_test.go
@@ -13,9 +13,9 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// TestCrashHoldsInForceBackByTheFenceOnly guards a found fault: after the crash
-// of one daemon nothing was in force before it was called dead, 35 s later.
-func TestCrashHoldsInForceBackByTheFenceOnly(t *testing.T) {
+// TestCrashDelaysInForceUntilFencedOnly guards against a fault: after the crash of one
+// daemon, no version came in force until the daemon was marked dead, 35 s later.
+func TestCrashDelaysInForceUntilFencedOnly(t *testing.T) {
 	c, _, _ := settled(t)
 	crashed := c.other(c.root())
 	c.stop(crashed)
@@ -25,8 +25,8 @@
 	t.Logf("in force %v after a crash", took)
 }
 
-// settled returns twelve daemons that serve an accepted file everywhere, with
-// keepers that have been up for longer than any lease.
+// newSettledCluster returns a cluster of twelve daemons that all serve an accepted
+// file, with keepers that have been running for longer than any lease.
 func settled(t *testing.T) (*cluster, []*daemon, protocol.Version) {
 	c := newCluster(t)
 	if os.Getenv("NODE_LOGS") != "" {
@@ -40,7 +40,7 @@
 	return c, daemons, version
 }
 
-// root returns the running daemon that calls itself root.
+// root returns the running daemon whose own record marks it as root.
 func (c *cluster) root() *daemon {
 	for _, d := range c.daemons {
 		if !d.running {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// other returns a running daemon that is none of the given.
+// other returns a running daemon that is not among the given ones.
 func (c *cluster) other(not ...*daemon) *daemon {
 	for i := range len(c.daemons) {
 		d := c.daemons[fmt.Sprintf("addr-d%02d", i)]
@@ -83,18 +83,18 @@
 
 func TestDaemonIsCutOffAndReturns(t *testing.T) {
 	c, daemons, _ := settled(t)
-	lost := c.other(c.root())
+	isolated := c.other(c.root())
 	c.cut = func(from, to string) bool {
-		return from == lost.config.ControlAddress || to == lost.config.ControlAddress
+		return from == isolated.config.ControlAddress || to == isolated.config.ControlAddress
 	}
-	through := c.other(lost)
+	through := c.other(isolated)
 	version := c.accept(through, 7)
 	c.run(time.Second)
 	if c.status(through).Summary.InForce >= version {
-		c.is.Fail() // a daemon that may still serve the older version holds it back
+		c.is.Fail() // one daemon may still serve the older version
 	}
 	c.run(15 * time.Second)
-	c.is.True(!c.serving(lost)) // it stopped by itself
+	c.is.True(!c.serving(isolated)) // its lease has expired
 	c.inForce(through, version, 60*time.Second)
 	c.cut = func(string, string) bool { return false }
 	c.until("all serve", 20*time.Second, func() bool { return c.allServe(version) })
@@ -133,9 +133,9 @@
 	c.inForce(c.other(root), version, 60*time.Second)
 }
 
-// TestHerdRestarts restarts all daemons at once with the platform up, then
-// with the platform down: without a floor nothing is served.
-func TestHerdRestarts(t *testing.T) {
+// TestAllDaemonsRestartAtOnce restarts all daemons at once, first with the platform up,
+// then with the platform down: without a floor no daemon serves.
+func TestAllDaemonsRestartAtOnce(t *testing.T) {
 	c, daemons, version := settled(t)
 	restart := func() {
 		for _, d := range daemons {
@@ -159,8 +159,8 @@
 	c.until("all serve", 60*time.Second, func() bool { return c.allServe(version) })
 }
 
-// TestRegionsAreCut follows a change over two regions, of which one is then
-// cut off.
+// TestRegionsAreCut distributes changes over two regions, before and while they are
+// cut off from each other.
 func TestRegionsAreCut(t *testing.T) {
 	c := newCluster(t)
 	if os.Getenv("NODE_LOGS") != "" {
@@ -184,7 +184,7 @@
 	c.until("each region holds it", 10*time.Second, func() bool { return c.allServe(version) })
 	c.run(40 * time.Second)
 	summary := c.status(through).Summary
-	c.is.True(summary.InForce < version) // not known of the other region
+	c.is.True(summary.InForce < version) // the other region has not reported it
 	c.is.Equal(summary.CutRegions, []string{"accra"})
 	c.cut = func(string, string) bool { return false }
 	took = c.inForce(through, version, 10*time.Second)
@@ -193,19 +193,19 @@
 
 func TestCleanLeaveIsNotCounted(t *testing.T) {
 	c, _, _ := settled(t)
-	gone := c.other(c.root())
-	c.step(gone, node.Leave{})
+	leaver := c.other(c.root())
+	c.step(leaver, node.Leave{})
 	c.run(time.Second)
-	c.step(gone, node.Stopped{})
+	c.step(leaver, node.Stopped{})
 	c.run(500 * time.Millisecond)
-	c.stop(gone)
-	through := c.other(gone)
+	c.stop(leaver)
+	through := c.other(leaver)
 	version := c.accept(through, 7)
 	took := c.inForce(through, version, 5*time.Second)
 	t.Logf("in force after %v without the one that left", took)
 }
 
-// TestStepsAreDeterministic runs the same cluster twice.
+// TestStepsAreDeterministic runs the same cluster twice and compares the logs.
 func TestStepsAreDeterministic(t *testing.T) {
 	is := is.New(t)
 	var logs [2][]string
@@ -219,9 +219,9 @@
 	is.Equal(logs[0], logs[1])
 }
 
-// TestTooFewKeepersForANewVersionStillServeTheOldOne crashes so many keepers
-// that nothing can be released any more, and accepts a version: the others
-// serve on what is released, and take the version once keepers return.
+// TestTooFewKeepersForANewVersionStillServeTheOldOne crashes so many keepers that no
+// version can be released, and then accepts one: the other daemons continue to serve
+// the released version, and adopt the new one once the keepers have restarted.
 func TestTooFewKeepersForANewVersionStillServeTheOldOne(t *testing.T) {
 	c, daemons, released := settled(t)
 	root := c.root()
@@ -253,9 +253,9 @@
 	c.until("the new version is in force", 60*time.Second, func() bool { return c.allServe(version) })
 }
 
-// TestAChangeOfKeepersSettlesAtOnce watches the first growth of a keeper set.
-// While it has not settled, the former set counts as well, and that may be a
-// single daemon whose loss would stop the region.
+// TestAChangeOfKeepersSettlesAtOnce checks that the first growth of a keeper set
+// settles within 2 s. Until then a quorum of the former set is required as well, which
+// may be a single daemon whose loss would stop the region.
 func TestAChangeOfKeepersSettlesAtOnce(t *testing.T) {
 	c := newCluster(t)
 	var changedAt, settledAt time.Duration
--- a/internal/core/node/greeting.go
+++ b/internal/core/node/greeting.go
@@ -7,15 +7,16 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// heardPeer takes a member that was named by another. One that has not joined
-// is not counted: it serves nothing yet, and it may never join.
+// mergePeer merges the record of a member that another daemon listed. A member
+// that has not joined is ignored: it serves nothing yet and may never join.
 func (n *Node) heardPeer(peer protocol.Member) {
 	if peer.Parent != "" || peer.Root || !membership.Live(peer) {
 		n.heardMember(peer, membership.SourceOutside)
 	}
 }
 
-// greet asks a random seed or known root for others, and shows itself to it.
+// probeSeed asks a random seed for other daemons. The request carries this daemon's
+// own record.
 func (n *Node) greet() {
 	addresses := lo.Reject(n.config.Seeds, func(address string, _ int) bool { return address == n.config.ControlAddress })
 	if len(addresses) == 0 {
@@ -24,7 +25,8 @@
 	n.greetAddress(addresses[n.random.IntN(len(addresses))], protocol.Member{})
 }
 
-// greetMember greets a daemon that is known, and tells what is known of it.
+// probeMember probes a known daemon and sends it the record held of it here, so
+// that the daemon can refute an outdated one.
 func (n *Node) greetMember(member protocol.Member) {
 	known, found := n.roster.Get(member.ID)
 	if !found {
@@ -54,9 +56,9 @@
 	})
 }
 
-// heardGreeted takes a member named in the answer to a greeting. A better root
-// that answers for itself takes over. Another root that is named in the answer
-// to a greeting at random is greeted too.
+// handleProbedPeer handles a member listed in the reply to a probe. A root steps
+// down when a better root replies for itself. With follow set, another root that
+// the reply lists is probed too.
 func (n *Node) heardGreeted(from protocol.NodeID, peer protocol.Member, follow bool) {
 	if !n.root.active {
 		if _, known := n.floor(); known {
@@ -79,16 +81,16 @@
 	}
 }
 
-// heardRoot takes the record of another root that shows itself, so that this
-// daemon's tree leads to it.
+// mergeOtherRoot merges the record of another root of this region that sent a
+// request, so that this daemon's tree includes it.
 func (n *Node) heardRoot(member protocol.Member) {
 	if member.Root && member.ID != n.self.ID && member.Region == n.config.Region {
 		n.heardMember(member, membership.SourceSubtree)
 	}
 }
 
-// isBetterRoot reports whether a root comes before this daemon in the order of
-// candidates.
+// isBetterRoot reports whether another root precedes this daemon in the order of
+// the root candidates.
 func (n *Node) isBetterRoot(other protocol.Member) bool {
 	for _, candidate := range n.tree().RootCandidates() {
 		switch candidate.ID {
--- a/internal/core/node/herd_test.go
+++ b/internal/core/node/herd_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// TestHerdOfHundredsComesBack guards a found fault: after all daemons of a
-// region had restarted at once, some that ranked as relays by what little they
-// knew asked a full root for a relay's place again and again; the last daemon
-// served after 103 s.
-func TestHerdOfHundredsComesBack(t *testing.T) {
+// TestHundredsOfDaemonsRestartAtOnce guards against a fault: after all daemons of a
+// region had restarted at once, some that ranked as relays by their incomplete rosters
+// kept asking a full root to accept them as relays; the last daemon served after
+// 103 s.
+func TestHundredsOfDaemonsRestartAtOnce(t *testing.T) {
 	const (
 		size  = 500
 		zones = 4
--- a/internal/core/node/holding.go
+++ b/internal/core/node/holding.go
@@ -8,30 +8,31 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// holding is what the daemon holds, relays and may serve.
+// heldState holds the daemon's snapshots, the released resources that it relays,
+// and its leases.
 type holding struct {
-	// store holds everything that was released; used by relays and roots.
+	// store holds all released resources; used by relays and roots.
 	store *snapshot.Store
-	// current is in force on this daemon; nil before the first.
+	// current is the snapshot in force on this daemon; nil before the first.
 	current *snapshot.Snapshot
-	// staged was given to the shell and is not confirmed yet.
+	// staged is the snapshot that was passed to the shell and is not confirmed yet.
 	staged   *snapshot.Snapshot
 	stagedAt time.Duration
 	// servingUntil is the end of the serving lease given to the shell.
 	servingUntil time.Duration
-	// waitingLease becomes the serving lease once its version is in force.
+	// pendingLease becomes the serving lease once its version is in force here.
 	waitingLease lease
-	// grantUntil bounds the leases that may be granted to children at the
-	// store's version.
+	// grantUntil is the latest end of a lease that may be granted to children for
+	// the store's version.
 	grantUntil time.Duration
 	// inForce is the newest version known to be in force everywhere.
 	inForce protocol.Version
 	keepers protocol.KeeperSet
-	// wholeWanted is set after a delta could not be applied.
+	// needsFullSnapshot is set after a delta could not be applied.
 	wholeWanted bool
 }
 
-// lease is the right to serve at a version or a later one.
+// lease is the right to serve a version or a later one until a time.
 type lease struct {
 	until   time.Duration
 	version protocol.Version
@@ -41,7 +42,7 @@
 	return holding{store: snapshot.NewStore()}
 }
 
-// held returns the version in force on this daemon; 0 for none.
+// currentVersion returns the version in force on this daemon; 0 for none.
 func (n *Node) held() protocol.Version {
 	if n.holding.current == nil {
 		return 0
@@ -49,11 +50,11 @@
 	return n.holding.current.Version
 }
 
-// stage gives a snapshot to the shell.
+// stage passes a snapshot to the shell to be swapped in.
 //
-// What must hold (I1): nothing is staged below the floor, nor at or below what
-// is or may already be in force. One snapshot is staged at a time, so that
-// confirmations cannot be mistaken for each other.
+// Invariant (I1): the version of a staged snapshot is not below the floor, and is
+// above every version that is or may be in force here. Only one snapshot is staged
+// at a time, so that the shell's confirmation is unambiguous.
 func (n *Node) stage(next *snapshot.Snapshot) {
 	floorVersion, known := n.floor()
 	if !known || next.Version < floorVersion || n.holding.staged != nil || next.Version <= n.held() {
@@ -64,8 +65,8 @@
 	n.emit(SwapSnapshot{Snapshot: next})
 }
 
-// handleSnapshotInForce learns that the shell has swapped. Only from here on
-// is the version acknowledged.
+// handleSnapshotInForce handles the shell's confirmation of a swap. Only now is the
+// version acknowledged to the parent.
 func (n *Node) handleSnapshotInForce(version protocol.Version) {
 	staged := n.holding.staged
 	if staged == nil || staged.Version != version {
@@ -81,8 +82,8 @@
 	n.fetchSoon()
 }
 
-// adoptFromStore stages this daemon's own scope of the newest released
-// version.
+// stageFromStore stages the newest released version, restricted to this daemon's
+// own scope.
 func (n *Node) adoptFromStore() {
 	newest := n.holding.store.Newest()
 	if newest == nil || newest.Version <= n.held() || n.holding.staged != nil {
@@ -102,11 +103,11 @@
 	n.stage(built)
 }
 
-// extendServing extends the serving lease.
+// extendServingLease extends the serving lease.
 //
-// What must hold: a lease that was granted with a released version only counts
-// once that version is in force here, so that a daemon that cannot apply it
-// stops serving by itself when its older lease ends.
+// Invariant: a lease granted with a released version takes effect only once that
+// version is in force here. A daemon that cannot apply the version thus stops
+// serving when its older lease expires.
 func (n *Node) extendServing(granted lease) {
 	if granted.until <= n.holding.servingUntil {
 		return
@@ -122,8 +123,8 @@
 	n.emit(ExtendServingLease{Until: granted.until})
 }
 
-// relaying reports whether this daemon holds everything, to be a parent: it is
-// a relay of its zone, a reader, a root, or still has children.
+// isRelaying reports whether this daemon holds the whole configuration in order to
+// be a parent: it is a root, a reader, a relay of its zone, or still has children.
 func (n *Node) relaying() bool {
 	if n.root.active || n.readerSide.reader.IsReader() || len(n.downstream.children) > 0 {
 		return true
@@ -131,7 +132,7 @@
 	return n.now >= n.upstream.leafUntil && n.tree().IsRelay(n.self)
 }
 
-// scopeToFetch returns the scope that this daemon asks its parent for.
+// fetchScope returns the scope that this daemon requests from its parent.
 func (n *Node) scopeToFetch() protocol.Scope {
 	if n.relaying() {
 		return protocol.Scope{Relay: true}
--- a/internal/core/node/members.go
+++ b/internal/core/node/members.go
@@ -9,14 +9,15 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// changeSelf changes this daemon's own record under the next sequence.
+// updateSelf applies a change to this daemon's own record and increments its
+// sequence.
 func (n *Node) changeSelf(change func(self *protocol.Member)) {
 	change(&n.self)
 	n.self.Sequence++
 	n.roster.Merge(n.now, n.self, membership.SourceSubtree)
 }
 
-// heardMember merges a record heard from elsewhere.
+// mergeMember merges a record received from another daemon.
 func (n *Node) heardMember(member protocol.Member, source membership.Source) {
 	if member.ID == n.self.ID {
 		n.heardOfSelf(member)
@@ -30,9 +31,9 @@
 	}
 }
 
-// heardOfSelf refutes what others say of this daemon: a sequence above the one
-// heard wins over suspicion and death, and an incarnation above a remembered
-// one over an earlier life.
+// refuteRecord handles a record of this daemon received from another. It refutes a
+// suspect or dead state by a higher sequence, and a record of an earlier run of this
+// daemon by a higher incarnation.
 func (n *Node) heardOfSelf(member protocol.Member) {
 	if member.Incarnation > n.self.Incarnation {
 		n.raiseIncarnation(member.Incarnation)
@@ -45,8 +46,9 @@
 	n.changeSelf(func(*protocol.Member) {})
 }
 
-// raiseIncarnation starts a life above one that a peer remembers, for example
-// because the wall clock stood back when this daemon started.
+// raiseIncarnation raises this daemon's incarnation above the one that a peer
+// remembers, which is needed, for example, when the wall clock was set back before
+// this daemon started.
 func (n *Node) raiseIncarnation(remembered protocol.Incarnation) {
 	if remembered < n.self.Incarnation {
 		return
@@ -62,7 +64,7 @@
 	n.changeSelf(func(self *protocol.Member) { self.Endpoint = state })
 }
 
-// handleLeave starts the drain. A draining member is still counted.
+// handleLeave starts draining. A draining member is still counted.
 func (n *Node) handleLeave() {
 	if n.leaving {
 		return
@@ -72,13 +74,14 @@
 	n.applyReader(n.readerSide.reader.Resign(n.now))
 }
 
-// handleStopped reports that this daemon serves no more.
+// handleStopped marks this daemon as having left: it serves no longer.
 func (n *Node) handleStopped() {
 	n.leaving = true
 	n.changeSelf(func(self *protocol.Member) { self.State = protocol.MemberLeft })
 }
 
-// publishMembers gives the data path the newest records.
+// publishMembers passes the newest records to the data path, at most once per
+// publishInterval.
 func (n *Node) publishMembers() {
 	if n.published == n.roster.Cursor() || (n.published > 0 && n.now-n.publishedAt < publishInterval) {
 		return
@@ -88,13 +91,13 @@
 	n.emit(PublishMembers{Members: n.roster.All()})
 }
 
-// suspectAfter is how long a child may be silent before it is suspect. The
-// data path then prefers others; it is still counted.
+// suspectAfter returns the time without a fetch after which a child is suspect.
+// The data path then prefers other daemons; the child is still counted.
 func (n *Node) suspectAfter() time.Duration {
 	return n.config.Timing.FetchWait + n.config.Timing.ServingLease/2
 }
 
-// sweepMembers marks silent members that this daemon answers for.
+// sweepMembers updates the state of the silent members that this daemon monitors.
 func (n *Node) sweepMembers() {
 	if _, known := n.floor(); !known {
 		return
@@ -106,12 +109,12 @@
 	})
 }
 
-// answersFor reports whether this daemon watches a member: its parent does,
-// and the root does for members whose parent is gone or who have none.
+// monitors reports whether this daemon monitors a member: a parent monitors its
+// children, and the root monitors members whose parent is unknown or not live.
 //
-// A wrong death does no harm to what is called in force: the member is still
-// counted below its parent, the sums then differ from the roster, and in force
-// is withheld until the member has refuted its death.
+// Marking a live member as dead does not make a wrong version in force: the member
+// is still counted below its parent, so the aggregated counts differ from the
+// roster, and no version is declared in force until the member refutes the state.
 func (n *Node) answersFor(member protocol.Member) bool {
 	if member.Parent == n.self.ID {
 		return true
@@ -138,9 +141,9 @@
 	}
 }
 
-// lastHeard returns when a member was last heard by this daemon: its last
-// fetch if it is a child, else the last change of its record, or this daemon's
-// own start.
+// lastContact returns the latest of a member's last fetch, if it is a child, the
+// last change of its record, and the time from which on this daemon could observe
+// it.
 func (n *Node) lastHeard(id protocol.NodeID) time.Duration {
 	heard := max(n.roster.ChangedAt(id), n.start.readyAt)
 	if n.root.active {
@@ -152,8 +155,8 @@
 	return heard
 }
 
-// visitors are daemons that start and have not joined yet. They are told to
-// others that start, but not counted.
+// startingPeers holds daemons that are starting and have not joined yet. They are
+// listed to other starting daemons, but not counted.
 type visitors struct {
 	list []visitor
 }
@@ -163,7 +166,7 @@
 	heardAt time.Duration
 }
 
-// The bounds of the visitors remembered.
+// The limits of startingPeers.
 const (
 	maxVisitors   = 256
 	visitorExpiry = 20 * time.Second
@@ -185,8 +188,8 @@
 	v.list = append(v.list, visitor{member: member, heardAt: now})
 }
 
-// first returns the visitors that rank first as readers of a region. They are
-// all that others need to know: who does not rank before them does not turn to
+// topRanked returns the starting daemons that rank first as readers of a region.
+// The others need not be listed: a daemon that ranks below these does not contact
 // the platform.
 func (v *visitors) first(region string) []protocol.Member {
 	var members []protocol.Member
@@ -209,5 +212,6 @@
 	v.list = kept
 }
 
-// marginOf returns a time with the margin for clocks of different rates.
+// withClockMargin returns a lease duration plus a margin for clocks that run at
+// different rates.
 func marginOf(lease time.Duration) time.Duration { return distribution.LeaseWithMargin(lease) }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -17,9 +17,10 @@
 	startedAt time.Duration
 	started   bool
 	random    *rand.Rand
-	// effects gathers what the current step asks for.
+	// effects collects the effects of the current step.
 	effects []Effect
-	// wallClock is the newest wall clock heard, at wallClockAt; status only.
+	// wallClock is the newest wall-clock time received, at wallClockAt; used for
+	// status only.
 	wallClock   time.Time
 	wallClockAt time.Duration
 
@@ -39,14 +40,15 @@
 	leaving     bool
 	publishedAt time.Duration
 	published   membership.Cursor
-	// lastSweep is when the slow work was last done.
+	// lastSweep is when sweep last ran.
 	lastSweep time.Duration
 }
 
-// sweepInterval is how often work that looks at every member is done.
+// sweepInterval is the time between runs of sweep.
 const sweepInterval = time.Second
 
-// publishInterval gathers changes of members for the data path.
+// publishInterval is the least time between publications of member records to the
+// data path; changes in between are batched.
 const publishInterval = 200 * time.Millisecond
 
 // New returns a node that has not been stepped yet.
@@ -84,8 +86,9 @@
 	return node
 }
 
-// Step takes one message at the monotonic time now and returns what the shell
-// has to do, in order. It never blocks. Times must not decrease between calls.
+// Step processes one message at the monotonic time now and returns the effects that
+// the shell must carry out, in order. It never blocks. Times must not decrease
+// between calls.
 func (n *Node) Step(now time.Duration, message Message) []Effect {
 	n.now = max(n.now, now)
 	n.effects = nil
@@ -125,7 +128,7 @@
 	}
 }
 
-// tick does what is due by time.
+// tick runs the time-driven work.
 func (n *Node) tick() {
 	n.tickReader()
 	n.tickStart()
@@ -138,7 +141,7 @@
 	}
 }
 
-// sweep does the slow work that looks at every member.
+// sweep runs the work that iterates over all members.
 func (n *Node) sweep() {
 	n.sweepChildren()
 	n.sweepMembers()
@@ -147,8 +150,8 @@
 	n.roster.RemoveExpired(n.now)
 }
 
-// settle does what follows from any message: children that wait may have an
-// answer now, and the parent may have news to hear.
+// flush runs after every message: held fetches may now have a reply, and the parent
+// and the data path may need an update.
 func (n *Node) settle() {
 	n.readerSide.reader.SetFloor(n.newestVersion())
 	n.serveChildren()
@@ -170,7 +173,8 @@
 	n.wallClockAt = n.now
 }
 
-// wallNow estimates the wall clock; zero when none was heard.
+// estimatedWallClock returns the estimated wall-clock time; zero when none was
+// received.
 func (n *Node) wallNow() time.Time {
 	if n.wallClock.IsZero() {
 		return n.wallClock
@@ -178,18 +182,19 @@
 	return n.wallClock.Add(n.now - n.wallClockAt)
 }
 
-// view caches what is computed from the whole roster.
+// rosterView caches results computed from the whole roster.
 type view struct {
 	tree          *distribution.Tree
 	treeAt        time.Duration
 	treeStructure uint64
 	expected      distribution.ExpectedMembers
-	// structure is that of expected; 0 before the first.
+	// structure is the roster revision from which expected was computed; 0 before
+	// the first.
 	structure uint64
 }
 
-// treeInterval is the least time between computations of the tree. A tree that
-// is a little old only leads to another parent.
+// treeInterval is the least time between computations of the tree. A slightly
+// outdated tree is harmless: at worst it leads to another parent.
 const treeInterval = 500 * time.Millisecond
 
 // tree returns this daemon's view of its region's tree.
@@ -203,8 +208,8 @@
 	return n.view.tree
 }
 
-// expected returns who must hold a version before it is in force; it is never
-// older than the roster.
+// expected returns the members that must hold a version before it is in force. It
+// always reflects the current roster.
 func (n *Node) expected() distribution.ExpectedMembers {
 	if n.view.structure != n.roster.StructureRevision() {
 		n.view.expected = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
@@ -213,7 +218,7 @@
 	return n.view.expected
 }
 
-// liveInRegion returns the members of a region that are counted.
+// liveInRegion returns the live members of a region.
 func (n *Node) liveInRegion(region string) []protocol.Member {
 	return n.roster.Where(func(member protocol.Member) bool {
 		return member.Region == region && membership.Live(member)
--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -24,7 +24,7 @@
 `, slots)
 }
 
-// twelve starts twelve daemons of one region in four zones.
+// startTwelve starts twelve daemons of one region in four zones.
 func twelve(c *cluster) []*daemon {
 	zones := []string{"klein-hall", "eros-hall", "olympia-hall", "ludwigs-hall"}
 	var daemons []*daemon
@@ -43,8 +43,8 @@
 	return reply().Version
 }
 
-// inForce waits until status through a daemon calls the version in force, and
-// checks at that moment that it is.
+// inForce waits until a daemon's status reports the version as in force, checks that
+// it is so at that moment, and returns the time waited.
 func (c *cluster) inForce(d *daemon, version protocol.Version, limit time.Duration) time.Duration {
 	c.is.Helper()
 	return c.until("in force", limit, func() bool {
--- a/internal/core/node/operators.go
+++ b/internal/core/node/operators.go
@@ -10,30 +10,31 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// operators holds the operators' changes that are on their way to a reader.
+// operators holds the operators' changes that no reader has answered yet.
 type operators struct {
 	changes []*change
 }
 
-// change is one operator's change. Sending it again under its operation id is
-// safe; so a lost answer is followed by another attempt, not by a guess.
+// change is an operator's change. Its operation id makes it idempotent, so a lost
+// answer is followed by another attempt under the same id.
 type change struct {
 	token    Token
 	request  *protocol.SubmitRequest
 	deadline time.Duration
-	// unknown is set once an attempt may have had its effect.
+	// outcomeUnknown is set once an attempt may have taken effect without a
+	// conclusive answer.
 	unknown bool
-	// last is the last definite refusal.
+	// lastRefusal is the reply of the last attempt that was refused.
 	last *protocol.SubmitReply
 	busy bool
-	// retryAt is when the next attempt is made.
+	// retryAt is the earliest time of the next attempt.
 	retryAt time.Duration
 	tried   int
 }
 
-// The bounds of a change on its way. A reader says within its SubmitTimeout, 10
-// seconds, that a change certainly did not run; an attempt waits longer than
-// that, so that the answer is heard, and the operators' API waits longer still.
+// The time limits of a change. A reader reports within its SubmitTimeout, 10
+// seconds, that a change certainly did not run. An attempt waits longer than that,
+// so that this answer arrives in time, and the operators' API waits longer still.
 const (
 	changeTimeout  = 10 * time.Second
 	attemptTimeout = 12 * time.Second
@@ -60,7 +61,7 @@
 	n.attemptChange(one)
 }
 
-// tickOperators retries and ends changes.
+// tickOperators retries pending changes and ends those past their deadline.
 func (n *Node) tickOperators() {
 	for _, one := range n.operators.changes {
 		switch {
@@ -74,7 +75,8 @@
 	n.operators.changes = lo.Reject(n.operators.changes, func(one *change, _ int) bool { return one.request == nil })
 }
 
-// attemptChange sends a change to the own reader or to the next reader known.
+// attemptChange submits a change to this daemon's own reader, if it holds the
+// lease, or else to the next known reader.
 func (n *Node) attemptChange(one *change) {
 	if n.readerSide.reader.IsReader() {
 		one.busy = true
@@ -98,18 +100,18 @@
 	})
 }
 
-// nearestFirst puts readers of the own region first.
+// nearestFirst returns the readers with those of this daemon's region first.
 func (n *Node) nearestFirst(readers []protocol.Member) []protocol.Member {
 	near, far := lo.FilterReject(readers, func(member protocol.Member, _ int) bool { return member.Region == n.config.Region })
 	return append(near, far...)
 }
 
-// changeAnswered takes the answer of one attempt; nil when none came.
+// handleChangeReply handles the answer to one attempt; nil when none arrived.
 //
-// What must hold: "did not run" is only said when no attempt can have had its
-// effect. After a lost answer a refusal proves nothing about the lost attempt,
-// except where the file itself is at fault; the change is then sent again
-// under the same operation id until a reader finds out.
+// Invariant: an operator is answered "did not run" only when no attempt can have
+// taken effect. After a lost answer, a refusal proves nothing about the lost
+// attempt, except where the file itself is invalid; the change is then sent again
+// under the same operation id until a reader determines the outcome.
 func (n *Node) changeAnswered(one *change, reply *protocol.SubmitReply) {
 	one.busy = false
 	one.retryAt = n.now + changeRetry
@@ -129,14 +131,14 @@
 	}
 }
 
-// definite reports whether an answer stands even when an earlier attempt may
-// have had its effect: the change is accepted or held, or its file could never
-// be.
+// isConclusive reports whether an answer is final even if an earlier attempt may
+// have taken effect: the change is accepted or held, or its file is invalid and can
+// never be accepted.
 func definite(code result.Code) bool {
 	return code == result.OK || code == result.Held || (code >= result.FileSyntax && code < result.RevisionMismatch)
 }
 
-// giveUp answers an operator whose change could not be settled in time.
+// abandonChange answers an operator whose change has no conclusive answer in time.
 func (n *Node) giveUp(one *change) {
 	reply := &protocol.SubmitReply{Code: result.NoReader}
 	switch {
@@ -153,7 +155,7 @@
 	one.request = nil
 }
 
-// handlePeerSubmit drives a change that another daemon forwards.
+// handlePeerSubmit submits a change that another daemon forwards.
 func (n *Node) handlePeerSubmit(token Token, request *protocol.SubmitRequest) {
 	if !knownFormat(request.Format) {
 		n.answer(token, &protocol.SubmitReply{Code: result.UnknownFormat})
--- a/internal/core/node/operators_test.go
+++ b/internal/core/node/operators_test.go
@@ -10,7 +10,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// A shell that is short of processor time may tick long after an answer.
+// A shell that is short of processor time may send a tick long after an answer; the
+// tick must not start another attempt.
 func TestAnsweredChangeIsNotAttemptedAgainByALateTick(t *testing.T) {
 	is := is.New(t)
 	n := New(Config{ID: "alone", Region: "windhoek", Zone: "eros-hall", Timing: DefaultTiming()})
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -11,9 +11,10 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// candidates returns the daemons to fetch from, best first. A daemon that
-// relays fetches from a root only, so the tree is never deeper than root,
-// relay, leaf; it finds itself in the list where it would be root.
+// parentCandidates returns the daemons to fetch from, best first. A relaying daemon
+// fetches from a root only, so the tree is never deeper than root, relay, leaf. The
+// list of a relaying daemon contains the daemon itself at its rank as a root
+// candidate.
 func (n *Node) candidates() []protocol.Member {
 	if n.relaying() {
 		return n.tree().RootCandidates()
@@ -22,8 +23,9 @@
 	return lo.UniqBy(parents, func(member protocol.Member) protocol.NodeID { return member.ID })
 }
 
-// heardHints takes the daemons that a refusal names. Until this daemon knows
-// all members, its own tree has fewer relays than there are.
+// addHints adds the daemons listed in a refusal to the candidates. They are needed
+// until this daemon knows all members, since its own tree lacks some relays until
+// then.
 func (n *Node) heardHints(hints []protocol.Member) {
 	const most = 2 * maxHints
 	for _, member := range hints {
@@ -35,8 +37,8 @@
 	n.upstream.hinted = hinted[:min(len(hinted), most)]
 }
 
-// chooseParent returns the current parent while it works, else the best
-// candidate that is not avoided.
+// chooseParent returns the current parent, unless that is avoided, or else the best
+// candidate.
 func (n *Node) chooseParent() (protocol.Member, bool) {
 	if n.upstream.joined && !n.avoided(n.upstream.target.ID) {
 		return n.upstream.target, true
@@ -44,9 +46,10 @@
 	return n.bestCandidate()
 }
 
-// bestCandidate returns the first candidate that is not avoided. This daemon
-// itself is the best once everyone before it cannot be reached. While one
-// before it answers that it is no root yet, that one is about to become it.
+// bestCandidate returns the first candidate that is not avoided, or this daemon
+// itself, to become root, when none that ranks before it can be reached. If one of
+// those answers that it is not a root yet, this daemon waits for it to become root
+// for up to betterRootTimeout.
 func (n *Node) bestCandidate() (protocol.Member, bool) {
 	betterAnswers := false
 	for _, candidate := range n.candidates() {
@@ -69,7 +72,8 @@
 	return found && n.now < avoid.until && avoid.incarnation == n.incarnationOf(id)
 }
 
-// incarnationOf returns the life of a daemon that the roster knows; 0 for none.
+// incarnationOf returns the incarnation of a daemon in the roster; 0 if it is not
+// listed.
 func (n *Node) incarnationOf(id protocol.NodeID) protocol.Incarnation {
 	member, _ := n.roster.Get(id)
 	return member.Incarnation
@@ -86,18 +90,19 @@
 	n.upstream.avoid[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), refused: refused, refusals: refusals}
 }
 
-// avoidance leaves one life of a daemon out for a while. When it returns with
-// nothing remembered it is tried like any other.
+// avoidance excludes one incarnation of a daemon as a parent for a limited time. A
+// daemon that has restarted is not avoided.
 type avoidance struct {
 	until       time.Duration
 	incarnation protocol.Incarnation
-	// refusals counts how often it has refused since a parent was last found.
+	// refusals counts the daemon's refusals since this daemon last joined a parent.
 	refusals int
-	// refused is set when the daemon answered, but is no parent now.
+	// refused is set when the daemon answered, but did not accept a child.
 	refused bool
 }
 
-// reconsiderParent returns to the preferred parent after a jittered time.
+// reconsiderParent tries the preferred parent once preferredRetryAt has passed. A
+// reader that can be root becomes root unless its parent is a reader.
 func (n *Node) reconsiderParent() {
 	up := &n.upstream
 	if n.root.active || !up.joined {
@@ -125,14 +130,15 @@
 	up.former = &former
 }
 
-// planPreferred sets the jittered time at which the preferred parent is tried.
+// schedulePreferredRetry sets the jittered time at which the preferred parent is
+// tried next.
 func (n *Node) planPreferred() {
 	interval := min(preferInterval<<min(n.upstream.preferRefusals, 8), preferMax)
 	n.upstream.preferAt = n.now + interval/2 + distribution.Jitter(n.random, interval)
 }
 
-// returnToFormer goes on with the former parent after a preferred one was
-// tried in vain, and reports whether there is one.
+// restoreFormerParent resumes fetching from the former parent after an attempt to
+// join a preferred one failed. It reports whether there is a former parent.
 func (n *Node) returnToFormer() bool {
 	up := &n.upstream
 	if up.former == nil {
@@ -147,7 +153,8 @@
 	return true
 }
 
-// leaveParent gives up the parent; the next tick chooses again.
+// leaveParent leaves the parent; the next tick chooses one anew. With a positive
+// duration, the former parent is avoided for that time.
 func (n *Node) leaveParent(avoid time.Duration) {
 	up := &n.upstream
 	if avoid > 0 {
@@ -160,8 +167,8 @@
 	up.orphanedAt = n.now
 }
 
-// adoptTarget turns to another parent. The own record that says so carries a
-// new sequence, so that the former parent stops answering for this daemon.
+// switchTarget switches to another target. The sequence of this daemon's record is
+// incremented, so that the former parent stops monitoring this daemon.
 func (n *Node) adoptTarget(target protocol.Member) {
 	up := &n.upstream
 	up.link = link{target: target, leaseAt: n.now}
@@ -174,7 +181,7 @@
 	}
 }
 
-// join records that the target has taken this daemon in.
+// join records that the target has accepted this daemon as a child.
 func (n *Node) join() {
 	up := &n.upstream
 	n.log("parent_joined", LogField{Key: "parent", Value: string(up.target.ID)})
@@ -186,15 +193,16 @@
 		avoid.refusals = 0
 		up.avoid[id] = avoid
 	}
-	// A new sequence: greetings may have carried the one of the fetch with
-	// another parent, and two records must never share one.
+	// The sequence must be new: probes may have sent the one of the fetch with
+	// another parent in the record, and two different records must never share a
+	// sequence.
 	n.changeSelf(func(self *protocol.Member) {
 		self.Parent = up.target.ID
 		self.Root = false
 	})
 }
 
-// discover asks a random daemon for others, when no parent is known.
+// discover asks a random seed for other daemons when no parent is known.
 func (n *Node) discover() {
 	up := &n.upstream
 	if n.now < up.discoverAt {
@@ -204,12 +212,13 @@
 	n.greet()
 }
 
-// refusalBackoff is how long a daemon that answered AskAnother is left out. It
-// starts well below the serving lease: after a root has gone all candidates
-// refuse for a moment, and a daemon must find the next one while it may still
-// serve.
+// refusalBackoff is the time for which a daemon that refused a fetch is avoided. It
+// starts well below the serving lease: after the loss of a root, all candidates
+// refuse for a short time, and a daemon must find the next root before its own lease
+// expires.
 var refusalBackoff = distribution.Backoff{Base: 400 * time.Millisecond, Max: 6 * time.Second}
 
+// parentBackoff is the retry delay after a fetch that failed without an answer.
 var parentBackoff = distribution.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
 
 func (n *Node) fetchFailed(from protocol.NodeID) {
@@ -227,7 +236,8 @@
 	up.nextAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
 }
 
-// fetchRefused turns elsewhere. The refusal names daemons that may accept.
+// handleFetchRefusal leaves a target that refused a fetch. The refusal lists daemons
+// that may accept.
 func (n *Node) fetchRefused(from protocol.NodeID, reply *protocol.FetchReply) {
 	up := &n.upstream
 	n.heardHints(reply.Members)
--- a/internal/core/node/platform_test.go
+++ b/internal/core/node/platform_test.go
@@ -9,7 +9,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// platform is the least of a platform: objects, watches and an outage switch.
+// platform is a minimal platform: objects, watches and a switch for outages.
 type platform struct {
 	cluster *cluster
 	version object.Version
--- a/internal/core/node/readerside.go
+++ b/internal/core/node/readerside.go
@@ -11,34 +11,35 @@
 	"github.com/springstack/springstack/internal/core/reader"
 )
 
-// readerSide joins the reader to the node: tokens, tickets and the newest
-// catalogue.
+// readerSide connects the reader to the node: it maps tokens and tickets and keeps
+// the newest catalogue.
 type readerSide struct {
 	reader *reader.Reader
-	// calls and watches map the shell's tokens to the reader's.
+	// calls and watches map the node's tokens to the reader's.
 	calls   map[Token]reader.Token
 	watches map[Token]reader.Token
-	// nextTicket and the maps below pair questions with their answers.
+	// nextTicket is the last ticket issued. The maps below hold the callbacks of
+	// the requests that await a result from the reader, by ticket.
 	nextTicket reader.Ticket
 	heads      map[reader.Ticket]func(reader.FreshHeadResult)
 	submits    map[reader.Ticket]func(*protocol.SubmitReply)
-	// catalogue is the newest; nil before the first.
+	// catalogue is the newest catalogue received; nil before the first.
 	catalogue *reader.CatalogueReady
-	// candidacy is decided anew at candidacyAt.
+	// candidacy is computed again at candidacyAt.
 	candidacy   reader.Candidacy
 	candidacyAt time.Duration
 }
 
-// The bounds of candidates for a reader lease.
+// The limits and periods of the competition for reader leases.
 const (
-	// leaseSlots is how many readers a region has.
+	// leaseSlots is the number of reader leases of a region.
 	leaseSlots = 2
-	// maxCandidates is how many members of a region may turn to the platform:
-	// one for each slot and a spare.
+	// maxCandidates is the number of members of a region that may compete for the
+	// leases on the platform: one for each slot and a spare.
 	maxCandidates = leaseSlots + 1
-	// candidateDelay separates the attempts of the ranks.
+	// candidateDelay is the delay between the attempts of successive ranks.
 	candidateDelay = 500 * time.Millisecond
-	// candidacyInterval is how often the candidates are ranked anew.
+	// candidacyInterval is the time between rankings of the candidates.
 	candidacyInterval = time.Second
 )
 
@@ -72,10 +73,10 @@
 	n.applyReader(side.reader.Tick(n.now, side.candidacy))
 }
 
-// candidacy ranks the live members of the region, and those that start, by
-// rendezvous hash; the first few are candidates. While all slots are taken by
-// others there is nothing to compete for. A daemon that nobody answers is a
-// candidate after a jittered wait.
+// candidacy returns whether this daemon competes for a reader lease. The live and
+// the starting members of the region are ranked by rendezvous hash, and the first
+// maxCandidates compete unless other members hold all leases. A daemon that no
+// other daemon has answered competes only after a jittered delay.
 func (n *Node) candidacy() reader.Candidacy {
 	if n.leaving || n.now < n.start.aloneAt && !n.start.answered {
 		return reader.Candidacy{}
@@ -105,10 +106,11 @@
 	return reader.Candidacy{}
 }
 
-// readerPurpose is the purpose of the rank of candidates for a reader lease.
+// readerPurpose returns the rendezvous-hash purpose for ranking the candidates for a
+// reader lease.
 func readerPurpose(region string) string { return "reader/" + region }
 
-// applyReader carries out what the reader asks for.
+// applyReader carries out the reader's outputs.
 func (n *Node) applyReader(outputs []reader.Output) {
 	for _, output := range outputs {
 		n.applyReaderOutput(output)
@@ -158,8 +160,8 @@
 	}
 }
 
-// catalogueReady takes a whole version from the platform. What a root takes it
-// releases; others keep it for the day they become root.
+// handleCatalogue stores a complete version read from the platform. A root releases
+// it; other daemons keep it in case they become root.
 func (n *Node) catalogueReady(catalogue reader.CatalogueReady) {
 	known := n.readerSide.catalogue
 	if known != nil && catalogue.Version < known.Version {
@@ -201,7 +203,7 @@
 	return n.readerSide.nextTicket
 }
 
-// freshHead reads the platform's head through the own reader.
+// readFreshHead reads the platform's head through this daemon's reader.
 func (n *Node) freshHead(done func(reader.FreshHeadResult)) {
 	ticket := n.newTicket()
 	n.readerSide.heads[ticket] = done
@@ -217,7 +219,7 @@
 	done(head)
 }
 
-// submit drives a change through the own reader.
+// submit submits a change through this daemon's reader.
 func (n *Node) submit(wallClock time.Time, request *protocol.SubmitRequest, done func(*protocol.SubmitReply)) {
 	ticket := n.newTicket()
 	n.readerSide.submits[ticket] = done
--- a/internal/core/node/refusal.go
+++ b/internal/core/node/refusal.go
@@ -7,7 +7,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// refuseFetch names daemons that may accept the sender.
+// refuseFetch refuses a fetch and lists daemons that may accept the sender.
 func (n *Node) refuseFetch(token Token, request *protocol.FetchRequest, code result.Code) {
 	reply := refusal(code, 0)
 	reply.Incarnation = n.self.Incarnation
@@ -18,9 +18,9 @@
 	n.answer(token, reply)
 }
 
-// hints returns some daemons that a newcomer may turn to: this one, its
-// parent, the best candidates for root, and relays drawn at random, first of
-// the newcomer's zone, so that newcomers spread over those that have places.
+// hints returns daemons that may accept the sender of a refused request: this one,
+// its parent, the best root candidates, and randomly chosen relays, first those of
+// the sender's zone. The random choice spreads senders over the relays.
 func (n *Node) hints(asker protocol.NodeID, zone string) []protocol.Member {
 	list := []protocol.Member{n.self}
 	if n.upstream.joined {
@@ -42,15 +42,16 @@
 	return hints
 }
 
-// shuffled returns some of the members in random order.
-func (n *Node) shuffled(members []protocol.Member, most int) []protocol.Member {
+// shuffled returns at most limit of the members, in random order.
+func (n *Node) shuffled(members []protocol.Member, limit int) []protocol.Member {
 	drawn := slices.Clone(members)
 	n.random.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	return drawn[:min(len(drawn), most)]
+	return drawn[:min(len(drawn), limit)]
 }
 
-// farewell turns a child elsewhere when this daemon leaves. It names this
-// daemon's own record, by which the child knows not to wait for it.
+// leavingReply returns the fetch reply by which a leaving daemon redirects a child
+// to other parents. It includes this daemon's own record, which shows the child that
+// this parent is leaving.
 func (n *Node) farewell(known *child) *protocol.FetchReply {
 	reply := refusal(result.AskAnother, n.config.Timing.DeadAfter)
 	reply.Incarnation = n.self.Incarnation
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -11,26 +11,29 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// regions is what a root knows of the other regions, from their roots.
+// regions holds the state of the other regions as reported by their roots.
 type regions struct {
-	// peers are the other regions that hold configuration.
+	// peers holds the other regions that hold configuration, by name.
 	peers map[string]*regionPeer
-	// known is set once all regions are known as of the version held. Until
-	// then nothing is called in force.
+	// complete is set once the list of all regions was received. Until then no
+	// version is declared in force.
 	known bool
-	// inForceAt is the wall clock at which the newest version came in force.
+	// inForceAt is the wall-clock time at which the newest version in force was
+	// recorded as such.
 	inForceAt time.Time
 }
 
-// regionPeer is another region as its root last told. What it said is in force
-// there stays so whatever happens after, for in force never reverts (I9).
+// regionPeer is the state of another region as last reported by its root. A version
+// reported as in force there stays in force, since the in-force version never
+// reverts (I9).
 type regionPeer struct {
 	region  string
 	zones   []protocol.ZoneStatus
 	inForce protocol.Version
 	heardAt time.Duration
 	heard   bool
-	// cursor, from and incarnation follow the other root's change log.
+	// cursor is the position read in the change log of the other root, which from
+	// and incarnation identify.
 	cursor      uint64
 	from        protocol.NodeID
 	incarnation protocol.Incarnation
@@ -41,13 +44,13 @@
 
 // The periods between roots of different regions.
 const (
-	// regionInterval is how often another region's root is asked at rest, and
-	// regionFast how often while it has not yet what is released here.
+	// regionInterval is the poll interval of another region's root; regionFast
+	// applies while that region is behind the version in force in this one.
 	regionInterval = 2 * time.Second
 	regionFast     = 200 * time.Millisecond
 	regionTimeout  = 1500 * time.Millisecond
-	// cutAfter is how long another region may be silent before it is shown as
-	// cut off.
+	// regionCutAfter is the time without a reply after which status shows another
+	// region as cut off.
 	cutAfter = 6 * time.Second
 )
 
@@ -55,7 +58,7 @@
 	return regions{peers: map[string]*regionPeer{}}
 }
 
-// sweepRegions finds the other regions that have members.
+// sweepRegions adds the regions of all live members.
 func (n *Node) sweepRegions() {
 	if !n.root.active {
 		return
@@ -63,9 +66,9 @@
 	n.roster.Each(func(member protocol.Member) { n.needRegion(member.Region, membership.Live(member)) })
 }
 
-// heardRegions takes the list of all regions at a version. A region that is
-// not in it has no keepers at that version, so nothing was released there yet,
-// and what will be is newer.
+// addRegions adds the list of all regions at a version. A region that is not listed
+// has no keepers at that version: nothing was released there yet, and what will be
+// released is newer.
 func (n *Node) heardRegions(names []string) {
 	for _, name := range names {
 		n.needRegion(name, true)
@@ -73,7 +76,7 @@
 	n.regions.known = n.regions.known || len(names) > 0
 }
 
-// allRegions returns the names for a child; nil while they are not known.
+// allRegions returns the names of all regions; nil while the list is incomplete.
 func (n *Node) allRegions() []string {
 	if !n.regions.known {
 		return nil
@@ -97,7 +100,7 @@
 	return names
 }
 
-// tickRegions asks the other regions' roots what is in force there.
+// pollRegions polls the other regions' roots for the versions in force there.
 func (n *Node) tickRegions() {
 	for _, name := range n.regionNames() {
 		peer := n.regions.peers[name]
@@ -133,8 +136,9 @@
 	})
 }
 
-// regionAddress returns whom to ask in another region: its root or readers as
-// far as known, else its members and keepers in turn.
+// regionAddress returns the address to poll in another region: that of its root or
+// a reader, if known, and after failed attempts that of any member or keeper, in
+// turn.
 func (n *Node) regionAddress(peer *regionPeer) string {
 	inRegion := n.liveInRegion(peer.region)
 	best := lo.Filter(inRegion, func(member protocol.Member, _ int) bool { return member.Root })
@@ -153,7 +157,7 @@
 	return addresses[peer.attempts%len(addresses)]
 }
 
-// heardRegion takes the answer of another region's root.
+// handleRegionReply handles the reply from another region.
 func (n *Node) heardRegion(peer *regionPeer, reply *protocol.StatusReply) {
 	if reply == nil {
 		peer.attempts++
@@ -181,8 +185,8 @@
 	}
 }
 
-// globalInForce returns what is in force in every region that has members. A
-// region that was never heard holds everything back.
+// globalInForce returns the version in force in every region: the minimum over all
+// of them, and 0 while some region has not replied.
 func (n *Node) globalInForce() protocol.Version {
 	if !n.regions.known {
 		return 0
@@ -194,8 +198,8 @@
 	return lowest
 }
 
-// answerRegion answers another region's root with what is in force in this
-// region and with the records of its members that changed.
+// answerRegion answers another region's root with the version in force in this
+// region and the changed records of its members.
 func (n *Node) answerRegion(token Token, request *protocol.StatusRequest) {
 	if request.Self.Region != n.config.Region {
 		n.heardMember(request.Self, membership.SourceOutside)
@@ -224,7 +228,7 @@
 	n.answer(token, reply)
 }
 
-// cutRegions returns the regions whose root has not been heard lately.
+// cutRegions returns the regions whose root has not replied within regionCutAfter.
 func (n *Node) cutRegions() []string {
 	return lo.Filter(n.regionNames(), func(name string, _ int) bool {
 		peer := n.regions.peers[name]
--- a/internal/core/node/release_test.go
+++ b/internal/core/node/release_test.go
@@ -11,8 +11,9 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// TestNothingIsAcknowledgedBeforeTheSwap lets one shell keep its old snapshot:
-// in force waits for it, and names it, until it has swapped.
+// TestNothingIsAcknowledgedBeforeTheSwap leaves the swap of one daemon unconfirmed:
+// the version does not come in force until the confirmation, and status lists that
+// daemon as behind.
 func TestNothingIsAcknowledgedBeforeTheSwap(t *testing.T) {
 	c, _, _ := settled(t)
 	slow := c.other(c.root())
@@ -31,7 +32,7 @@
 	c.inForce(through, version, 5*time.Second)
 }
 
-// TestStatusCountsByZone reads who holds the newest version where.
+// TestStatusCountsByZone checks the counts by zone of members at the newest version.
 func TestStatusCountsByZone(t *testing.T) {
 	c, daemons, version := settled(t)
 	status := c.status(daemons[5])
@@ -48,18 +49,18 @@
 	c.is.Equal(len(status.Members), len(daemons))
 }
 
-// TestFilesThatPreferBytesAreGathered accepts several changes within the
-// window of a file that prefers bytes: few versions are sent out.
-func TestFilesThatPreferBytesAreGathered(t *testing.T) {
+// TestChangesOfFilesThatPreferBytesAreBatched accepts several changes within the
+// batching window of a file: they are distributed as a single version.
+func TestChangesOfFilesThatPreferBytesAreBatched(t *testing.T) {
 	c, daemons, _ := settled(t)
-	patient := func(slots int) string {
+	batchedFile := func(slots int) string {
 		return strings.Replace(shopFile(slots), "name: shop\n", "name: shop\ndistribution: {prefer: bytes, batch_window: 2s}\n", 1)
 	}
 	swaps := 0
 	daemons[3].swapped = func() { swaps++ }
 	var last *protocol.SubmitReply
 	for slots := range 5 {
-		reply := c.submit(daemons[0], patient(10+slots))
+		reply := c.submit(daemons[0], batchedFile(10+slots))
 		c.until("answer", 20*time.Second, func() bool { return reply() != nil })
 		c.is.Equal(reply().Code, result.OK)
 		last = reply()
@@ -69,9 +70,9 @@
 	c.is.True(swaps == 1)
 }
 
-// TestNoReaderIsToldTruthfully submits while the platform can't be reached by
-// anyone: the change did not run.
-func TestNoReaderIsToldTruthfully(t *testing.T) {
+// TestSubmitWithoutAnyReaderReportsNoReader submits while the platform is unreachable
+// for all daemons: the change certainly did not run.
+func TestSubmitWithoutAnyReaderReportsNoReader(t *testing.T) {
 	c := newCluster(t)
 	c.platform.down = true
 	d := c.start("windhoek", "klein-hall", "d00")
--- a/internal/core/node/restart_test.go
+++ b/internal/core/node/restart_test.go
@@ -8,16 +8,16 @@
 	"github.com/springstack/springstack/internal/core/node"
 )
 
-// watchServing runs for the period and returns the longest time that any
-// running daemon other than the given one did not serve.
-func (c *cluster) watchServing(period time.Duration, but *daemon) time.Duration {
+// longestOutage runs for the period and returns the longest time for which any
+// running daemon other than the excluded one did not serve.
+func (c *cluster) watchServing(period time.Duration, excluded *daemon) time.Duration {
 	const step = 50 * time.Millisecond
 	gaps := map[*daemon]time.Duration{}
 	longest := time.Duration(0)
 	for end := c.now() + period; c.now() < end; {
 		c.run(step)
 		for _, d := range c.daemons {
-			if d == but || !d.running || c.serving(d) {
+			if d == excluded || !d.running || c.serving(d) {
 				gaps[d] = 0
 				continue
 			}
@@ -31,9 +31,9 @@
 	return longest
 }
 
-// TestRollingRestartKeepsOthersServing restarts every daemon in turn, by a
-// planned stop and then by a crash: no other daemon may stop serving
-// meanwhile, roots and keepers included.
+// TestRollingRestartKeepsOthersServing restarts every daemon in turn, roots and keepers
+// included, once by a planned stop and once by a crash: no other daemon may stop
+// serving meanwhile.
 func TestRollingRestartKeepsOthersServing(t *testing.T) {
 	for _, planned := range []bool{true, false} {
 		t.Run(fmt.Sprint("planned ", planned), func(t *testing.T) {
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -9,8 +9,9 @@
 	"github.com/springstack/springstack/internal/core/reader"
 )
 
-// root is what a daemon does as the root of its region: it stores versions at
-// the keepers, releases them, grants leases and says what is in force.
+// root is the state of a daemon in the role of its region's root. The root stores
+// versions at the keepers, releases them, grants leases and declares versions in
+// force.
 type root struct {
 	active bool
 	since  time.Duration
@@ -18,33 +19,35 @@
 	claims *distribution.ReleaseTracker
 	// releaser stores versions at the keepers.
 	releaser *floor.Releaser
-	// target is the catalogue being stored; nil when there is none.
+	// target is the catalogue being stored at the keepers; nil for none.
 	target   *reader.CatalogueReady
 	targetAt time.Duration
-	// batch gathers catalogues that may wait for others.
+	// batch is the newest catalogue that is held back for batching; nil for none.
 	batch *reader.CatalogueReady
-	// batchUntil is when the batch goes out.
+	// batchUntil is when the release of the batch starts.
 	batchUntil time.Duration
 	roundAt    time.Duration
 	keepersAt  time.Duration
-	// settleAt is the earliest time of the next try to settle a change of keepers.
+	// settleAt is the earliest time of the next attempt to settle a change of the
+	// keeper set.
 	settleAt time.Duration
 	greetAt  time.Duration
-	// told says which keeper set a keeper has confirmed, so that the rounds need
-	// not carry it again.
+	// confirmedSets holds the keeper set that each keeper has confirmed, so that the
+	// rounds need not send it again.
 	told map[protocol.NodeID]toldSet
-	// regional is what is in force in this region.
+	// regionInForce is the version in force in this region.
 	regional protocol.Version
 }
 
 // The periods of a root.
 const (
-	// roundInterval is how often the keepers are asked to renew the root's
-	// right to grant leases.
+	// roundInterval is the time between rounds of requests to the keepers, which
+	// renew the root's right to grant leases.
 	roundInterval = time.Second
-	// keeperTimeout is how long a keeper may take to answer.
+	// keeperTimeout is the timeout of a request of a round.
 	keeperTimeout = time.Second
-	// settleInterval is the least time between tries to settle a change.
+	// settleInterval is the least time between attempts to settle a change of the
+	// keeper set.
 	settleInterval = 500 * time.Millisecond
 	// keeperChangeInterval is the least time between changes of the keeper set.
 	keeperChangeInterval = 5 * time.Second
@@ -59,7 +62,8 @@
 	}
 }
 
-// canBeRoot reports whether this daemon has something to release.
+// canBeRoot reports whether this daemon holds a version that it may release as
+// root.
 func (n *Node) canBeRoot() bool {
 	floorVersion, known := n.floor()
 	if !known || n.leaving {
@@ -71,8 +75,8 @@
 	return n.readerSide.catalogue != nil
 }
 
-// becomeRoot takes the role of root. Two roots of one region do no harm: see
-// distribution.RootLease and distribution.Claims.
+// becomeRoot assumes the role of root. Two concurrent roots of one region are safe:
+// see distribution.RootLease and distribution.ReleaseTracker.
 func (n *Node) becomeRoot() {
 	n.root.active = true
 	n.root.since = n.now
@@ -98,7 +102,7 @@
 	}
 }
 
-// stepDown leaves the role to a better root that has answered.
+// stepDown gives up the role of root to a better root that has replied.
 func (n *Node) stepDown(better protocol.Member) {
 	n.root.active = false
 	n.root.target = nil
@@ -128,8 +132,9 @@
 	n.greetOthers()
 }
 
-// propose takes a new catalogue. When the files that changed prefer bytes, it
-// waits for others for the batching window.
+// propose starts the release of a new catalogue. A catalogue with a batching window,
+// whose changed files prefer fewer bytes over an early release, is held back to be
+// released together with later ones.
 func (n *Node) propose(catalogue *reader.CatalogueReady) {
 	if catalogue.Version <= n.holding.store.Version() {
 		return
@@ -145,12 +150,12 @@
 	n.root.batchUntil = min(n.root.batchUntil, n.now+catalogue.BatchWindow)
 }
 
-// recentRounds is how old the answers of keepers may be for a root to begin to
+// recentRounds is the maximum age of the keepers' replies on which a root starts to
 // store a newer version.
 const recentRounds = 3 * roundInterval
 
-// startRelease begins to store a version at the keepers. While too few of them
-// answer, what is released is served on and the version waits.
+// startRelease starts to store a version at the keepers. While too few of them
+// answer, the version is held back and the released one is served further.
 func (n *Node) startRelease(catalogue *reader.CatalogueReady) {
 	n.root.batch = nil
 	if n.holding.store.Version() > 0 && !n.root.lease.CanStore(n.now-recentRounds, n.keeperSets()...) {
@@ -172,8 +177,9 @@
 	n.release()
 }
 
-// release puts the target in the store once enough keepers remember it. Only
-// then may any proxy of the region put it in force, this one included (I1).
+// releaseTarget adds the target to the store once a write quorum of keepers has
+// stored its version. Only then may any proxy of the region, this one included, put
+// it in force (I1).
 func (n *Node) release() {
 	target := n.root.target
 	if target == nil || n.root.releaser.Released() < target.Version {
@@ -191,9 +197,11 @@
 	n.adoptFromStore()
 }
 
-// decideInForce says what is in force in this region and everywhere: what all
-// have acknowledged, or, while some are silent, what all that are heard have and
-// the fence has put beyond doubt for the others. Status still names those.
+// updateInForce determines the versions in force in this region and globally. In
+// force is a version that all expected members have acknowledged. While some are
+// silent, it is a version that all counted members have acknowledged and that is
+// fenced: the leases under which the silent ones could serve an older version have
+// expired. Status still lists the silent members.
 func (n *Node) decideInForce() {
 	folded := n.acknowledgements()
 	holding := n.expected().ConfirmedVersion(folded)
@@ -207,7 +215,7 @@
 	n.raiseInForce(n.globalInForce())
 }
 
-// raiseInForce takes a newer version in force. It never moves back (I9).
+// raiseInForce raises the global version in force. It is never lowered (I9).
 func (n *Node) raiseInForce(version protocol.Version) {
 	if version <= n.holding.inForce {
 		return
@@ -217,8 +225,8 @@
 	n.log("version_in_force", versionField("version", version))
 }
 
-// greetOthers lets better roots and new daemons find this root, and this root
-// find a better one.
+// probeRoots probes the better root candidates and a random seed, so that better
+// roots and new daemons find this root, and this root finds a better one.
 func (n *Node) greetOthers() {
 	if n.now < n.root.greetAt {
 		return
--- a/internal/core/node/rootkeepers.go
+++ b/internal/core/node/rootkeepers.go
@@ -10,14 +10,14 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// toldSet is a keeper set that one life of a keeper remembers.
+// confirmedSet is a keeper set that one incarnation of a keeper has confirmed.
 type toldSet struct {
 	incarnation protocol.Incarnation
 	revision    protocol.Version
 }
 
-// keeperSets returns every keeper set that must agree: the newest, and the one
-// that it replaces until that has settled.
+// keeperSets returns the keeper sets whose quorums are required: the newest, and the
+// one that it replaces until the change has settled.
 func (n *Node) keeperSets() []protocol.KeeperSet {
 	if len(n.holding.keepers.Members) == 0 {
 		return nil
@@ -25,7 +25,8 @@
 	return floor.ActiveSets(n.holding.keepers)
 }
 
-// keeperRound asks the keepers whether anything newer was stored.
+// keeperRound sends the current version to every keeper. The replies renew the
+// root's lease and show whether a newer version was stored.
 func (n *Node) keeperRound() {
 	if n.now < n.root.roundAt {
 		return
@@ -59,8 +60,8 @@
 	n.store(address, request, keeperTimeout, func(reply *protocol.StoreReply) { n.noteTold(request, reply) })
 }
 
-// setFor returns the keeper set that a round carries to a keeper: the region
-// alone once the keeper remembers the newest set.
+// keeperSetFor returns the keeper set that a round sends to a keeper: only the
+// region once the keeper has confirmed the newest set.
 func (n *Node) setFor(keeper protocol.NodeID) protocol.KeeperSet {
 	if n.root.told[keeper].revision == n.holding.keepers.Revision {
 		return protocol.KeeperSet{Region: n.config.Region}
@@ -68,7 +69,8 @@
 	return n.holding.keepers
 }
 
-// noteTold remembers which set a keeper has confirmed, until it restarts.
+// recordConfirmedSet records the set that a keeper has confirmed, until the keeper
+// restarts.
 func (n *Node) noteTold(request *protocol.StoreRequest, reply *protocol.StoreReply) {
 	if reply == nil || reply.Code != result.OK {
 		return
@@ -82,8 +84,8 @@
 	}
 }
 
-// store sends a store request to a keeper, which may be this daemon, and takes
-// what the reply says for the root's lease.
+// sendStore sends a store request to a keeper, which may be this daemon, and records
+// the reply for the root's lease.
 func (n *Node) store(address string, request *protocol.StoreRequest, timeout time.Duration, done func(*protocol.StoreReply)) {
 	sentAt := n.now
 	finish := func(reply *protocol.StoreReply) {
@@ -102,7 +104,8 @@
 	})
 }
 
-// renewRootLease extends what this root may grant, and serves itself by it.
+// renewRootLease extends the time up to which this root may grant leases, and with
+// it its own serving lease.
 func (n *Node) renewRootLease() {
 	version := n.holding.store.Version()
 	if version == 0 {
@@ -116,8 +119,8 @@
 	n.extendServing(lease{until: until, version: version})
 }
 
-// chooseKeepers changes the keeper set when a keeper is gone for good or when
-// the region has grown. Only a reader can write it into the head.
+// chooseKeepers changes the keeper set when a keeper is permanently lost or the
+// region has grown. Only a reader can write the set to the head.
 func (n *Node) chooseKeepers() {
 	catalogue := n.readerSide.catalogue
 	if catalogue == nil || !n.readerSide.reader.IsReader() {
@@ -139,13 +142,14 @@
 	}
 }
 
-// maySettle tells whether a change of the keeper set can be ended. That does not
-// wait: until then the former set counts as well, and too few of it may be left.
+// canSettle reports whether a change of the keeper set can be settled. This is not
+// delayed until keepersAt: until the change is settled, a quorum of the former set is
+// required as well, and too few of its keepers may be left.
 func (n *Node) maySettle(current protocol.KeeperSet) bool {
 	return current.Previous != nil && n.holding.store.Version() >= current.Revision && n.now >= n.root.settleAt
 }
 
-// adoptKeepers takes a newer keeper set of this region.
+// adoptKeepers adopts a newer keeper set of this region.
 func (n *Node) adoptKeepers(set protocol.KeeperSet) {
 	n.holding.keepers = set
 	n.start.adoptKeepers(set)
--- a/internal/core/node/start.go
+++ b/internal/core/node/start.go
@@ -13,8 +13,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// start is what a daemon does until it knows its version floor, and what it
-// remembers as a keeper for others that start.
+// start holds the state of a daemon until it knows its version floor, and the state
+// that it keeps as a keeper for other daemons.
 type start struct {
 	learner *floor.Learner
 	keeper  *floor.Keeper
@@ -22,17 +22,19 @@
 	floor   protocol.Version
 	// readyAt is when the floor became known.
 	readyAt time.Duration
-	// answered is set once any other daemon has answered.
+	// peerAnswered is set once any other daemon has answered.
 	answered bool
-	// aloneAt is when a daemon that nobody answers may turn to the platform.
+	// aloneAt is when a daemon that no other daemon has answered may contact the
+	// platform.
 	aloneAt time.Duration
-	// roots remembers which roots asked this daemon as a keeper, and when.
+	// roots holds when each root last sent a store request to this keeper.
 	roots map[rootLife]time.Duration
-	// headWanted is set while a fresh head of the own reader is awaited.
+	// headPending is set while a read of the head by this daemon's reader is in
+	// progress.
 	headWanted bool
 }
 
-// rootLife is one life of a daemon that acted as root.
+// rootIncarnation identifies one incarnation of a daemon that acted as root.
 type rootLife struct {
 	id          protocol.NodeID
 	incarnation protocol.Incarnation
@@ -40,13 +42,14 @@
 
 // The periods of the start.
 const (
-	// aloneBase and aloneJitter bound the time after which a daemon that nobody
-	// answers may turn to the platform: the bounded fallback of a first start.
+	// aloneBase plus a jitter of up to aloneJitter is the time after which a daemon
+	// that no other daemon has answered may contact the platform. It bounds the
+	// first start of a mesh.
 	aloneBase   = 500 * time.Millisecond
 	aloneJitter = 1500 * time.Millisecond
-	// greetTimeout is how long a greeting may take.
+	// probeTimeout is the timeout of a probe.
 	greetTimeout = time.Second
-	// maxPeers bounds the members told to a daemon that starts.
+	// maxPeers is the maximum number of members listed to a starting daemon.
 	maxPeers = 16
 )
 
@@ -79,7 +82,7 @@
 // while it is not known.
 func (n *Node) floor() (protocol.Version, bool) { return n.start.floor, n.start.known }
 
-// tickStart learns the floor.
+// tickStart drives the learner until the floor is known.
 func (n *Node) tickStart() {
 	if n.start.known {
 		return
@@ -88,7 +91,7 @@
 	n.floorLearnt()
 }
 
-// floorLearnt takes the floor once the learner knows it.
+// adoptFloor adopts the learner's floor once the learner knows it.
 func (n *Node) floorLearnt() {
 	learnt, known := n.start.learner.Floor()
 	if n.start.known || !known {
@@ -109,14 +112,14 @@
 	n.log("floor_learnt", versionField("floor", learnt))
 }
 
-// adoptKeepers tells the keeper of a newer set.
+// adoptKeepers passes a newer keeper set to the keeper.
 func (s *start) adoptKeepers(set protocol.KeeperSet) {
 	if s.known {
 		s.keeper.Validate(s.floor, set)
 	}
 }
 
-// carryOutFloor carries out what the learner or the releaser asks for.
+// applyFloor carries out the outputs of the learner or the releaser.
 func (n *Node) carryOutFloor(outputs []floor.Output) {
 	for _, output := range outputs {
 		switch one := output.(type) {
@@ -150,7 +153,7 @@
 	}
 }
 
-// readOwnHead asks this daemon's own reader for a fresh head.
+// readOwnHead requests a fresh head from this daemon's own reader.
 func (n *Node) readOwnHead() {
 	if n.start.headWanted || !n.readerSide.reader.IsReader() {
 		return
@@ -171,7 +174,7 @@
 	releaser := n.root.releaser
 	n.store(store.Address, store.Request, store.Timeout, func(reply *protocol.StoreReply) {
 		if releaser != n.root.releaser {
-			return // an answer to a former term as root proves nothing now
+			return // a reply to a request from an earlier period as root is not valid for this one
 		}
 		n.carryOutFloor(n.root.releaser.HandleReply(n.now, store.Token, reply))
 		if n.root.active {
@@ -180,9 +183,9 @@
 	})
 }
 
-// handleStore answers a root as keeper, and says whether another root may have
-// been at work: one that asked within the longest lease, or before this daemon
-// started and remembered anything.
+// handleStore answers a root's request to this keeper and reports whether another
+// root may be active: one that sent a request within the longest lease, or may have
+// done so before this daemon started.
 func (n *Node) handleStore(request *protocol.StoreRequest) *protocol.StoreReply {
 	if !knownFormat(request.Format) {
 		return &protocol.StoreReply{Code: result.UnknownFormat, From: n.self.ID, Incarnation: n.self.Incarnation}
@@ -204,7 +207,7 @@
 	return reply
 }
 
-// handleFloor answers a daemon that starts, or a root that looks for others.
+// handleFloor answers a floor request: from a starting daemon, or a probe.
 func (n *Node) handleFloor(token Token, request *protocol.FloorRequest) {
 	if !knownFormat(request.Format) {
 		n.answer(token, &protocol.FloorReply{Code: result.UnknownFormat, From: n.self.ID})
@@ -242,9 +245,9 @@
 	n.answer(token, reply)
 }
 
-// peersFor chooses some live members that help an asker to join: this daemon,
-// its root, readers, candidates for root, relays of the asker's zone, and
-// others that start.
+// peersFor returns live members that help the sender to join: this daemon, readers
+// and roots, root candidates, relays of the sender's zone, and other starting
+// daemons.
 func (n *Node) peersFor(request *protocol.FloorRequest) []protocol.Member {
 	readers := n.roster.Where(func(member protocol.Member) bool {
 		return membership.Live(member) && (member.Reader || member.Root)
--- a/internal/core/node/status.go
+++ b/internal/core/node/status.go
@@ -11,7 +11,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// zoneStatuses returns how far the zones of this region are, as the root sees
+// zoneStatuses returns the progress of the zones of this region as the root observes
 // it, in ascending order of zone.
 func (n *Node) zoneStatuses() []protocol.ZoneStatus {
 	zones := map[string]*protocol.ZoneStatus{}
@@ -43,9 +43,9 @@
 	return lo.Map(names, func(name string, _ int) protocol.ZoneStatus { return *zones[name] })
 }
 
-// countHolding adds up the members at the newest version. A fold that is not
-// at the newest version counts none of its members: it only knows a minimum.
-// Children whose lease has ended are left out, as in acknowledgements.
+// countHolding counts the members at the newest version by zone. An acknowledgement
+// with an older minimum counts none of its members, since only their minimum is
+// known. Children whose lease has expired are left out, as in acknowledgements.
 func (n *Node) countHolding(zones map[string]*protocol.ZoneStatus, newest protocol.Version) {
 	count := func(ack protocol.Acknowledgement) {
 		one, found := zones[ack.Zone]
@@ -74,8 +74,9 @@
 	return newest
 }
 
-// status answers from what this daemon knows itself, with NoReader when it
-// can't tell the files: it has not read the platform since it started.
+// status returns the status from this daemon's own state. The code is NoReader while
+// the files are unknown because this daemon has not read the platform since its
+// start.
 func (n *Node) status(partner resource.Partner) *protocol.StatusReply {
 	reply := &protocol.StatusReply{
 		Code: result.OK,
@@ -109,7 +110,7 @@
 	return markInForce(files, n.holding.inForce)
 }
 
-// markInForce says of each file whether its revision is in force.
+// markInForce sets on each file whether its revision is in force.
 func markInForce(files []protocol.FileStatus, inForce protocol.Version) []protocol.FileStatus {
 	return lo.Map(files, func(file protocol.FileStatus, _ int) protocol.FileStatus {
 		file.InForce = !file.Held && file.Version > 0 && file.Version <= inForce
@@ -117,7 +118,7 @@
 	})
 }
 
-// handlePeerStatus answers another daemon's question.
+// handlePeerStatus answers another daemon's status request.
 func (n *Node) handlePeerStatus(token Token, request *protocol.StatusRequest) {
 	switch {
 	case !knownFormat(request.Format):
@@ -131,11 +132,12 @@
 	}
 }
 
-// statusTimeout bounds the question to the root.
+// statusTimeout is the timeout of a status request to a root.
 const statusTimeout = 2 * time.Second
 
-// operatorStatus answers an operator: as the root, or by asking the root. When
-// no root answers, it tells what this daemon knows itself, with NoReader.
+// handleOperatorStatus answers an operator's status request, from this daemon's own
+// state if it is the root, or else by a request to the root. When no root answers, it
+// returns this daemon's own state with the code NoReader.
 func (n *Node) operatorStatus(token Token, request *protocol.StatusRequest) {
 	if n.root.active {
 		n.emit(OperatorAnswer{Token: token, Body: n.status(request.Partner)})
@@ -144,8 +146,8 @@
 	n.askStatus(token, request, n.statusTargets(), nil)
 }
 
-// askStatus asks the targets in turn. partial is what a root answered that
-// can't tell the files; it is better than what this daemon knows.
+// queryStatus queries the targets in turn. partial is the reply of a root that does
+// not know the files; it is preferred over this daemon's own state.
 func (n *Node) askStatus(token Token, request *protocol.StatusRequest, targets []protocol.Member, partial *protocol.StatusReply) {
 	if len(targets) == 0 && partial != nil {
 		n.emit(OperatorAnswer{Token: token, Body: partial})
@@ -172,8 +174,9 @@
 	})
 }
 
-// addKnownInForce lifts a root's answer to what this daemon has heard before: a
-// root that has just taken over may know less, and in force never reverts (I9).
+// raiseReplyInForce raises the version in force of a root's reply to the one known
+// here: a root that has just taken over may know an older one, and the in-force
+// version never reverts (I9).
 func (n *Node) addKnownInForce(reply *protocol.StatusReply) {
 	if reply.Summary.InForce >= n.holding.inForce {
 		return
--- a/internal/core/node/status_test.go
+++ b/internal/core/node/status_test.go
@@ -11,9 +11,9 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// TestSilentMemberIsNotShownAsHolding crashes each daemon but the root, relays
-// and leaves alike, and looks after its lease has ended, while it is still
-// counted as a member.
+// TestSilentMemberIsNotShownAsHolding crashes each daemon but the root, one per
+// cluster, and checks the status after the daemon's lease has expired, while it is
+// still counted as a member.
 func TestSilentMemberIsNotShownAsHolding(t *testing.T) {
 	_, all, _ := settled(t)
 	for i := range all {
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestRestartedRootWithoutPlatformDoesNotCallTheMeshEmpty crashes a root while
-// the platform is down: status must not show an empty list of files as whole.
-func TestRestartedRootWithoutPlatformDoesNotCallTheMeshEmpty(t *testing.T) {
+// TestRestartedRootWithoutPlatformReportsNoReader restarts roots while the platform
+// is down: status must not show an empty list of files as complete.
+func TestRestartedRootWithoutPlatformReportsNoReader(t *testing.T) {
 	is := is.New(t)
 	c, _, version := settled(t)
 	c.platform.down = true
@@ -59,9 +59,10 @@
 	}
 }
 
-// TestChangeWithoutPlatformIsKnownNotToHaveRun holds that the operator hears
-// the certain answer and not a bound that ran out before it.
-func TestChangeWithoutPlatformIsKnownNotToHaveRun(t *testing.T) {
+// TestChangeWithoutPlatformReportsNotRun checks that the operator receives the
+// conclusive answer, rather than an unknown outcome from a time limit that expires
+// before it.
+func TestChangeWithoutPlatformReportsNotRun(t *testing.T) {
 	is := is.New(t)
 	c, daemons, _ := settled(t)
 	c.platform.down = true
--- a/internal/core/node/step.go
+++ b/internal/core/node/step.go
@@ -1,8 +1,7 @@
-// Package node is the state machine of one daemon. It is stepped with the
-// time and one typed message and answers with typed effects; the daemon's
-// shell, and the simulator, carry the effects out. It composes the reader,
-// floor, membership, distribution and snapshot packages and holds no lock:
-// one goroutine steps it.
+// Package node is the state machine of one daemon. Each step takes the time and one
+// typed message and returns typed effects, which the caller (the shell: a daemon or
+// the simulator) carries out. The package composes the reader, floor, membership,
+// distribution and snapshot packages. It holds no lock: one goroutine steps it.
 package node
 
 import (
@@ -21,7 +20,7 @@
 // Message is an input of Step.
 type Message interface{ message() }
 
-// Tick lets time pass; the shell sends one every TickInterval.
+// Tick advances the time; the shell sends one every TickInterval.
 type Tick struct {
 	// WallClock is the shell's wall clock, shown in status; zero if not known.
 	WallClock time.Time
@@ -66,33 +65,33 @@
 	Code  result.Code
 }
 
-// OperatorRequest is a change or a question from this daemon's operators' API;
+// OperatorRequest is a change or a status request from this daemon's operators' API;
 // the node answers with OperatorAnswer.
 type OperatorRequest struct {
 	Token Token
 	// Body is a *protocol.SubmitRequest or *protocol.StatusRequest.
 	Body any
-	// WallClock is the shell's wall clock, for "accepted at".
+	// WallClock is the shell's wall clock, recorded as the time of acceptance.
 	WallClock time.Time
 }
 
-// SnapshotInForce tells the node that the shell has swapped to a snapshot;
-// only now may the node acknowledge it.
+// SnapshotInForce confirms that the shell has swapped to a snapshot. The node does
+// not acknowledge the version before.
 type SnapshotInForce struct {
 	Version protocol.Version
 }
 
-// BackendReport is what the shell knows of the back end beside it.
+// BackendReport reports the state of the daemon's local back end.
 type BackendReport struct {
 	State protocol.EndpointState
 }
 
-// Leave starts the drain: the node tells the mesh that it is leaving.
+// Leave starts draining: the node reports to the mesh that it is leaving.
 type Leave struct{}
 
-// Stopped follows Leave when the data path has stopped for good. The node then
-// reports that it has left and is not counted any more; the shell steps it for
-// a moment longer (half a second) so that the report goes out.
+// Stopped follows Leave when the data path has stopped permanently. The node then
+// reports that it has left and is no longer counted. The shell steps it for another
+// half second so that the report is sent.
 type Stopped struct{}
 
 func (Tick) message()            {}
@@ -116,7 +115,7 @@
 	Address string
 	// Body is the pointer to a protocol request.
 	Body any
-	// Timeout is when the shell gives up and sends a failed PeerReply.
+	// Timeout is the time after which the shell sends a failed PeerReply.
 	Timeout time.Duration
 }
 
@@ -149,12 +148,12 @@
 	Snapshot *snapshot.Snapshot
 }
 
-// ExtendServing lets the shell's data path serve until Until on the node's
-// clock. The path compares it with the clock on each call, so that a daemon
-// that was paused does not serve when it wakes.
+// ExtendServing extends the lease of the shell's data path to Until on the node's
+// clock. The data path compares it with the clock on each call, so that a daemon that
+// was paused beyond its lease does not serve when it resumes.
 type ExtendServingLease struct{ Until time.Duration }
 
-// PublishMembers gives the data path the newest member records, whole.
+// PublishMembers passes all current member records to the data path.
 type PublishMembers struct {
 	Members []protocol.Member
 }
@@ -165,7 +164,7 @@
 	Body  any
 }
 
-// LogEvent asks for one log line.
+// LogEvent is one log line to be written.
 type LogEvent struct {
 	// Name is a stable event name listed in docs/OPERATIONS.md.
 	Name   string
@@ -178,18 +177,18 @@
 	Value string
 }
 
-func (CallPeer) effect()           {}
-func (PeerAnswer) effect()         {}
-func (CallPlatform) effect()       {}
-func (StartWatch) effect()         {}
-func (StopWatch) effect()          {}
-func (SwapSnapshot) effect()       {}
-func (ExtendServingLease) effect() {}
-func (PublishMembers) effect()     {}
-func (OperatorAnswer) effect()     {}
-func (LogEvent) effect()           {}
+func (CallPeer) effect()       {}
+func (PeerAnswer) effect()     {}
+func (CallPlatform) effect()   {}
+func (StartWatch) effect()     {}
+func (StopWatch) effect()      {}
+func (SwapSnapshot) effect()   {}
+func (ExtendServingLease) effect()  {}
+func (PublishMembers) effect() {}
+func (OperatorAnswer) effect() {}
+func (LogEvent) effect()       {}
 
-// Config is what a node is told at its start.
+// Config holds the settings of a node.
 type Config struct {
 	ID             protocol.NodeID
 	Incarnation    protocol.Incarnation
@@ -200,7 +199,7 @@
 	Scope          protocol.Scope
 	// Seeds are control addresses of some daemons, tried at random at start.
 	Seeds []string
-	// Service and Backend name the back end beside it; empty for none.
+	// Service and Backend identify the local back end; empty for none.
 	Service resource.ServiceRef
 	Backend string
 	Slots   int
@@ -213,14 +212,15 @@
 type Timing struct {
 	// FetchWait is how long a parent may hold a fetch open.
 	FetchWait time.Duration
-	// ServingLease is how long a daemon serves without word from the mesh.
+	// ServingLease is how long a daemon serves without contact to the mesh.
 	ServingLease time.Duration
-	// DeadAfter is when a silent member stops being counted; at least three
-	// serving leases, so that it has certainly stopped serving.
+	// DeadAfter is the time after which a silent member is no longer counted; at
+	// least three serving leases, so that it has certainly stopped serving.
 	DeadAfter time.Duration
 	// ReaderLease is how long a reader lease lasts on the platform.
 	ReaderLease time.Duration
-	// FanOut is how many children a parent takes.
+	// FanOut is the number of children that a relay accepts; a root accepts a
+	// multiple of it.
 	FanOut int
 }
 
--- a/internal/core/node/take.go
+++ b/internal/core/node/take.go
@@ -11,9 +11,10 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// takeReply takes what the parent has to say. It leaves a parent that answers
-// but has not extended the lease for long: that one is cut off from above while
-// another may not be. A parent that is slow to answer is not judged by it.
+// applyFetchReply applies a parent's reply. It leaves a parent that replies but has
+// not extended the lease for half the serving lease: that parent is cut off from the
+// root while another may not be. The check runs only on a reply, so a parent is not
+// left merely because its reply is slow.
 func (n *Node) takeReply(sentAt time.Duration, reply *protocol.FetchReply) {
 	up := &n.upstream
 	if !up.joined {
@@ -48,16 +49,17 @@
 	n.fetchSoon()
 }
 
-// takeReleased stages the version that the parent released and reports whether
-// it is newer.
+// applyReleased stages or stores the version released by the parent and reports
+// whether it is newer.
 func (n *Node) takeReleased(reply *protocol.FetchReply) bool {
 	floorVersion, _ := n.floor()
 	if reply.Released < floorVersion {
 		return false
 	}
 	if n.relaying() != n.upstream.sentRelaying {
-		// The reply speaks of the other scope: "nothing changed" would be taken
-		// of the wrong content. The next fetch asks in the new role.
+		// The reply is for the scope of this daemon's previous role: a nil delta
+		// would be applied to the wrong content. The next fetch requests the new
+		// scope.
 		return false
 	}
 	if n.relaying() {
@@ -76,8 +78,8 @@
 	return true
 }
 
-// nextSnapshot builds what a leaf holds next: the delta applied in whole, or
-// the same content at the new version.
+// nextSnapshot builds the next snapshot of a leaf: the current one with the delta
+// applied, or the same content at the new version.
 func (n *Node) nextSnapshot(reply *protocol.FetchReply) (*snapshot.Snapshot, error) {
 	current := n.holding.current
 	if reply.Delta == nil && current != nil {
@@ -97,8 +99,8 @@
 	return snapshot.Rebuild(base, reply.Released, resources)
 }
 
-// takeForStore puts the released version into the store, from where children
-// and this daemon itself take it.
+// storeReleased adds the released version to the store, from which children and this
+// daemon itself are served.
 func (n *Node) takeForStore(reply *protocol.FetchReply) bool {
 	store := n.holding.store
 	if reply.Released <= store.Version() {
@@ -127,16 +129,16 @@
 	return n.holding.store.Add(reply.Released, resources)
 }
 
-// refuseDelta drops what cannot be applied whole, so that the next fetch asks
-// for a whole snapshot.
+// rejectDelta discards a delta that cannot be applied; the next fetch requests a
+// full snapshot.
 func (n *Node) refuseDelta(err error) {
 	n.log("delta_refused", LogField{Key: "error", Value: err.Error()})
 	n.upstream.nextAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
 	n.holding.wholeWanted = true
 }
 
-// takeLease takes the lease of a reply: it runs from the sending of the
-// request, so that time on the way is never served twice.
+// applyLease applies the lease of a reply. It is counted from when the request was
+// sent, so that the time in transit does not extend it.
 func (n *Node) takeLease(sentAt time.Duration, reply *protocol.FetchReply) {
 	if reply.LeaseRemaining <= 0 {
 		return
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -11,27 +11,30 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// link is what is shared with one parent.
+// link is the state of the connection to one parent.
 type link struct {
-	// target is the daemon fetched from.
+	// target is the daemon that fetches are sent to.
 	target protocol.Member
-	// memberCursor and incarnation are the parent's, from its last reply.
+	// memberCursor and incarnation are the parent's change log position and
+	// incarnation, from its last reply.
 	memberCursor uint64
 	incarnation  protocol.Incarnation
-	// reported is the own change log position that the parent has taken.
+	// reportedCursor is the position in this daemon's change log up to which the
+	// parent has received records.
 	reported membership.Cursor
-	// leaseAt is when the parent last extended the lease.
+	// leaseExtendedAt is when the parent last extended the lease.
 	leaseAt time.Duration
 }
 
-// upstream is this daemon's side of the calls to its parent.
+// upstream holds the state of the fetches from this daemon's parent.
 type upstream struct {
 	link
 	// joined is set once the target has answered OK.
 	joined bool
-	// hinted are daemons that refusals have named since the last parent.
+	// hinted are the daemons listed in refusals since this daemon last joined a
+	// parent.
 	hinted []protocol.Member
-	// former is the parent that works while a preferred one is tried.
+	// former is the working parent while a preferred one is tried; nil otherwise.
 	former  *link
 	token   Token
 	sentAt  time.Duration
@@ -39,23 +42,27 @@
 	// nextAt is when the next fetch may be sent.
 	nextAt   time.Duration
 	failures int
-	// avoid holds daemons that failed or refused, until when.
+	// avoid holds the daemons that failed or refused and until when each is
+	// avoided.
 	avoid map[protocol.NodeID]avoidance
-	// sentCursor is the own change log position at the fetch under way.
+	// sentCursor is this daemon's change log position when the last fetch was
+	// sent.
 	sentCursor membership.Cursor
 	sentAcks   []protocol.Acknowledgement
 	// leafUntil is until when this daemon joins as a leaf although it ranks as a
-	// relay: the root knows more members and had no place for it.
+	// relay by its own roster, because the root, which knows more members, refused
+	// it as a relay.
 	leafUntil time.Duration
-	// sentRelaying is whether the fetch under way asked for the whole
-	// configuration, as a relay does.
+	// sentRelaying is whether the last fetch requested the whole configuration, as
+	// a relay does.
 	sentRelaying bool
-	urgentAt     time.Duration
-	// preferAt is when the preferred parent is tried again; preferRefusals
-	// counts how often it was tried in vain.
+	// urgentAt is when sendUrgentUpdates last interrupted a held fetch.
+	urgentAt time.Duration
+	// preferredRetryAt is when the preferred parent is tried again;
+	// preferredFailures counts the failed attempts.
 	preferAt       time.Duration
 	preferRefusals int
-	// discoverAt is when others are asked for parents again.
+	// discoverAt is when a seed is asked for other daemons again.
 	discoverAt time.Duration
 	// orphanedAt is when the last parent was lost.
 	orphanedAt time.Duration
@@ -63,38 +70,43 @@
 
 // The periods of the upstream side.
 const (
-	// replySlack is added to the wait of a fetch before it counts as failed.
+	// replySlack is added to the hold time of a fetch for its timeout.
 	replySlack = time.Second
-	// avoidStale is how long a parent that no longer extends the lease is left
-	// out.
+	// staleParentAvoidance is how long a parent that no longer extends the lease is
+	// avoided.
 	avoidStale = 2 * time.Second
-	// preferInterval is the mean time until the preferred parent is tried again;
-	// it doubles with each refusal, up to preferMax: the preferred one may be
-	// full.
+	// preferredRetryInterval is the mean time until the preferred parent is tried
+	// again. It doubles with each failure, up to preferredRetryMax, since the
+	// preferred parent may be full.
 	preferInterval = 20 * time.Second
 	preferMax      = 10 * time.Minute
-	// rootPreferInterval is the same for a root that finds a better one.
+	// rootProbeInterval is the mean time between a root's probes for better roots.
 	rootPreferInterval = 2 * time.Second
-	// ackGather and memberGather bound how often news interrupts a held fetch.
+	// ackBatchInterval and memberBatchInterval are the least times between updates
+	// that interrupt a held fetch.
 	ackGather    = 200 * time.Millisecond
 	memberGather = 100 * time.Millisecond
-	// idleSpacing is the least time between fetches that bring nothing.
+	// idleSpacing is the least time between fetches that return nothing new.
 	idleSpacing = 200 * time.Millisecond
-	// swapPatience is how long a swap may take before the parent is told, by a
-	// fetch without it, that this daemon is alive and behind.
+	// swapTimeout is how long the next fetch waits for a swap, in order to
+	// acknowledge it. After that, a fetch shows the parent that this daemon is alive
+	// and behind.
 	swapPatience = time.Second
-	// rootPatience is how long a daemon waits for a better one to become root.
+	// betterRootTimeout is how long a daemon waits for a better candidate to become
+	// root.
 	rootPatience = 4 * time.Second
-	// rootRefusal bounds the wait before a candidate for root is asked again.
+	// rootRetryMax is the maximum time for which a relaying daemon avoids a root
+	// candidate that refused, unless the refusal demands longer.
 	rootRefusal = 400 * time.Millisecond
 	// leafPeriod is how long a daemon that ranks as a relay, but was refused by a
-	// root, asks for a place as a leaf.
+	// root, joins as a leaf instead.
 	leafPeriod = 5 * time.Second
-	// discoverInterval is how often seeds are asked when no parent is found.
+	// discoverInterval is the mean time between requests to seeds while no parent is
+	// found.
 	discoverInterval = time.Second
 )
 
-// tickUpstream sends the next fetch when it is due.
+// tickUpstream chooses the parent and sends the next fetch when it is due.
 func (n *Node) tickUpstream() {
 	if _, known := n.floor(); !known || n.self.State == protocol.MemberLeft && n.upstream.reported >= n.roster.Cursor() {
 		return
@@ -115,12 +127,13 @@
 	n.fetchFrom(target)
 }
 
-// awaitsSwap reports whether the next fetch waits for a swap, to acknowledge it.
+// isAwaitingSwap reports whether the next fetch waits for a swap, in order to
+// acknowledge it.
 func (n *Node) awaitsSwap() bool {
 	return n.holding.staged != nil && n.now-n.holding.stagedAt < swapPatience
 }
 
-// fetchSoon sends the next fetch at once when none is under way.
+// fetchIfDue sends the next fetch if it is due and none is in flight.
 func (n *Node) fetchSoon() {
 	if n.root.active || n.upstream.token != 0 || !n.upstream.joined || n.awaitsSwap() {
 		return
@@ -131,8 +144,8 @@
 	n.fetchFrom(n.upstream.target)
 }
 
-// fetchFrom sends a fetch. One is under way at a time: the parent answers the
-// older of two at once, and this daemon then waits for the newer only.
+// fetchFrom sends a fetch. A newer fetch replaces the one in flight: the parent
+// answers the older at once, and this daemon ignores that reply.
 func (n *Node) fetchFrom(target protocol.Member) {
 	up := &n.upstream
 	if up.target.ID != target.ID {
@@ -165,7 +178,7 @@
 	up.token = token
 }
 
-// haveOf returns what a delta for the scope would start from.
+// deltaBase returns the version and digest from which a delta for the scope starts.
 func (n *Node) haveOf(scope protocol.Scope) (protocol.Version, resource.Digest) {
 	if n.holding.wholeWanted {
 		return 0, ""
@@ -179,9 +192,9 @@
 	return n.holding.current.Version, n.holding.current.Digest
 }
 
-// addRecords adds the records that the parent has not heard. Until it has
-// taken this daemon in, the own record names it as the parent: only a parent
-// that accepts the fetch merges it.
+// addUnreportedRecords adds the records that the parent has not received. Until the
+// target has accepted this daemon, the daemon's own record in the request already
+// names it as the parent; a target that does not accept the fetch ignores the record.
 func (n *Node) addRecords(request *protocol.FetchRequest) {
 	up := &n.upstream
 	for _, member := range n.roster.SubtreeSince(up.reported) {
@@ -202,7 +215,7 @@
 	}
 }
 
-// finishFetch takes the parent's reply to the fetch with the token.
+// finishFetch handles the parent's reply to the fetch with the token.
 func (n *Node) finishFetch(token Token, from protocol.NodeID, sentAt time.Duration, body any) {
 	up := &n.upstream
 	if token != up.token {
@@ -224,8 +237,8 @@
 	}
 }
 
-// sendUrgentNews interrupts a held fetch with acknowledgements or records that
-// the parent should hear now. The parent answers the held one at once.
+// sendUrgentUpdates sends another fetch while one is held, with acknowledgements or
+// records that the parent should receive at once. The parent ends the held one.
 func (n *Node) sendUrgentNews() {
 	up := &n.upstream
 	if n.root.active || !up.joined || up.token == 0 || n.holding.staged != nil || n.now-up.sentAt < idleSpacing/10 {
@@ -238,8 +251,8 @@
 	n.fetchFrom(up.target)
 }
 
-// acksAreUrgent reports whether the fold has changed: at once when everyone
-// below holds the newest version, gathered otherwise.
+// acksAreUrgent reports whether changed acknowledgements are to be sent: at once when
+// the whole subtree holds the newest version, batched otherwise.
 func (n *Node) acksAreUrgent() bool {
 	if !n.downstream.acksChanged {
 		return false
--- a/internal/core/position/position.go
+++ b/internal/core/position/position.go
@@ -1,6 +1,6 @@
-// Package position tells places in the history of an external store's changes apart. A store may
-// come back from an older copy: its revisions go back then and are given out again, and its era
-// rises. A revision alone says nothing; the two together tell what is newer.
+// Package position defines positions in the change history of an external store. When a store is
+// restored from an older copy, its revisions go back and are issued again, and its era is raised.
+// Only era and revision together determine which of two positions is newer.
 package position
 
 import (
@@ -8,27 +8,27 @@
 	"fmt"
 )
 
-// Position is a place in the history of a store. The zero value is that before all changes.
+// Position is a position in the change history of a store. The zero value precedes all changes.
 type Position struct {
-	// Era counts how often the store has come back from an older copy; 0 where it does not tell.
+	// Era counts how often the store was restored from an older copy; 0 if the store reports none.
 	Era uint64
-	// Revision is the store's number of the change, within the era.
+	// Revision is the store's number of the change within the era.
 	Revision uint64
 }
 
-// Compare is below 0 for a position before the other, and above 0 for one after it. All of an
-// era come after all of the eras before.
+// Compare returns a negative number for a position before the other and a positive one for a
+// position after it. All positions of an era follow those of earlier eras.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Era, other.Era), cmp.Compare(p.Revision, other.Revision))
 }
 
-// Before tells whether the position is before another one.
+// Before reports whether the position precedes another one.
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
-// IsStart tells whether no change of the era comes before the position.
+// IsStart reports whether the position precedes all changes of its era.
 func (p Position) IsStart() bool { return p.Revision == 0 }
 
-// Newest is the later of two positions.
+// Max returns the later of two positions.
 func Max(a, b Position) Position {
 	if a.Before(b) {
 		return b
@@ -36,5 +36,5 @@
 	return a
 }
 
-// String is the position for logs.
+// String returns the position as text for logs.
 func (p Position) String() string { return fmt.Sprintf("%d:%d", p.Era, p.Revision) }
--- a/internal/core/position/position_test.go
+++ b/internal/core/position/position_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-func TestALaterEraComesAfterAllOfTheOnesBefore(t *testing.T) {
+func TestLaterErasFollowEarlierOnes(t *testing.T) {
 	check := is.New(t)
 	before, restored := Position{Era: 1, Revision: 900}, Position{Era: 2, Revision: 880}
 	check.True(before.Before(restored))
--- a/internal/core/protocol/keepers.go
+++ b/internal/core/protocol/keepers.go
@@ -4,33 +4,33 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// KeeperSet is the set of daemons of a region that remember its version
-// floor. A version is stored by Write of them before any proxy there puts it
-// in force; Read answers are enough to learn the floor (Write + Read > size).
+// KeeperSet is the set of daemons (keepers) of a region that store its version
+// floor. A version is stored by Write keepers before any proxy there puts it in
+// force; Read answers are enough to learn the floor (Write + Read > size).
 type KeeperSet struct {
 	Region string
-	// Revision is the head version that set it.
+	// Revision is the head version that established the set.
 	Revision Version
 	Members  []KeeperMember
 	Write    int
 	Read     int
 	// Previous is the set that this one replaces, until the change has settled.
-	// While it is set, quorums of both sets are needed to write and to read.
-	// Its own Previous is nil.
+	// Until then, reads and writes need quorums of both sets. Previous.Previous is
+	// always nil.
 	Previous *KeeperSet
 }
 
-// KeeperMember is one keeper.
+// KeeperMember is one keeper of a set.
 type KeeperMember struct {
 	ID             NodeID
 	ControlAddress string
 }
 
-// StoreRequest asks a keeper to remember a version before it is released.
+// StoreRequest requests that a keeper store a version before it is released.
 type StoreRequest struct {
 	Format int
 	From   NodeID
-	// Incarnation is that of the sender.
+	// Incarnation is the sender's incarnation.
 	Incarnation Incarnation
 	Term        uint64
 	Version     Version
@@ -42,25 +42,26 @@
 type StoreReply struct {
 	Code   result.Code
 	Stored Version
-	// OtherRoot is set when a root other than the sender asked this keeper
-	// lately, or may have asked it before the keeper's own start.
+	// OtherRoot is set when another root than the sender sent a request to this
+	// keeper within the lease time, or may have done so before the keeper's start.
 	OtherRoot bool
-	// From and Incarnation are the keeper's; what it stored is forgotten when
+	// From and Incarnation are the keeper's; a keeper loses its stored state when
 	// its incarnation changes.
 	From        NodeID
 	Incarnation Incarnation
 }
 
-// FloorRequest asks for the version floor of a region after a start.
+// FloorRequest requests the version floor of a region. Daemons send it after a start,
+// and as a probe to discover other daemons.
 type FloorRequest struct {
 	Format int
 	Region string
 	From   NodeID
-	// FreshHead asks a reader to read the platform's head anew.
+	// FreshHead requests that a reader read the platform's head again.
 	FreshHead bool
-	// Self is the record of the asker, which may not have joined yet.
+	// Self is the sender's record; the sender may not have joined yet.
 	Self Member
-	// Known is the asker's record of the one asked, who may refute it.
+	// Known is the sender's record of the receiver, which may refute it.
 	Known Member
 }
 
@@ -68,16 +69,17 @@
 type FloorReply struct {
 	// Code is OK, NotReadyYet, NotKeeper or NoReader.
 	Code result.Code
-	// From is the answering daemon; addresses may be reused.
+	// From is the answering daemon. The address does not identify it, since
+	// addresses may be reused.
 	From NodeID
-	// Floor is the highest version stored, or the head read anew.
+	// Floor is the highest version stored, or the version of the head if FromHead.
 	Floor Version
 	// FromHead is set when Floor is the platform's head, read after the request.
 	FromHead bool
-	// Keepers is the newest keeper set known, for the asker to follow.
+	// Keepers is the newest keeper set known, for the sender's next requests.
 	Keepers KeeperSet
-	// Incarnation is the highest remembered incarnation of the asker.
+	// Incarnation is the highest known incarnation of the sender.
 	Incarnation Incarnation
-	// Peers are some live members, so that the asker can find a parent.
+	// Peers are some live members among which the sender can find a parent.
 	Peers []Member
 }
--- a/internal/core/protocol/operators.go
+++ b/internal/core/protocol/operators.go
@@ -7,7 +7,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Action is what an operator asks for.
+// Action is the kind of an operator's change to a file.
 type Action string
 
 // The actions on files.
@@ -17,14 +17,14 @@
 	ActionWithdraw Action = "withdraw"
 )
 
-// Expectation is a revision that must still be the file's; the zero value is
-// any revision. It is no pointer, since gob drops a pointer to zero.
+// Expectation is the revision that the file must still have; the zero value matches
+// any revision. It is not a pointer, because gob omits a pointer to zero.
 type Expectation struct {
 	Given    bool
 	Revision uint64
 }
 
-// ExpectationOf turns an optional revision into an Expectation.
+// ExpectationOf returns the Expectation for an optional revision.
 func ExpectationOf(revision *uint64) Expectation {
 	if revision == nil {
 		return Expectation{}
@@ -32,29 +32,29 @@
 	return Expectation{Given: true, Revision: *revision}
 }
 
-// SubmitRequest carries one operator's change to a reader.
+// SubmitRequest submits an operator's change to a reader.
 type SubmitRequest struct {
 	Format int
-	// Operation identifies the change; sending it again is safe.
+	// Operation identifies the change; a repeated request is applied only once.
 	Operation string
 	// Partner is the authenticated partner of the operator.
 	Partner resource.Partner
 	Action  Action
 	File    string
-	// Expect is the file revision the operator saw.
+	// Expect is the file revision on which the change is based.
 	Expect Expectation
 	// Content is the file's text; empty for withdraw.
 	Content []byte
-	// SentAt is the wall clock of the daemon that took the request.
+	// SentAt is the wall-clock time of the daemon that received the request.
 	SentAt time.Time
 }
 
-// SubmitReply tells what became of a change.
+// SubmitReply reports the outcome of a change.
 type SubmitReply struct {
 	Code result.Code
-	// Errors explain a refusal.
+	// Errors are the reasons for a refusal.
 	Errors []result.Error
-	// Version is the accepted version, or that of the current winner.
+	// Version is the accepted version or, in some refusals, the current one.
 	Version  Version
 	Revision uint64
 	// WaitsFor lists missing references of a held file.
@@ -63,16 +63,16 @@
 	Promoted []string
 }
 
-// StatusRequest asks for the state of files and versions.
+// StatusRequest requests the state of files and versions.
 type StatusRequest struct {
 	Format  int
 	Partner resource.Partner
-	// From is set by a region's root that asks another region's root; Self is
-	// its record.
+	// From is set only in a request of one region's root to another region's root;
+	// Self is the sender's record.
 	From NodeID
 	Self Member
-	// MemberCursor, Peer and PeerIncarnation ask only for records that changed
-	// since the last answer of that daemon; used with From.
+	// MemberCursor, Peer and PeerIncarnation restrict the records to those that
+	// changed since the last reply of that daemon; used with From.
 	MemberCursor    uint64
 	Peer            NodeID
 	PeerIncarnation Incarnation
@@ -87,13 +87,13 @@
 	Held       bool
 	WaitsFor   []string
 	AcceptedAt time.Time
-	// Version is the version that accepted this revision.
+	// Version is the version by which this revision was accepted.
 	Version Version
 	InForce bool
 	// Exports are the services of the file that other partners may use.
 	Exports []ExportedService
-	// Resources are the resources of the file with their digests. They stay
-	// between daemons: an operator is never shown the digest of a secret.
+	// Resources are the resources of the file with their digests. They are sent to
+	// daemons only: an operator must not see the digest of a secret.
 	Resources []ResourceDigest
 }
 
@@ -103,34 +103,35 @@
 	Partners []resource.Partner
 }
 
-// ResourceDigest names one resource of a file.
+// ResourceDigest identifies one resource of a file and its content.
 type ResourceDigest struct {
 	Kind   resource.Kind
 	Name   string
 	Digest resource.Digest
 }
 
-// ZoneStatus is how far a zone is.
+// ZoneStatus is the progress of one zone.
 type ZoneStatus struct {
 	Region  string
 	Zone    string
 	Members uint32
-	// Holding is how many members are counted at the newest version or later.
+	// Holding is the number of members known to hold the newest version or a later
+	// one.
 	Holding uint32
 	Minimum Version
 	Behind  []NodeID
 	Silent  []NodeID
 }
 
-// Summary is what the region roots know together.
+// Summary is the combined state of the region roots.
 type Summary struct {
 	Version    Version
 	InForce    Version
 	AcceptedAt time.Time
 	InForceAt  time.Time
 	Zones      []ZoneStatus
-	// CutRegions are regions whose root has not been heard lately; they may
-	// hold older versions, so nothing is called in force there.
+	// CutRegions are the regions whose root has not replied lately. They may hold
+	// older versions, so no newer version is declared in force.
 	CutRegions []string
 }
 
@@ -140,8 +141,8 @@
 	Summary Summary
 	Files   []FileStatus
 	Members []Member
-	// MemberCursor, From and Incarnation are for the next request of the same
-	// root.
+	// MemberCursor, From and Incarnation are to be returned in the next request of
+	// the same root.
 	MemberCursor uint64
 	From         NodeID
 	Incarnation  Incarnation
--- a/internal/core/protocol/protocol.go
+++ b/internal/core/protocol/protocol.go
@@ -1,6 +1,6 @@
-// Package protocol defines the typed messages that daemons exchange over
-// net/rpc. It holds data only; the node core decides and the control package
-// carries.
+// Package protocol defines the typed messages that daemons exchange over net/rpc. It
+// contains data only: the core packages create and process the messages, and the
+// control package transports them.
 package protocol
 
 import (
@@ -11,25 +11,26 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Format is the revision of these messages and of the resource encoding. A
-// daemon refuses a peer or head whose format it does not know in whole, so a
-// newer field is never understood by half of the mesh.
+// Format is the revision of these messages and of the resource encoding. A daemon
+// refuses a peer or head of another format, so that a new field is never understood by
+// only a part of the mesh.
 const Format = 3
 
 // NodeID is the stable identity of a daemon, from its settings.
 type NodeID string
 
-// Version counts accepted configurations; 0 means none.
+// Version is the number of an accepted configuration; 0 means none.
 type Version uint64
 
-// Incarnation grows each time that a daemon starts (wall-clock nanoseconds,
-// raised above any incarnation that peers remember of it).
+// Incarnation identifies one run of a daemon. It grows with each start: it is the
+// wall-clock time in nanoseconds, raised above every incarnation of the daemon that
+// peers remember.
 type Incarnation uint64
 
-// MemberState is what the mesh believes of a member.
+// MemberState is the state of a member as recorded in the mesh.
 type MemberState int
 
-// The states of a member, in the order in which they win at the same
+// The states of a member, in ascending order of precedence among records of the same
 // incarnation and sequence.
 const (
 	MemberAlive MemberState = iota + 1
@@ -39,7 +40,7 @@
 	MemberDead
 )
 
-// EndpointState is the state of the back end beside a daemon.
+// EndpointState is the state of the local back end of a daemon.
 type EndpointState int
 
 // The states of an endpoint.
@@ -49,9 +50,10 @@
 	EndpointReady
 	EndpointDraining
 	EndpointDown
-	// EndpointDegraded takes calls but fails many of them: it is a last resort.
+	// EndpointDegraded accepts calls but fails many of them; it is used as a last
+	// resort.
 	EndpointDegraded
-	// EndpointEvacuated takes no work because its zone is to be empty.
+	// EndpointEvacuated accepts no calls because its zone is evacuated.
 	EndpointEvacuated
 )
 
@@ -64,7 +66,7 @@
 	MemberDead:     "dead",
 }
 
-// String names the state; empty for none.
+// String returns the name of the state; empty for an unknown state.
 func (s MemberState) String() string { return memberStateNames[s] }
 
 // endpointStateNames are the names of endpoint states in logs and status.
@@ -79,24 +81,25 @@
 	EndpointEvacuated: "evacuated",
 }
 
-// TakesWork tells whether a back end in the state may get new calls.
+// AcceptsCalls reports whether a back end in the state may receive new calls.
 func (s EndpointState) AcceptsCalls() bool {
 	return s == EndpointReady || s == EndpointWarming || s == EndpointDegraded
 }
 
-// String names the state.
+// String returns the name of the state.
 func (s EndpointState) String() string { return endpointStateNames[s] }
 
-// BackendStart identifies one start of a back end. Starts under the same name are told apart
-// by when they began.
+// BackendStart identifies one run of a back end. Runs under the same name differ in their
+// start time.
 type BackendStart struct {
 	// Instance is the name of the back end.
 	Instance string
-	// Born is when it started by its own word, in Unix milliseconds; 0 when it does not tell.
+	// Born is the start time that the back end reports, in Unix milliseconds; 0 if it
+	// reports none.
 	Born int64
 }
 
-// String names the start, in the same way on all daemons.
+// String returns a name of the run that is the same on all daemons.
 func (s BackendStart) String() string {
 	if s.Born == 0 {
 		return s.Instance
@@ -104,17 +107,17 @@
 	return s.Instance + "@" + strconv.FormatInt(s.Born, 10)
 }
 
-// Member is the soft record of one daemon and of the back end beside it.
-// Records are merged by (Incarnation, Sequence, State); the daemon itself is
-// the only one that raises Sequence.
+// Member is the soft-state record of one daemon and of its local back end. Records
+// are merged by (Incarnation, Sequence, State); only the daemon itself increments
+// Sequence.
 type Member struct {
 	ID          NodeID
 	Incarnation Incarnation
 	Sequence    uint64
 	State       MemberState
-	// ControlAddress is where net/rpc is served, an IP and port.
+	// ControlAddress is the IP and port at which the daemon serves net/rpc.
 	ControlAddress string
-	// DataAddress is where calls from other daemons are taken.
+	// DataAddress is the address at which the daemon accepts calls from others.
 	DataAddress string
 	Region      string
 	Zone        string
@@ -122,38 +125,41 @@
 	Reader bool
 	// Root is set while the daemon has no parent and acts as its region's root.
 	Root bool
-	// Parent is the daemon that it fetches from; empty for a root. Only the
-	// parent may call it suspect or dead.
+	// Parent is the daemon that it fetches from; empty for a root. The parent
+	// monitors it and marks it as suspect or dead; the root does so for a member
+	// without a live parent.
 	Parent NodeID
-	// Service and Backend name the back end beside it; empty for none.
+	// Service and Backend identify the local back end; empty for none.
 	Service  resource.ServiceRef
 	Backend  string
 	Endpoint EndpointState
-	// Slots is how many calls the back end runs at once.
+	// Slots is the number of calls that the back end runs concurrently.
 	Slots int
-	// Software is the version of the back end's software; empty when not known.
+	// Software is the version of the back end's software; empty if unknown.
 	Software string
-	// Born is when the back end started by its own word, in Unix milliseconds: it tells two
-	// starts under the same name apart. 0 when it does not tell.
+	// Born is the start time that the back end reports, in Unix milliseconds. It
+	// distinguishes two runs under the same name; 0 if the back end reports none.
 	Born int64
 }
 
-// BackendStart is the start of the back end beside the daemon.
+// BackendStart returns the identity of the local back end's run.
 func (m *Member) BackendStart() BackendStart {
 	return BackendStart{Instance: m.Backend, Born: m.Born}
 }
 
-// Scope says which resources a daemon holds: the routes of its partners that
-// lead to the listed services (all of them when Services is empty), closed
-// under references. A relay scope holds everything, encoded.
+// Scope selects the resources that a daemon holds: the routes of its partners that
+// lead to the listed services (all routes if Services is empty), and every resource
+// that they reference, directly or indirectly. A relay scope selects all resources,
+// in encoded form.
 type Scope struct {
 	Partners []resource.Partner
 	Services []resource.ServiceRef
 	Relay    bool
 }
 
-// Acknowledgement folds what the members below a daemon hold, for one zone.
-// Folds add up, so their size does not grow with the mesh.
+// Acknowledgement aggregates the versions held by a daemon and its subtree, for one
+// zone. Acknowledgements are merged on the way to the root, so their size does not
+// grow with the mesh.
 type Acknowledgement struct {
 	Region string
 	Zone   string
@@ -161,25 +167,26 @@
 	Minimum Version
 	// Count and MemberSum identify the counted members: MemberSum is the sum
 	// modulo 2^64 of the xxhash of each id and incarnation, so that a member
-	// counted twice cannot stand in for one that is missing.
+	// counted twice cannot compensate for a missing one.
 	Count     uint32
 	MemberSum uint64
-	// Behind names some members at Minimum, at most MaxNamed.
+	// Behind lists up to MaxListedNodes members that hold only Minimum.
 	Behind []NodeID
 }
 
-// MaxNamed bounds the lists of names in acknowledgements and status.
+// MaxListedNodes is the maximum length of the lists of node ids in acknowledgements
+// and status.
 const MaxListedNodes = 8
 
-// FetchRequest is the one long-poll call of distribution, from a daemon to
-// its parent. It is a heartbeat, an acknowledgement and a question at once.
+// FetchRequest is the long-poll call by which a daemon fetches configuration from its
+// parent. It also serves as a heartbeat and as an acknowledgement.
 type FetchRequest struct {
 	Format int
 	// From and Incarnation identify the sender.
 	From        NodeID
 	Incarnation Incarnation
-	// Counter grows with each fetch of the sender, so that a parent can tell a
-	// late duplicate from the newest.
+	// Counter grows with each fetch of the sender, so that a parent can detect late
+	// duplicates.
 	Counter uint64
 	// Self is the sender's record; zero when unchanged since the last fetch
 	// that this parent answered.
@@ -187,21 +194,25 @@
 	// KeeperRevision is the newest keeper set that the sender knows.
 	KeeperRevision Version
 	Scope          Scope
-	// Have is the version in force on the sender, HaveDigest its snapshot's.
+	// Have is the version from which a delta may start, HaveDigest its digest; 0 and
+	// empty for none.
 	Have       Version
 	HaveDigest resource.Digest
-	// Acknowledgements cover the sender and all below it.
+	// Acknowledgements cover the sender and its subtree.
 	Acknowledgements []Acknowledgement
-	// Members are soft records that changed since the last fetch.
+	// Members are the records that changed since the last fetch.
 	Members []Member
-	// MemberCursor is the parent's cursor from the last reply; 0 asks for all.
+	// MemberCursor is the parent's cursor from the last reply; 0 requests all
+	// records.
 	MemberCursor uint64
-	// RosterSums are sent with MemberCursor 0: sums of the records that the
-	// sender knows, by bucket, so that a new parent sends only what differs.
+	// RosterSums are sent with MemberCursor 0: the checksums by bucket of the
+	// sender's records, so that a new parent sends only the differing buckets.
 	RosterSums []uint64
-	// ParentIncarnation guards MemberCursor against a restarted parent.
+	// ParentIncarnation is the incarnation of the parent that issued MemberCursor; a
+	// restarted parent ignores the cursor.
 	ParentIncarnation Incarnation
-	// Wait is the longest time to hold the call when there is nothing to say.
+	// Wait is the maximum time for which the parent may hold the call without a
+	// change.
 	Wait time.Duration
 }
 
@@ -212,37 +223,38 @@
 	Code result.Code
 	// RetryAfter is the least wait before the next call.
 	RetryAfter time.Duration
-	// Released is the newest version that the sender may put in force.
+	// Released is the newest version that the receiver may put in force.
 	Released Version
-	// Delta leads from Have to Released; nil when nothing changed for the
-	// sender's scope, which then stands at Released with the same digest.
+	// Delta is the change from Have to Released; nil if nothing changed in the
+	// requested scope, which then has the same digest at Released.
 	Delta *Delta
 	// InForce is the newest version known to be in force on all counted members.
 	InForce Version
-	// Keepers is the keeper set of the sender's region.
+	// Keepers is the keeper set of the region.
 	Keepers KeeperSet
-	// Regions are all regions that hold configuration, in ascending order; empty
-	// when unchanged. A later root must wait for each of them.
+	// Regions are all regions that hold configuration, in ascending order; empty if
+	// unchanged. A receiver that becomes root must wait for each of them before it
+	// declares a version in force.
 	Regions []string
-	// LeaseRemaining is how long the sender may serve, from when it sent the
-	// request; it never exceeds what the parent itself was granted.
+	// LeaseRemaining is how long the receiver may serve, counted from when it sent
+	// the request. It never exceeds the parent's own lease.
 	LeaseRemaining time.Duration
 	Members        []Member
 	MemberCursor   uint64
 	Incarnation    Incarnation
-	// Summary is the region roots' view, for status; nil when unchanged.
+	// Summary is the region roots' combined state, for status; nil if unchanged.
 	Summary *Summary
 }
 
-// Delta leads from one snapshot of a scope to another. It is applied in whole
-// or not at all: the result's digest must equal Digest.
+// Delta is the change from one snapshot of a scope to another. It is applied
+// atomically: the digest of the result must equal Digest.
 type Delta struct {
-	// From is 0 when the delta is a whole snapshot.
+	// From is 0 if the delta is a full snapshot.
 	From Version
 	To   Version
 	// Digest is the digest of the snapshot that results.
 	Digest resource.Digest
-	// Payload is the encoded, compressed list of changes, encoded once and
-	// shared between receivers. Its layout belongs to the snapshot package.
+	// Payload is the encoded and compressed list of changes, encoded once and shared
+	// between receivers. Its layout is defined by the snapshot package.
 	Payload []byte
 }
--- a/internal/core/protocol/protocol_test.go
+++ b/internal/core/protocol/protocol_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestExpectedRevisionZeroCrossesTheWire guards a found fault: gob dropped a
-// pointer to zero, so "must not be there yet" arrived as "any revision".
-func TestExpectedRevisionZeroCrossesTheWire(t *testing.T) {
+// TestExpectedRevisionZeroSurvivesGob guards against a fault: gob omitted a pointer to
+// zero, so the expectation that a file does not exist yet arrived as any revision.
+func TestExpectedRevisionZeroSurvivesGob(t *testing.T) {
 	is := is.New(t)
 	revision := uint64(0)
 	var wire bytes.Buffer
--- a/internal/core/renewal/renewal.go
+++ b/internal/core/renewal/renewal.go
@@ -1,28 +1,30 @@
-// Package renewal decides when the connections that a daemon keeps for long are made anew. One that
-// is found dead, because a new connection to the same place was answered and it was not, says that
-// others which were opened before may be dead as well: the state of a firewall, an address
-// translation or a route is lost for many connections at once, and each of them tells nothing.
+// Package renewal decides when a daemon re-establishes its long-lived connections. When one of them
+// is found dead, because a new connection to the same address is answered and the old one is not,
+// others that were opened before may be dead as well: the loss of firewall, address-translation or
+// routing state affects many connections at once without any of them reporting an error.
 package renewal
 
 import "time"
 
-// Pause is the least time between two renewals, so that a place whose connections die again and
-// again costs a bounded number of new ones.
+// MinInterval is the least time between two renewals. It bounds the number of new connections if
+// those to one address keep failing.
 const MinInterval = time.Second
 
-// Decider decides on renewals. The zero value has seen none. It is not safe for concurrent use.
+// Scheduler schedules renewals. The zero value is ready for use. It is not safe for concurrent use.
 type Scheduler struct {
+	// renewed is set by the first renewal; renewedAt is the time of the last.
 	renewed   bool
 	renewedAt time.Duration
-	// due is set while a renewal waits for its time.
+	// due is set from when a renewal is scheduled until it is done.
 	due bool
 }
 
-// Dead takes that a connection opened at a time was found dead. It tells whether the connections
-// that were opened before are to be renewed, and after what time; Renew is to be called then.
+// ReportDead reports a dead connection that was opened at the given time. It returns whether all
+// connections are to be renewed and after what delay. The caller must call MarkRenewed when it has
+// done so.
 func (d *Scheduler) ReportDead(now, opened time.Duration) (wait time.Duration, renew bool) {
 	if d.due || d.renewed && opened < d.renewedAt {
-		return 0, false // a renewal covers it
+		return 0, false // covered by a scheduled or completed renewal
 	}
 	d.due = true
 	if !d.renewed {
@@ -31,7 +33,7 @@
 	return max(0, d.renewedAt+MinInterval-now), true
 }
 
-// Renew notes that connections opened before now are made anew.
+// MarkRenewed records that all connections opened before now have been renewed.
 func (d *Scheduler) MarkRenewed(now time.Duration) {
 	d.renewed = true
 	d.renewedAt = now
--- a/internal/core/renewal/renewal_test.go
+++ b/internal/core/renewal/renewal_test.go
@@ -15,18 +15,18 @@
 	check.Equal(wait, time.Duration(0))
 }
 
-func TestConnectionsThatWereRenewedAreNoNews(t *testing.T) {
+func TestARenewedConnectionCausesNoFurtherRenewal(t *testing.T) {
 	check := is.New(t)
 	decider := &Scheduler{}
 	decider.ReportDead(time.Minute, time.Second)
-	_, again := decider.ReportDead(time.Minute, 2*time.Second) // before the renewal has come
+	_, again := decider.ReportDead(time.Minute, 2*time.Second) // the scheduled renewal is not done yet
 	check.True(!again)
 	decider.MarkRenewed(time.Minute)
 	_, again = decider.ReportDead(2*time.Minute, 59*time.Second)
 	check.True(!again)
 }
 
-func TestConnectionsThatDieAgainAreRenewedAtAPace(t *testing.T) {
+func TestRepeatedRenewalsKeepTheMinimumInterval(t *testing.T) {
 	check := is.New(t)
 	decider := &Scheduler{}
 	decider.ReportDead(time.Minute, time.Second)
