--- a/internal/core/node/calls.go
+++ b/internal/core/node/calls.go
@@ -8,37 +8,37 @@
 )
 
 // callTable holds the callbacks of the peer calls that await a reply.
-type calls struct {
-	next    Token
-	waiting map[Token]func(body any)
+type callTable struct {
+	lastToken Token
+	pending   map[Token]func(body any)
 }
 
-func newCalls() calls {
-	return calls{waiting: map[Token]func(body any){}}
+func newCallTable() callTable {
+	return callTable{pending: map[Token]func(body any){}}
 }
 
 func (n *Node) newToken() Token {
-	n.calls.next++
-	return n.calls.next
+	n.calls.lastToken++
+	return n.calls.lastToken
 }
 
 // call sends a request to another daemon and calls done with the reply, or with
 // nil when none arrived; the request may have taken effect even then.
 func (n *Node) call(address string, body any, timeout time.Duration, done func(reply any)) Token {
 	token := n.newToken()
-	n.calls.waiting[token] = done
+	n.calls.pending[token] = done
 	n.emit(CallPeer{Token: token, Address: address, Body: body, Timeout: timeout})
 	return token
 }
 
 // handlePeerReply passes a reply to the callback of its call. A reply without a
 // pending call is late or a duplicate and is dropped.
-func (n *Node) finishCall(reply PeerReply) {
-	done, found := n.calls.waiting[reply.Token]
+func (n *Node) handlePeerReply(reply PeerReply) {
+	done, found := n.calls.pending[reply.Token]
 	if !found {
 		return
 	}
-	delete(n.calls.waiting, reply.Token)
+	delete(n.calls.pending, reply.Token)
 	if reply.Failed {
 		done(nil)
 		return
@@ -69,10 +69,10 @@
 
 // isKnownFormat reports whether this daemon understands every field of a peer's
 // message.
-func knownFormat(format int) bool { return format == protocol.Format }
+func isKnownFormat(format int) bool { return format == protocol.Format }
 
 // newRefusal returns the fetch reply of a daemon that does not accept the sender
 // as a child.
-func refusal(code result.Code, retryAfter time.Duration) *protocol.FetchReply {
+func newRefusal(code result.Code, retryAfter time.Duration) *protocol.FetchReply {
 	return &protocol.FetchReply{Format: protocol.Format, Code: code, RetryAfter: retryAfter}
 }
--- a/internal/core/node/cluster_test.go
+++ b/internal/core/node/cluster_test.go
@@ -16,49 +16,49 @@
 	"github.com/springstack/springstack/internal/sim/timeline"
 )
 
-// delay is the one-way latency of every message.
-const delay = time.Millisecond
+// baseLatency is the minimum one-way latency of a message.
+const baseLatency = time.Millisecond
 
 // cluster simulates nodes, a platform and a network in virtual time.
 type cluster struct {
-	is       *is.I
-	timeline *timeline.Timeline
-	order    int
-	daemons  map[string]*daemon
-	// cut drops messages between two addresses when it returns true.
-	cut func(from, to string) bool
+	is        *is.I
+	timeline  *timeline.Timeline
+	lastToken int
+	daemons   map[string]*daemon
+	// isCut reports whether messages between two addresses are dropped.
+	isCut func(from, to string) bool
 	// random draws latencies and losses when set; otherwise every message has the
 	// same latency and none is lost.
 	random   *rand.Rand
-	loss     float64
+	lossRate float64
 	platform *platform
 	// observe is called with every message.
 	observe func(from, to string, body any)
-	// submitted is set once the file exists.
-	submitted bool
-	// logs receives log lines when set.
-	logs func(line string)
+	// fileExists is set once the file was submitted.
+	fileExists bool
+	// logLine receives log lines when set.
+	logLine func(line string)
 }
 
 // daemon is one node with a minimal shell.
 type daemon struct {
-	id           protocol.NodeID
-	config       node.Config
-	node         *node.Node
-	snapshot     *snapshot.Snapshot
-	servingUntil time.Duration
-	members      []protocol.Member
-	operator     map[node.Token]any
-	answers      map[node.Token]func(any)
-	highest      protocol.Version
+	id              protocol.NodeID
+	config          node.Config
+	node            *node.Node
+	snapshot        *snapshot.Snapshot
+	servingUntil    time.Duration
+	members         []protocol.Member
+	operatorReplies map[node.Token]any
+	peerAnswers     map[node.Token]func(any)
+	highestVersion  protocol.Version
 	// generation grows with each start and stop; messages to an earlier one are
 	// dropped.
-	life    int
-	running bool
+	generation int
+	running    bool
 	// withholdsConfirmations leaves swaps unconfirmed; onSwap is called for each
 	// swap when set.
-	holdsSwaps bool
-	swapped    func()
+	withholdsConfirmations bool
+	onSwap                 func()
 	// pausedUntil is when a paused daemon resumes.
 	pausedUntil time.Duration
 }
@@ -68,7 +68,7 @@
 		timeline: timeline.New(0),
 		is:       is.New(t),
 		daemons:  map[string]*daemon{},
-		cut:      func(string, string) bool { return false },
+		isCut:    func(string, string) bool { return false },
 		observe:  func(string, string, any) {},
 	}
 	c.platform = newPlatform(c)
@@ -89,14 +89,14 @@
 	c.timeline.AdvanceTo(end)
 }
 
-// until advances the time until the condition holds, and fails the test when that
+// waitUntil advances the time until the condition holds, and fails the test when that
 // takes longer than the limit. It returns the time taken.
-func (c *cluster) until(what string, limit time.Duration, condition func() bool) time.Duration {
+func (c *cluster) waitUntil(description string, limit time.Duration, condition func() bool) time.Duration {
 	started := c.now()
 	for !condition() {
 		if c.now()-started > limit {
 			c.is.Helper()
-			c.is.Equal(what, "in time") // the condition was not reached in time
+			c.is.Equal(description, "in time") // time limit exceeded
 			c.is.Fail()
 		}
 		c.run(20 * time.Millisecond)
@@ -112,7 +112,7 @@
 		d = &daemon{id: protocol.NodeID(id)}
 		c.daemons[address] = d
 	}
-	d.life++
+	d.generation++
 	d.running = true
 	d.config = node.Config{
 		ID:             d.id,
@@ -121,100 +121,100 @@
 		Region:         region,
 		Zone:           zone,
 		Seeds:          seeds,
-		RandomSeed:     uint64(len(c.daemons)*100 + d.life),
+		RandomSeed:     uint64(len(c.daemons)*100 + d.generation),
 		Timing:         node.DefaultTiming(),
 	}
 	d.node = node.New(d.config)
 	d.snapshot = nil
 	d.servingUntil = 0
-	d.operator = map[node.Token]any{}
-	d.answers = map[node.Token]func(any){}
-	c.tick(d, d.life)
+	d.operatorReplies = map[node.Token]any{}
+	d.peerAnswers = map[node.Token]func(any){}
+	c.tick(d, d.generation)
 	return d
 }
 
 func (c *cluster) stop(d *daemon) {
-	d.life++
+	d.generation++
 	d.running = false
 }
 
-func (c *cluster) tick(d *daemon, life int) {
-	if d.life != life {
+func (c *cluster) tick(d *daemon, generation int) {
+	if d.generation != generation {
 		return
 	}
 	c.step(d, node.Tick{WallClock: c.wallClock()})
-	c.after(node.TickInterval, func() { c.tick(d, life) })
+	c.after(node.TickInterval, func() { c.tick(d, generation) })
 }
 
 // step delivers a message to a node; a paused node receives it when it resumes.
 func (c *cluster) step(d *daemon, message node.Message) {
 	if c.now() < d.pausedUntil {
-		life := d.life
+		generation := d.generation
 		c.after(d.pausedUntil-c.now(), func() {
-			if d.life == life {
+			if d.generation == generation {
 				c.step(d, message)
 			}
 		})
 		return
 	}
 	for _, effect := range d.node.Step(c.now(), message) {
-		c.carryOut(d, effect)
+		c.applyEffect(d, effect)
 	}
 }
 
-func (c *cluster) carryOut(d *daemon, effect node.Effect) {
-	life := d.life
-	switch one := effect.(type) {
+func (c *cluster) applyEffect(d *daemon, effect node.Effect) {
+	generation := d.generation
+	switch requested := effect.(type) {
 	case node.CallPeer:
-		c.callPeer(d, life, one)
+		c.callPeer(d, generation, requested)
 	case node.CallPlatform:
-		c.platform.call(d, life, one)
+		c.platform.call(d, generation, requested)
 	case node.StartWatch:
-		c.platform.watch(d, life, one)
+		c.platform.watch(d, generation, requested)
 	case node.StopWatch:
-		c.platform.stop(d, one.Token)
+		c.platform.stopWatch(d, requested.Token)
 	case node.SwapSnapshot:
-		c.is.True(one.Snapshot.Version > d.highest || d.snapshot == nil && one.Snapshot.Version >= d.highest) // I1
-		d.snapshot = one.Snapshot
-		d.highest = one.Snapshot.Version
-		if d.swapped != nil {
-			d.swapped()
+		c.is.True(requested.Snapshot.Version > d.highestVersion || d.snapshot == nil && requested.Snapshot.Version >= d.highestVersion) // I1
+		d.snapshot = requested.Snapshot
+		d.highestVersion = requested.Snapshot.Version
+		if d.onSwap != nil {
+			d.onSwap()
 		}
-		if d.holdsSwaps {
+		if d.withholdsConfirmations {
 			return
 		}
 		c.after(0, func() {
-			if d.life == life {
+			if d.generation == generation {
 				c.confirm(d)
 			}
 		})
 	case node.ExtendServingLease:
-		d.servingUntil = one.Until
+		d.servingUntil = requested.Until
 	case node.PublishMembers:
-		d.members = one.Members
+		d.members = requested.Members
 	case node.PeerAnswer:
-		if answer, known := d.answers[one.Token]; known {
-			delete(d.answers, one.Token)
-			answer(one.Body)
+		if answer, known := d.peerAnswers[requested.Token]; known {
+			delete(d.peerAnswers, requested.Token)
+			answer(requested.Body)
 		}
 	case node.OperatorAnswer:
-		d.operator[one.Token] = one.Body
+		d.operatorReplies[requested.Token] = requested.Body
 	case node.LogEvent:
-		c.printLog(d, one)
-		if one.Name == "version_in_force" {
-			c.checkInForce(one.Fields[0].Value)
+		c.printLog(d, requested)
+		if requested.Name == "version_in_force" {
+			c.checkInForce(requested.Fields[0].Value)
 		}
 	}
 }
 
 // checkInForce checks a version that a node declares in force against the versions
 // that all daemons may serve at that moment (I9).
-func (c *cluster) checkInForce(claimed string) {
-	version, err := strconv.ParseUint(claimed, 10, 64)
+func (c *cluster) checkInForce(declared string) {
+	version, err := strconv.ParseUint(declared, 10, 64)
 	c.is.NoErr(err)
 	for _, d := range c.daemons {
 		if c.serving(d) && d.snapshot.Version < protocol.Version(version) {
-			c.is.Equal(fmt.Sprintf("%s serves %d", d.id, d.snapshot.Version), "in force is "+claimed)
+			c.is.Equal(fmt.Sprintf("%s serves %d", d.id, d.snapshot.Version), "in force is "+declared)
 		}
 	}
 }
@@ -222,33 +222,33 @@
 // confirm confirms to a node that its newest snapshot is in force.
 func (c *cluster) confirm(d *daemon) { c.step(d, node.SnapshotInForce{Version: d.snapshot.Version}) }
 
-func (c *cluster) printLog(d *daemon, one node.LogEvent) {
-	if c.logs == nil {
+func (c *cluster) printLog(d *daemon, event node.LogEvent) {
+	if c.logLine == nil {
 		return
 	}
 	var fields []string
-	for _, field := range one.Fields {
+	for _, field := range event.Fields {
 		fields = append(fields, field.Key+"="+field.Value)
 	}
-	c.logs(fmt.Sprintf("%8.3f %s event=%s %s", c.now().Seconds(), d.id, one.Name, strings.Join(fields, " ")))
+	c.logLine(fmt.Sprintf("%8.3f %s event=%s %s", c.now().Seconds(), d.id, event.Name, strings.Join(fields, " ")))
 }
 
-func (c *cluster) lost(from, to string) bool {
-	return c.cut(from, to) || c.random != nil && c.random.Float64() < c.loss
+func (c *cluster) isDropped(from, to string) bool {
+	return c.isCut(from, to) || c.random != nil && c.random.Float64() < c.lossRate
 }
 
-func (c *cluster) delay() time.Duration {
+func (c *cluster) latency() time.Duration {
 	if c.random == nil {
-		return delay
+		return baseLatency
 	}
-	return delay + time.Duration(c.random.ExpFloat64()*float64(5*time.Millisecond))
+	return baseLatency + time.Duration(c.random.ExpFloat64()*float64(5*time.Millisecond))
 }
 
 // callPeer delivers a call; the request and the reply may each be dropped.
-func (c *cluster) callPeer(from *daemon, life int, call node.CallPeer) {
+func (c *cluster) callPeer(from *daemon, generation int, call node.CallPeer) {
 	done := false
 	reply := func(body any, failed bool) {
-		if done || from.life != life {
+		if done || from.generation != generation {
 			return
 		}
 		done = true
@@ -257,12 +257,12 @@
 	c.after(call.Timeout, func() { reply(nil, true) })
 	c.observe(from.config.ControlAddress, call.Address, call.Body)
 	to, known := c.daemons[call.Address]
-	if c.lost(from.config.ControlAddress, call.Address) {
+	if c.isDropped(from.config.ControlAddress, call.Address) {
 		return
 	}
-	c.after(c.delay(), func() {
+	c.after(c.latency(), func() {
 		if !known || !to.running {
-			c.after(c.delay(), func() { reply(nil, true) })
+			c.after(c.latency(), func() { reply(nil, true) })
 			return
 		}
 		c.deliver(from, to, call.Body, func(body any) { reply(body, false) })
@@ -270,12 +270,12 @@
 }
 
 func (c *cluster) deliver(from, to *daemon, body any, reply func(any)) {
-	c.order++
-	token := node.Token(c.order) | 1<<40
-	to.answers[token] = func(answer any) {
+	c.lastToken++
+	token := node.Token(c.lastToken) | 1<<40
+	to.peerAnswers[token] = func(answer any) {
 		c.observe(to.config.ControlAddress, from.config.ControlAddress, answer)
-		if !c.lost(to.config.ControlAddress, from.config.ControlAddress) {
-			c.after(c.delay(), func() { reply(answer) })
+		if !c.isDropped(to.config.ControlAddress, from.config.ControlAddress) {
+			c.after(c.latency(), func() { reply(answer) })
 		}
 	}
 	c.step(to, node.PeerRequest{Token: token, Body: body})
@@ -299,31 +299,31 @@
 // submit sends a change through a daemon and returns a function that returns the
 // reply, or nil before it arrives.
 func (c *cluster) submit(d *daemon, content string) func() *protocol.SubmitReply {
-	c.order++
-	token := node.Token(c.order) | 1<<41
+	c.lastToken++
+	token := node.Token(c.lastToken) | 1<<41
 	action := protocol.ActionSubmit
-	if c.submitted {
+	if c.fileExists {
 		action = protocol.ActionReplace
 	}
-	c.submitted = true
+	c.fileExists = true
 	c.step(d, node.OperatorRequest{Token: token, WallClock: c.wallClock(), Body: &protocol.SubmitRequest{
-		Operation: fmt.Sprintf("%d-%016x", c.wallClock().UnixMilli(), c.order),
+		Operation: fmt.Sprintf("%d-%016x", c.wallClock().UnixMilli(), c.lastToken),
 		Partner:   "kameeldoring",
 		Action:    action,
 		File:      "shop",
 		Content:   []byte(content),
 	}})
 	return func() *protocol.SubmitReply {
-		reply, _ := d.operator[token].(*protocol.SubmitReply)
+		reply, _ := d.operatorReplies[token].(*protocol.SubmitReply)
 		return reply
 	}
 }
 
 // status returns the status that a daemon reports to an operator.
 func (c *cluster) status(d *daemon) *protocol.StatusReply {
-	c.order++
-	token := node.Token(c.order) | 1<<41
+	c.lastToken++
+	token := node.Token(c.lastToken) | 1<<41
 	c.step(d, node.OperatorRequest{Token: token, Body: &protocol.StatusRequest{Format: protocol.Format, Partner: "kameeldoring"}})
-	c.until("status", 10*time.Second, func() bool { return d.operator[token] != nil })
-	return d.operator[token].(*protocol.StatusReply)
+	c.waitUntil("status", 10*time.Second, func() bool { return d.operatorReplies[token] != nil })
+	return d.operatorReplies[token].(*protocol.StatusReply)
 }
--- a/internal/core/node/downstream.go
+++ b/internal/core/node/downstream.go
@@ -17,10 +17,10 @@
 type downstream struct {
 	children map[protocol.NodeID]*child
 	// order lists the children in ascending order of id.
-	order []protocol.NodeID
+	sortedIDs []protocol.NodeID
 	// acksChanged is set when the aggregated acknowledgements may have changed.
 	acksChanged bool
-	admission   *distribution.SendLimiter
+	sendLimiter *distribution.SendLimiter
 }
 
 // child is a daemon that fetches from this one.
@@ -29,26 +29,27 @@
 	incarnation protocol.Incarnation
 	counter     uint64
 	scope       protocol.Scope
-	have        protocol.Version
-	digest      resource.Digest
+	haveVersion protocol.Version
+	haveDigest  resource.Digest
 	acks        []protocol.Acknowledgement
-	heardAt     time.Duration
+	// fetchedAt is when the last fetch arrived.
+	fetchedAt time.Duration
 	// cursor is the position in this daemon's change log up to which the child
 	// has received records.
 	cursor         membership.Cursor
 	keeperRevision protocol.Version
 	// rosterSums are the checksums of the child's roster by bucket. Without a
 	// cursor they show which records the child is missing.
-	sums []uint64
+	rosterSums []uint64
 	// joinedAt is the position in the change log just after the child's record
 	// was added.
 	joinedAt membership.Cursor
 	// leaseGranted is set once this daemon has granted a lease to the child since
 	// it joined.
-	leased bool
+	leaseGranted bool
 	// heldToken is the token of the fetch that is held open; 0 for none.
-	token Token
-	wait  time.Duration
+	heldToken Token
+	maxHold   time.Duration
 }
 
 // The bounds of the downstream side.
@@ -57,76 +58,76 @@
 	// the first, relays up to the second, readers and daemons with a subtree up
 	// to the third. Leaves that arrive first when many daemons start together
 	// thus cannot exclude a subtree.
-	rootPlacesAny     = 2
-	rootPlacesRelay   = 4
-	rootPlacesSubtree = 8
+	rootLimitLeaf    = 2
+	rootLimitRelay   = 4
+	rootLimitSubtree = 8
 	// memberBatchDelay is how long member changes are batched before a held fetch
 	// is answered.
-	memberNews = 500 * time.Millisecond
+	memberBatchDelay = 500 * time.Millisecond
 	// maxHints is the maximum number of members listed in a refusal.
 	maxHints = 8
 	// notReadyRetryAfter is the retry delay in the refusal of a daemon that holds
 	// no configuration yet.
-	retryNotReady = 200 * time.Millisecond
+	notReadyRetryAfter = 200 * time.Millisecond
 	// unlimitedDeltaBytes is the payload size up to which deltas bypass the send
 	// limiter.
-	smallDelta = 16 << 10
+	unlimitedDeltaBytes = 16 << 10
 )
 
 func newDownstream() downstream {
 	return downstream{
-		children:  map[protocol.NodeID]*child{},
-		admission: distribution.NewSendLimiter(distribution.DefaultBytesPerSecond, distribution.DefaultBurstBytes),
+		children:    map[protocol.NodeID]*child{},
+		sendLimiter: distribution.NewSendLimiter(distribution.DefaultBytesPerSecond, distribution.DefaultBurstBytes),
 	}
 }
 
 // handleFetch handles a child's fetch. A fetch that is accepted is held open until
 // a reply is due.
 func (n *Node) handleFetch(token Token, request *protocol.FetchRequest) {
-	if !knownFormat(request.Format) {
-		n.answer(token, refusal(result.UnknownFormat, n.config.Timing.DeadAfter))
+	if !isKnownFormat(request.Format) {
+		n.answer(token, newRefusal(result.UnknownFormat, n.config.Timing.DeadAfter))
 		return
 	}
-	if code := n.acceptance(request); code != result.OK {
+	if code := n.checkChild(request); code != result.OK {
 		n.refuseFetch(token, request, code)
 		return
 	}
-	known, found := n.downstream.children[request.From]
-	if found && known.incarnation == request.Incarnation && request.Counter <= known.counter {
-		n.answer(token, refusal(result.Overloaded, idleSpacing))
+	sender, found := n.downstream.children[request.From]
+	if found && sender.incarnation == request.Incarnation && request.Counter <= sender.counter {
+		n.answer(token, newRefusal(result.Overloaded, idleFetchInterval))
 		return
 	}
-	if !found || known.incarnation != request.Incarnation {
-		if !n.newcomerIsCurrent(request) {
+	if !found || sender.incarnation != request.Incarnation {
+		if !n.isCurrentFetch(request) {
 			n.refuseFetch(token, request, result.AskAnother)
 			return
 		}
-		known = n.addChild(request)
+		sender = n.addChild(request)
 	}
-	n.supersede(known)
-	n.takeFetch(known, token, request)
+	n.supersedeHeldFetch(sender)
+	n.recordFetch(sender, token, request)
 }
 
 // checkChild decides whether the sender may be a child. Only a root accepts
 // relays; leaves are accepted by a root or by a relay directly below one. The tree
 // therefore has at most three levels.
-func (n *Node) acceptance(request *protocol.FetchRequest) result.Code {
-	if _, known := n.floor(); !known || n.holding.store.Version() == 0 {
+func (n *Node) checkChild(request *protocol.FetchRequest) result.Code {
+	if _, known := n.floor(); !known || n.held.store.Version() == 0 {
 		if n.root.active {
 			return result.NotReadyYet
 		}
 		return result.AskAnother
 	}
 	parentIsRoot := n.upstream.joined && n.upstream.target.Root
-	_, already := n.downstream.children[request.From]
+	_, isChild := n.downstream.children[request.From]
 	switch {
 	case n.leaving || request.From == n.self.ID:
 		return result.AskAnother
-	case n.root.active && (already || len(n.downstream.children) < n.rootPlaces(request)):
+	case n.root.active && (isChild || len(n.downstream.children) < n.rootChildLimit(request)):
 		return result.OK
-	case n.root.active || !parentIsRoot || request.Scope.Relay || !n.relaying():
+	case n.root.active || !parentIsRoot || request.Scope.Relay || !n.isRelaying():
 		return result.AskAnother
-	case already || len(n.downstream.children) < n.config.Timing.FanOut:
+	case isChild || len(n.downstream.children) < n.config.Timing.FanOut:
 		return result.OK
 	default:
 		return result.AskAnother
@@ -135,16 +136,16 @@
 
 // rootChildLimit returns how many children this root accepts, which depends on the
 // kind of the sender.
-func (n *Node) rootPlaces(request *protocol.FetchRequest) int {
-	below := lo.SumBy(request.Acknowledgements, func(ack protocol.Acknowledgement) uint32 { return ack.Count })
+func (n *Node) rootChildLimit(request *protocol.FetchRequest) int {
+	subtreeSize := lo.SumBy(request.Acknowledgements, func(ack protocol.Acknowledgement) uint32 { return ack.Count })
 	fanOut := n.config.Timing.FanOut
 	switch {
-	case request.Self.Reader || below > 1:
-		return rootPlacesSubtree * fanOut
+	case request.Self.Reader || subtreeSize > 1:
+		return rootLimitSubtree * fanOut
 	case request.Scope.Relay && n.tree().WouldBeRelay(request.Self):
-		return rootPlacesRelay * fanOut
+		return rootLimitRelay * fanOut
 	default:
-		return rootPlacesAny * fanOut
+		return rootLimitLeaf * fanOut
 	}
 }
 
@@ -152,7 +153,7 @@
 // duplicate, sent by an earlier incarnation or before the sender switched to
 // another parent, is not: counting the sender here as well as there would delay
 // the in-force version.
-func (n *Node) newcomerIsCurrent(request *protocol.FetchRequest) bool {
+func (n *Node) isCurrentFetch(request *protocol.FetchRequest) bool {
 	if request.Self.ID != request.From || request.Self.Parent != n.self.ID {
 		return false
 	}
@@ -165,61 +166,61 @@
 
 func (n *Node) addChild(request *protocol.FetchRequest) *child {
 	if _, found := n.downstream.children[request.From]; !found {
-		at, _ := slices.BinarySearch(n.downstream.order, request.From)
-		n.downstream.order = slices.Insert(n.downstream.order, at, request.From)
+		at, _ := slices.BinarySearch(n.downstream.sortedIDs, request.From)
+		n.downstream.sortedIDs = slices.Insert(n.downstream.sortedIDs, at, request.From)
 	}
 	added := &child{id: request.From, incarnation: request.Incarnation}
 	n.downstream.children[request.From] = added
-	n.heardMember(request.Self, membership.SourceSubtree)
+	n.mergeMember(request.Self, membership.SourceSubtree)
 	added.joinedAt = n.roster.Cursor()
 	return added
 }
 
 // supersedeHeldFetch ends a held fetch with an empty reply. The child waits only
 // for its newest fetch.
-func (n *Node) supersede(known *child) {
-	if known.token == 0 {
+func (n *Node) supersedeHeldFetch(sender *child) {
+	if sender.heldToken == 0 {
 		return
 	}
-	n.answer(known.token, &protocol.FetchReply{Format: protocol.Format, Code: result.OK, Incarnation: n.self.Incarnation})
-	known.token = 0
+	n.answer(sender.heldToken, &protocol.FetchReply{Format: protocol.Format, Code: result.OK, Incarnation: n.self.Incarnation})
+	sender.heldToken = 0
 }
 
-func (n *Node) takeFetch(known *child, token Token, request *protocol.FetchRequest) {
-	known.counter = request.Counter
-	known.scope = request.Scope
-	known.have = request.Have
-	known.digest = request.HaveDigest
-	known.keeperRevision = request.KeeperRevision
-	known.heardAt = n.now
-	known.token = token
-	known.wait = min(request.Wait, n.config.Timing.FetchWait)
-	known.cursor = 0
-	known.sums = request.RosterSums
+func (n *Node) recordFetch(sender *child, token Token, request *protocol.FetchRequest) {
+	sender.counter = request.Counter
+	sender.scope = request.Scope
+	sender.haveVersion = request.Have
+	sender.haveDigest = request.HaveDigest
+	sender.keeperRevision = request.KeeperRevision
+	sender.fetchedAt = n.now
+	sender.heldToken = token
+	sender.maxHold = min(request.Wait, n.config.Timing.FetchWait)
+	sender.cursor = 0
+	sender.rosterSums = request.RosterSums
 	if request.ParentIncarnation == n.self.Incarnation {
-		known.cursor = request.MemberCursor
+		sender.cursor = request.MemberCursor
 	}
-	if !distribution.EqualAcknowledgements(known.acks, request.Acknowledgements) {
-		known.acks = request.Acknowledgements
+	if !distribution.EqualAcknowledgements(sender.acks, request.Acknowledgements) {
+		sender.acks = request.Acknowledgements
 		n.downstream.acksChanged = true
 	}
 	if request.Self.ID == request.From {
-		n.heardMember(request.Self, membership.SourceSubtree)
+		n.mergeMember(request.Self, membership.SourceSubtree)
 	}
 	for _, member := range request.Members {
-		n.heardMember(member, membership.SourceSubtree)
+		n.mergeMember(member, membership.SourceSubtree)
 	}
 }
 
 // removeChild removes a child that has switched to another parent, left or died.
-func (n *Node) childMoved(member protocol.Member) {
-	known, found := n.downstream.children[member.ID]
-	if !found || known.incarnation > member.Incarnation {
+func (n *Node) removeChild(member protocol.Member) {
+	removed, found := n.downstream.children[member.ID]
+	if !found || removed.incarnation > member.Incarnation {
 		return
 	}
-	n.supersede(known)
+	n.supersedeHeldFetch(removed)
 	delete(n.downstream.children, member.ID)
-	n.downstream.order = slices.DeleteFunc(n.downstream.order, func(id protocol.NodeID) bool { return id == member.ID })
+	n.downstream.sortedIDs = slices.DeleteFunc(n.downstream.sortedIDs, func(id protocol.NodeID) bool { return id == member.ID })
 	n.downstream.acksChanged = true
 }
 
@@ -230,134 +231,134 @@
 // elsewhere. Otherwise a version could be declared in force while the child may
 // still serve an older one.
 func (n *Node) acknowledgements() []protocol.Acknowledgement {
-	fold := distribution.NewAcknowledgementAggregator()
+	aggregator := distribution.NewAcknowledgementAggregator()
 	if membership.Live(n.self) {
-		fold.Add(distribution.MemberAcknowledgement(n.self, n.held()))
+		aggregator.Add(distribution.MemberAcknowledgement(n.self, n.currentVersion()))
 	}
-	for _, id := range n.downstream.order {
-		known := n.downstream.children[id]
-		if n.leaseEnded(known) {
+	for _, id := range n.downstream.sortedIDs {
+		child := n.downstream.children[id]
+		if n.hasLeaseExpired(child) {
 			continue
 		}
-		for _, one := range known.acks {
-			fold.Add(one)
+		for _, ack := range child.acks {
+			aggregator.Add(ack)
 		}
 	}
-	return fold.List()
+	return aggregator.List()
 }
 
 // hasLeaseExpired reports whether every lease granted to a child has certainly
 // expired.
-func (n *Node) leaseEnded(known *child) bool {
-	return n.now-known.heardAt > marginOf(n.config.Timing.ServingLease)
+func (n *Node) hasLeaseExpired(holder *child) bool {
+	return n.now-holder.fetchedAt > withClockMargin(n.config.Timing.ServingLease)
 }
 
 // sweepChildren marks the acknowledgements as changed when a child's lease has
 // expired since the last sweeps.
 func (n *Node) sweepChildren() {
-	margin := marginOf(n.config.Timing.ServingLease)
-	for _, id := range n.downstream.order {
-		silent := n.now - n.downstream.children[id].heardAt
-		if silent > margin && silent <= margin+2*sweepInterval {
+	expiry := withClockMargin(n.config.Timing.ServingLease)
+	for _, id := range n.downstream.sortedIDs {
+		silentFor := n.now - n.downstream.children[id].fetchedAt
+		if silentFor > expiry && silentFor <= expiry+2*sweepInterval {
 			n.downstream.acksChanged = true
 		}
 	}
 }
 
 // answerHeldFetches answers the held fetches for which a reply is due.
-func (n *Node) serveChildren() {
-	for _, id := range n.downstream.order {
-		known := n.downstream.children[id]
-		if known.token != 0 && n.hasNews(known) {
-			n.serve(known)
+func (n *Node) answerHeldFetches() {
+	for _, id := range n.downstream.sortedIDs {
+		child := n.downstream.children[id]
+		if child.heldToken != 0 && n.isReplyDue(child) {
+			n.answerFetch(child)
 		}
 	}
 }
 
-func (n *Node) hasNews(known *child) bool {
-	held := n.now - known.heardAt
+func (n *Node) isReplyDue(sender *child) bool {
+	heldFor := n.now - sender.fetchedAt
 	switch {
-	case n.leaving, known.cursor == 0, held >= known.wait:
+	case n.leaving, sender.cursor == 0, heldFor >= sender.maxHold:
 		return true
-	case n.holding.store.Version() > known.have:
+	case n.held.store.Version() > sender.haveVersion:
 		return true
-	case !known.leased && n.mayLease(known):
+	case !sender.leaseGranted && n.canGrantLease(sender):
 		return true
 	default:
-		return n.roster.Cursor() != known.cursor && held >= memberNews
+		return n.roster.Cursor() != sender.cursor && heldFor >= memberBatchDelay
 	}
 }
 
 // canGrantLease reports whether a child may be granted a lease. Its record must
 // have reached the root: the root then waits for the child before it declares a
 // version in force, even if this daemon crashes.
-func (n *Node) mayLease(known *child) bool {
-	reported := n.root.active || (n.upstream.joined && n.upstream.reported >= known.joinedAt)
-	return reported && n.holding.grantUntil > n.now
+func (n *Node) canGrantLease(holder *child) bool {
+	reported := n.root.active || (n.upstream.joined && n.upstream.reportedCursor >= holder.joinedAt)
+	return reported && n.held.grantUntil > n.now
 }
 
 // answerFetch answers a held fetch.
-func (n *Node) serve(known *child) {
-	token := known.token
-	known.token = 0
+func (n *Node) answerFetch(sender *child) {
+	token := sender.heldToken
+	sender.heldToken = 0
 	if n.leaving {
-		n.answer(token, n.farewell(known))
+		n.answer(token, n.leavingReply(sender))
 		return
 	}
-	store := n.holding.store
+	store := n.held.store
 	reply := &protocol.FetchReply{
 		Format:       protocol.Format,
 		Code:         result.OK,
 		Released:     store.Version(),
-		InForce:      n.holding.inForce,
+		InForce:      n.held.inForce,
 		Incarnation:  n.self.Incarnation,
-		Members:      n.membersFor(known),
+		Members:      n.membersToSend(sender),
 		MemberCursor: n.roster.Cursor(),
 	}
-	if store.Version() > known.have {
-		reply.Delta = store.Delta(known.scope, known.have, known.digest)
-		if wait, admitted := n.admit(reply.Delta); !admitted {
-			n.answer(token, refusal(result.Overloaded, wait))
+	if store.Version() > sender.haveVersion {
+		reply.Delta = store.Delta(sender.scope, sender.haveVersion, sender.haveDigest)
+		if wait, admitted := n.admitDelta(reply.Delta); !admitted {
+			n.answer(token, newRefusal(result.Overloaded, wait))
 			return
 		}
 	}
-	if known.keeperRevision < n.holding.keepers.Revision {
-		reply.Keepers = n.holding.keepers
+	if sender.keeperRevision < n.held.keepers.Revision {
+		reply.Keepers = n.held.keepers
 	}
-	if known.cursor == 0 || store.Version() > known.have {
+	if sender.cursor == 0 || store.Version() > sender.haveVersion {
 		reply.Regions = n.allRegions()
 	}
-	reply.LeaseRemaining = n.grant(known)
+	reply.LeaseRemaining = n.grantLease(sender)
 	n.answer(token, reply)
 }
 
 // membersToSend returns the records that a child is missing: those that changed
 // since its cursor or, without a cursor, those in the buckets whose checksums
 // differ.
-func (n *Node) membersFor(known *child) []protocol.Member {
-	if known.cursor == 0 && len(known.sums) == membership.BucketCount {
-		return n.roster.InDifferingBuckets(membership.BucketSums(known.sums))
+func (n *Node) membersToSend(receiver *child) []protocol.Member {
+	if receiver.cursor == 0 && len(receiver.rosterSums) == membership.BucketCount {
+		return n.roster.InDifferingBuckets(membership.BucketSums(receiver.rosterSums))
 	}
-	return n.roster.Since(known.cursor)
+	return n.roster.Since(receiver.cursor)
 }
 
 // admitDelta applies the send limiter to a delta. It returns the time to wait and
 // false when the delta may not be sent now.
-func (n *Node) admit(delta *protocol.Delta) (time.Duration, bool) {
-	if delta == nil || len(delta.Payload) <= smallDelta {
+func (n *Node) admitDelta(delta *protocol.Delta) (time.Duration, bool) {
+	if delta == nil || len(delta.Payload) <= unlimitedDeltaBytes {
 		return 0, true
 	}
-	return n.downstream.admission.Admit(n.now, len(delta.Payload))
+	return n.downstream.sendLimiter.Admit(n.now, len(delta.Payload))
 }
 
 // grantLease returns the lease of a child, counted from when the child sent its
 // request: at most the remainder of this daemon's own lease, plus the time for
 // which the request was held here, which has certainly passed at the child too.
-func (n *Node) grant(known *child) time.Duration {
-	if !n.mayLease(known) {
+func (n *Node) grantLease(holder *child) time.Duration {
+	if !n.canGrantLease(holder) {
 		return 0
 	}
-	known.leased = true
-	remaining := min(n.config.Timing.ServingLease, n.holding.grantUntil-n.now)
-	return remaining + n.now - known.heardAt
+	holder.leaseGranted = true
+	remaining := min(n.config.Timing.ServingLease, n.held.grantUntil-n.now)
+	return remaining + n.now - holder.fetchedAt
 }
--- a/internal/core/node/failure_test.go
+++ b/internal/core/node/failure_test.go
@@ -16,27 +16,27 @@
 // TestCrashDelaysInForceUntilFencedOnly guards against a fault: after the crash of one
 // daemon, no version came in force until the daemon was marked dead, 35 s later.
 func TestCrashDelaysInForceUntilFencedOnly(t *testing.T) {
-	c, _, _ := settled(t)
-	crashed := c.other(c.root())
+	c, _, _ := newSettledCluster(t)
+	crashed := c.anotherThan(c.root())
 	c.stop(crashed)
-	through := c.other(crashed)
-	version := c.accept(through, 7)
-	took := c.inForce(through, version, 12*time.Second)
+	through := c.anotherThan(crashed)
+	version := c.submitAccepted(through, 7)
+	took := c.waitInForce(through, version, 12*time.Second)
 	t.Logf("in force %v after a crash", took)
 }
 
 // newSettledCluster returns a cluster of twelve daemons that all serve an accepted
 // file, with keepers that have been running for longer than any lease.
-func settled(t *testing.T) (*cluster, []*daemon, protocol.Version) {
+func newSettledCluster(t *testing.T) (*cluster, []*daemon, protocol.Version) {
 	c := newCluster(t)
 	if os.Getenv("NODE_LOGS") != "" {
-		c.logs = func(line string) { t.Log(line) }
+		c.logLine = func(line string) { t.Log(line) }
 	}
-	daemons := twelve(c)
-	c.until("all serve", 40*time.Second, func() bool { return c.allServe(1) })
+	daemons := startTwelve(c)
+	c.waitUntil("all serve", 40*time.Second, func() bool { return c.allServe(1) })
 	c.run(30 * time.Second)
-	version := c.accept(daemons[7], 6)
-	c.inForce(daemons[9], version, 5*time.Second)
+	version := c.submitAccepted(daemons[7], 6)
+	c.waitInForce(daemons[9], version, 5*time.Second)
 	return c, daemons, version
 }
 
@@ -55,15 +55,15 @@
 	return nil
 }
 
-// other returns a running daemon that is not among the given ones.
-func (c *cluster) other(not ...*daemon) *daemon {
+// anotherThan returns a running daemon that is not among the excluded ones.
+func (c *cluster) anotherThan(excluded ...*daemon) *daemon {
 	for i := range len(c.daemons) {
 		d := c.daemons[fmt.Sprintf("addr-d%02d", i)]
-		known := !d.running
-		for _, one := range not {
-			known = known || one == d
+		isExcluded := !d.running
+		for _, other := range excluded {
+			isExcluded = isExcluded || other == d
 		}
-		if !known {
+		if !isExcluded {
 			return d
 		}
 	}
@@ -71,72 +71,72 @@
 }
 
 func TestRootDies(t *testing.T) {
-	c, _, _ := settled(t)
+	c, _, _ := newSettledCluster(t)
 	root := c.root()
 	c.stop(root)
-	through := c.other(root)
-	version := c.accept(through, 7)
-	held := c.until("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	took := c.inForce(through, version, 60*time.Second)
+	through := c.anotherThan(root)
+	version := c.submitAccepted(through, 7)
+	held := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	took := c.waitInForce(through, version, 60*time.Second)
 	t.Logf("served everywhere after %v, in force after another %v", held, took)
 }
 
 func TestDaemonIsCutOffAndReturns(t *testing.T) {
-	c, daemons, _ := settled(t)
-	isolated := c.other(c.root())
-	c.cut = func(from, to string) bool {
+	c, daemons, _ := newSettledCluster(t)
+	isolated := c.anotherThan(c.root())
+	c.isCut = func(from, to string) bool {
 		return from == isolated.config.ControlAddress || to == isolated.config.ControlAddress
 	}
-	through := c.other(isolated)
-	version := c.accept(through, 7)
+	through := c.anotherThan(isolated)
+	version := c.submitAccepted(through, 7)
 	c.run(time.Second)
 	if c.status(through).Summary.InForce >= version {
 		c.is.Fail() // one daemon may still serve the older version
 	}
 	c.run(15 * time.Second)
 	c.is.True(!c.serving(isolated)) // its lease has expired
-	c.inForce(through, version, 60*time.Second)
-	c.cut = func(string, string) bool { return false }
-	c.until("all serve", 20*time.Second, func() bool { return c.allServe(version) })
-	version = c.accept(daemons[3], 8)
-	c.inForce(through, version, 10*time.Second)
+	c.waitInForce(through, version, 60*time.Second)
+	c.isCut = func(string, string) bool { return false }
+	c.waitUntil("all serve", 20*time.Second, func() bool { return c.allServe(version) })
+	version = c.submitAccepted(daemons[3], 8)
+	c.waitInForce(through, version, 10*time.Second)
 }
 
 func TestZoneIsLost(t *testing.T) {
-	c, daemons, _ := settled(t)
+	c, daemons, _ := newSettledCluster(t)
 	for _, d := range daemons {
 		if d.config.Zone == "eros-hall" {
 			c.stop(d)
 		}
 	}
-	through := c.other()
-	version := c.accept(through, 7)
-	held := c.until("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	took := c.inForce(through, version, 90*time.Second)
+	through := c.anotherThan()
+	version := c.submitAccepted(through, 7)
+	held := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	took := c.waitInForce(through, version, 90*time.Second)
 	t.Logf("served everywhere after %v, in force after another %v", held, took)
 }
 
 func TestPlatformIsDown(t *testing.T) {
-	c, daemons, version := settled(t)
+	c, daemons, version := newSettledCluster(t)
 	c.platform.down = true
 	c.run(60 * time.Second)
 	c.is.True(c.allServe(version))
 	c.stop(daemons[4])
 	c.start("windhoek", "klein-hall", "d04", "addr-d00", "addr-d01", "addr-d02")
-	c.until("a new daemon serves", 20*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("a new daemon serves", 20*time.Second, func() bool { return c.allServe(version) })
 	root := c.root()
 	c.stop(root)
-	c.until("another root serves", 30*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("another root serves", 30*time.Second, func() bool { return c.allServe(version) })
 	c.platform.down = false
-	version = c.accept(c.other(root), 7)
-	c.until("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	c.inForce(c.other(root), version, 60*time.Second)
+	version = c.submitAccepted(c.anotherThan(root), 7)
+	c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	c.waitInForce(c.anotherThan(root), version, 60*time.Second)
 }
 
 // TestAllDaemonsRestartAtOnce restarts all daemons at once, first with the platform up,
 // then with the platform down: without a floor no daemon serves.
 func TestAllDaemonsRestartAtOnce(t *testing.T) {
-	c, daemons, version := settled(t)
+	c, daemons, version := newSettledCluster(t)
 	restart := func() {
 		for _, d := range daemons {
 			c.stop(d)
@@ -147,8 +147,8 @@
 		}
 	}
 	restart()
-	took := c.until("all serve", 60*time.Second, func() bool { return c.allServe(version) })
-	t.Logf("all serve %v after the herd restarted", took)
+	took := c.waitUntil("all serve", 60*time.Second, func() bool { return c.allServe(version) })
+	t.Logf("all daemons serve %v after the restart", took)
 	c.platform.down = true
 	restart()
 	c.run(30 * time.Second)
@@ -156,7 +156,7 @@
 		c.is.True(!c.serving(d))
 	}
 	c.platform.down = false
-	c.until("all serve", 60*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("all serve", 60*time.Second, func() bool { return c.allServe(version) })
 }
 
 // TestRegionsAreCut distributes changes over two regions, before and while they are
@@ -164,44 +164,44 @@
 func TestRegionsAreCut(t *testing.T) {
 	c := newCluster(t)
 	if os.Getenv("NODE_LOGS") != "" {
-		c.logs = func(line string) { t.Log(line) }
+		c.logLine = func(line string) { t.Log(line) }
 	}
 	regions := map[string][]string{"windhoek": {"klein-hall", "eros-hall"}, "accra": {"tema-hall", "osu-hall"}}
 	for i := range 8 {
 		region := []string{"windhoek", "accra"}[i%2]
 		c.start(region, regions[region][i/2%2], fmt.Sprintf("d%02d", i), "addr-d00", "addr-d01")
 	}
-	c.until("all serve", 40*time.Second, func() bool { return c.allServe(1) })
+	c.waitUntil("all serve", 40*time.Second, func() bool { return c.allServe(1) })
 	c.run(30 * time.Second)
-	through := c.other()
-	version := c.accept(through, 6)
-	took := c.inForce(through, version, 10*time.Second)
+	through := c.anotherThan()
+	version := c.submitAccepted(through, 6)
+	took := c.waitInForce(through, version, 10*time.Second)
 	t.Logf("in force in both regions after %v", took)
-	c.until("all members known", 10*time.Second, func() bool { return len(through.members) == 8 })
+	c.waitUntil("all members known", 10*time.Second, func() bool { return len(through.members) == 8 })
 
-	c.cut = func(from, to string) bool { return c.daemons[from].config.Region != c.daemons[to].config.Region }
-	version = c.accept(through, 7)
-	c.until("each region holds it", 10*time.Second, func() bool { return c.allServe(version) })
+	c.isCut = func(from, to string) bool { return c.daemons[from].config.Region != c.daemons[to].config.Region }
+	version = c.submitAccepted(through, 7)
+	c.waitUntil("each region holds it", 10*time.Second, func() bool { return c.allServe(version) })
 	c.run(40 * time.Second)
 	summary := c.status(through).Summary
 	c.is.True(summary.InForce < version) // the other region has not reported it
 	c.is.Equal(summary.CutRegions, []string{"accra"})
-	c.cut = func(string, string) bool { return false }
-	took = c.inForce(through, version, 10*time.Second)
+	c.isCut = func(string, string) bool { return false }
+	took = c.waitInForce(through, version, 10*time.Second)
 	t.Logf("in force %v after the regions were joined", took)
 }
 
 func TestCleanLeaveIsNotCounted(t *testing.T) {
-	c, _, _ := settled(t)
-	leaver := c.other(c.root())
+	c, _, _ := newSettledCluster(t)
+	leaver := c.anotherThan(c.root())
 	c.step(leaver, node.Leave{})
 	c.run(time.Second)
 	c.step(leaver, node.Stopped{})
 	c.run(500 * time.Millisecond)
 	c.stop(leaver)
-	through := c.other(leaver)
-	version := c.accept(through, 7)
-	took := c.inForce(through, version, 5*time.Second)
+	through := c.anotherThan(leaver)
+	version := c.submitAccepted(through, 7)
+	took := c.waitInForce(through, version, 5*time.Second)
 	t.Logf("in force after %v without the one that left", took)
 }
 
@@ -211,8 +211,8 @@
 	var logs [2][]string
 	for i := range logs {
 		c := newCluster(t)
-		c.logs = func(line string) { logs[i] = append(logs[i], line) }
-		twelve(c)
+		c.logLine = func(line string) { logs[i] = append(logs[i], line) }
+		startTwelve(c)
 		c.run(20 * time.Second)
 	}
 	is.True(len(logs[0]) > 20)
@@ -223,21 +223,21 @@
 // version can be released, and then accepts one: the other daemons continue to serve
 // the released version, and adopt the new one once the keepers have restarted.
 func TestTooFewKeepersForANewVersionStillServeTheOldOne(t *testing.T) {
-	c, daemons, released := settled(t)
+	c, daemons, released := newSettledCluster(t)
 	root := c.root()
 	head, err := ledger.Decode(c.platform.objects[ledger.HeadObject].Data)
 	c.is.NoErr(err)
 	set, _ := head.KeeperSet("windhoek")
 	var crashed []*daemon
 	for _, keeper := range set.Members {
-		one := c.daemons["addr-"+string(keeper.ID)]
-		if one != root && len(crashed) <= len(set.Members)-set.Write {
-			c.stop(one)
-			crashed = append(crashed, one)
+		stopped := c.daemons["addr-"+string(keeper.ID)]
+		if stopped != root && len(crashed) <= len(set.Members)-set.Write {
+			c.stop(stopped)
+			crashed = append(crashed, stopped)
 		}
 	}
 	c.run(3 * time.Second)
-	version := c.accept(c.other(crashed...), 7)
+	version := c.submitAccepted(c.anotherThan(crashed...), 7)
 	c.run(20 * time.Second)
 	for _, d := range daemons {
 		if d.running && !c.serving(d) {
@@ -250,7 +250,7 @@
 	for _, d := range crashed {
 		c.start("windhoek", d.config.Zone, string(d.id), "addr-d00", "addr-d01", "addr-d02", "addr-d03")
 	}
-	c.until("the new version is in force", 60*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("the new version is in force", 60*time.Second, func() bool { return c.allServe(version) })
 }
 
 // TestAChangeOfKeepersSettlesAtOnce checks that the first growth of a keeper set
@@ -271,7 +271,7 @@
 			settledAt = c.now()
 		}
 	}
-	twelve(c)
-	c.until("the set has grown and settled", 60*time.Second, func() bool { return settledAt > 0 })
+	startTwelve(c)
+	c.waitUntil("the set has grown and settled", 60*time.Second, func() bool { return settledAt > 0 })
 	c.is.True(settledAt-changedAt < 2*time.Second)
 }
--- a/internal/core/node/holding.go
+++ b/internal/core/node/heldstate.go
@@ -10,7 +10,7 @@
 
 // heldState holds the daemon's snapshots, the released resources that it relays,
 // and its leases.
-type holding struct {
+type heldState struct {
 	// store holds all released resources; used by relays and roots.
 	store *snapshot.Store
 	// current is the snapshot in force on this daemon; nil before the first.
@@ -21,7 +21,7 @@
 	// servingUntil is the end of the serving lease given to the shell.
 	servingUntil time.Duration
 	// pendingLease becomes the serving lease once its version is in force here.
-	waitingLease lease
+	pendingLease lease
 	// grantUntil is the latest end of a lease that may be granted to children for
 	// the store's version.
 	grantUntil time.Duration
@@ -29,7 +29,7 @@
 	inForce protocol.Version
 	keepers protocol.KeeperSet
 	// needsFullSnapshot is set after a delta could not be applied.
-	wholeWanted bool
+	needsFullSnapshot bool
 }
 
 // lease is the right to serve a version or a later one until a time.
@@ -38,16 +38,16 @@
 	version protocol.Version
 }
 
-func newHolding() holding {
-	return holding{store: snapshot.NewStore()}
+func newHeldState() heldState {
+	return heldState{store: snapshot.NewStore()}
 }
 
 // currentVersion returns the version in force on this daemon; 0 for none.
-func (n *Node) held() protocol.Version {
-	if n.holding.current == nil {
+func (n *Node) currentVersion() protocol.Version {
+	if n.held.current == nil {
 		return 0
 	}
-	return n.holding.current.Version
+	return n.held.current.Version
 }
 
 // stage passes a snapshot to the shell to be swapped in.
@@ -57,40 +57,40 @@
 // at a time, so that the shell's confirmation is unambiguous.
 func (n *Node) stage(next *snapshot.Snapshot) {
 	floorVersion, known := n.floor()
-	if !known || next.Version < floorVersion || n.holding.staged != nil || next.Version <= n.held() {
+	if !known || next.Version < floorVersion || n.held.staged != nil || next.Version <= n.currentVersion() {
 		return
 	}
-	n.holding.staged = next
-	n.holding.stagedAt = n.now
+	n.held.staged = next
+	n.held.stagedAt = n.now
 	n.emit(SwapSnapshot{Snapshot: next})
 }
 
 // handleSnapshotInForce handles the shell's confirmation of a swap. Only now is the
 // version acknowledged to the parent.
 func (n *Node) handleSnapshotInForce(version protocol.Version) {
-	staged := n.holding.staged
+	staged := n.held.staged
 	if staged == nil || staged.Version != version {
 		return
 	}
-	n.holding.current = staged
-	n.holding.staged = nil
+	n.held.current = staged
+	n.held.staged = nil
 	n.downstream.acksChanged = true
 	n.log("snapshot_in_force", LogField{Key: "version", Value: strconv.FormatUint(uint64(version), 10)})
-	n.extendServing(n.holding.waitingLease)
-	n.adoptFromStore()
-	n.upstream.nextAt = n.now
-	n.fetchSoon()
+	n.extendServingLease(n.held.pendingLease)
+	n.stageFromStore()
+	n.upstream.nextFetchAt = n.now
+	n.fetchIfDue()
 }
 
 // stageFromStore stages the newest released version, restricted to this daemon's
 // own scope.
-func (n *Node) adoptFromStore() {
-	newest := n.holding.store.Newest()
-	if newest == nil || newest.Version <= n.held() || n.holding.staged != nil {
+func (n *Node) stageFromStore() {
+	newest := n.held.store.Newest()
+	if newest == nil || newest.Version <= n.currentVersion() || n.held.staged != nil {
 		return
 	}
-	selected := n.holding.store.Select(n.config.Scope)
-	current := n.holding.current
+	selected := n.held.store.Select(n.config.Scope)
+	current := n.held.current
 	if current != nil && current.Digest == snapshot.DigestOf(selected) {
 		n.stage(current.WithVersion(newest.Version))
 		return
@@ -108,33 +108,33 @@
 // Invariant: a lease granted with a released version takes effect only once that
 // version is in force here. A daemon that cannot apply the version thus stops
 // serving when its older lease expires.
-func (n *Node) extendServing(granted lease) {
-	if granted.until <= n.holding.servingUntil {
+func (n *Node) extendServingLease(granted lease) {
+	if granted.until <= n.held.servingUntil {
 		return
 	}
 	floorVersion, known := n.floor()
-	if !known || n.held() == 0 || n.held() < granted.version || n.held() < floorVersion {
-		if granted.until > n.holding.waitingLease.until {
-			n.holding.waitingLease = granted
+	if !known || n.currentVersion() == 0 || n.currentVersion() < granted.version || n.currentVersion() < floorVersion {
+		if granted.until > n.held.pendingLease.until {
+			n.held.pendingLease = granted
 		}
 		return
 	}
-	n.holding.servingUntil = granted.until
+	n.held.servingUntil = granted.until
 	n.emit(ExtendServingLease{Until: granted.until})
 }
 
 // isRelaying reports whether this daemon holds the whole configuration in order to
 // be a parent: it is a root, a reader, a relay of its zone, or still has children.
-func (n *Node) relaying() bool {
+func (n *Node) isRelaying() bool {
 	if n.root.active || n.readerSide.reader.IsReader() || len(n.downstream.children) > 0 {
 		return true
 	}
-	return n.now >= n.upstream.leafUntil && n.tree().IsRelay(n.self)
+	return n.now >= n.upstream.joinAsLeafUntil && n.tree().IsRelay(n.self)
 }
 
 // fetchScope returns the scope that this daemon requests from its parent.
-func (n *Node) scopeToFetch() protocol.Scope {
-	if n.relaying() {
+func (n *Node) fetchScope() protocol.Scope {
+	if n.isRelaying() {
 		return protocol.Scope{Relay: true}
 	}
 	return n.config.Scope
--- a/internal/core/node/herd_test.go
+++ b/internal/core/node/massrestart_test.go
@@ -23,13 +23,13 @@
 		}
 	}
 	start()
-	c.until("all serve", 30*time.Second, func() bool { return c.allServe(1) })
+	c.waitUntil("all serve", 30*time.Second, func() bool { return c.allServe(1) })
 	c.run(20 * time.Second)
 	for _, d := range c.daemons {
 		c.stop(d)
 	}
 	c.run(time.Second)
 	start()
-	took := c.until("all serve again", 30*time.Second, func() bool { return c.allServe(1) })
-	t.Logf("a herd of %d serves after %v", size, took)
+	took := c.waitUntil("all serve again", 30*time.Second, func() bool { return c.allServe(1) })
+	t.Logf("%d daemons serve %v after the restart", size, took)
 }
--- a/internal/core/node/members.go
+++ b/internal/core/node/members.go
@@ -11,30 +11,30 @@
 
 // updateSelf applies a change to this daemon's own record and increments its
 // sequence.
-func (n *Node) changeSelf(change func(self *protocol.Member)) {
+func (n *Node) updateSelf(change func(self *protocol.Member)) {
 	change(&n.self)
 	n.self.Sequence++
 	n.roster.Merge(n.now, n.self, membership.SourceSubtree)
 }
 
 // mergeMember merges a record received from another daemon.
-func (n *Node) heardMember(member protocol.Member, source membership.Source) {
+func (n *Node) mergeMember(member protocol.Member, source membership.Source) {
 	if member.ID == n.self.ID {
-		n.heardOfSelf(member)
+		n.refuteRecord(member)
 		return
 	}
 	if !n.roster.Merge(n.now, member, source) {
 		return
 	}
 	if member.Parent != n.self.ID || !membership.Live(member) {
-		n.childMoved(member)
+		n.removeChild(member)
 	}
 }
 
 // refuteRecord handles a record of this daemon received from another. It refutes a
 // suspect or dead state by a higher sequence, and a record of an earlier run of this
 // daemon by a higher incarnation.
-func (n *Node) heardOfSelf(member protocol.Member) {
+func (n *Node) refuteRecord(member protocol.Member) {
 	if member.Incarnation > n.self.Incarnation {
 		n.raiseIncarnation(member.Incarnation)
 		return
@@ -43,7 +43,7 @@
 		return
 	}
 	n.self.Sequence = max(n.self.Sequence, member.Sequence)
-	n.changeSelf(func(*protocol.Member) {})
+	n.updateSelf(func(*protocol.Member) {})
 }
 
 // raiseIncarnation raises this daemon's incarnation above the one that a peer
@@ -53,7 +53,7 @@
 	if remembered < n.self.Incarnation {
 		return
 	}
-	n.changeSelf(func(self *protocol.Member) { self.Incarnation = remembered + 1 })
+	n.updateSelf(func(self *protocol.Member) { self.Incarnation = remembered + 1 })
 	n.downstream.acksChanged = true
 }
 
@@ -61,7 +61,7 @@
 	if n.self.Endpoint == state {
 		return
 	}
-	n.changeSelf(func(self *protocol.Member) { self.Endpoint = state })
+	n.updateSelf(func(self *protocol.Member) { self.Endpoint = state })
 }
 
 // handleLeave starts draining. A draining member is still counted.
@@ -70,23 +70,23 @@
 		return
 	}
 	n.leaving = true
-	n.changeSelf(func(self *protocol.Member) { self.State = protocol.MemberDraining })
-	n.applyReader(n.readerSide.reader.Resign(n.now))
+	n.updateSelf(func(self *protocol.Member) { self.State = protocol.MemberDraining })
+	n.applyReaderOutputs(n.readerSide.reader.Resign(n.now))
 }
 
 // handleStopped marks this daemon as having left: it serves no longer.
 func (n *Node) handleStopped() {
 	n.leaving = true
-	n.changeSelf(func(self *protocol.Member) { self.State = protocol.MemberLeft })
+	n.updateSelf(func(self *protocol.Member) { self.State = protocol.MemberLeft })
 }
 
 // publishMembers passes the newest records to the data path, at most once per
 // publishInterval.
 func (n *Node) publishMembers() {
-	if n.published == n.roster.Cursor() || (n.published > 0 && n.now-n.publishedAt < publishInterval) {
+	if n.publishedCursor == n.roster.Cursor() || (n.publishedCursor > 0 && n.now-n.publishedAt < publishInterval) {
 		return
 	}
-	n.published = n.roster.Cursor()
+	n.publishedCursor = n.roster.Cursor()
 	n.publishedAt = n.now
 	n.emit(PublishMembers{Members: n.roster.All()})
 }
@@ -103,8 +103,8 @@
 		return
 	}
 	n.roster.Each(func(member protocol.Member) {
-		if member.ID != n.self.ID && membership.Live(member) && n.answersFor(member) {
-			n.judge(member)
+		if member.ID != n.self.ID && membership.Live(member) && n.monitors(member) {
+			n.updateLiveness(member)
 		}
 	})
 }
@@ -115,7 +115,7 @@
 // Marking a live member as dead does not make a wrong version in force: the member
 // is still counted below its parent, so the aggregated counts differ from the
 // roster, and no version is declared in force until the member refutes the state.
-func (n *Node) answersFor(member protocol.Member) bool {
+func (n *Node) monitors(member protocol.Member) bool {
 	if member.Parent == n.self.ID {
 		return true
 	}
@@ -126,15 +126,15 @@
 	return !found || !membership.Live(parent)
 }
 
-func (n *Node) judge(member protocol.Member) {
-	silent := n.now - n.lastHeard(member.ID)
+func (n *Node) updateLiveness(member protocol.Member) {
+	silentFor := n.now - n.lastContact(member.ID)
 	switch {
-	case silent > n.config.Timing.DeadAfter:
+	case silentFor > n.config.Timing.DeadAfter:
 		member.State = protocol.MemberDead
 		n.roster.Merge(n.now, member, membership.SourceSubtree)
-		n.childMoved(member)
+		n.removeChild(member)
 		n.log("member_dead", LogField{Key: "member", Value: string(member.ID)})
-	case silent > n.suspectAfter() && member.State == protocol.MemberAlive && member.Parent == n.self.ID:
+	case silentFor > n.suspectAfter() && member.State == protocol.MemberAlive && member.Parent == n.self.ID:
 		member.State = protocol.MemberSuspect
 		n.roster.MergeKeepingChangedAt(n.now, member, membership.SourceSubtree)
 		n.log("member_suspect", LogField{Key: "member", Value: string(member.ID)})
@@ -144,74 +144,75 @@
 // lastContact returns the latest of a member's last fetch, if it is a child, the
 // last change of its record, and the time from which on this daemon could observe
 // it.
-func (n *Node) lastHeard(id protocol.NodeID) time.Duration {
-	heard := max(n.roster.ChangedAt(id), n.start.readyAt)
+func (n *Node) lastContact(id protocol.NodeID) time.Duration {
+	contact := max(n.roster.ChangedAt(id), n.start.readyAt)
 	if n.root.active {
-		heard = max(heard, n.root.since)
+		contact = max(contact, n.root.activeSince)
 	}
 	if child, found := n.downstream.children[id]; found {
-		heard = max(heard, child.heardAt)
+		contact = max(contact, child.fetchedAt)
 	}
-	return heard
+	return contact
 }
 
-// startingPeers holds daemons that are starting and have not joined yet. They are
-// listed to other starting daemons, but not counted.
-type visitors struct {
-	list []visitor
+// startingPeers holds the senders of floor requests and the daemons listed in the
+// replies, which may not have joined yet. They are listed to other starting daemons,
+// but not counted.
+type startingPeers struct {
+	list []startingPeer
 }
 
-type visitor struct {
-	member  protocol.Member
-	heardAt time.Duration
+type startingPeer struct {
+	member protocol.Member
+	seenAt time.Duration
 }
 
 // The limits of startingPeers.
 const (
-	maxVisitors   = 256
-	visitorExpiry = 20 * time.Second
+	maxStartingPeers   = 256
+	startingPeerExpiry = 20 * time.Second
 )
 
-func (v *visitors) heard(now time.Duration, member protocol.Member) {
+func (p *startingPeers) record(now time.Duration, member protocol.Member) {
 	if member.ID == "" {
 		return
 	}
-	for i := range v.list {
-		if v.list[i].member.ID == member.ID {
-			v.list[i] = visitor{member: member, heardAt: now}
+	for i := range p.list {
+		if p.list[i].member.ID == member.ID {
+			p.list[i] = startingPeer{member: member, seenAt: now}
 			return
 		}
 	}
-	if len(v.list) == maxVisitors {
-		v.list = slices.Delete(v.list, 0, 1)
+	if len(p.list) == maxStartingPeers {
+		p.list = slices.Delete(p.list, 0, 1)
 	}
-	v.list = append(v.list, visitor{member: member, heardAt: now})
+	p.list = append(p.list, startingPeer{member: member, seenAt: now})
 }
 
-// topRanked returns the starting daemons that rank first as readers of a region.
+// topRanked returns the recorded daemons that rank first as readers of a region.
 // The others need not be listed: a daemon that ranks below these does not contact
 // the platform.
-func (v *visitors) first(region string) []protocol.Member {
+func (p *startingPeers) topRanked(region string) []protocol.Member {
 	var members []protocol.Member
-	for _, one := range v.list {
-		if one.member.Region == region {
-			members = append(members, one.member)
+	for _, peer := range p.list {
+		if peer.member.Region == region {
+			members = append(members, peer.member)
 		}
 	}
 	ranked := membership.Rank(readerPurpose(region), members)
 	return ranked[:min(len(ranked), maxCandidates)]
 }
 
-func (v *visitors) expire(now time.Duration) {
-	kept := v.list[:0]
-	for _, one := range v.list {
-		if now-one.heardAt <= visitorExpiry {
-			kept = append(kept, one)
+func (p *startingPeers) expire(now time.Duration) {
+	kept := p.list[:0]
+	for _, peer := range p.list {
+		if now-peer.seenAt <= startingPeerExpiry {
+			kept = append(kept, peer)
 		}
 	}
-	v.list = kept
+	p.list = kept
 }
 
 // withClockMargin returns a lease duration plus a margin for clocks that run at
 // different rates.
-func marginOf(lease time.Duration) time.Duration { return distribution.LeaseWithMargin(lease) }
+func withClockMargin(lease time.Duration) time.Duration { return distribution.LeaseWithMargin(lease) }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -24,22 +24,22 @@
 	wallClock   time.Time
 	wallClockAt time.Duration
 
-	calls       calls
-	self        protocol.Member
-	roster      *membership.Roster
-	view        view
-	start       start
-	holding     holding
-	upstream    upstream
-	downstream  downstream
-	root        root
-	regions     regions
-	readerSide  readerSide
-	operators   operators
-	visitors    visitors
-	leaving     bool
-	publishedAt time.Duration
-	published   membership.Cursor
+	calls           callTable
+	self            protocol.Member
+	roster          *membership.Roster
+	view            rosterView
+	start           start
+	held            heldState
+	upstream        upstream
+	downstream      downstream
+	root            root
+	regions         regions
+	readerSide      readerSide
+	operators       operators
+	startingPeers   startingPeers
+	leaving         bool
+	publishedAt     time.Duration
+	publishedCursor membership.Cursor
 	// lastSweep is when sweep last ran.
 	lastSweep time.Duration
 }
@@ -75,9 +75,9 @@
 			Slots:          config.Slots,
 		},
 	}
-	node.calls = newCalls()
+	node.calls = newCallTable()
 	node.start = newStart(config, random.Uint64())
-	node.holding = newHolding()
+	node.held = newHeldState()
 	node.downstream = newDownstream()
 	node.root = newRoot(config)
 	node.regions = newRegions()
@@ -96,31 +96,31 @@
 		n.begin()
 	}
 	n.dispatch(message)
-	n.settle()
+	n.flush()
 	return n.effects
 }
 
 func (n *Node) dispatch(message Message) {
-	switch one := message.(type) {
+	switch received := message.(type) {
 	case Tick:
-		n.heardWallClock(one.WallClock)
+		n.setWallClock(received.WallClock)
 		n.tick()
 	case PeerRequest:
-		n.handlePeerRequest(one)
+		n.handlePeerRequest(received)
 	case PeerReply:
-		n.finishCall(one)
+		n.handlePeerReply(received)
 	case PlatformReply:
-		n.handlePlatformReply(one)
+		n.handlePlatformReply(received)
 	case PlatformEvent:
-		n.handlePlatformEvent(one)
+		n.handlePlatformEvent(received)
 	case WatchEnded:
-		n.handleWatchEnded(one)
+		n.handleWatchEnded(received)
 	case OperatorRequest:
-		n.handleOperatorRequest(one)
+		n.handleOperatorRequest(received)
 	case SnapshotInForce:
-		n.handleSnapshotInForce(one.Version)
+		n.handleSnapshotInForce(received.Version)
 	case BackendReport:
-		n.handleBackendReport(one.State)
+		n.handleBackendReport(received.State)
 	case Leave:
 		n.handleLeave()
 	case Stopped:
@@ -146,16 +146,16 @@
 	n.sweepChildren()
 	n.sweepMembers()
 	n.sweepRegions()
-	n.visitors.expire(n.now)
+	n.startingPeers.expire(n.now)
 	n.roster.RemoveExpired(n.now)
 }
 
 // flush runs after every message: held fetches may now have a reply, and the parent
 // and the data path may need an update.
-func (n *Node) settle() {
+func (n *Node) flush() {
 	n.readerSide.reader.SetFloor(n.newestVersion())
-	n.serveChildren()
-	n.sendUrgentNews()
+	n.answerHeldFetches()
+	n.sendUrgentUpdates()
 	n.publishMembers()
 }
 
@@ -165,7 +165,7 @@
 	n.emit(LogEvent{Name: name, Fields: fields})
 }
 
-func (n *Node) heardWallClock(clock time.Time) {
+func (n *Node) setWallClock(clock time.Time) {
 	if clock.IsZero() {
 		return
 	}
@@ -175,7 +175,7 @@
 
 // estimatedWallClock returns the estimated wall-clock time; zero when none was
 // received.
-func (n *Node) wallNow() time.Time {
+func (n *Node) estimatedWallClock() time.Time {
 	if n.wallClock.IsZero() {
 		return n.wallClock
 	}
@@ -183,14 +183,14 @@
 }
 
 // rosterView caches results computed from the whole roster.
-type view struct {
-	tree          *distribution.Tree
-	treeAt        time.Duration
-	treeStructure uint64
-	expected      distribution.ExpectedMembers
-	// structure is the roster revision from which expected was computed; 0 before
-	// the first.
-	structure uint64
+type rosterView struct {
+	tree         *distribution.Tree
+	treeAt       time.Duration
+	treeRevision uint64
+	expected     distribution.ExpectedMembers
+	// expectedRevision is the roster revision from which expected was computed; 0
+	// before the first.
+	expectedRevision uint64
 }
 
 // treeInterval is the least time between computations of the tree. A slightly
@@ -199,11 +199,11 @@
 
 // tree returns this daemon's view of its region's tree.
 func (n *Node) tree() *distribution.Tree {
-	stale := n.view.treeStructure != n.roster.StructureRevision() && n.now-n.view.treeAt >= treeInterval
+	stale := n.view.treeRevision != n.roster.StructureRevision() && n.now-n.view.treeAt >= treeInterval
 	if n.view.tree == nil || stale || n.now == n.startedAt {
 		n.view.tree = distribution.NewTree(n.self, n.roster.All(), n.config.Timing.FanOut)
 		n.view.treeAt = n.now
-		n.view.treeStructure = n.roster.StructureRevision()
+		n.view.treeRevision = n.roster.StructureRevision()
 	}
 	return n.view.tree
 }
@@ -211,9 +211,9 @@
 // expected returns the members that must hold a version before it is in force. It
 // always reflects the current roster.
 func (n *Node) expected() distribution.ExpectedMembers {
-	if n.view.structure != n.roster.StructureRevision() {
+	if n.view.expectedRevision != n.roster.StructureRevision() {
 		n.view.expected = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
-		n.view.structure = n.roster.StructureRevision()
+		n.view.expectedRevision = n.roster.StructureRevision()
 	}
 	return n.view.expected
 }
--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -25,7 +25,7 @@
 }
 
 // startTwelve starts twelve daemons of one region in four zones.
-func twelve(c *cluster) []*daemon {
+func startTwelve(c *cluster) []*daemon {
 	zones := []string{"klein-hall", "eros-hall", "olympia-hall", "ludwigs-hall"}
 	var daemons []*daemon
 	for i := range 12 {
@@ -34,20 +34,20 @@
 	return daemons
 }
 
-// accept submits the file through a daemon and returns the accepted version.
-func (c *cluster) accept(d *daemon, slots int) protocol.Version {
+// submitAccepted submits the file through a daemon and returns the accepted version.
+func (c *cluster) submitAccepted(d *daemon, slots int) protocol.Version {
 	c.is.Helper()
 	reply := c.submit(d, shopFile(slots))
-	c.until("answer", 20*time.Second, func() bool { return reply() != nil })
+	c.waitUntil("answer", 20*time.Second, func() bool { return reply() != nil })
 	c.is.Equal(reply().Code, result.OK)
 	return reply().Version
 }
 
-// inForce waits until a daemon's status reports the version as in force, checks that
+// waitInForce waits until a daemon's status reports the version as in force, checks that
 // it is so at that moment, and returns the time waited.
-func (c *cluster) inForce(d *daemon, version protocol.Version, limit time.Duration) time.Duration {
+func (c *cluster) waitInForce(d *daemon, version protocol.Version, limit time.Duration) time.Duration {
 	c.is.Helper()
-	return c.until("in force", limit, func() bool {
+	return c.waitUntil("in force", limit, func() bool {
 		if c.status(d).Summary.InForce < version {
 			return false
 		}
@@ -61,19 +61,19 @@
 func TestOneDaemonAcceptsAndServes(t *testing.T) {
 	c := newCluster(t)
 	d := c.start("windhoek", "klein-hall", "d00")
-	c.until("serving", 30*time.Second, func() bool { return c.serving(d) })
-	version := c.accept(d, 6)
-	c.inForce(d, version, 20*time.Second)
+	c.waitUntil("serving", 30*time.Second, func() bool { return c.serving(d) })
+	version := c.submitAccepted(d, 6)
+	c.waitInForce(d, version, 20*time.Second)
 	c.is.Equal(len(d.snapshot.Routes), 1)
 }
 
 func TestTwelveDaemonsConverge(t *testing.T) {
 	c := newCluster(t)
-	daemons := twelve(c)
-	c.until("all serve", 40*time.Second, func() bool { return c.allServe(1) })
+	daemons := startTwelve(c)
+	c.waitUntil("all serve", 40*time.Second, func() bool { return c.allServe(1) })
 	c.run(20 * time.Second)
-	version := c.accept(daemons[7], 6)
-	took := c.inForce(daemons[9], version, 5*time.Second)
+	version := c.submitAccepted(daemons[7], 6)
+	took := c.waitInForce(daemons[9], version, 5*time.Second)
 	t.Logf("in force after %v", took)
 	c.run(30 * time.Second)
 	c.is.True(c.allServe(version))
--- a/internal/core/node/operators.go
+++ b/internal/core/node/operators.go
@@ -23,87 +23,87 @@
 	deadline time.Duration
 	// outcomeUnknown is set once an attempt may have taken effect without a
 	// conclusive answer.
-	unknown bool
+	outcomeUnknown bool
 	// lastRefusal is the reply of the last attempt that was refused.
-	last *protocol.SubmitReply
-	busy bool
+	lastRefusal *protocol.SubmitReply
+	inFlight    bool
 	// retryAt is the earliest time of the next attempt.
-	retryAt time.Duration
-	tried   int
+	retryAt  time.Duration
+	attempts int
 }
 
 // The time limits of a change. A reader reports within its SubmitTimeout, 10
 // seconds, that a change certainly did not run. An attempt waits longer than that,
 // so that this answer arrives in time, and the operators' API waits longer still.
 const (
-	changeTimeout  = 10 * time.Second
-	attemptTimeout = 12 * time.Second
-	changeRetry    = 300 * time.Millisecond
+	changeTimeout    = 10 * time.Second
+	attemptTimeout   = 12 * time.Second
+	changeRetryDelay = 300 * time.Millisecond
 )
 
 func newOperators() operators { return operators{} }
 
 func (n *Node) handleOperatorRequest(request OperatorRequest) {
-	n.heardWallClock(request.WallClock)
+	n.setWallClock(request.WallClock)
 	switch body := request.Body.(type) {
 	case *protocol.SubmitRequest:
-		n.operatorSubmit(request.Token, body, request.WallClock)
+		n.handleOperatorSubmit(request.Token, body, request.WallClock)
 	case *protocol.StatusRequest:
-		n.operatorStatus(request.Token, body)
+		n.handleOperatorStatus(request.Token, body)
 	}
 }
 
-func (n *Node) operatorSubmit(token Token, request *protocol.SubmitRequest, wallClock time.Time) {
+func (n *Node) handleOperatorSubmit(token Token, request *protocol.SubmitRequest, wallClock time.Time) {
 	request.Format = protocol.Format
 	request.SentAt = wallClock
-	one := &change{token: token, request: request, deadline: n.now + changeTimeout}
-	n.operators.changes = append(n.operators.changes, one)
-	n.attemptChange(one)
+	submitted := &change{token: token, request: request, deadline: n.now + changeTimeout}
+	n.operators.changes = append(n.operators.changes, submitted)
+	n.attemptChange(submitted)
 }
 
 // tickOperators retries pending changes and ends those past their deadline.
 func (n *Node) tickOperators() {
-	for _, one := range n.operators.changes {
+	for _, pending := range n.operators.changes {
 		switch {
-		case one.busy || one.request == nil:
-		case n.now >= one.deadline:
-			n.giveUp(one)
-		case n.now >= one.retryAt:
-			n.attemptChange(one)
+		case pending.inFlight || pending.request == nil:
+		case n.now >= pending.deadline:
+			n.abandonChange(pending)
+		case n.now >= pending.retryAt:
+			n.attemptChange(pending)
 		}
 	}
-	n.operators.changes = lo.Reject(n.operators.changes, func(one *change, _ int) bool { return one.request == nil })
+	n.operators.changes = lo.Reject(n.operators.changes, func(pending *change, _ int) bool { return pending.request == nil })
 }
 
 // attemptChange submits a change to this daemon's own reader, if it holds the
 // lease, or else to the next known reader.
-func (n *Node) attemptChange(one *change) {
+func (n *Node) attemptChange(pending *change) {
 	if n.readerSide.reader.IsReader() {
-		one.busy = true
-		n.submit(one.request.SentAt, one.request, func(reply *protocol.SubmitReply) { n.changeAnswered(one, reply) })
+		pending.inFlight = true
+		n.submit(pending.request.SentAt, pending.request, func(reply *protocol.SubmitReply) { n.handleChangeReply(pending, reply) })
 		return
 	}
 	readers := n.roster.Where(func(member protocol.Member) bool {
 		return member.Reader && membership.Live(member) && member.ID != n.self.ID
 	})
 	if len(readers) == 0 {
-		one.retryAt = n.now + changeRetry
+		pending.retryAt = n.now + changeRetryDelay
 		return
 	}
 	readers = n.nearestFirst(readers)
-	target := readers[one.tried%len(readers)]
-	one.tried++
-	one.busy = true
-	n.call(target.ControlAddress, one.request, attemptTimeout, func(body any) {
+	target := readers[pending.attempts%len(readers)]
+	pending.attempts++
+	pending.inFlight = true
+	n.call(target.ControlAddress, pending.request, attemptTimeout, func(body any) {
 		reply, _ := body.(*protocol.SubmitReply)
-		n.changeAnswered(one, reply)
+		n.handleChangeReply(pending, reply)
 	})
 }
 
 // nearestFirst returns the readers with those of this daemon's region first.
 func (n *Node) nearestFirst(readers []protocol.Member) []protocol.Member {
-	near, far := lo.FilterReject(readers, func(member protocol.Member, _ int) bool { return member.Region == n.config.Region })
-	return append(near, far...)
+	near, others := lo.FilterReject(readers, func(member protocol.Member, _ int) bool { return member.Region == n.config.Region })
+	return append(near, others...)
 }
 
 // handleChangeReply handles the answer to one attempt; nil when none arrived.
@@ -112,52 +112,52 @@
 // taken effect. After a lost answer, a refusal proves nothing about the lost
 // attempt, except where the file itself is invalid; the change is then sent again
 // under the same operation id until a reader determines the outcome.
-func (n *Node) changeAnswered(one *change, reply *protocol.SubmitReply) {
-	one.busy = false
-	one.retryAt = n.now + changeRetry
+func (n *Node) handleChangeReply(pending *change, reply *protocol.SubmitReply) {
+	pending.inFlight = false
+	pending.retryAt = n.now + changeRetryDelay
 	switch {
-	case one.request == nil:
+	case pending.request == nil:
 	case reply == nil:
-		one.unknown = true
+		pending.outcomeUnknown = true
 	case reply.Code == result.OutcomeUnknown:
-		one.unknown = true
+		pending.outcomeUnknown = true
 	case reply.Code == result.NoReader || reply.Code == result.NotAccepted || reply.Code == result.UnknownFormat:
-		one.last = reply
-	case one.unknown && !definite(reply.Code):
-		one.last = reply
-		n.giveUp(one)
+		pending.lastRefusal = reply
+	case pending.outcomeUnknown && !isConclusive(reply.Code):
+		pending.lastRefusal = reply
+		n.abandonChange(pending)
 	default:
-		n.finishChange(one, reply)
+		n.finishChange(pending, reply)
 	}
 }
 
 // isConclusive reports whether an answer is final even if an earlier attempt may
 // have taken effect: the change is accepted or held, or its file is invalid and can
 // never be accepted.
-func definite(code result.Code) bool {
+func isConclusive(code result.Code) bool {
 	return code == result.OK || code == result.Held || (code >= result.FileSyntax && code < result.RevisionMismatch)
 }
 
 // abandonChange answers an operator whose change has no conclusive answer in time.
-func (n *Node) giveUp(one *change) {
+func (n *Node) abandonChange(pending *change) {
 	reply := &protocol.SubmitReply{Code: result.NoReader}
 	switch {
-	case one.unknown:
+	case pending.outcomeUnknown:
 		reply.Code = result.OutcomeUnknown
-	case one.last != nil:
-		reply = one.last
+	case pending.lastRefusal != nil:
+		reply = pending.lastRefusal
 	}
-	n.finishChange(one, reply)
+	n.finishChange(pending, reply)
 }
 
-func (n *Node) finishChange(one *change, reply *protocol.SubmitReply) {
-	n.emit(OperatorAnswer{Token: one.token, Body: reply})
-	one.request = nil
+func (n *Node) finishChange(pending *change, reply *protocol.SubmitReply) {
+	n.emit(OperatorAnswer{Token: pending.token, Body: reply})
+	pending.request = nil
 }
 
 // handlePeerSubmit submits a change that another daemon forwards.
 func (n *Node) handlePeerSubmit(token Token, request *protocol.SubmitRequest) {
-	if !knownFormat(request.Format) {
+	if !isKnownFormat(request.Format) {
 		n.answer(token, &protocol.SubmitReply{Code: result.UnknownFormat})
 		return
 	}
@@ -165,6 +165,6 @@
 		n.answer(token, &protocol.SubmitReply{Code: result.NoReader})
 		return
 	}
-	n.heardWallClock(request.SentAt)
+	n.setWallClock(request.SentAt)
 	n.submit(request.SentAt, request, func(reply *protocol.SubmitReply) { n.answer(token, reply) })
 }
--- a/internal/core/node/operators_test.go
+++ b/internal/core/node/operators_test.go
@@ -10,8 +10,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// A shell that is short of processor time may send a tick long after an answer; the
-// tick must not start another attempt.
+// TestAnsweredChangeIsNotAttemptedAgainByALateTick guards against a second answer: a shell
+// that is short of processor time may send a tick long after a change was answered.
 func TestAnsweredChangeIsNotAttemptedAgainByALateTick(t *testing.T) {
 	is := is.New(t)
 	n := New(Config{ID: "alone", Region: "windhoek", Zone: "eros-hall", Timing: DefaultTiming()})
@@ -19,7 +19,7 @@
 	request := &protocol.SubmitRequest{Format: protocol.Format, Operation: "op", Action: protocol.ActionWithdraw}
 	n.Step(time.Millisecond, OperatorRequest{Token: 7, Body: request})
 	is.Equal(len(n.operators.changes), 1)
-	n.changeAnswered(n.operators.changes[0], &protocol.SubmitReply{Code: result.FileSyntax})
+	n.handleChangeReply(n.operators.changes[0], &protocol.SubmitReply{Code: result.FileSyntax})
 	effects := n.Step(time.Minute, Tick{})
 	for _, effect := range effects {
 		_, again := effect.(OperatorAnswer)
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -15,32 +15,32 @@
 // fetches from a root only, so the tree is never deeper than root, relay, leaf. The
 // list of a relaying daemon contains the daemon itself at its rank as a root
 // candidate.
-func (n *Node) candidates() []protocol.Member {
-	if n.relaying() {
+func (n *Node) parentCandidates() []protocol.Member {
+	if n.isRelaying() {
 		return n.tree().RootCandidates()
 	}
-	parents := append(n.tree().ParentCandidates(), n.upstream.hinted...)
+	parents := append(n.tree().ParentCandidates(), n.upstream.hintedParents...)
 	return lo.UniqBy(parents, func(member protocol.Member) protocol.NodeID { return member.ID })
 }
 
 // addHints adds the daemons listed in a refusal to the candidates. They are needed
 // until this daemon knows all members, since its own tree lacks some relays until
 // then.
-func (n *Node) heardHints(hints []protocol.Member) {
-	const most = 2 * maxHints
+func (n *Node) addHints(hints []protocol.Member) {
+	const limit = 2 * maxHints
 	for _, member := range hints {
-		n.heardPeer(member)
+		n.mergePeer(member)
 	}
-	hinted := append(slices.Clone(hints), n.upstream.hinted...)
+	hinted := append(slices.Clone(hints), n.upstream.hintedParents...)
 	hinted = lo.UniqBy(hinted, func(member protocol.Member) protocol.NodeID { return member.ID })
 	hinted = lo.Reject(hinted, func(member protocol.Member, _ int) bool { return member.ID == n.self.ID })
-	n.upstream.hinted = hinted[:min(len(hinted), most)]
+	n.upstream.hintedParents = hinted[:min(len(hinted), limit)]
 }
 
 // chooseParent returns the current parent, unless that is avoided, or else the best
 // candidate.
 func (n *Node) chooseParent() (protocol.Member, bool) {
-	if n.upstream.joined && !n.avoided(n.upstream.target.ID) {
+	if n.upstream.joined && !n.isAvoided(n.upstream.target.ID) {
 		return n.upstream.target, true
 	}
 	return n.bestCandidate()
@@ -51,24 +51,24 @@
 // those answers that it is not a root yet, this daemon waits for it to become root
 // for up to betterRootTimeout.
 func (n *Node) bestCandidate() (protocol.Member, bool) {
-	betterAnswers := false
-	for _, candidate := range n.candidates() {
+	betterRefused := false
+	for _, candidate := range n.parentCandidates() {
 		if candidate.ID == n.self.ID {
-			if n.canBeRoot() && (!betterAnswers || n.now-n.upstream.orphanedAt > rootPatience) {
+			if n.canBeRoot() && (!betterRefused || n.now-n.upstream.parentLostAt > betterRootTimeout) {
 				return n.self, true
 			}
 			continue
 		}
-		if !n.avoided(candidate.ID) {
+		if !n.isAvoided(candidate.ID) {
 			return candidate, true
 		}
-		betterAnswers = betterAnswers || n.upstream.avoid[candidate.ID].refused
+		betterRefused = betterRefused || n.upstream.avoided[candidate.ID].refused
 	}
 	return protocol.Member{}, false
 }
 
-func (n *Node) avoided(id protocol.NodeID) bool {
-	avoid, found := n.upstream.avoid[id]
+func (n *Node) isAvoided(id protocol.NodeID) bool {
+	avoid, found := n.upstream.avoided[id]
 	return found && n.now < avoid.until && avoid.incarnation == n.incarnationOf(id)
 }
 
@@ -80,14 +80,14 @@
 }
 
 func (n *Node) avoidFor(id protocol.NodeID, period time.Duration, refused bool) {
-	if n.upstream.avoid == nil {
-		n.upstream.avoid = map[protocol.NodeID]avoidance{}
+	if n.upstream.avoided == nil {
+		n.upstream.avoided = map[protocol.NodeID]avoidance{}
 	}
-	refusals := n.upstream.avoid[id].refusals
+	refusals := n.upstream.avoided[id].refusals
 	if refused {
 		refusals++
 	}
-	n.upstream.avoid[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), refused: refused, refusals: refusals}
+	n.upstream.avoided[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), refused: refused, refusals: refusals}
 }
 
 // avoidance excludes one incarnation of a daemon as a parent for a limited time. A
@@ -113,12 +113,12 @@
 		n.becomeRoot()
 		return
 	}
-	if n.now < up.preferAt {
+	if n.now < up.preferredRetryAt {
 		return
 	}
-	n.planPreferred()
+	n.schedulePreferredRetry()
 	best, found := n.bestCandidate()
-	if !found || best.ID == up.target.ID || n.holding.staged != nil {
+	if !found || best.ID == up.target.ID || n.held.staged != nil {
 		return
 	}
 	if best.ID == n.self.ID {
@@ -132,14 +132,14 @@
 
 // schedulePreferredRetry sets the jittered time at which the preferred parent is
 // tried next.
-func (n *Node) planPreferred() {
-	interval := min(preferInterval<<min(n.upstream.preferRefusals, 8), preferMax)
-	n.upstream.preferAt = n.now + interval/2 + distribution.Jitter(n.random, interval)
+func (n *Node) schedulePreferredRetry() {
+	interval := min(preferredRetryInterval<<min(n.upstream.preferredFailures, 8), preferredRetryMax)
+	n.upstream.preferredRetryAt = n.now + interval/2 + distribution.Jitter(n.random, interval)
 }
 
 // restoreFormerParent resumes fetching from the former parent after an attempt to
 // join a preferred one failed. It reports whether there is a former parent.
-func (n *Node) returnToFormer() bool {
+func (n *Node) restoreFormerParent() bool {
 	up := &n.upstream
 	if up.former == nil {
 		return false
@@ -147,36 +147,36 @@
 	up.link = *up.former
 	up.former = nil
 	up.joined = true
-	up.nextAt = n.now
-	up.preferRefusals++
-	n.planPreferred()
+	up.nextFetchAt = n.now
+	up.preferredFailures++
+	n.schedulePreferredRetry()
 	return true
 }
 
-// leaveParent leaves the parent; the next tick chooses one anew. With a positive
-// duration, the former parent is avoided for that time.
-func (n *Node) leaveParent(avoid time.Duration) {
+// leaveParent leaves the parent; the next tick chooses another. With a positive
+// avoidPeriod, the former parent is avoided for that time.
+func (n *Node) leaveParent(avoidPeriod time.Duration) {
 	up := &n.upstream
-	if avoid > 0 {
-		n.avoidFor(up.target.ID, avoid, false)
+	if avoidPeriod > 0 {
+		n.avoidFor(up.target.ID, avoidPeriod, false)
 	}
 	up.joined = false
 	up.former = nil
-	up.token = 0
-	up.nextAt = n.now
-	up.orphanedAt = n.now
+	up.fetchToken = 0
+	up.nextFetchAt = n.now
+	up.parentLostAt = n.now
 }
 
 // switchTarget switches to another target. The sequence of this daemon's record is
 // incremented, so that the former parent stops monitoring this daemon.
-func (n *Node) adoptTarget(target protocol.Member) {
+func (n *Node) switchTarget(target protocol.Member) {
 	up := &n.upstream
-	up.link = link{target: target, leaseAt: n.now}
+	up.link = link{target: target, leaseExtendedAt: n.now}
 	up.joined = false
 	up.former = nil
-	n.planPreferred()
+	n.schedulePreferredRetry()
 	n.self.Sequence++
-	for _, id := range n.downstream.order {
+	for _, id := range n.downstream.sortedIDs {
 		n.roster.MarkUnreported(id)
 	}
 }
@@ -187,29 +187,30 @@
 	n.log("parent_joined", LogField{Key: "parent", Value: string(up.target.ID)})
 	up.joined = true
 	up.former = nil
-	up.hinted = nil
-	up.urgentAt = 0
-	for id, avoid := range up.avoid {
+	up.hintedParents = nil
+	up.lastUrgentAt = 0
+	for id, avoid := range up.avoided {
 		avoid.refusals = 0
-		up.avoid[id] = avoid
+		up.avoided[id] = avoid
 	}
-	// The sequence must be new: probes may have sent the one of the fetch with
-	// another parent in the record, and two different records must never share a
-	// sequence.
-	n.changeSelf(func(self *protocol.Member) {
+	// The sequence must be incremented: a probe may have sent the sequence of the
+	// fetch in a record that names another parent, and two different records must
+	// never share a sequence.
+	n.updateSelf(func(self *protocol.Member) {
 		self.Parent = up.target.ID
 		self.Root = false
 	})
 }
 
-// discover asks a random seed for other daemons when no parent is known.
-func (n *Node) discover() {
+// probeSeedIfDue probes a random seed for other daemons; it is called while no parent
+// is known.
+func (n *Node) probeSeedIfDue() {
 	up := &n.upstream
-	if n.now < up.discoverAt {
+	if n.now < up.nextSeedProbeAt {
 		return
 	}
-	up.discoverAt = n.now + discoverInterval/2 + distribution.Jitter(n.random, discoverInterval)
-	n.greet()
+	up.nextSeedProbeAt = n.now + seedProbeInterval/2 + distribution.Jitter(n.random, seedProbeInterval)
+	n.probeSeed()
 }
 
 // refusalBackoff is the time for which a daemon that refused a fetch is avoided. It
@@ -221,47 +222,47 @@
 // parentBackoff is the retry delay after a fetch that failed without an answer.
 var parentBackoff = distribution.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
 
-func (n *Node) fetchFailed(from protocol.NodeID) {
+func (n *Node) handleFetchFailure(from protocol.NodeID) {
 	up := &n.upstream
 	up.failures++
 	n.avoidFor(from, parentBackoff.Max/2+parentBackoff.Wait(n.random, up.failures), false)
-	if n.returnToFormer() {
+	if n.restoreFormerParent() {
 		return
 	}
 	if up.joined {
-		up.orphanedAt = n.now
+		up.parentLostAt = n.now
 		n.log("parent_lost", LogField{Key: "parent", Value: string(from)})
 	}
 	up.joined = false
-	up.nextAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
+	up.nextFetchAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
 }
 
 // handleFetchRefusal leaves a target that refused a fetch. The refusal lists daemons
 // that may accept.
-func (n *Node) fetchRefused(from protocol.NodeID, reply *protocol.FetchReply) {
+func (n *Node) handleFetchRefusal(from protocol.NodeID, reply *protocol.FetchReply) {
 	up := &n.upstream
-	n.heardHints(reply.Members)
+	n.addHints(reply.Members)
 	wasJoined := up.joined
 	up.joined = false
 	up.failures++
 	if reply.Incarnation != 0 && reply.Incarnation != up.incarnation && up.incarnation != 0 {
 		up.target = protocol.Member{}
-		up.nextAt = n.now + distribution.Jitter(n.random, idleSpacing)
+		up.nextFetchAt = n.now + distribution.Jitter(n.random, idleFetchInterval)
 		return
 	}
 	if wasJoined {
-		up.orphanedAt = n.now
+		up.parentLostAt = n.now
 	}
 	if root, _ := n.roster.Get(from); root.Root && up.sentRelaying && reply.Code == result.AskAnother {
-		up.leafUntil = n.now + leafPeriod
+		up.joinAsLeafUntil = n.now + leafPeriod
 	}
-	period := refusalBackoff.Wait(n.random, up.avoid[from].refusals+1)
-	if n.relaying() {
-		period = distribution.Jitter(n.random, rootRefusal)
+	period := refusalBackoff.Wait(n.random, up.avoided[from].refusals+1)
+	if n.isRelaying() {
+		period = distribution.Jitter(n.random, rootRetryMax)
 	}
 	n.avoidFor(from, max(reply.RetryAfter, period), reply.Code == result.AskAnother || reply.Code == result.NotReadyYet)
-	if n.returnToFormer() {
+	if n.restoreFormerParent() {
 		return
 	}
-	up.nextAt = n.now + distribution.Jitter(n.random, idleSpacing)
+	up.nextFetchAt = n.now + distribution.Jitter(n.random, idleFetchInterval)
 }
--- a/internal/core/node/platform_test.go
+++ b/internal/core/node/platform_test.go
@@ -20,29 +20,29 @@
 }
 
 type watch struct {
-	token  node.Token
-	prefix string
-	daemon *daemon
-	life   int
+	token      node.Token
+	prefix     string
+	daemon     *daemon
+	generation int
 }
 
 func newPlatform(c *cluster) *platform {
 	return &platform{cluster: c, objects: map[string]object.Object{}}
 }
 
-func (p *platform) call(d *daemon, life int, call node.CallPlatform) {
+func (p *platform) call(d *daemon, generation int, call node.CallPlatform) {
 	p.calls++
-	p.cluster.after(delay, func() {
-		reply := p.do(call.Call)
-		p.cluster.after(delay, func() {
-			if d.life == life {
+	p.cluster.after(baseLatency, func() {
+		reply := p.execute(call.Call)
+		p.cluster.after(baseLatency, func() {
+			if d.generation == generation {
 				p.cluster.step(d, node.PlatformReply{Token: call.Token, Reply: reply})
 			}
 		})
 	})
 }
 
-func (p *platform) do(call object.Call) object.Reply {
+func (p *platform) execute(call object.Call) object.Reply {
 	if p.down {
 		return object.Reply{Code: result.PlatformUnavailable}
 	}
@@ -73,9 +73,9 @@
 
 func (p *platform) list(prefix string) []object.Object {
 	var list []object.Object
-	for name, one := range p.objects {
+	for name, listed := range p.objects {
 		if strings.HasPrefix(name, prefix) {
-			list = append(list, one)
+			list = append(list, listed)
 		}
 	}
 	slices.SortFunc(list, func(a, b object.Object) int { return strings.Compare(a.Name, b.Name) })
@@ -86,11 +86,11 @@
 	p.version++
 	written := object.Object{Name: call.Name, Version: p.version, Data: call.Data}
 	p.objects[call.Name] = written
-	for _, one := range p.watches {
-		if strings.HasPrefix(call.Name, one.prefix) && one.daemon.life == one.life {
-			p.cluster.after(delay, func() {
-				if one.daemon.life == one.life {
-					p.cluster.step(one.daemon, node.PlatformEvent{Watch: one.token, Event: object.Event{Kind: object.EventPut, Object: written}})
+	for _, watcher := range p.watches {
+		if strings.HasPrefix(call.Name, watcher.prefix) && watcher.daemon.generation == watcher.generation {
+			p.cluster.after(baseLatency, func() {
+				if watcher.daemon.generation == watcher.generation {
+					p.cluster.step(watcher.daemon, node.PlatformEvent{Watch: watcher.token, Event: object.Event{Kind: object.EventPut, Object: written}})
 				}
 			})
 		}
@@ -98,10 +98,10 @@
 	return object.Reply{Object: written}
 }
 
-func (p *platform) watch(d *daemon, life int, start node.StartWatch) {
-	p.watches = append(p.watches, watch{token: start.Token, prefix: start.Prefix, daemon: d, life: life})
+func (p *platform) watch(d *daemon, generation int, start node.StartWatch) {
+	p.watches = append(p.watches, watch{token: start.Token, prefix: start.Prefix, daemon: d, generation: generation})
 }
 
-func (p *platform) stop(d *daemon, token node.Token) {
-	p.watches = slices.DeleteFunc(p.watches, func(one watch) bool { return one.daemon == d && one.token == token })
+func (p *platform) stopWatch(d *daemon, token node.Token) {
+	p.watches = slices.DeleteFunc(p.watches, func(watcher watch) bool { return watcher.daemon == d && watcher.token == token })
 }
--- a/internal/core/node/greeting.go
+++ b/internal/core/node/probe.go
@@ -9,33 +9,33 @@
 
 // mergePeer merges the record of a member that another daemon listed. A member
 // that has not joined is ignored: it serves nothing yet and may never join.
-func (n *Node) heardPeer(peer protocol.Member) {
+func (n *Node) mergePeer(peer protocol.Member) {
 	if peer.Parent != "" || peer.Root || !membership.Live(peer) {
-		n.heardMember(peer, membership.SourceOutside)
+		n.mergeMember(peer, membership.SourceOutside)
 	}
 }
 
-// probeSeed asks a random seed for other daemons. The request carries this daemon's
-// own record.
-func (n *Node) greet() {
+// probeSeed requests a list of other daemons from a random seed. The request carries
+// this daemon's own record.
+func (n *Node) probeSeed() {
 	addresses := lo.Reject(n.config.Seeds, func(address string, _ int) bool { return address == n.config.ControlAddress })
 	if len(addresses) == 0 {
 		return
 	}
-	n.greetAddress(addresses[n.random.IntN(len(addresses))], protocol.Member{})
+	n.sendProbe(addresses[n.random.IntN(len(addresses))], protocol.Member{})
 }
 
 // probeMember probes a known daemon and sends it the record held of it here, so
 // that the daemon can refute an outdated one.
-func (n *Node) greetMember(member protocol.Member) {
+func (n *Node) probeMember(member protocol.Member) {
 	known, found := n.roster.Get(member.ID)
 	if !found {
 		known = member
 	}
-	n.greetAddress(member.ControlAddress, known)
+	n.sendProbe(member.ControlAddress, known)
 }
 
-func (n *Node) greetAddress(address string, known protocol.Member) {
+func (n *Node) sendProbe(address string, known protocol.Member) {
 	request := &protocol.FloorRequest{
 		Format: protocol.Format,
 		Region: n.config.Region,
@@ -43,15 +43,15 @@
 		Self:   n.self,
 		Known:  known,
 	}
-	n.call(address, request, greetTimeout, func(body any) {
+	n.call(address, request, probeTimeout, func(body any) {
 		reply, ok := body.(*protocol.FloorReply)
 		if !ok || reply == nil {
 			return
 		}
-		n.start.answered = true
-		n.heardPeers(reply)
+		n.start.peerAnswered = true
+		n.recordStartingPeers(reply)
 		for _, peer := range reply.Peers {
-			n.heardGreeted(reply.From, peer, known.ID == "")
+			n.handleProbedPeer(reply.From, peer, known.ID == "")
 		}
 	})
 }
@@ -59,10 +59,10 @@
 // handleProbedPeer handles a member listed in the reply to a probe. A root steps
 // down when a better root replies for itself. With follow set, another root that
 // the reply lists is probed too.
-func (n *Node) heardGreeted(from protocol.NodeID, peer protocol.Member, follow bool) {
+func (n *Node) handleProbedPeer(from protocol.NodeID, peer protocol.Member, follow bool) {
 	if !n.root.active {
 		if _, known := n.floor(); known {
-			n.heardPeer(peer)
+			n.mergePeer(peer)
 		}
 		return
 	}
@@ -71,11 +71,11 @@
 	}
 	if peer.ID != from {
 		if follow {
-			n.greetMember(peer)
+			n.probeMember(peer)
 		}
 		return
 	}
-	n.heardMember(peer, membership.SourceSubtree)
+	n.mergeMember(peer, membership.SourceSubtree)
 	if n.isBetterRoot(peer) {
 		n.stepDown(peer)
 	}
@@ -83,9 +83,9 @@
 
 // mergeOtherRoot merges the record of another root of this region that sent a
 // request, so that this daemon's tree includes it.
-func (n *Node) heardRoot(member protocol.Member) {
+func (n *Node) mergeOtherRoot(member protocol.Member) {
 	if member.Root && member.ID != n.self.ID && member.Region == n.config.Region {
-		n.heardMember(member, membership.SourceSubtree)
+		n.mergeMember(member, membership.SourceSubtree)
 	}
 }
 
--- a/internal/core/node/readerside.go
+++ b/internal/core/node/readerside.go
@@ -18,11 +18,11 @@
 	// calls and watches map the node's tokens to the reader's.
 	calls   map[Token]reader.Token
 	watches map[Token]reader.Token
-	// nextTicket is the last ticket issued. The maps below hold the callbacks of
+	// lastTicket is the last ticket issued. The maps below hold the callbacks of
 	// the requests that await a result from the reader, by ticket.
-	nextTicket reader.Ticket
-	heads      map[reader.Ticket]func(reader.FreshHeadResult)
-	submits    map[reader.Ticket]func(*protocol.SubmitReply)
+	lastTicket      reader.Ticket
+	headCallbacks   map[reader.Ticket]func(reader.FreshHeadResult)
+	submitCallbacks map[reader.Ticket]func(*protocol.SubmitReply)
 	// catalogue is the newest catalogue received; nil before the first.
 	catalogue *reader.CatalogueReady
 	// candidacy is computed again at candidacyAt.
@@ -52,10 +52,10 @@
 			LeaseDuration: config.Timing.ReaderLease,
 			RandomSeed:    seed,
 		}),
-		calls:   map[Token]reader.Token{},
-		watches: map[Token]reader.Token{},
-		heads:   map[reader.Ticket]func(reader.FreshHeadResult){},
-		submits: map[reader.Ticket]func(*protocol.SubmitReply){},
+		calls:           map[Token]reader.Token{},
+		watches:         map[Token]reader.Token{},
+		headCallbacks:   map[reader.Ticket]func(reader.FreshHeadResult){},
+		submitCallbacks: map[reader.Ticket]func(*protocol.SubmitReply){},
 	}
 }
 
@@ -70,7 +70,7 @@
 	if !side.candidacy.Candidate && !side.reader.IsReader() && len(side.calls) == 0 {
 		return
 	}
-	n.applyReader(side.reader.Tick(n.now, side.candidacy))
+	n.applyReaderOutputs(side.reader.Tick(n.now, side.candidacy))
 }
 
 // candidacy returns whether this daemon competes for a reader lease. The live and
@@ -78,13 +78,13 @@
 // maxCandidates compete unless other members hold all leases. A daemon that no
 // other daemon has answered competes only after a jittered delay.
 func (n *Node) candidacy() reader.Candidacy {
-	if n.leaving || n.now < n.start.aloneAt && !n.start.answered {
+	if n.leaving || n.now < n.start.fallbackAt && !n.start.peerAnswered {
 		return reader.Candidacy{}
 	}
 	members := n.liveInRegion(n.config.Region)
-	for _, visitor := range n.visitors.list {
-		if visitor.member.Region == n.config.Region {
-			members = append(members, visitor.member)
+	for _, peer := range n.startingPeers.list {
+		if peer.member.Region == n.config.Region {
+			members = append(members, peer.member)
 		}
 	}
 	members = lo.UniqBy(members, func(member protocol.Member) protocol.NodeID { return member.ID })
@@ -110,8 +110,8 @@
 // reader lease.
 func readerPurpose(region string) string { return "reader/" + region }
 
-// applyReader carries out the reader's outputs.
-func (n *Node) applyReader(outputs []reader.Output) {
+// applyReaderOutputs carries out the reader's outputs.
+func (n *Node) applyReaderOutputs(outputs []reader.Output) {
 	for _, output := range outputs {
 		n.applyReaderOutput(output)
 	}
@@ -119,34 +119,34 @@
 
 func (n *Node) applyReaderOutput(output reader.Output) {
 	side := &n.readerSide
-	switch one := output.(type) {
+	switch received := output.(type) {
 	case reader.PlatformCall:
 		token := n.newToken()
-		side.calls[token] = one.Token
-		n.emit(CallPlatform{Token: token, Call: one.Call, Timeout: one.Timeout})
+		side.calls[token] = received.Token
+		n.emit(CallPlatform{Token: token, Call: received.Call, Timeout: received.Timeout})
 	case reader.StartWatch:
 		token := n.newToken()
-		side.watches[token] = one.Token
-		n.emit(StartWatch{Token: token, Prefix: one.Prefix, From: one.From})
+		side.watches[token] = received.Token
+		n.emit(StartWatch{Token: token, Prefix: received.Prefix, From: received.From})
 	case reader.StopWatch:
-		n.stopWatch(one.Token)
+		n.stopWatch(received.Token)
 	case reader.SubmitResult:
-		n.submitDone(one)
+		n.handleSubmitResult(received)
 	case reader.FreshHeadResult:
-		n.headRead(one)
+		n.handleFreshHead(received)
 	case reader.CatalogueReady:
-		n.catalogueReady(one)
+		n.handleCatalogue(received)
 	case reader.LeaseGained:
-		n.changeSelf(func(self *protocol.Member) { self.Reader = true })
+		n.updateSelf(func(self *protocol.Member) { self.Reader = true })
 		n.log("reader_gained")
 	case reader.LeaseLost:
-		n.changeSelf(func(self *protocol.Member) { self.Reader = false })
+		n.updateSelf(func(self *protocol.Member) { self.Reader = false })
 		n.log("reader_lost")
 	case reader.LogEvent:
-		fields := lo.Map(one.Fields, func(field reader.LogField, _ int) LogField {
+		fields := lo.Map(received.Fields, func(field reader.LogField, _ int) LogField {
 			return LogField{Key: field.Key, Value: field.Value}
 		})
-		n.log(one.Name, fields...)
+		n.log(received.Name, fields...)
 	}
 }
 
@@ -162,13 +162,13 @@
 
 // handleCatalogue stores a complete version read from the platform. A root releases
 // it; other daemons keep it in case they become root.
-func (n *Node) catalogueReady(catalogue reader.CatalogueReady) {
+func (n *Node) handleCatalogue(catalogue reader.CatalogueReady) {
 	known := n.readerSide.catalogue
 	if known != nil && catalogue.Version < known.Version {
 		return
 	}
 	n.readerSide.catalogue = &catalogue
-	n.heardRegions(lo.Map(catalogue.Keepers, func(set protocol.KeeperSet, _ int) string { return set.Region }))
+	n.addRegions(lo.Map(catalogue.Keepers, func(set protocol.KeeperSet, _ int) string { return set.Region }))
 	if n.root.active {
 		n.propose(&catalogue)
 	}
@@ -180,12 +180,12 @@
 		return
 	}
 	delete(n.readerSide.calls, reply.Token)
-	n.applyReader(n.readerSide.reader.HandlePlatformReply(n.now, token, reply.Reply))
+	n.applyReaderOutputs(n.readerSide.reader.HandlePlatformReply(n.now, token, reply.Reply))
 }
 
 func (n *Node) handlePlatformEvent(event PlatformEvent) {
 	if token, found := n.readerSide.watches[event.Watch]; found {
-		n.applyReader(n.readerSide.reader.HandleEvent(n.now, token, event.Event))
+		n.applyReaderOutputs(n.readerSide.reader.HandleEvent(n.now, token, event.Event))
 	}
 }
 
@@ -195,42 +195,42 @@
 		return
 	}
 	delete(n.readerSide.watches, ended.Watch)
-	n.applyReader(n.readerSide.reader.HandleWatchEnded(n.now, token, ended.Code))
+	n.applyReaderOutputs(n.readerSide.reader.HandleWatchEnded(n.now, token, ended.Code))
 }
 
 func (n *Node) newTicket() reader.Ticket {
-	n.readerSide.nextTicket++
-	return n.readerSide.nextTicket
+	n.readerSide.lastTicket++
+	return n.readerSide.lastTicket
 }
 
 // readFreshHead reads the platform's head through this daemon's reader.
-func (n *Node) freshHead(done func(reader.FreshHeadResult)) {
+func (n *Node) readFreshHead(done func(reader.FreshHeadResult)) {
 	ticket := n.newTicket()
-	n.readerSide.heads[ticket] = done
-	n.applyReader(n.readerSide.reader.RequestFreshHead(n.now, ticket))
+	n.readerSide.headCallbacks[ticket] = done
+	n.applyReaderOutputs(n.readerSide.reader.RequestFreshHead(n.now, ticket))
 }
 
-func (n *Node) headRead(head reader.FreshHeadResult) {
-	done, found := n.readerSide.heads[head.Ticket]
+func (n *Node) handleFreshHead(head reader.FreshHeadResult) {
+	done, found := n.readerSide.headCallbacks[head.Ticket]
 	if !found {
 		return
 	}
-	delete(n.readerSide.heads, head.Ticket)
+	delete(n.readerSide.headCallbacks, head.Ticket)
 	done(head)
 }
 
 // submit submits a change through this daemon's reader.
 func (n *Node) submit(wallClock time.Time, request *protocol.SubmitRequest, done func(*protocol.SubmitReply)) {
 	ticket := n.newTicket()
-	n.readerSide.submits[ticket] = done
-	n.applyReader(n.readerSide.reader.Submit(n.now, wallClock, ticket, request))
+	n.readerSide.submitCallbacks[ticket] = done
+	n.applyReaderOutputs(n.readerSide.reader.Submit(n.now, wallClock, ticket, request))
 }
 
-func (n *Node) submitDone(answer reader.SubmitResult) {
-	done, found := n.readerSide.submits[answer.Ticket]
+func (n *Node) handleSubmitResult(answer reader.SubmitResult) {
+	done, found := n.readerSide.submitCallbacks[answer.Ticket]
 	if !found {
 		return
 	}
-	delete(n.readerSide.submits, answer.Ticket)
+	delete(n.readerSide.submitCallbacks, answer.Ticket)
 	done(answer.Reply)
 }
--- a/internal/core/node/refusal.go
+++ b/internal/core/node/refusal.go
@@ -9,10 +9,10 @@
 
 // refuseFetch refuses a fetch and lists daemons that may accept the sender.
 func (n *Node) refuseFetch(token Token, request *protocol.FetchRequest, code result.Code) {
-	reply := refusal(code, 0)
+	reply := newRefusal(code, 0)
 	reply.Incarnation = n.self.Incarnation
 	if code == result.NotReadyYet {
-		reply.RetryAfter = retryNotReady
+		reply.RetryAfter = notReadyRetryAfter
 	}
 	reply.Members = n.hints(request.From, request.Self.Zone)
 	n.answer(token, reply)
@@ -21,7 +21,7 @@
 // hints returns daemons that may accept the sender of a refused request: this one,
 // its parent, the best root candidates, and randomly chosen relays, first those of
 // the sender's zone. The random choice spreads senders over the relays.
-func (n *Node) hints(asker protocol.NodeID, zone string) []protocol.Member {
+func (n *Node) hints(sender protocol.NodeID, zone string) []protocol.Member {
 	list := []protocol.Member{n.self}
 	if n.upstream.joined {
 		if parent, found := n.roster.Get(n.upstream.target.ID); found {
@@ -34,8 +34,8 @@
 	list = append(list, n.shuffled(n.tree().AllRelays(), maxHints)...)
 	var hints []protocol.Member
 	for _, member := range list {
-		known := slices.ContainsFunc(hints, func(one protocol.Member) bool { return one.ID == member.ID })
-		if !known && member.ID != asker && len(hints) < maxHints {
+		listed := slices.ContainsFunc(hints, func(hint protocol.Member) bool { return hint.ID == member.ID })
+		if !listed && member.ID != sender && len(hints) < maxHints {
 			hints = append(hints, member)
 		}
 	}
@@ -52,13 +52,13 @@
 // leavingReply returns the fetch reply by which a leaving daemon redirects a child
 // to other parents. It includes this daemon's own record, which shows the child that
 // this parent is leaving.
-func (n *Node) farewell(known *child) *protocol.FetchReply {
-	reply := refusal(result.AskAnother, n.config.Timing.DeadAfter)
+func (n *Node) leavingReply(receiver *child) *protocol.FetchReply {
+	reply := newRefusal(result.AskAnother, n.config.Timing.DeadAfter)
 	reply.Incarnation = n.self.Incarnation
 	zone := ""
-	if member, found := n.roster.Get(known.id); found {
+	if member, found := n.roster.Get(receiver.id); found {
 		zone = member.Zone
 	}
-	reply.Members = n.hints(known.id, zone)
+	reply.Members = n.hints(receiver.id, zone)
 	return reply
 }
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -17,7 +17,7 @@
 	peers map[string]*regionPeer
 	// complete is set once the list of all regions was received. Until then no
 	// version is declared in force.
-	known bool
+	complete bool
 	// inForceAt is the wall-clock time at which the newest version in force was
 	// recorded as such.
 	inForceAt time.Time
@@ -27,31 +27,32 @@
 // reported as in force there stays in force, since the in-force version never
 // reverts (I9).
 type regionPeer struct {
-	region  string
-	zones   []protocol.ZoneStatus
-	inForce protocol.Version
-	heardAt time.Duration
-	heard   bool
-	// cursor is the position read in the change log of the other root, which from
-	// and incarnation identify.
-	cursor      uint64
-	from        protocol.NodeID
-	incarnation protocol.Incarnation
-	askedAt     time.Duration
-	asking      bool
-	attempts    int
+	region     string
+	zones      []protocol.ZoneStatus
+	inForce    protocol.Version
+	repliedAt  time.Duration
+	hasReplied bool
+	// cursor is the position read in the change log of the other root, which rootID
+	// and rootIncarnation identify.
+	cursor          uint64
+	rootID          protocol.NodeID
+	rootIncarnation protocol.Incarnation
+	requestedAt     time.Duration
+	inFlight        bool
+	failures        int
 }
 
 // The periods between roots of different regions.
 const (
-	// regionInterval is the poll interval of another region's root; regionFast
-	// applies while that region is behind the version in force in this one.
-	regionInterval = 2 * time.Second
-	regionFast     = 200 * time.Millisecond
-	regionTimeout  = 1500 * time.Millisecond
+	// regionInterval is the poll interval of another region's root;
+	// regionCatchUpInterval applies while that region is behind the version in force
+	// in this one.
+	regionInterval        = 2 * time.Second
+	regionCatchUpInterval = 200 * time.Millisecond
+	regionTimeout         = 1500 * time.Millisecond
 	// regionCutAfter is the time without a reply after which status shows another
 	// region as cut off.
-	cutAfter = 6 * time.Second
+	regionCutAfter = 6 * time.Second
 )
 
 func newRegions() regions {
@@ -63,22 +64,22 @@
 	if !n.root.active {
 		return
 	}
-	n.roster.Each(func(member protocol.Member) { n.needRegion(member.Region, membership.Live(member)) })
+	n.roster.Each(func(member protocol.Member) { n.addRegion(member.Region, membership.Live(member)) })
 }
 
 // addRegions adds the list of all regions at a version. A region that is not listed
 // has no keepers at that version: nothing was released there yet, and what will be
 // released is newer.
-func (n *Node) heardRegions(names []string) {
+func (n *Node) addRegions(names []string) {
 	for _, name := range names {
-		n.needRegion(name, true)
+		n.addRegion(name, true)
 	}
-	n.regions.known = n.regions.known || len(names) > 0
+	n.regions.complete = n.regions.complete || len(names) > 0
 }
 
 // allRegions returns the names of all regions; nil while the list is incomplete.
 func (n *Node) allRegions() []string {
-	if !n.regions.known {
+	if !n.regions.complete {
 		return nil
 	}
 	names := append(n.regionNames(), n.config.Region)
@@ -86,7 +87,7 @@
 	return names
 }
 
-func (n *Node) needRegion(region string, live bool) {
+func (n *Node) addRegion(region string, live bool) {
 	if !live || region == n.config.Region || n.regions.peers[region] != nil {
 		return
 	}
@@ -101,38 +102,38 @@
 }
 
 // pollRegions polls the other regions' roots for the versions in force there.
-func (n *Node) tickRegions() {
+func (n *Node) pollRegions() {
 	for _, name := range n.regionNames() {
 		peer := n.regions.peers[name]
 		interval := regionInterval
-		if peer.heard && peer.inForce < n.root.regional {
-			interval = regionFast
+		if peer.hasReplied && peer.inForce < n.root.regionInForce {
+			interval = regionCatchUpInterval
 		}
-		if !peer.asking && n.now-peer.askedAt >= interval {
-			n.askRegion(peer)
+		if !peer.inFlight && n.now-peer.requestedAt >= interval {
+			n.pollRegion(peer)
 		}
 	}
 }
 
-func (n *Node) askRegion(peer *regionPeer) {
+func (n *Node) pollRegion(peer *regionPeer) {
 	address := n.regionAddress(peer)
 	if address == "" {
 		return
 	}
-	peer.asking = true
-	peer.askedAt = n.now
+	peer.inFlight = true
+	peer.requestedAt = n.now
 	request := &protocol.StatusRequest{
 		Format:          protocol.Format,
 		From:            n.self.ID,
 		Self:            n.self,
 		MemberCursor:    peer.cursor,
-		Peer:            peer.from,
-		PeerIncarnation: peer.incarnation,
+		Peer:            peer.rootID,
+		PeerIncarnation: peer.rootIncarnation,
 	}
 	n.call(address, request, regionTimeout, func(body any) {
-		peer.asking = false
+		peer.inFlight = false
 		reply, _ := body.(*protocol.StatusReply)
-		n.heardRegion(peer, reply)
+		n.handleRegionReply(peer, reply)
 	})
 }
 
@@ -144,40 +145,40 @@
 	best := lo.Filter(inRegion, func(member protocol.Member, _ int) bool { return member.Root })
 	rest := lo.Filter(inRegion, func(member protocol.Member, _ int) bool { return member.Reader && !member.Root })
 	addresses := lo.Map(append(best, rest...), func(member protocol.Member, _ int) string { return member.ControlAddress })
-	if peer.attempts >= len(addresses) {
+	if peer.failures >= len(addresses) {
 		addresses = append(addresses, lo.Map(inRegion, func(member protocol.Member, _ int) string { return member.ControlAddress })...)
 		if n.readerSide.catalogue != nil {
-			set, _ := keeperSetOf(n.readerSide.catalogue.Keepers, peer.region)
+			set, _ := findKeeperSet(n.readerSide.catalogue.Keepers, peer.region)
 			addresses = append(addresses, lo.Map(set.Members, func(keeper protocol.KeeperMember, _ int) string { return keeper.ControlAddress })...)
 		}
 	}
 	if len(addresses) == 0 {
 		return ""
 	}
-	return addresses[peer.attempts%len(addresses)]
+	return addresses[peer.failures%len(addresses)]
 }
 
 // handleRegionReply handles the reply from another region.
-func (n *Node) heardRegion(peer *regionPeer, reply *protocol.StatusReply) {
+func (n *Node) handleRegionReply(peer *regionPeer, reply *protocol.StatusReply) {
 	if reply == nil {
-		peer.attempts++
+		peer.failures++
 		return
 	}
 	for _, member := range reply.Members {
 		if member.Region != n.config.Region {
-			n.heardMember(member, membership.SourceOutside)
+			n.mergeMember(member, membership.SourceOutside)
 		}
 	}
 	if reply.Code != result.OK {
-		peer.attempts++
+		peer.failures++
 		return
 	}
-	peer.attempts = 0
-	peer.heard = true
-	peer.heardAt = n.now
+	peer.failures = 0
+	peer.hasReplied = true
+	peer.repliedAt = n.now
 	peer.cursor = reply.MemberCursor
-	peer.from = reply.From
-	peer.incarnation = reply.Incarnation
+	peer.rootID = reply.From
+	peer.rootIncarnation = reply.Incarnation
 	peer.inForce = max(peer.inForce, reply.Summary.InForce)
 	peer.zones = reply.Summary.Zones
 	if n.root.active {
@@ -188,10 +189,10 @@
 // globalInForce returns the version in force in every region: the minimum over all
 // of them, and 0 while some region has not replied.
 func (n *Node) globalInForce() protocol.Version {
-	if !n.regions.known {
+	if !n.regions.complete {
 		return 0
 	}
-	lowest := n.root.regional
+	lowest := n.root.regionInForce
 	for _, peer := range n.regions.peers {
 		lowest = min(lowest, peer.inForce)
 	}
@@ -202,7 +203,7 @@
 // region and the changed records of its members.
 func (n *Node) answerRegion(token Token, request *protocol.StatusRequest) {
 	if request.Self.Region != n.config.Region {
-		n.heardMember(request.Self, membership.SourceOutside)
+		n.mergeMember(request.Self, membership.SourceOutside)
 	}
 	reply := &protocol.StatusReply{Code: result.AskAnother, Incarnation: n.self.Incarnation}
 	if !n.root.active {
@@ -221,8 +222,8 @@
 		return member.Region == n.config.Region
 	})
 	reply.Summary = protocol.Summary{
-		Version: n.holding.store.Version(),
-		InForce: n.root.regional,
+		Version: n.held.store.Version(),
+		InForce: n.root.regionInForce,
 		Zones:   n.zoneStatuses(),
 	}
 	n.answer(token, reply)
@@ -232,6 +233,6 @@
 func (n *Node) cutRegions() []string {
 	return lo.Filter(n.regionNames(), func(name string, _ int) bool {
 		peer := n.regions.peers[name]
-		return !peer.heard || n.now-peer.heardAt > cutAfter
+		return !peer.hasReplied || n.now-peer.repliedAt > regionCutAfter
 	})
 }
--- a/internal/core/node/release_test.go
+++ b/internal/core/node/release_test.go
@@ -15,11 +15,11 @@
 // the version does not come in force until the confirmation, and status lists that
 // daemon as behind.
 func TestNothingIsAcknowledgedBeforeTheSwap(t *testing.T) {
-	c, _, _ := settled(t)
-	slow := c.other(c.root())
-	slow.holdsSwaps = true
-	through := c.other(slow)
-	version := c.accept(through, 7)
+	c, _, _ := newSettledCluster(t)
+	slow := c.anotherThan(c.root())
+	slow.withholdsConfirmations = true
+	through := c.anotherThan(slow)
+	version := c.submitAccepted(through, 7)
 	c.run(30 * time.Second)
 	summary := c.status(through).Summary
 	c.is.Equal(summary.Version, version)
@@ -27,14 +27,14 @@
 	zone, found := lo.Find(summary.Zones, func(zone protocol.ZoneStatus) bool { return zone.Zone == slow.config.Zone })
 	c.is.True(found)
 	c.is.Equal(zone.Behind, []protocol.NodeID{slow.id})
-	slow.holdsSwaps = false
+	slow.withholdsConfirmations = false
 	c.confirm(slow)
-	c.inForce(through, version, 5*time.Second)
+	c.waitInForce(through, version, 5*time.Second)
 }
 
 // TestStatusCountsByZone checks the counts by zone of members at the newest version.
 func TestStatusCountsByZone(t *testing.T) {
-	c, daemons, version := settled(t)
+	c, daemons, version := newSettledCluster(t)
 	status := c.status(daemons[5])
 	c.is.Equal(status.Code, result.OK)
 	c.is.Equal(status.Summary.InForce, version)
@@ -52,20 +52,20 @@
 // TestChangesOfFilesThatPreferBytesAreBatched accepts several changes within the
 // batching window of a file: they are distributed as a single version.
 func TestChangesOfFilesThatPreferBytesAreBatched(t *testing.T) {
-	c, daemons, _ := settled(t)
+	c, daemons, _ := newSettledCluster(t)
 	batchedFile := func(slots int) string {
 		return strings.Replace(shopFile(slots), "name: shop\n", "name: shop\ndistribution: {prefer: bytes, batch_window: 2s}\n", 1)
 	}
 	swaps := 0
-	daemons[3].swapped = func() { swaps++ }
+	daemons[3].onSwap = func() { swaps++ }
 	var last *protocol.SubmitReply
 	for slots := range 5 {
 		reply := c.submit(daemons[0], batchedFile(10+slots))
-		c.until("answer", 20*time.Second, func() bool { return reply() != nil })
+		c.waitUntil("answer", 20*time.Second, func() bool { return reply() != nil })
 		c.is.Equal(reply().Code, result.OK)
 		last = reply()
 	}
-	took := c.inForce(daemons[0], last.Version, 10*time.Second)
+	took := c.waitInForce(daemons[0], last.Version, 10*time.Second)
 	t.Logf("five changes came in force after %v with %d swaps", took, swaps)
 	c.is.True(swaps == 1)
 }
@@ -78,7 +78,7 @@
 	d := c.start("windhoek", "klein-hall", "d00")
 	c.run(5 * time.Second)
 	reply := c.submit(d, shopFile(6))
-	c.until("answer", 30*time.Second, func() bool { return reply() != nil })
+	c.waitUntil("answer", 30*time.Second, func() bool { return reply() != nil })
 	c.is.Equal(reply().Code, result.NoReader)
 	c.is.Equal(c.status(d).Code, result.NoReader)
 	c.is.True(!c.serving(d))
--- a/internal/core/node/restart_test.go
+++ b/internal/core/node/restart_test.go
@@ -10,7 +10,7 @@
 
 // longestOutage runs for the period and returns the longest time for which any
 // running daemon other than the excluded one did not serve.
-func (c *cluster) watchServing(period time.Duration, excluded *daemon) time.Duration {
+func (c *cluster) longestOutage(period time.Duration, excluded *daemon) time.Duration {
 	const step = 50 * time.Millisecond
 	gaps := map[*daemon]time.Duration{}
 	longest := time.Duration(0)
@@ -22,8 +22,8 @@
 				continue
 			}
 			gaps[d] += step
-			if c.logs != nil {
-				c.logs(fmt.Sprintf("%8.3f %s does not serve", c.now().Seconds(), d.id))
+			if c.logLine != nil {
+				c.logLine(fmt.Sprintf("%8.3f %s does not serve", c.now().Seconds(), d.id))
 			}
 			longest = max(longest, gaps[d])
 		}
@@ -37,7 +37,7 @@
 func TestRollingRestartKeepsOthersServing(t *testing.T) {
 	for _, planned := range []bool{true, false} {
 		t.Run(fmt.Sprint("planned ", planned), func(t *testing.T) {
-			c, daemons, version := settled(t)
+			c, daemons, version := newSettledCluster(t)
 			for _, d := range daemons {
 				if planned {
 					c.step(d, node.Leave{})
@@ -45,13 +45,13 @@
 					c.step(d, node.Stopped{})
 				}
 				c.stop(d)
-				gap := c.watchServing(time.Second, d)
+				gap := c.longestOutage(time.Second, d)
 				c.start("windhoek", d.config.Zone, string(d.id), "addr-d00", "addr-d01", "addr-d02")
-				gap = max(gap, c.watchServing(8*time.Second, d))
+				gap = max(gap, c.longestOutage(8*time.Second, d))
 				if gap > 0 {
 					t.Errorf("another daemon did not serve for %v while %s restarted", gap, d.id)
 				}
-				c.until("it serves again", 20*time.Second, func() bool { return c.allServe(version) })
+				c.waitUntil("it serves again", 20*time.Second, func() bool { return c.allServe(version) })
 			}
 		})
 	}
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -13,30 +13,30 @@
 // versions at the keepers, releases them, grants leases and declares versions in
 // force.
 type root struct {
-	active bool
-	since  time.Duration
-	lease  *distribution.RootLease
-	claims *distribution.ReleaseTracker
+	active         bool
+	activeSince    time.Duration
+	lease          *distribution.RootLease
+	releaseTracker *distribution.ReleaseTracker
 	// releaser stores versions at the keepers.
 	releaser *floor.Releaser
 	// target is the catalogue being stored at the keepers; nil for none.
-	target   *reader.CatalogueReady
-	targetAt time.Duration
+	target      *reader.CatalogueReady
+	targetSince time.Duration
 	// batch is the newest catalogue that is held back for batching; nil for none.
 	batch *reader.CatalogueReady
 	// batchUntil is when the release of the batch starts.
-	batchUntil time.Duration
-	roundAt    time.Duration
-	keepersAt  time.Duration
-	// settleAt is the earliest time of the next attempt to settle a change of the
+	batchUntil         time.Duration
+	nextRoundAt        time.Duration
+	nextKeeperChangeAt time.Duration
+	// nextSettleAt is the earliest time of the next attempt to settle a change of the
 	// keeper set.
-	settleAt time.Duration
-	greetAt  time.Duration
+	nextSettleAt time.Duration
+	nextProbeAt  time.Duration
 	// confirmedSets holds the keeper set that each keeper has confirmed, so that the
 	// rounds need not send it again.
-	told map[protocol.NodeID]toldSet
+	confirmedSets map[protocol.NodeID]confirmedSet
 	// regionInForce is the version in force in this region.
-	regional protocol.Version
+	regionInForce protocol.Version
 }
 
 // The periods of a root.
@@ -55,10 +55,10 @@
 
 func newRoot(config Config) root {
 	return root{
-		releaser: floor.NewReleaser(config.ID, config.Region),
-		told:     map[protocol.NodeID]toldSet{},
-		lease:    distribution.NewRootLease(config.Timing.ServingLease),
-		claims:   distribution.NewReleaseTracker(config.Timing.ServingLease),
+		releaser:       floor.NewReleaser(config.ID, config.Region),
+		confirmedSets:  map[protocol.NodeID]confirmedSet{},
+		lease:          distribution.NewRootLease(config.Timing.ServingLease),
+		releaseTracker: distribution.NewReleaseTracker(config.Timing.ServingLease),
 	}
 }
 
@@ -69,7 +69,7 @@
 	if !known || n.leaving {
 		return false
 	}
-	if version := n.holding.store.Version(); version > 0 && version >= floorVersion {
+	if version := n.held.store.Version(); version > 0 && version >= floorVersion {
 		return true
 	}
 	return n.readerSide.catalogue != nil
@@ -79,24 +79,24 @@
 // see distribution.RootLease and distribution.ReleaseTracker.
 func (n *Node) becomeRoot() {
 	n.root.active = true
-	n.root.since = n.now
+	n.root.activeSince = n.now
 	n.root.lease = distribution.NewRootLease(n.config.Timing.ServingLease)
-	n.root.claims = distribution.NewReleaseTracker(n.config.Timing.ServingLease)
+	n.root.releaseTracker = distribution.NewReleaseTracker(n.config.Timing.ServingLease)
 	n.root.releaser = floor.NewReleaser(n.config.ID, n.config.Region)
-	n.root.told = map[protocol.NodeID]toldSet{}
+	n.root.confirmedSets = map[protocol.NodeID]confirmedSet{}
 	n.root.target = nil
 	n.root.batch = nil
-	n.root.roundAt = n.now
-	n.root.claims.RecordRelease(n.now, n.holding.store.Version(), false)
+	n.root.nextRoundAt = n.now
+	n.root.releaseTracker.RecordRelease(n.now, n.held.store.Version(), false)
 	n.upstream.joined = false
-	n.upstream.token = 0
+	n.upstream.fetchToken = 0
 	n.upstream.target = protocol.Member{}
-	n.changeSelf(func(self *protocol.Member) {
+	n.updateSelf(func(self *protocol.Member) {
 		self.Root = true
 		self.Parent = ""
 	})
 	n.downstream.acksChanged = true
-	n.log("root_started", versionField("version", n.holding.store.Version()))
+	n.log("root_started", versionField("version", n.held.store.Version()))
 	if n.readerSide.catalogue != nil {
 		n.propose(n.readerSide.catalogue)
 	}
@@ -109,9 +109,9 @@
 	n.root.batch = nil
 	n.log("root_stopped", LogField{Key: "root", Value: string(better.ID)})
 	n.upstream.target = protocol.Member{}
-	n.upstream.orphanedAt = n.now
-	delete(n.upstream.avoid, better.ID)
-	n.upstream.nextAt = n.now
+	n.upstream.parentLostAt = n.now
+	delete(n.upstream.avoided, better.ID)
+	n.upstream.nextFetchAt = n.now
 	n.fetchFrom(better)
 }
 
@@ -122,24 +122,24 @@
 	if n.root.batch != nil && n.now >= n.root.batchUntil {
 		n.startRelease(n.root.batch)
 	}
-	n.carryOutFloor(n.root.releaser.Tick(n.now))
-	n.release()
+	n.applyFloorOutputs(n.root.releaser.Tick(n.now))
+	n.releaseTarget()
 	n.keeperRound()
 	n.chooseKeepers()
 	n.renewRootLease()
-	n.decideInForce()
-	n.tickRegions()
-	n.greetOthers()
+	n.updateInForce()
+	n.pollRegions()
+	n.probeRoots()
 }
 
 // propose starts the release of a new catalogue. A catalogue with a batching window,
 // whose changed files prefer fewer bytes over an early release, is held back to be
 // released together with later ones.
 func (n *Node) propose(catalogue *reader.CatalogueReady) {
-	if catalogue.Version <= n.holding.store.Version() {
+	if catalogue.Version <= n.held.store.Version() {
 		return
 	}
-	if catalogue.BatchWindow <= 0 || n.holding.store.Version() == 0 {
+	if catalogue.BatchWindow <= 0 || n.held.store.Version() == 0 {
 		n.startRelease(catalogue)
 		return
 	}
@@ -158,43 +158,43 @@
 // answer, the version is held back and the released one is served further.
 func (n *Node) startRelease(catalogue *reader.CatalogueReady) {
 	n.root.batch = nil
-	if n.holding.store.Version() > 0 && !n.root.lease.CanStore(n.now-recentRounds, n.keeperSets()...) {
+	if n.held.store.Version() > 0 && !n.root.lease.CanStore(n.now-recentRounds, n.keeperSets()...) {
 		n.root.batch = catalogue
 		n.root.batchUntil = n.now + roundInterval
 		return
 	}
-	set, found := keeperSetOf(catalogue.Keepers, n.config.Region)
+	set, found := findKeeperSet(catalogue.Keepers, n.config.Region)
 	if !found {
 		return
 	}
-	if set.Revision > n.holding.keepers.Revision {
+	if set.Revision > n.held.keepers.Revision {
 		n.adoptKeepers(set)
 	}
 	n.root.target = catalogue
-	n.root.targetAt = n.now
+	n.root.targetSince = n.now
 	n.root.releaser.UpdateMembers(n.roster.All())
-	n.carryOutFloor(n.root.releaser.SetTarget(n.now, n.readerSide.reader.Term(), catalogue.Version, set))
-	n.release()
+	n.applyFloorOutputs(n.root.releaser.SetTarget(n.now, n.readerSide.reader.Term(), catalogue.Version, set))
+	n.releaseTarget()
 }
 
 // releaseTarget adds the target to the store once a write quorum of keepers has
 // stored its version. Only then may any proxy of the region, this one included, put
 // it in force (I1).
-func (n *Node) release() {
+func (n *Node) releaseTarget() {
 	target := n.root.target
 	if target == nil || n.root.releaser.Released() < target.Version {
 		return
 	}
 	n.root.target = nil
-	if err := n.holding.store.Add(target.Version, target.Resources); err != nil {
+	if err := n.held.store.Add(target.Version, target.Resources); err != nil {
 		n.log("catalogue_refused", versionField("version", target.Version), LogField{Key: "error", Value: err.Error()})
 		return
 	}
-	alone := n.root.lease.IsOnlyRoot(n.root.targetAt, n.keeperSets()...)
-	n.root.claims.RecordRelease(n.now, target.Version, alone)
+	alone := n.root.lease.IsOnlyRoot(n.root.targetSince, n.keeperSets()...)
+	n.root.releaseTracker.RecordRelease(n.now, target.Version, alone)
 	n.renewRootLease()
 	n.log("version_released", versionField("version", target.Version))
-	n.adoptFromStore()
+	n.stageFromStore()
 }
 
 // updateInForce determines the versions in force in this region and globally. In
@@ -202,41 +202,41 @@
 // silent, it is a version that all counted members have acknowledged and that is
 // fenced: the leases under which the silent ones could serve an older version have
 // expired. Status still lists the silent members.
-func (n *Node) decideInForce() {
-	folded := n.acknowledgements()
-	holding := n.expected().ConfirmedVersion(folded)
-	claimed := min(holding, n.root.claims.DeclarableVersion(n.now))
-	if heard, any := distribution.MinimumVersion(folded); any {
-		claimed = max(claimed, min(heard, n.root.claims.FencedVersion(n.now)))
+func (n *Node) updateInForce() {
+	acks := n.acknowledgements()
+	confirmed := n.expected().ConfirmedVersion(acks)
+	candidate := min(confirmed, n.root.releaseTracker.DeclarableVersion(n.now))
+	if counted, found := distribution.MinimumVersion(acks); found {
+		candidate = max(candidate, min(counted, n.root.releaseTracker.FencedVersion(n.now)))
 	}
-	if claimed > n.root.regional {
-		n.root.regional = claimed
+	if candidate > n.root.regionInForce {
+		n.root.regionInForce = candidate
 	}
 	n.raiseInForce(n.globalInForce())
 }
 
 // raiseInForce raises the global version in force. It is never lowered (I9).
 func (n *Node) raiseInForce(version protocol.Version) {
-	if version <= n.holding.inForce {
+	if version <= n.held.inForce {
 		return
 	}
-	n.holding.inForce = version
-	n.regions.inForceAt = n.wallNow()
+	n.held.inForce = version
+	n.regions.inForceAt = n.estimatedWallClock()
 	n.log("version_in_force", versionField("version", version))
 }
 
 // probeRoots probes the better root candidates and a random seed, so that better
 // roots and new daemons find this root, and this root finds a better one.
-func (n *Node) greetOthers() {
-	if n.now < n.root.greetAt {
+func (n *Node) probeRoots() {
+	if n.now < n.root.nextProbeAt {
 		return
 	}
-	n.root.greetAt = n.now + rootPreferInterval/2 + distribution.Jitter(n.random, rootPreferInterval)
+	n.root.nextProbeAt = n.now + rootProbeInterval/2 + distribution.Jitter(n.random, rootProbeInterval)
 	for _, candidate := range n.tree().RootCandidates() {
 		if candidate.ID == n.self.ID {
 			break
 		}
-		n.greetMember(candidate)
+		n.probeMember(candidate)
 	}
-	n.greet()
+	n.probeSeed()
 }
--- a/internal/core/node/status.go
+++ b/internal/core/node/status.go
@@ -16,25 +16,25 @@
 func (n *Node) zoneStatuses() []protocol.ZoneStatus {
 	zones := map[string]*protocol.ZoneStatus{}
 	for _, member := range n.liveInRegion(n.config.Region) {
-		one, found := zones[member.Zone]
+		zone, found := zones[member.Zone]
 		if !found {
-			one = &protocol.ZoneStatus{Region: member.Region, Zone: member.Zone}
-			zones[member.Zone] = one
+			zone = &protocol.ZoneStatus{Region: member.Region, Zone: member.Zone}
+			zones[member.Zone] = zone
 		}
-		one.Members++
-		if member.State == protocol.MemberSuspect && len(one.Silent) < protocol.MaxListedNodes {
-			one.Silent = append(one.Silent, member.ID)
+		zone.Members++
+		if member.State == protocol.MemberSuspect && len(zone.Silent) < protocol.MaxListedNodes {
+			zone.Silent = append(zone.Silent, member.ID)
 		}
 	}
 	newest := n.newestVersion()
 	for _, ack := range n.acknowledgements() {
-		one, found := zones[ack.Zone]
+		zone, found := zones[ack.Zone]
 		if !found {
 			continue
 		}
-		one.Minimum = ack.Minimum
+		zone.Minimum = ack.Minimum
 		if ack.Minimum < newest {
-			one.Behind = ack.Behind
+			zone.Behind = ack.Behind
 		}
 	}
 	n.countHolding(zones, newest)
@@ -48,26 +48,26 @@
 // known. Children whose lease has expired are left out, as in acknowledgements.
 func (n *Node) countHolding(zones map[string]*protocol.ZoneStatus, newest protocol.Version) {
 	count := func(ack protocol.Acknowledgement) {
-		one, found := zones[ack.Zone]
+		zone, found := zones[ack.Zone]
 		if found && ack.Minimum >= newest {
-			one.Holding = min(one.Members, one.Holding+ack.Count)
+			zone.Holding = min(zone.Members, zone.Holding+ack.Count)
 		}
 	}
-	for _, id := range n.downstream.order {
+	for _, id := range n.downstream.sortedIDs {
 		child := n.downstream.children[id]
-		if n.leaseEnded(child) {
+		if n.hasLeaseExpired(child) {
 			continue
 		}
 		for _, ack := range child.acks {
 			count(ack)
 		}
 	}
-	count(protocol.Acknowledgement{Zone: n.config.Zone, Minimum: n.held(), Count: 1})
+	count(protocol.Acknowledgement{Zone: n.config.Zone, Minimum: n.currentVersion(), Count: 1})
 }
 
 // newestVersion returns the newest accepted version that this daemon knows.
 func (n *Node) newestVersion() protocol.Version {
-	newest := max(n.holding.store.Version(), n.held())
+	newest := max(n.held.store.Version(), n.currentVersion())
 	if n.readerSide.catalogue != nil {
 		newest = max(newest, n.readerSide.catalogue.Version)
 	}
@@ -82,7 +82,7 @@
 		Code: result.OK,
 		Summary: protocol.Summary{
 			Version:   n.newestVersion(),
-			InForce:   n.holding.inForce,
+			InForce:   n.held.inForce,
 			InForceAt: n.regions.inForceAt,
 		},
 		Members: n.roster.All(),
@@ -107,7 +107,7 @@
 	files := lo.Filter(n.readerSide.catalogue.Files, func(file protocol.FileStatus, _ int) bool {
 		return partner == "" || file.Partner == partner
 	})
-	return markInForce(files, n.holding.inForce)
+	return markInForce(files, n.held.inForce)
 }
 
 // markInForce sets on each file whether its revision is in force.
@@ -121,7 +121,7 @@
 // handlePeerStatus answers another daemon's status request.
 func (n *Node) handlePeerStatus(token Token, request *protocol.StatusRequest) {
 	switch {
-	case !knownFormat(request.Format):
+	case !isKnownFormat(request.Format):
 		n.answer(token, &protocol.StatusReply{Code: result.UnknownFormat})
 	case request.From != "":
 		n.answerRegion(token, request)
@@ -138,25 +138,25 @@
 // handleOperatorStatus answers an operator's status request, from this daemon's own
 // state if it is the root, or else by a request to the root. When no root answers, it
 // returns this daemon's own state with the code NoReader.
-func (n *Node) operatorStatus(token Token, request *protocol.StatusRequest) {
+func (n *Node) handleOperatorStatus(token Token, request *protocol.StatusRequest) {
 	if n.root.active {
 		n.emit(OperatorAnswer{Token: token, Body: n.status(request.Partner)})
 		return
 	}
-	n.askStatus(token, request, n.statusTargets(), nil)
+	n.queryStatus(token, request, n.statusTargets(), nil)
 }
 
 // queryStatus queries the targets in turn. partial is the reply of a root that does
 // not know the files; it is preferred over this daemon's own state.
-func (n *Node) askStatus(token Token, request *protocol.StatusRequest, targets []protocol.Member, partial *protocol.StatusReply) {
+func (n *Node) queryStatus(token Token, request *protocol.StatusRequest, targets []protocol.Member, partial *protocol.StatusReply) {
 	if len(targets) == 0 && partial != nil {
 		n.emit(OperatorAnswer{Token: token, Body: partial})
 		return
 	}
 	if len(targets) == 0 {
-		own := n.status(request.Partner)
-		own.Code = result.NoReader
-		n.emit(OperatorAnswer{Token: token, Body: own})
+		local := n.status(request.Partner)
+		local.Code = result.NoReader
+		n.emit(OperatorAnswer{Token: token, Body: local})
 		return
 	}
 	n.call(targets[0].ControlAddress, request, statusTimeout, func(body any) {
@@ -165,11 +165,11 @@
 			if reply != nil && reply.Code == result.NoReader {
 				partial = reply
 			}
-			n.askStatus(token, request, targets[1:], partial)
+			n.queryStatus(token, request, targets[1:], partial)
 			return
 		}
 		n.raiseInForce(reply.Summary.InForce)
-		n.addKnownInForce(reply)
+		n.raiseReplyInForce(reply)
 		n.emit(OperatorAnswer{Token: token, Body: reply})
 	})
 }
@@ -177,17 +177,17 @@
 // raiseReplyInForce raises the version in force of a root's reply to the one known
 // here: a root that has just taken over may know an older one, and the in-force
 // version never reverts (I9).
-func (n *Node) addKnownInForce(reply *protocol.StatusReply) {
-	if reply.Summary.InForce >= n.holding.inForce {
+func (n *Node) raiseReplyInForce(reply *protocol.StatusReply) {
+	if reply.Summary.InForce >= n.held.inForce {
 		return
 	}
-	reply.Summary.InForce = n.holding.inForce
-	reply.Files = markInForce(reply.Files, n.holding.inForce)
+	reply.Summary.InForce = n.held.inForce
+	reply.Files = markInForce(reply.Files, n.held.inForce)
 }
 
 // statusTargets returns the likely roots of this region, best first.
 func (n *Node) statusTargets() []protocol.Member {
-	const most = 3
+	const limit = 3
 	var targets []protocol.Member
 	if n.upstream.joined && n.upstream.target.Root {
 		targets = append(targets, n.upstream.target)
@@ -196,5 +196,5 @@
 	targets = lo.UniqBy(targets, func(member protocol.Member) protocol.NodeID { return member.ID })
 	targets = lo.Reject(targets, func(member protocol.Member, _ int) bool { return member.ID == n.self.ID })
 	slices.SortStableFunc(targets, func(a, b protocol.Member) int { return lo.Ternary(a.Root == b.Root, 0, lo.Ternary(a.Root, -1, 1)) })
-	return targets[:min(len(targets), most)]
+	return targets[:min(len(targets), limit)]
 }
--- a/internal/core/node/step.go
+++ b/internal/core/node/step.go
@@ -109,7 +109,7 @@
 // Effect is an output of Step.
 type Effect interface{ effect() }
 
-// CallPeer asks the shell to call another daemon.
+// CallPeer makes the shell call another daemon.
 type CallPeer struct {
 	Token   Token
 	Address string
@@ -125,14 +125,14 @@
 	Body  any
 }
 
-// CallPlatform asks the shell to call the platform.
+// CallPlatform makes the shell call the platform.
 type CallPlatform struct {
 	Token   Token
 	Call    object.Call
 	Timeout time.Duration
 }
 
-// StartWatch asks the shell to watch the platform; events carry its token.
+// StartWatch makes the shell watch the platform; its events carry the token.
 type StartWatch struct {
 	Token  Token
 	Prefix string
@@ -142,13 +142,13 @@
 // StopWatch ends a watch.
 type StopWatch struct{ Token Token }
 
-// SwapSnapshot asks the shell to put a snapshot in force by one atomic
-// pointer swap and then to send SnapshotInForce.
+// SwapSnapshot makes the shell put a snapshot in force by one atomic pointer swap and
+// then send SnapshotInForce.
 type SwapSnapshot struct {
 	Snapshot *snapshot.Snapshot
 }
 
-// ExtendServing extends the lease of the shell's data path to Until on the node's
+// ExtendServingLease extends the lease of the shell's data path to Until on the node's
 // clock. The data path compares it with the clock on each call, so that a daemon that
 // was paused beyond its lease does not serve when it resumes.
 type ExtendServingLease struct{ Until time.Duration }
@@ -177,16 +177,16 @@
 	Value string
 }
 
-func (CallPeer) effect()       {}
-func (PeerAnswer) effect()     {}
-func (CallPlatform) effect()   {}
-func (StartWatch) effect()     {}
-func (StopWatch) effect()      {}
-func (SwapSnapshot) effect()   {}
-func (ExtendServingLease) effect()  {}
-func (PublishMembers) effect() {}
-func (OperatorAnswer) effect() {}
-func (LogEvent) effect()       {}
+func (CallPeer) effect()           {}
+func (PeerAnswer) effect()         {}
+func (CallPlatform) effect()       {}
+func (StartWatch) effect()         {}
+func (StopWatch) effect()          {}
+func (SwapSnapshot) effect()       {}
+func (ExtendServingLease) effect() {}
+func (PublishMembers) effect()     {}
+func (OperatorAnswer) effect()     {}
+func (LogEvent) effect()           {}
 
 // Config holds the settings of a node.
 type Config struct {
--- a/internal/core/node/take.go
+++ b/internal/core/node/take.go
@@ -15,65 +15,65 @@
 // not extended the lease for half the serving lease: that parent is cut off from the
 // root while another may not be. The check runs only on a reply, so a parent is not
 // left merely because its reply is slow.
-func (n *Node) takeReply(sentAt time.Duration, reply *protocol.FetchReply) {
+func (n *Node) applyFetchReply(sentAt time.Duration, reply *protocol.FetchReply) {
 	up := &n.upstream
 	if !up.joined {
 		n.join()
 	}
 	up.failures = 0
-	up.reported = up.sentCursor
+	up.reportedCursor = up.sentCursor
 	up.memberCursor = reply.MemberCursor
 	up.incarnation = reply.Incarnation
 	for _, member := range reply.Members {
-		n.heardMember(member, membership.SourceOutside)
+		n.mergeMember(member, membership.SourceOutside)
 	}
-	if reply.Keepers.Revision > n.holding.keepers.Revision {
+	if reply.Keepers.Revision > n.held.keepers.Revision {
 		n.adoptKeepers(reply.Keepers)
 	}
-	n.heardRegions(reply.Regions)
+	n.addRegions(reply.Regions)
 	n.raiseInForce(reply.InForce)
-	progressed := n.takeReleased(reply)
-	n.takeLease(sentAt, reply)
-	if n.now-up.leaseAt > n.config.Timing.ServingLease/2 {
-		n.leaveParent(avoidStale)
+	progressed := n.applyReleased(reply)
+	n.applyLease(sentAt, reply)
+	if n.now-up.leaseExtendedAt > n.config.Timing.ServingLease/2 {
+		n.leaveParent(staleParentAvoidance)
 		return
 	}
-	up.nextAt = n.now
-	if !progressed && len(reply.Members) == 0 && n.now-sentAt < idleSpacing {
-		up.nextAt = n.now + idleSpacing
+	up.nextFetchAt = n.now
+	if !progressed && len(reply.Members) == 0 && n.now-sentAt < idleFetchInterval {
+		up.nextFetchAt = n.now + idleFetchInterval
 	}
-	up.nextAt = max(up.nextAt, n.now+reply.RetryAfter)
-	if n.holding.staged != nil {
-		up.nextAt = max(up.nextAt, n.now+swapPatience)
+	up.nextFetchAt = max(up.nextFetchAt, n.now+reply.RetryAfter)
+	if n.held.staged != nil {
+		up.nextFetchAt = max(up.nextFetchAt, n.now+swapTimeout)
 	}
-	n.fetchSoon()
+	n.fetchIfDue()
 }
 
 // applyReleased stages or stores the version released by the parent and reports
 // whether it is newer.
-func (n *Node) takeReleased(reply *protocol.FetchReply) bool {
+func (n *Node) applyReleased(reply *protocol.FetchReply) bool {
 	floorVersion, _ := n.floor()
 	if reply.Released < floorVersion {
 		return false
 	}
-	if n.relaying() != n.upstream.sentRelaying {
+	if n.isRelaying() != n.upstream.sentRelaying {
 		// The reply is for the scope of this daemon's previous role: a nil delta
 		// would be applied to the wrong content. The next fetch requests the new
 		// scope.
 		return false
 	}
-	if n.relaying() {
-		return n.takeForStore(reply)
+	if n.isRelaying() {
+		return n.storeReleased(reply)
 	}
-	if reply.Released <= n.held() || n.holding.staged != nil {
+	if reply.Released <= n.currentVersion() || n.held.staged != nil {
 		return false
 	}
 	next, err := n.nextSnapshot(reply)
 	if err != nil {
-		n.refuseDelta(err)
+		n.rejectDelta(err)
 		return false
 	}
-	n.holding.wholeWanted = false
+	n.held.needsFullSnapshot = false
 	n.stage(next)
 	return true
 }
@@ -81,7 +81,7 @@
 // nextSnapshot builds the next snapshot of a leaf: the current one with the delta
 // applied, or the same content at the new version.
 func (n *Node) nextSnapshot(reply *protocol.FetchReply) (*snapshot.Snapshot, error) {
-	current := n.holding.current
+	current := n.held.current
 	if reply.Delta == nil && current != nil {
 		return current.WithVersion(reply.Released), nil
 	}
@@ -101,54 +101,54 @@
 
 // storeReleased adds the released version to the store, from which children and this
 // daemon itself are served.
-func (n *Node) takeForStore(reply *protocol.FetchReply) bool {
-	store := n.holding.store
+func (n *Node) storeReleased(reply *protocol.FetchReply) bool {
+	store := n.held.store
 	if reply.Released <= store.Version() {
 		return false
 	}
 	if reply.Delta == nil {
 		store.Advance(reply.Released)
 	} else if err := n.applyToStore(reply); err != nil {
-		n.refuseDelta(err)
+		n.rejectDelta(err)
 		return false
 	}
-	n.holding.wholeWanted = false
-	n.adoptFromStore()
+	n.held.needsFullSnapshot = false
+	n.stageFromStore()
 	return true
 }
 
 func (n *Node) applyToStore(reply *protocol.FetchReply) error {
 	var current []resource.Encoded
-	if newest := n.holding.store.Newest(); newest != nil {
+	if newest := n.held.store.Newest(); newest != nil {
 		current = newest.Encoded
 	}
 	resources, err := snapshot.Apply(current, reply.Delta)
 	if err != nil {
 		return err
 	}
-	return n.holding.store.Add(reply.Released, resources)
+	return n.held.store.Add(reply.Released, resources)
 }
 
 // rejectDelta discards a delta that cannot be applied; the next fetch requests a
 // full snapshot.
-func (n *Node) refuseDelta(err error) {
+func (n *Node) rejectDelta(err error) {
 	n.log("delta_refused", LogField{Key: "error", Value: err.Error()})
-	n.upstream.nextAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
-	n.holding.wholeWanted = true
+	n.upstream.nextFetchAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
+	n.held.needsFullSnapshot = true
 }
 
 // applyLease applies the lease of a reply. It is counted from when the request was
 // sent, so that the time in transit does not extend it.
-func (n *Node) takeLease(sentAt time.Duration, reply *protocol.FetchReply) {
+func (n *Node) applyLease(sentAt time.Duration, reply *protocol.FetchReply) {
 	if reply.LeaseRemaining <= 0 {
 		return
 	}
 	until := sentAt + min(reply.LeaseRemaining, n.config.Timing.ServingLease+n.config.Timing.FetchWait)
 	if until-n.now > n.config.Timing.ServingLease/4 {
-		n.upstream.leaseAt = n.now
+		n.upstream.leaseExtendedAt = n.now
 	}
-	if n.relaying() && n.holding.store.Version() >= reply.Released {
-		n.holding.grantUntil = max(n.holding.grantUntil, until)
+	if n.isRelaying() && n.held.store.Version() >= reply.Released {
+		n.held.grantUntil = max(n.held.grantUntil, until)
 	}
-	n.extendServing(lease{until: until, version: reply.Released})
+	n.extendServingLease(lease{until: until, version: reply.Released})
 }
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -21,9 +21,9 @@
 	incarnation  protocol.Incarnation
 	// reportedCursor is the position in this daemon's change log up to which the
 	// parent has received records.
-	reported membership.Cursor
+	reportedCursor membership.Cursor
 	// leaseExtendedAt is when the parent last extended the lease.
-	leaseAt time.Duration
+	leaseExtendedAt time.Duration
 }
 
 // upstream holds the state of the fetches from this daemon's parent.
@@ -31,41 +31,41 @@
 	link
 	// joined is set once the target has answered OK.
 	joined bool
-	// hinted are the daemons listed in refusals since this daemon last joined a
+	// hintedParents are the daemons listed in refusals since this daemon last joined a
 	// parent.
-	hinted []protocol.Member
+	hintedParents []protocol.Member
 	// former is the working parent while a preferred one is tried; nil otherwise.
-	former  *link
-	token   Token
-	sentAt  time.Duration
-	counter uint64
-	// nextAt is when the next fetch may be sent.
-	nextAt   time.Duration
-	failures int
-	// avoid holds the daemons that failed or refused and until when each is
+	former     *link
+	fetchToken Token
+	sentAt     time.Duration
+	counter    uint64
+	// nextFetchAt is when the next fetch may be sent.
+	nextFetchAt time.Duration
+	failures    int
+	// avoided holds the daemons that failed or refused and until when each is
 	// avoided.
-	avoid map[protocol.NodeID]avoidance
-	// sentCursor is this daemon's change log position when the last fetch was
-	// sent.
+	avoided map[protocol.NodeID]avoidance
+	// sentCursor is the position in this daemon's change log up to which the
+	// records of the subtree have been sent.
 	sentCursor membership.Cursor
 	sentAcks   []protocol.Acknowledgement
-	// leafUntil is until when this daemon joins as a leaf although it ranks as a
+	// joinAsLeafUntil is until when this daemon joins as a leaf although it ranks as a
 	// relay by its own roster, because the root, which knows more members, refused
 	// it as a relay.
-	leafUntil time.Duration
+	joinAsLeafUntil time.Duration
 	// sentRelaying is whether the last fetch requested the whole configuration, as
 	// a relay does.
 	sentRelaying bool
-	// urgentAt is when sendUrgentUpdates last interrupted a held fetch.
-	urgentAt time.Duration
+	// lastUrgentAt is when sendUrgentUpdates last interrupted a held fetch.
+	lastUrgentAt time.Duration
 	// preferredRetryAt is when the preferred parent is tried again;
 	// preferredFailures counts the failed attempts.
-	preferAt       time.Duration
-	preferRefusals int
-	// discoverAt is when a seed is asked for other daemons again.
-	discoverAt time.Duration
-	// orphanedAt is when the last parent was lost.
-	orphanedAt time.Duration
+	preferredRetryAt  time.Duration
+	preferredFailures int
+	// nextSeedProbeAt is when a seed is probed next while no parent is known.
+	nextSeedProbeAt time.Duration
+	// parentLostAt is when the last parent was lost.
+	parentLostAt time.Duration
 }
 
 // The periods of the upstream side.
@@ -74,50 +74,50 @@
 	replySlack = time.Second
 	// staleParentAvoidance is how long a parent that no longer extends the lease is
 	// avoided.
-	avoidStale = 2 * time.Second
+	staleParentAvoidance = 2 * time.Second
 	// preferredRetryInterval is the mean time until the preferred parent is tried
 	// again. It doubles with each failure, up to preferredRetryMax, since the
 	// preferred parent may be full.
-	preferInterval = 20 * time.Second
-	preferMax      = 10 * time.Minute
+	preferredRetryInterval = 20 * time.Second
+	preferredRetryMax      = 10 * time.Minute
 	// rootProbeInterval is the mean time between a root's probes for better roots.
-	rootPreferInterval = 2 * time.Second
+	rootProbeInterval = 2 * time.Second
 	// ackBatchInterval and memberBatchInterval are the least times between updates
 	// that interrupt a held fetch.
-	ackGather    = 200 * time.Millisecond
-	memberGather = 100 * time.Millisecond
-	// idleSpacing is the least time between fetches that return nothing new.
-	idleSpacing = 200 * time.Millisecond
+	ackBatchInterval    = 200 * time.Millisecond
+	memberBatchInterval = 100 * time.Millisecond
+	// idleFetchInterval is the least time between fetches that return nothing new.
+	idleFetchInterval = 200 * time.Millisecond
 	// swapTimeout is how long the next fetch waits for a swap, in order to
 	// acknowledge it. After that, a fetch shows the parent that this daemon is alive
 	// and behind.
-	swapPatience = time.Second
+	swapTimeout = time.Second
 	// betterRootTimeout is how long a daemon waits for a better candidate to become
 	// root.
-	rootPatience = 4 * time.Second
+	betterRootTimeout = 4 * time.Second
 	// rootRetryMax is the maximum time for which a relaying daemon avoids a root
 	// candidate that refused, unless the refusal demands longer.
-	rootRefusal = 400 * time.Millisecond
+	rootRetryMax = 400 * time.Millisecond
 	// leafPeriod is how long a daemon that ranks as a relay, but was refused by a
 	// root, joins as a leaf instead.
 	leafPeriod = 5 * time.Second
-	// discoverInterval is the mean time between requests to seeds while no parent is
+	// seedProbeInterval is the mean time between probes of seeds while no parent is
 	// found.
-	discoverInterval = time.Second
+	seedProbeInterval = time.Second
 )
 
 // tickUpstream chooses the parent and sends the next fetch when it is due.
 func (n *Node) tickUpstream() {
-	if _, known := n.floor(); !known || n.self.State == protocol.MemberLeft && n.upstream.reported >= n.roster.Cursor() {
+	if _, known := n.floor(); !known || n.self.State == protocol.MemberLeft && n.upstream.reportedCursor >= n.roster.Cursor() {
 		return
 	}
 	n.reconsiderParent()
-	if n.root.active || n.upstream.token != 0 || n.now < n.upstream.nextAt || n.awaitsSwap() {
+	if n.root.active || n.upstream.fetchToken != 0 || n.now < n.upstream.nextFetchAt || n.isAwaitingSwap() {
 		return
 	}
 	target, found := n.chooseParent()
 	if !found {
-		n.discover()
+		n.probeSeedIfDue()
 		return
 	}
 	if target.ID == n.self.ID {
@@ -129,16 +129,16 @@
 
 // isAwaitingSwap reports whether the next fetch waits for a swap, in order to
 // acknowledge it.
-func (n *Node) awaitsSwap() bool {
-	return n.holding.staged != nil && n.now-n.holding.stagedAt < swapPatience
+func (n *Node) isAwaitingSwap() bool {
+	return n.held.staged != nil && n.now-n.held.stagedAt < swapTimeout
 }
 
 // fetchIfDue sends the next fetch if it is due and none is in flight.
-func (n *Node) fetchSoon() {
-	if n.root.active || n.upstream.token != 0 || !n.upstream.joined || n.awaitsSwap() {
+func (n *Node) fetchIfDue() {
+	if n.root.active || n.upstream.fetchToken != 0 || !n.upstream.joined || n.isAwaitingSwap() {
 		return
 	}
-	if n.now < n.upstream.nextAt {
+	if n.now < n.upstream.nextFetchAt {
 		return
 	}
 	n.fetchFrom(n.upstream.target)
@@ -149,7 +149,7 @@
 func (n *Node) fetchFrom(target protocol.Member) {
 	up := &n.upstream
 	if up.target.ID != target.ID {
-		n.adoptTarget(target)
+		n.switchTarget(target)
 	}
 	up.counter++
 	up.sentAt = n.now
@@ -160,44 +160,44 @@
 		From:              n.self.ID,
 		Incarnation:       n.self.Incarnation,
 		Counter:           up.counter,
-		KeeperRevision:    n.holding.keepers.Revision,
-		Scope:             n.scopeToFetch(),
+		KeeperRevision:    n.held.keepers.Revision,
+		Scope:             n.fetchScope(),
 		Acknowledgements:  up.sentAcks,
 		MemberCursor:      up.memberCursor,
 		ParentIncarnation: up.incarnation,
 		Wait:              n.config.Timing.FetchWait,
 	}
-	n.addRecords(request)
-	request.Have, request.HaveDigest = n.haveOf(request.Scope)
+	n.addUnreportedRecords(request)
+	request.Have, request.HaveDigest = n.deltaBase(request.Scope)
 	up.sentRelaying = request.Scope.Relay
 	var token Token
 	sentAt := n.now
 	token = n.call(target.ControlAddress, request, n.config.Timing.FetchWait+replySlack, func(reply any) {
 		n.finishFetch(token, target.ID, sentAt, reply)
 	})
-	up.token = token
+	up.fetchToken = token
 }
 
 // deltaBase returns the version and digest from which a delta for the scope starts.
-func (n *Node) haveOf(scope protocol.Scope) (protocol.Version, resource.Digest) {
-	if n.holding.wholeWanted {
+func (n *Node) deltaBase(scope protocol.Scope) (protocol.Version, resource.Digest) {
+	if n.held.needsFullSnapshot {
 		return 0, ""
 	}
 	if scope.Relay {
-		return n.holding.store.Version(), n.holding.store.Digest()
+		return n.held.store.Version(), n.held.store.Digest()
 	}
-	if n.holding.current == nil {
+	if n.held.current == nil {
 		return 0, ""
 	}
-	return n.holding.current.Version, n.holding.current.Digest
+	return n.held.current.Version, n.held.current.Digest
 }
 
 // addUnreportedRecords adds the records that the parent has not received. Until the
 // target has accepted this daemon, the daemon's own record in the request already
 // names it as the parent; a target that does not accept the fetch ignores the record.
-func (n *Node) addRecords(request *protocol.FetchRequest) {
+func (n *Node) addUnreportedRecords(request *protocol.FetchRequest) {
 	up := &n.upstream
-	for _, member := range n.roster.SubtreeSince(up.reported) {
+	for _, member := range n.roster.SubtreeSince(up.reportedCursor) {
 		if member.ID == n.self.ID {
 			request.Self = member
 			continue
@@ -218,36 +218,36 @@
 // finishFetch handles the parent's reply to the fetch with the token.
 func (n *Node) finishFetch(token Token, from protocol.NodeID, sentAt time.Duration, body any) {
 	up := &n.upstream
-	if token != up.token {
+	if token != up.fetchToken {
 		return
 	}
-	up.token = 0
+	up.fetchToken = 0
 	reply, ok := body.(*protocol.FetchReply)
-	if !ok || reply == nil || !knownFormat(reply.Format) {
-		n.fetchFailed(from)
+	if !ok || reply == nil || !isKnownFormat(reply.Format) {
+		n.handleFetchFailure(from)
 		return
 	}
 	switch reply.Code {
 	case result.OK:
-		n.takeReply(sentAt, reply)
+		n.applyFetchReply(sentAt, reply)
 	case result.Overloaded:
-		up.nextAt = n.now + reply.RetryAfter + distribution.Jitter(n.random, idleSpacing)
+		up.nextFetchAt = n.now + reply.RetryAfter + distribution.Jitter(n.random, idleFetchInterval)
 	default:
-		n.fetchRefused(from, reply)
+		n.handleFetchRefusal(from, reply)
 	}
 }
 
 // sendUrgentUpdates sends another fetch while one is held, with acknowledgements or
 // records that the parent should receive at once. The parent ends the held one.
-func (n *Node) sendUrgentNews() {
+func (n *Node) sendUrgentUpdates() {
 	up := &n.upstream
-	if n.root.active || !up.joined || up.token == 0 || n.holding.staged != nil || n.now-up.sentAt < idleSpacing/10 {
+	if n.root.active || !up.joined || up.fetchToken == 0 || n.held.staged != nil || n.now-up.sentAt < idleFetchInterval/10 {
 		return
 	}
 	if !n.acksAreUrgent() && !n.membersAreUrgent() {
 		return
 	}
-	up.urgentAt = n.now
+	up.lastUrgentAt = n.now
 	n.fetchFrom(up.target)
 }
 
@@ -263,12 +263,12 @@
 		return false
 	}
 	lowest, _ := distribution.MinimumVersion(acks)
-	return lowest >= n.holding.store.Version() || n.now-n.upstream.urgentAt >= ackGather
+	return lowest >= n.held.store.Version() || n.now-n.upstream.lastUrgentAt >= ackBatchInterval
 }
 
 func (n *Node) membersAreUrgent() bool {
 	up := &n.upstream
-	if n.roster.Cursor() == up.sentCursor || n.now-up.urgentAt < memberGather {
+	if n.roster.Cursor() == up.sentCursor || n.now-up.lastUrgentAt < memberBatchInterval {
 		return false
 	}
 	if len(n.roster.SubtreeSince(up.sentCursor)) > 0 {
--- a/internal/sim/mutant/configuration.go
+++ b/internal/sim/mutant/configuration.go
@@ -54,8 +54,8 @@
 		New: "	if known := FindOperation(head, change.Request); known != nil && known.Code == result.Held {"},
 
 	{Name: "claim_what_is_released", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "node/root.go",
-		Old: "	claimed := min(holding, n.root.claims.DeclarableVersion(n.now))",
-		New: "	claimed := max(holding, n.holding.store.Version())"},
+		Old: "	candidate := min(confirmed, n.root.releaseTracker.DeclarableVersion(n.now))",
+		New: "	candidate := max(confirmed, n.held.store.Version())"},
 	{Name: "claim_for_all_regions", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "node/regions.go",
 		Old: "		lowest = min(lowest, peer.inForce)",
 		New: "		lowest = max(lowest, peer.inForce)"},
