--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -31,10 +31,10 @@
 	Retry Backoff
 }
 
-// paceParts is the number of parts into which the apply time is divided. One part may
+// applyTimeParts is the number of parts into which the apply time is divided. One part may
 // pass before the next watch starts; the others are left for the store's lag, for
 // propagation between peers, and for putting the version in force.
-const paceParts = 4
+const applyTimeParts = 4
 
 // DefaultApplyTime is the default time within which a version must be in force
 // everywhere.
@@ -47,7 +47,7 @@
 // everywhere within the apply time.
 func ConfigForApplyTime(apply time.Duration) Config {
 	return Config{
-		Pace:      apply / paceParts,
+		Pace:      apply / applyTimeParts,
 		WatchWait: 10 * time.Second,
 		PeerGrace: 150 * time.Millisecond,
 		Retry:     DefaultBackoff(),
@@ -126,12 +126,12 @@
 	adoptedAt time.Duration
 	adopted   bool
 	// fetching holds the peers whose document is being fetched.
-	asking map[protocol.NodeID]bool
+	fetching map[protocol.NodeID]bool
 }
 
 // New returns a follower that holds no document.
 func New(config Config, random func() uint64) *Follower {
-	return &Follower{config: config, random: random, asking: map[protocol.NodeID]bool{}}
+	return &Follower{config: config, random: random, fetching: map[protocol.NodeID]bool{}}
 }
 
 // Version returns the newest version emitted for adoption.
@@ -171,7 +171,7 @@
 	f.failures = 0
 	f.answered = true
 	f.era = reading.At.Era
-	actions := f.offerOfStore(now, reading, SourceStore)
+	actions := f.adoptFromStore(now, reading, SourceStore)
 	if watched && f.IsStale(f.position) {
 		// The answer misses the changes that were written in the new era before it.
 		return append(actions, f.readAgain())
@@ -191,7 +191,7 @@
 		return nil
 	}
 	f.era = reading.At.Era
-	return f.thenRewatch(f.offerOfStore(now, reading, SourcePoll))
+	return f.thenRewatch(f.adoptFromStore(now, reading, SourcePoll))
 }
 
 // IsWatchPending reports whether the watch with the number has not been answered yet.
@@ -227,14 +227,14 @@
 // adoptFromStore adopts a document of the store if it is newer than the one held. A document of the
 // same version also replaces it if the version was lost with an earlier era and rewritten in this one
 // with other content.
-func (f *Follower) offerOfStore(now time.Duration, reading authority.Reading, source string) []Action {
+func (f *Follower) adoptFromStore(now time.Duration, reading authority.Reading, source string) []Action {
 	document := reading.Document
 	again := document.Version != 0 && document.Version == f.Version() && f.documentEra < reading.At.Era
 	if again && !bytes.Equal(document.Body, f.document.Body) {
 		f.documentEra = reading.At.Era
-		return f.handOut(now, document, source)
+		return f.adopt(now, document, source)
 	}
-	actions := f.offer(now, document, source)
+	actions := f.adoptIfNewer(now, document, source)
 	if len(actions) > 0 || again {
 		f.documentEra = reading.At.Era
 	}
@@ -242,15 +242,15 @@
 }
 
 // adoptIfNewer adopts a document if its version is newer than the one held.
-func (f *Follower) offer(now time.Duration, document authority.Document, source string) []Action {
+func (f *Follower) adoptIfNewer(now time.Duration, document authority.Document, source string) []Action {
 	if document.Version <= f.Version() {
 		return nil
 	}
-	return f.handOut(now, document, source)
+	return f.adopt(now, document, source)
 }
 
 // adopt emits the action that puts a document in force.
-func (f *Follower) handOut(now time.Duration, document authority.Document, source string) []Action {
+func (f *Follower) adopt(now time.Duration, document authority.Document, source string) []Action {
 	f.document = document
 	f.adoptedAt = now
 	f.adopted = true
@@ -259,10 +259,10 @@
 
 // HandlePeerVersion handles the version that a peer reports to have in force.
 func (f *Follower) HandlePeerVersion(now time.Duration, peer protocol.NodeID, version protocol.Version) []Action {
-	if version <= f.Version() || f.asking[peer] {
+	if version <= f.Version() || f.fetching[peer] {
 		return nil
 	}
-	f.asking[peer] = true
+	f.fetching[peer] = true
 	grace := f.config.PeerGrace
 	if !f.IsStoreAvailable() {
 		grace = 0
@@ -275,8 +275,8 @@
 
 // HandlePeerDocument handles a peer's document; version 0 means that the peer sent none.
 func (f *Follower) HandlePeerDocument(now time.Duration, peer protocol.NodeID, document authority.Document) []Action {
-	delete(f.asking, peer)
-	return f.thenRewatch(f.offer(now, document, SourcePeer))
+	delete(f.fetching, peer)
+	return f.thenRewatch(f.adoptIfNewer(now, document, SourcePeer))
 }
 
 // backoff returns the delay after the current failure.
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -60,7 +60,7 @@
 		is.Equal(follower.All(), source.All())
 	}
 	is.Equal(len(source.Since(cursor+100)), 23) // a cursor that was never issued requests all records
-	is.Equal(len(follower.SubtreeSince(0)), 0)    // all records are from SourceOutside
+	is.Equal(len(follower.SubtreeSince(0)), 0)  // all records are from SourceOutside
 	follower.MarkUnreported("3")
 	is.Equal(len(follower.SubtreeSince(0)), 1)
 }
--- a/internal/core/membership/rank.go
+++ b/internal/core/membership/rank.go
@@ -43,8 +43,8 @@
 		return cmp.Compare(a.member.ID, b.member.ID)
 	})
 	ranked := make([]protocol.Member, len(list))
-	for i, one := range list {
-		ranked[i] = one.member
+	for i, scoredMember := range list {
+		ranked[i] = scoredMember.member
 	}
 	return ranked
 }
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -21,10 +21,11 @@
 
 // The sources of a record.
 const (
-	// SourceSubtree is this daemon or its subtree: the parent may not know the
-	// record yet.
+	// SourceSubtree marks records that the parent may not know yet: those of this
+	// daemon and its subtree, and of another root of the region.
 	SourceSubtree Source = iota + 1
-	// SourceOutside is the parent, another region, or the reply to a probe.
+	// SourceOutside marks records received from the parent, another region, or in
+	// a reply to a probe.
 	SourceOutside
 )
 
@@ -42,7 +43,7 @@
 	// order holds the entries in ascending order of id.
 	order []*entry
 	// structureRevision is the counter returned by StructureRevision.
-	structure uint64
+	structureRevision uint64
 	// sums holds the sum of the record hashes, by bucket of member ids.
 	sums BucketSums
 }
@@ -64,10 +65,10 @@
 }
 
 type entry struct {
-	member  protocol.Member
-	changed Cursor
-	at      time.Duration
-	source  Source
+	member    protocol.Member
+	changed   Cursor
+	changedAt time.Duration
+	source    Source
 }
 
 type change struct {
@@ -94,11 +95,11 @@
 		r.sums[bucketOf(member.ID)] -= recordHash(known.member)
 	}
 	if !found || structureDiffers(known.member, member) {
-		r.structure++
+		r.structureRevision++
 	}
 	r.sums[bucketOf(member.ID)] += recordHash(member)
 	known.member = member
-	known.at = now
+	known.changedAt = now
 	known.source = source
 	r.logChange(known)
 	return true
@@ -110,7 +111,7 @@
 	r.order = slices.Insert(r.order, at, added)
 }
 
-func compareEntry(one *entry, id protocol.NodeID) int { return cmp.Compare(one.member.ID, id) }
+func compareEntry(known *entry, id protocol.NodeID) int { return cmp.Compare(known.member.ID, id) }
 
 // structureDiffers reports whether two records of a member differ in what determines
 // the counted members or the tree, and not only in the endpoint.
@@ -133,7 +134,7 @@
 
 // StructureRevision returns a counter that grows with each change of the counted
 // members or of what determines the tree.
-func (r *Roster) StructureRevision() uint64 { return r.structure }
+func (r *Roster) StructureRevision() uint64 { return r.structureRevision }
 
 // Sums returns the checksums of all records.
 func (r *Roster) Sums() BucketSums { return r.sums }
@@ -152,13 +153,14 @@
 }
 
 // MergeKeepingChangedAt is Merge for a state that another daemon has assigned to the
-// member, such as suspect. It is no sign of life, so ChangedAt stays unchanged.
+// member, such as suspect. It does not show that the member is live, so ChangedAt
+// stays unchanged.
 func (r *Roster) MergeKeepingChangedAt(now time.Duration, member protocol.Member, source Source) bool {
-	heard := r.ChangedAt(member.ID)
+	changedAt := r.ChangedAt(member.ID)
 	if !r.Merge(now, member, source) {
 		return false
 	}
-	r.entries[member.ID].at = heard
+	r.entries[member.ID].changedAt = changedAt
 	return true
 }
 
@@ -187,10 +189,10 @@
 	if len(r.log) < 2*len(r.entries)+slack {
 		return
 	}
-	r.log = lo.Filter(r.log, func(item change, _ int) bool { return r.current(item) })
+	r.log = lo.Filter(r.log, func(item change, _ int) bool { return r.isCurrent(item) })
 }
 
-func (r *Roster) current(item change) bool {
+func (r *Roster) isCurrent(item change) bool {
 	known, found := r.entries[item.id]
 	return found && known.changed == item.cursor
 }
@@ -207,7 +209,7 @@
 // ChangedAt returns when the member's record last changed in this roster.
 func (r *Roster) ChangedAt(id protocol.NodeID) time.Duration {
 	if known, found := r.entries[id]; found {
-		return known.at
+		return known.changedAt
 	}
 	return 0
 }
@@ -264,7 +266,7 @@
 	})
 	var members []protocol.Member
 	for _, item := range r.log[from:] {
-		if r.current(item) && matches(r.entries[item.id]) {
+		if r.isCurrent(item) && matches(r.entries[item.id]) {
 			members = append(members, r.entries[item.id].member)
 		}
 	}
@@ -275,7 +277,7 @@
 // than TombstoneRetention.
 func (r *Roster) RemoveExpired(now time.Duration) {
 	r.order = slices.DeleteFunc(r.order, func(known *entry) bool {
-		forgotten := !Live(known.member) && now-known.at > TombstoneRetention
+		forgotten := !Live(known.member) && now-known.changedAt > TombstoneRetention
 		if forgotten {
 			delete(r.entries, known.member.ID)
 			r.sums[bucketOf(known.member.ID)] -= recordHash(known.member)
--- a/internal/core/protocol/protocol.go
+++ b/internal/core/protocol/protocol.go
@@ -89,8 +89,8 @@
 // String returns the name of the state.
 func (s EndpointState) String() string { return endpointStateNames[s] }
 
-// BackendStart identifies one run of a back end. Runs under the same name differ in their
-// start time.
+// BackendStart identifies one instance of a back end, that is, one start of its process.
+// Instances with the same name differ in their start time.
 type BackendStart struct {
 	// Instance is the name of the back end.
 	Instance string
@@ -99,7 +99,7 @@
 	Born int64
 }
 
-// String returns a name of the run that is the same on all daemons.
+// String returns a name of the instance that is the same on all daemons.
 func (s BackendStart) String() string {
 	if s.Born == 0 {
 		return s.Instance
@@ -138,11 +138,11 @@
 	// Software is the version of the back end's software; empty if unknown.
 	Software string
 	// Born is the start time that the back end reports, in Unix milliseconds. It
-	// distinguishes two runs under the same name; 0 if the back end reports none.
+	// distinguishes instances with the same name; 0 if the back end reports none.
 	Born int64
 }
 
-// BackendStart returns the identity of the local back end's run.
+// BackendStart identifies the instance of the local back end.
 func (m *Member) BackendStart() BackendStart {
 	return BackendStart{Instance: m.Backend, Born: m.Born}
 }
