--- a/internal/core/node/heldstate.go
+++ b/internal/core/node/heldstate.go
@@ -18,7 +18,7 @@
 	// staged is the snapshot that was passed to the shell and is not confirmed yet.
 	staged   *snapshot.Snapshot
 	stagedAt time.Duration
-	// servingUntil is the end of the serving lease given to the shell.
+	// servingUntil is the end of the serving lease passed to the shell.
 	servingUntil time.Duration
 	// pendingLease becomes the serving lease once its version is in force here.
 	pendingLease lease
