--- a/internal/core/protocol/exchange.go
+++ b/internal/core/protocol/exchange.go
@@ -41,8 +41,8 @@
 	Rollouts []rollout.Record
 	// Evacuations are the evacuated zones as the sender knows them.
 	Evacuations evacuation.SharedOrders
-	// Harmful are the new records of requests that may crash the back ends that run them.
-	// HarmfulSum is the checksum of all such records that the sender knows.
+	// Harmful are the new records of harmful requests, which may end the back-end instances
+	// that run them. HarmfulSum is the checksum of all such records that the sender knows.
 	Harmful    []quarantine.Record
 	HarmfulSum uint64
 }
