--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -19,8 +19,8 @@
 func TestMergeOrder(t *testing.T) {
 	is := is.New(t)
 	steps := []struct {
-		member protocol.Member
-		taken  bool
+		member   protocol.Member
+		replaces bool
 	}{
 		{record("a", 5, 1, protocol.MemberAlive), true},
 		{record("a", 5, 1, protocol.MemberAlive), false},
@@ -34,7 +34,7 @@
 	}
 	roster := membership.NewRoster()
 	for _, step := range steps {
-		is.Equal(roster.Merge(0, step.member, membership.SourceOutside), step.taken)
+		is.Equal(roster.Merge(0, step.member, membership.SourceOutside), step.replaces)
 	}
 	held, found := roster.Get("a")
 	is.True(found)
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -21,8 +21,8 @@
 
 // The sources of a record.
 const (
-	// SourceSubtree marks records that the parent may not know yet: those of this
-	// daemon and its subtree, and of another root of the region.
+	// SourceSubtree marks records that the parent may not know yet, such as those of
+	// this daemon and its subtree.
 	SourceSubtree Source = iota + 1
 	// SourceOutside marks records received from the parent, another region, or in
 	// a reply to a probe.
@@ -38,10 +38,10 @@
 	entries map[protocol.NodeID]*entry
 	// log lists the changes in order. An item is stale once its member has changed
 	// again; stale items are dropped when they outnumber the members.
-	log  []change
-	next Cursor
-	// order holds the entries in ascending order of id.
-	order []*entry
+	log        []change
+	nextCursor Cursor
+	// sorted holds the entries in ascending order of id.
+	sorted []*entry
 	// structureRevision is the counter returned by StructureRevision.
 	structureRevision uint64
 	// sums holds the sum of the record hashes, by bucket of member ids.
@@ -66,7 +66,7 @@
 
 type entry struct {
 	member    protocol.Member
-	changed   Cursor
+	cursor    Cursor
 	changedAt time.Duration
 	source    Source
 }
@@ -78,7 +78,7 @@
 
 // NewRoster returns an empty roster.
 func NewRoster() *Roster {
-	return &Roster{entries: map[protocol.NodeID]*entry{}, next: 1}
+	return &Roster{entries: map[protocol.NodeID]*entry{}, nextCursor: 1}
 }
 
 // Merge merges a record received from source at now and reports whether it was new or
@@ -107,8 +107,8 @@
 
 func (r *Roster) insert(id protocol.NodeID, added *entry) {
 	r.entries[id] = added
-	at, _ := slices.BinarySearchFunc(r.order, id, compareEntry)
-	r.order = slices.Insert(r.order, at, added)
+	at, _ := slices.BinarySearchFunc(r.sorted, id, compareEntry)
+	r.sorted = slices.Insert(r.sorted, at, added)
 }
 
 func compareEntry(known *entry, id protocol.NodeID) int { return cmp.Compare(known.member.ID, id) }
@@ -143,7 +143,7 @@
 // ones.
 func (r *Roster) InDifferingBuckets(sums BucketSums) []protocol.Member {
 	var members []protocol.Member
-	for _, known := range r.order {
+	for _, known := range r.sorted {
 		bucket := bucketOf(known.member.ID)
 		if sums[bucket] != r.sums[bucket] {
 			members = append(members, known.member)
@@ -176,9 +176,9 @@
 }
 
 func (r *Roster) logChange(known *entry) {
-	known.changed = r.next
-	r.log = append(r.log, change{cursor: r.next, id: known.member.ID})
-	r.next++
+	known.cursor = r.nextCursor
+	r.log = append(r.log, change{cursor: r.nextCursor, id: known.member.ID})
+	r.nextCursor++
 	r.compact()
 }
 
@@ -194,7 +194,7 @@
 
 func (r *Roster) isCurrent(item change) bool {
 	known, found := r.entries[item.id]
-	return found && known.changed == item.cursor
+	return found && known.cursor == item.cursor
 }
 
 // Get returns the record of a member.
@@ -216,8 +216,8 @@
 
 // All returns a copy of every record in ascending order of id.
 func (r *Roster) All() []protocol.Member {
-	members := make([]protocol.Member, len(r.order))
-	for i, known := range r.order {
+	members := make([]protocol.Member, len(r.sorted))
+	for i, known := range r.sorted {
 		members[i] = known.member
 	}
 	return members
@@ -226,7 +226,7 @@
 // Each calls visit with every record in ascending order of id. The callback may merge
 // records.
 func (r *Roster) Each(visit func(protocol.Member)) {
-	for _, known := range slices.Clone(r.order) {
+	for _, known := range slices.Clone(r.sorted) {
 		visit(known.member)
 	}
 }
@@ -234,7 +234,7 @@
 // Where returns the records for which matches returns true, in ascending order of id.
 func (r *Roster) Where(matches func(protocol.Member) bool) []protocol.Member {
 	var members []protocol.Member
-	for _, known := range r.order {
+	for _, known := range r.sorted {
 		if matches(known.member) {
 			members = append(members, known.member)
 		}
@@ -243,7 +243,7 @@
 }
 
 // Cursor returns the position of the newest change.
-func (r *Roster) Cursor() Cursor { return r.next - 1 }
+func (r *Roster) Cursor() Cursor { return r.nextCursor - 1 }
 
 // Since returns the records that changed after the cursor, each once and in the order
 // of their changes. For a cursor beyond the newest change, which this roster never
@@ -258,7 +258,7 @@
 }
 
 func (r *Roster) since(cursor Cursor, matches func(*entry) bool) []protocol.Member {
-	if cursor >= r.next {
+	if cursor >= r.nextCursor {
 		cursor = 0
 	}
 	from, _ := slices.BinarySearchFunc(r.log, cursor+1, func(item change, target Cursor) int {
@@ -276,12 +276,12 @@
 // RemoveExpired removes the records of members that have been dead or left for longer
 // than TombstoneRetention.
 func (r *Roster) RemoveExpired(now time.Duration) {
-	r.order = slices.DeleteFunc(r.order, func(known *entry) bool {
-		forgotten := !Live(known.member) && now-known.changedAt > TombstoneRetention
-		if forgotten {
+	r.sorted = slices.DeleteFunc(r.sorted, func(known *entry) bool {
+		expired := !Live(known.member) && now-known.changedAt > TombstoneRetention
+		if expired {
 			delete(r.entries, known.member.ID)
 			r.sums[bucketOf(known.member.ID)] -= recordHash(known.member)
 		}
-		return forgotten
+		return expired
 	})
 }
