--- a/internal/core/following/eras_test.go
+++ b/internal/core/following/eras_test.go
@@ -69,7 +69,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		follower := newFollower()
 		newest, era := protocol.Version(0), uint64(0)
-		take := func(actions []Action) {
+		checkActions := func(actions []Action) {
 			for _, action := range actions {
 				switch {
 				case action.Kind == Adopt && action.Document.Version < newest:
@@ -81,23 +81,23 @@
 				}
 			}
 		}
-		number := func(name string, most int) uint64 { return uint64(rapid.IntRange(0, most).Draw(t, name)) }
+		drawNumber := func(name string, limit int) uint64 { return uint64(rapid.IntRange(0, limit).Draw(t, name)) }
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			read := readingIn(1+number("era", 3), number("revision", 9), protocol.Version(number("version", 9)), "x")
-			switch number("event", 4) {
+			read := readingIn(1+drawNumber("era", 3), drawNumber("revision", 9), protocol.Version(drawNumber("version", 9)), "x")
+			switch drawNumber("event", 4) {
 			case 0:
 				era = max(era, read.At.Era)
-				take(follower.HandleStoreRead(0, read))
+				checkActions(follower.HandleStoreRead(0, read))
 			case 1:
 				era = max(era, read.At.Era)
-				take(follower.HandlePoll(0, read))
+				checkActions(follower.HandlePoll(0, read))
 			case 2:
 				era = max(era, read.At.Era)
 				follower.ObserveEra(read.At.Era)
 			case 3:
-				take(follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted}))
+				checkActions(follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted}))
 			default:
-				take(follower.HandlePeerDocument(0, "p", read.Document))
+				checkActions(follower.HandlePeerDocument(0, "p", read.Document))
 			}
 		}
 	})
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -137,7 +137,7 @@
 // Version returns the newest version emitted for adoption.
 func (f *Follower) Version() protocol.Version { return f.document.Version }
 
-// IsStoreAvailable reports whether the last call to the store succeeded.
+// IsStoreAvailable reports whether the store has answered a read or watch and has not failed since.
 func (f *Follower) IsStoreAvailable() bool { return f.answered && f.failures == 0 }
 
 // Start returns the first action: a read that may lag, since watches and peers supply
@@ -176,12 +176,12 @@
 		// The answer misses the changes that were written in the new era before it.
 		return append(actions, f.readAgain())
 	}
-	pause := max(0, f.watchedAt+f.config.Pace-now)
-	f.watchedAt = now + pause
+	delay := max(0, f.watchedAt+f.config.Pace-now)
+	f.watchedAt = now + delay
 	f.position = position.Max(f.position, reading.At)
 	f.turn++
 	f.watching = true
-	return append(actions, Action{Kind: Watch, From: f.position, Turn: f.turn, After: pause})
+	return append(actions, Action{Kind: Watch, From: f.position, Turn: f.turn, After: delay})
 }
 
 // HandlePoll handles the result of a read made in addition to the watch: a watch may miss a
@@ -229,13 +229,13 @@
 // with other content.
 func (f *Follower) adoptFromStore(now time.Duration, reading authority.Reading, source string) []Action {
 	document := reading.Document
-	again := document.Version != 0 && document.Version == f.Version() && f.documentEra < reading.At.Era
-	if again && !bytes.Equal(document.Body, f.document.Body) {
+	reissued := document.Version != 0 && document.Version == f.Version() && f.documentEra < reading.At.Era
+	if reissued && !bytes.Equal(document.Body, f.document.Body) {
 		f.documentEra = reading.At.Era
 		return f.adopt(now, document, source)
 	}
 	actions := f.adoptIfNewer(now, document, source)
-	if len(actions) > 0 || again {
+	if len(actions) > 0 || reissued {
 		f.documentEra = reading.At.Era
 	}
 	return actions
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -122,7 +122,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		follower := newFollower()
 		newest := protocol.Version(0)
-		take := func(actions []Action) {
+		checkActions := func(actions []Action) {
 			for _, action := range actions {
 				if action.Kind != Adopt {
 					continue
@@ -137,11 +137,11 @@
 			version := protocol.Version(rapid.IntRange(0, 9).Draw(t, "version"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				take(follower.HandleStoreRead(0, reading(version, 1)))
+				checkActions(follower.HandleStoreRead(0, reading(version, 1)))
 			case 1:
-				take(follower.HandlePeerVersion(0, "p", version))
+				checkActions(follower.HandlePeerVersion(0, "p", version))
 			default:
-				take(follower.HandlePeerDocument(0, "p", authority.Document{Version: version}))
+				checkActions(follower.HandlePeerDocument(0, "p", authority.Document{Version: version}))
 			}
 		}
 	})
