--- a/internal/core/renewal/renewal.go
+++ b/internal/core/renewal/renewal.go
@@ -15,27 +15,27 @@
 	// renewed is set by the first renewal; renewedAt is the time of the last.
 	renewed   bool
 	renewedAt time.Duration
-	// due is set from when a renewal is scheduled until it is done.
-	due bool
+	// scheduled is set from when a renewal is scheduled until it is done.
+	scheduled bool
 }
 
 // ReportDead reports a dead connection that was opened at the given time. It returns whether all
 // connections are to be renewed and after what delay. The caller must call MarkRenewed when it has
 // done so.
-func (d *Scheduler) ReportDead(now, opened time.Duration) (wait time.Duration, renew bool) {
-	if d.due || d.renewed && opened < d.renewedAt {
+func (s *Scheduler) ReportDead(now, opened time.Duration) (wait time.Duration, renew bool) {
+	if s.scheduled || s.renewed && opened < s.renewedAt {
 		return 0, false // covered by a scheduled or completed renewal
 	}
-	d.due = true
-	if !d.renewed {
+	s.scheduled = true
+	if !s.renewed {
 		return 0, true
 	}
-	return max(0, d.renewedAt+MinInterval-now), true
+	return max(0, s.renewedAt+MinInterval-now), true
 }
 
 // MarkRenewed records that all connections opened before now have been renewed.
-func (d *Scheduler) MarkRenewed(now time.Duration) {
-	d.renewed = true
-	d.renewedAt = now
-	d.due = false
+func (s *Scheduler) MarkRenewed(now time.Duration) {
+	s.renewed = true
+	s.renewedAt = now
+	s.scheduled = false
 }
