--- a/internal/core/following/backoff.go
+++ b/internal/core/following/backoff.go
@@ -11,7 +11,7 @@
 
 // DefaultBackoff returns the production delays. They are long because a refused call
 // costs the store as much as an accepted one, and a store may refuse a third of the
-// daemons for ten seconds or more; those receive versions from peers meanwhile. After
+// daemons for ten seconds or more; those receive versions from peers until then. After
 // the store has recovered, a daemon may take contact_ms (3 s or more) to follow it
 // again.
 func DefaultBackoff() Backoff {
--- a/internal/core/node/failure_test.go
+++ b/internal/core/node/failure_test.go
@@ -16,7 +16,7 @@
 // TestCrashDelaysInForceUntilFencedOnly guards against a fault: after the crash of one
 // daemon, no version came in force until the daemon was marked dead, 35 s later.
 func TestCrashDelaysInForceUntilFencedOnly(t *testing.T) {
-	c, _, _ := newSettledCluster(t)
+	c, _, _ := newServingCluster(t)
 	crashed := c.anotherThan(c.root())
 	c.stop(crashed)
 	through := c.anotherThan(crashed)
@@ -25,9 +25,9 @@
 	t.Logf("in force %v after a crash", took)
 }
 
-// newSettledCluster returns a cluster of twelve daemons that all serve an accepted
+// newServingCluster returns a cluster of twelve daemons that all serve an accepted
 // file, with keepers that have been running for longer than any lease.
-func newSettledCluster(t *testing.T) (*cluster, []*daemon, protocol.Version) {
+func newServingCluster(t *testing.T) (*cluster, []*daemon, protocol.Version) {
 	c := newCluster(t)
 	if os.Getenv("NODE_LOGS") != "" {
 		c.logLine = func(line string) { t.Log(line) }
@@ -71,7 +71,7 @@
 }
 
 func TestRootDies(t *testing.T) {
-	c, _, _ := newSettledCluster(t)
+	c, _, _ := newServingCluster(t)
 	root := c.root()
 	c.stop(root)
 	through := c.anotherThan(root)
@@ -82,7 +82,7 @@
 }
 
 func TestDaemonIsCutOffAndReturns(t *testing.T) {
-	c, daemons, _ := newSettledCluster(t)
+	c, daemons, _ := newServingCluster(t)
 	isolated := c.anotherThan(c.root())
 	c.isCut = func(from, to string) bool {
 		return from == isolated.config.ControlAddress || to == isolated.config.ControlAddress
@@ -103,7 +103,7 @@
 }
 
 func TestZoneIsLost(t *testing.T) {
-	c, daemons, _ := newSettledCluster(t)
+	c, daemons, _ := newServingCluster(t)
 	for _, d := range daemons {
 		if d.config.Zone == "eros-hall" {
 			c.stop(d)
@@ -117,7 +117,7 @@
 }
 
 func TestPlatformIsDown(t *testing.T) {
-	c, daemons, version := newSettledCluster(t)
+	c, daemons, version := newServingCluster(t)
 	c.platform.down = true
 	c.run(60 * time.Second)
 	c.is.True(c.allServe(version))
@@ -136,7 +136,7 @@
 // TestAllDaemonsRestartAtOnce restarts all daemons at once, first with the platform up,
 // then with the platform down: without a floor no daemon serves.
 func TestAllDaemonsRestartAtOnce(t *testing.T) {
-	c, daemons, version := newSettledCluster(t)
+	c, daemons, version := newServingCluster(t)
 	restart := func() {
 		for _, d := range daemons {
 			c.stop(d)
@@ -192,7 +192,7 @@
 }
 
 func TestCleanLeaveIsNotCounted(t *testing.T) {
-	c, _, _ := newSettledCluster(t)
+	c, _, _ := newServingCluster(t)
 	leaver := c.anotherThan(c.root())
 	c.step(leaver, node.Leave{})
 	c.run(time.Second)
@@ -223,7 +223,7 @@
 // version can be released, and then accepts one: the other daemons continue to serve
 // the released version, and adopt the new one once the keepers have restarted.
 func TestTooFewKeepersForANewVersionStillServeTheOldOne(t *testing.T) {
-	c, daemons, released := newSettledCluster(t)
+	c, daemons, released := newServingCluster(t)
 	root := c.root()
 	head, err := ledger.Decode(c.platform.objects[ledger.HeadObject].Data)
 	c.is.NoErr(err)
@@ -253,12 +253,12 @@
 	c.waitUntil("the new version is in force", 60*time.Second, func() bool { return c.allServe(version) })
 }
 
-// TestAChangeOfKeepersSettlesAtOnce checks that the first growth of a keeper set
-// settles within 2 s. Until then a quorum of the former set is required as well, which
+// TestAChangeOfKeepersIsCompletedAtOnce checks that the first growth of a keeper set is
+// completed within 2 s. Until then a quorum of the former set is required as well, which
 // may be a single daemon whose loss would stop the region.
-func TestAChangeOfKeepersSettlesAtOnce(t *testing.T) {
+func TestAChangeOfKeepersIsCompletedAtOnce(t *testing.T) {
 	c := newCluster(t)
-	var changedAt, settledAt time.Duration
+	var changedAt, completedAt time.Duration
 	c.observe = func(_, _ string, body any) {
 		request, isStore := body.(*protocol.StoreRequest)
 		if !isStore || request.Keepers.Revision == 0 {
@@ -267,11 +267,11 @@
 		switch {
 		case changedAt == 0 && request.Keepers.Previous != nil:
 			changedAt = c.now()
-		case changedAt > 0 && settledAt == 0 && request.Keepers.Previous == nil:
-			settledAt = c.now()
+		case changedAt > 0 && completedAt == 0 && request.Keepers.Previous == nil:
+			completedAt = c.now()
 		}
 	}
 	startTwelve(c)
-	c.waitUntil("the set has grown and settled", 60*time.Second, func() bool { return settledAt > 0 })
-	c.is.True(settledAt-changedAt < 2*time.Second)
+	c.waitUntil("the keeper set has grown and the change is complete", 60*time.Second, func() bool { return completedAt > 0 })
+	c.is.True(completedAt-changedAt < 2*time.Second)
 }
--- a/internal/core/node/release_test.go
+++ b/internal/core/node/release_test.go
@@ -15,7 +15,7 @@
 // the version does not come in force until the confirmation, and status lists that
 // daemon as behind.
 func TestNothingIsAcknowledgedBeforeTheSwap(t *testing.T) {
-	c, _, _ := newSettledCluster(t)
+	c, _, _ := newServingCluster(t)
 	slow := c.anotherThan(c.root())
 	slow.withholdsConfirmations = true
 	through := c.anotherThan(slow)
@@ -34,7 +34,7 @@
 
 // TestStatusCountsByZone checks the counts by zone of members at the newest version.
 func TestStatusCountsByZone(t *testing.T) {
-	c, daemons, version := newSettledCluster(t)
+	c, daemons, version := newServingCluster(t)
 	status := c.status(daemons[5])
 	c.is.Equal(status.Code, result.OK)
 	c.is.Equal(status.Summary.InForce, version)
@@ -52,7 +52,7 @@
 // TestChangesOfFilesThatPreferBytesAreBatched accepts several changes within the
 // batching window of a file: they are distributed as a single version.
 func TestChangesOfFilesThatPreferBytesAreBatched(t *testing.T) {
-	c, daemons, _ := newSettledCluster(t)
+	c, daemons, _ := newServingCluster(t)
 	batchedFile := func(slots int) string {
 		return strings.Replace(shopFile(slots), "name: shop\n", "name: shop\ndistribution: {prefer: bytes, batch_window: 2s}\n", 1)
 	}
--- a/internal/core/node/restart_test.go
+++ b/internal/core/node/restart_test.go
@@ -37,7 +37,7 @@
 func TestRollingRestartKeepsOthersServing(t *testing.T) {
 	for _, planned := range []bool{true, false} {
 		t.Run(fmt.Sprint("planned ", planned), func(t *testing.T) {
-			c, daemons, version := newSettledCluster(t)
+			c, daemons, version := newServingCluster(t)
 			for _, d := range daemons {
 				if planned {
 					c.step(d, node.Leave{})
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -28,13 +28,13 @@
 	batchUntil         time.Duration
 	nextRoundAt        time.Duration
 	nextKeeperChangeAt time.Duration
-	// nextSettleAt is the earliest time of the next attempt to settle a change of the
-	// keeper set.
-	nextSettleAt time.Duration
-	nextProbeAt  time.Duration
-	// confirmedSets holds the keeper set that each keeper has confirmed, so that the
+	// nextCompletionAt is the earliest time of the next attempt to complete a change
+	// of the keeper set, which ends the use of the former set.
+	nextCompletionAt time.Duration
+	nextProbeAt      time.Duration
+	// confirmedKeeperSets holds the keeper set that each keeper has confirmed, so that the
 	// rounds need not send it again.
-	confirmedSets map[protocol.NodeID]confirmedSet
+	confirmedKeeperSets map[protocol.NodeID]confirmedKeeperSet
 	// regionInForce is the version in force in this region.
 	regionInForce protocol.Version
 }
@@ -46,19 +46,19 @@
 	roundInterval = time.Second
 	// keeperTimeout is the timeout of a request of a round.
 	keeperTimeout = time.Second
-	// settleInterval is the least time between attempts to settle a change of the
-	// keeper set.
-	settleInterval = 500 * time.Millisecond
+	// completionInterval is the least time between attempts to complete a change of
+	// the keeper set.
+	completionInterval = 500 * time.Millisecond
 	// keeperChangeInterval is the least time between changes of the keeper set.
 	keeperChangeInterval = 5 * time.Second
 )
 
 func newRoot(config Config) root {
 	return root{
-		releaser:       floor.NewReleaser(config.ID, config.Region),
-		confirmedSets:  map[protocol.NodeID]confirmedSet{},
-		lease:          distribution.NewRootLease(config.Timing.ServingLease),
-		releaseTracker: distribution.NewReleaseTracker(config.Timing.ServingLease),
+		releaser:            floor.NewReleaser(config.ID, config.Region),
+		confirmedKeeperSets: map[protocol.NodeID]confirmedKeeperSet{},
+		lease:               distribution.NewRootLease(config.Timing.ServingLease),
+		releaseTracker:      distribution.NewReleaseTracker(config.Timing.ServingLease),
 	}
 }
 
@@ -83,7 +83,7 @@
 	n.root.lease = distribution.NewRootLease(n.config.Timing.ServingLease)
 	n.root.releaseTracker = distribution.NewReleaseTracker(n.config.Timing.ServingLease)
 	n.root.releaser = floor.NewReleaser(n.config.ID, n.config.Region)
-	n.root.confirmedSets = map[protocol.NodeID]confirmedSet{}
+	n.root.confirmedKeeperSets = map[protocol.NodeID]confirmedKeeperSet{}
 	n.root.target = nil
 	n.root.batch = nil
 	n.root.nextRoundAt = n.now
--- a/internal/core/node/rootkeepers.go
+++ b/internal/core/node/rootkeepers.go
@@ -10,14 +10,14 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// confirmedSet is a keeper set that one incarnation of a keeper has confirmed.
-type confirmedSet struct {
+// confirmedKeeperSet is a keeper set that one incarnation of a keeper has confirmed.
+type confirmedKeeperSet struct {
 	incarnation protocol.Incarnation
 	revision    protocol.Version
 }
 
 // keeperSets returns the keeper sets whose quorums are required: the newest, and the
-// one that it replaces until the change has settled.
+// one that it replaces until the change is complete.
 func (n *Node) keeperSets() []protocol.KeeperSet {
 	if len(n.held.keepers.Members) == 0 {
 		return nil
@@ -57,30 +57,30 @@
 	if member, found := n.roster.Get(keeper.ID); found {
 		address = member.ControlAddress
 	}
-	n.sendStore(address, request, keeperTimeout, func(reply *protocol.StoreReply) { n.recordConfirmedSet(request, reply) })
+	n.sendStore(address, request, keeperTimeout, func(reply *protocol.StoreReply) { n.recordConfirmedKeeperSet(request, reply) })
 }
 
 // keeperSetFor returns the keeper set that a round sends to a keeper: only the
 // region once the keeper has confirmed the newest set.
 func (n *Node) keeperSetFor(keeper protocol.NodeID) protocol.KeeperSet {
-	if n.root.confirmedSets[keeper].revision == n.held.keepers.Revision {
+	if n.root.confirmedKeeperSets[keeper].revision == n.held.keepers.Revision {
 		return protocol.KeeperSet{Region: n.config.Region}
 	}
 	return n.held.keepers
 }
 
-// recordConfirmedSet records the set that a keeper has confirmed, until the keeper
+// recordConfirmedKeeperSet records the set that a keeper has confirmed, until the keeper
 // restarts.
-func (n *Node) recordConfirmedSet(request *protocol.StoreRequest, reply *protocol.StoreReply) {
+func (n *Node) recordConfirmedKeeperSet(request *protocol.StoreRequest, reply *protocol.StoreReply) {
 	if reply == nil || reply.Code != result.OK {
 		return
 	}
 	if revision := request.Keepers.Revision; revision > 0 {
-		n.root.confirmedSets[reply.From] = confirmedSet{incarnation: reply.Incarnation, revision: revision}
+		n.root.confirmedKeeperSets[reply.From] = confirmedKeeperSet{incarnation: reply.Incarnation, revision: revision}
 		return
 	}
-	if n.root.confirmedSets[reply.From].incarnation != reply.Incarnation {
-		delete(n.root.confirmedSets, reply.From)
+	if n.root.confirmedKeeperSets[reply.From].incarnation != reply.Incarnation {
+		delete(n.root.confirmedKeeperSets, reply.From)
 	}
 }
 
@@ -127,14 +127,14 @@
 		return
 	}
 	current, _ := findKeeperSet(catalogue.Keepers, n.config.Region)
-	if n.now < n.root.nextKeeperChangeAt && !n.canSettle(current) {
+	if n.now < n.root.nextKeeperChangeAt && !n.canCompleteKeeperChange(current) {
 		return
 	}
 	if n.held.store.Version() < catalogue.Version && len(n.held.keepers.Members) > 0 {
 		return
 	}
 	n.root.nextKeeperChangeAt = n.now + keeperChangeInterval
-	n.root.nextSettleAt = n.now + settleInterval
+	n.root.nextCompletionAt = n.now + completionInterval
 	members := n.liveInRegion(n.config.Region)
 	chosen, changed := floor.ChooseKeepers(n.config.Region, current, members, n.held.store.Version())
 	if changed {
@@ -142,11 +142,11 @@
 	}
 }
 
-// canSettle reports whether a change of the keeper set can be settled. This is not
-// delayed until nextKeeperChangeAt: until the change is settled, a quorum of the former set is
-// required as well, and too few of its keepers may be left.
-func (n *Node) canSettle(current protocol.KeeperSet) bool {
-	return current.Previous != nil && n.held.store.Version() >= current.Revision && n.now >= n.root.nextSettleAt
+// canCompleteKeeperChange reports whether a change of the keeper set can be completed.
+// Completion is not delayed until nextKeeperChangeAt: until then a quorum of the former
+// set is required as well, and too few of its keepers may be left.
+func (n *Node) canCompleteKeeperChange(current protocol.KeeperSet) bool {
+	return current.Previous != nil && n.held.store.Version() >= current.Revision && n.now >= n.root.nextCompletionAt
 }
 
 // adoptKeepers adopts a newer keeper set of this region.
--- a/internal/core/node/status_test.go
+++ b/internal/core/node/status_test.go
@@ -15,10 +15,10 @@
 // cluster, and checks the status after the daemon's lease has expired, while it is
 // still counted as a member.
 func TestSilentMemberIsNotShownAsHolding(t *testing.T) {
-	_, all, _ := newSettledCluster(t)
+	_, all, _ := newServingCluster(t)
 	for i := range all {
 		is := is.New(t)
-		c, daemons, _ := newSettledCluster(t)
+		c, daemons, _ := newServingCluster(t)
 		root := c.root()
 		crashed := daemons[i]
 		if crashed == root {
@@ -40,7 +40,7 @@
 // is down: status must not show an empty list of files as complete.
 func TestRestartedRootWithoutPlatformReportsNoReader(t *testing.T) {
 	is := is.New(t)
-	c, _, version := newSettledCluster(t)
+	c, _, version := newServingCluster(t)
 	c.platform.down = true
 	const readers = 2
 	for range readers {
@@ -64,7 +64,7 @@
 // before it.
 func TestChangeWithoutPlatformReportsNotRun(t *testing.T) {
 	is := is.New(t)
-	c, daemons, _ := newSettledCluster(t)
+	c, daemons, _ := newServingCluster(t)
 	c.platform.down = true
 	for _, d := range daemons[:3] {
 		answer := c.submit(d, "partner: kameeldoring\nname: shop\n")
--- a/internal/core/protocol/keepers.go
+++ b/internal/core/protocol/keepers.go
@@ -14,7 +14,7 @@
 	Members  []KeeperMember
 	Write    int
 	Read     int
-	// Previous is the set that this one replaces, until the change has settled.
+	// Previous is the set that this one replaces; nil once the change is complete.
 	// Until then, reads and writes need quorums of both sets. Previous.Previous is
 	// always nil.
 	Previous *KeeperSet
--- a/internal/core/protocol/operators.go
+++ b/internal/core/protocol/operators.go
@@ -130,7 +130,7 @@
 	AcceptedAt time.Time
 	InForceAt  time.Time
 	Zones      []ZoneStatus
-	// CutRegions are the regions whose root has not replied lately. They may hold
+	// CutRegions are the regions whose root has not replied recently. They may hold
 	// older versions, so no newer version is declared in force.
 	CutRegions []string
 }
