--- a/internal/core/following/backoff.go
+++ b/internal/core/following/backoff.go
@@ -10,10 +10,10 @@
 }
 
 // DefaultBackoff returns the production delays. They are long because a refused call
-// costs the store as much as an accepted one, and a store may refuse a third of the
-// daemons for ten seconds or more; those receive versions from peers until then. After
-// the store has recovered, a daemon may take contact_ms (3 s or more) to follow it
-// again.
+// costs the store as much as an accepted one, and an overloaded store may refuse a third
+// of the daemons for ten seconds or more. Refused daemons receive versions from peers
+// meanwhile, and once the store has recovered, a daemon is permitted contact_ms (3 s or
+// more) to read from it again.
 func DefaultBackoff() Backoff {
 	return Backoff{Minimum: 100 * time.Millisecond, Maximum: 4 * time.Second}
 }
--- a/internal/core/following/eras_test.go
+++ b/internal/core/following/eras_test.go
@@ -63,9 +63,10 @@
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 890, 7, "b"))), nil)
 }
 
-// TestErasNeverLeadBack checks that no order of store reads, eras and peers' replies leads to the
-// adoption of a lower version, or to a watch from a position of an earlier era than the newest known.
-func TestErasNeverLeadBack(t *testing.T) {
+// TestALaterEraNeverLowersVersionOrWatchPosition checks that no order of store reads, eras and peers'
+// replies leads to the adoption of a lower version, or to a watch from a position of an earlier era
+// than the newest known.
+func TestALaterEraNeverLowersVersionOrWatchPosition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		follower := newFollower()
 		newest, era := protocol.Version(0), uint64(0)
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -1,9 +1,9 @@
 // Package following decides how a daemon follows an external configuration authority:
 // when it reads and watches the store, when it fetches from other daemons, and which
 // version it adopts. It is a pure state machine, stepped with events. The daemon carries
-// out the returned actions, and their results are passed back as events. Invariant: an
-// adopted version is never followed by a lower one, whatever the store, a peer or a late
-// reply reports.
+// out the returned actions, and their results are passed back as events. Invariant: after
+// a version, only a higher one is adopted, or the same one with other content from a later
+// era of the store, whatever the store, a peer or a late reply reports.
 package following
 
 import (
@@ -54,7 +54,7 @@
 	}
 }
 
-// ActionKind is the kind of an action.
+// ActionKind selects the operation that the daemon is to carry out.
 type ActionKind int
 
 // The actions.
@@ -67,8 +67,8 @@
 	FetchFromPeer
 	// Adopt puts Action.Document in force if it can be decoded.
 	Adopt
-	// Rewatch restarts the watch of Action.Turn over a new connection if it is still pending
-	// after Action.After.
+	// Rewatch restarts the watch with the number Action.Turn over a new connection if the
+	// watch is still pending after Action.After.
 	Rewatch
 )
 
@@ -112,12 +112,14 @@
 	// the store held it.
 	document    authority.Document
 	documentEra uint64
-	// turn is the number of the newest watch; watching is set while that is pending.
-	turn     uint64
-	watching bool
-	// failures counts the store's consecutive failures.
+	// watchNumber is the number of the newest watch; watching is set while that watch is
+	// pending.
+	watchNumber uint64
+	watching    bool
+	// failures counts the consecutive reads and watches that failed or returned a position
+	// of an earlier era.
 	failures int
-	// answered is set once the store has answered.
+	// answered is set once a read or watch of the store has succeeded.
 	answered bool
 	// watchedAt is when the newest watch started or is due to start.
 	watchedAt time.Duration
@@ -137,7 +139,8 @@
 // Version returns the newest version emitted for adoption.
 func (f *Follower) Version() protocol.Version { return f.document.Version }
 
-// IsStoreAvailable reports whether the store has answered a read or watch and has not failed since.
+// IsStoreAvailable reports whether the store has answered a read or watch and since then has neither
+// failed nor answered from an earlier era.
 func (f *Follower) IsStoreAvailable() bool { return f.answered && f.failures == 0 }
 
 // Start returns the first action: a read that may lag, since watches and peers supply
@@ -145,7 +148,7 @@
 func (f *Follower) Start() []Action { return []Action{{Kind: Read, Freshness: authority.Lagging}} }
 
 // ObserveEra records an era of the store, which is raised when the store is restored from an
-// older copy. A watch from a position of an earlier era reports no further changes.
+// older copy. A watch from a position of an earlier era may miss changes: see IsStale.
 func (f *Follower) ObserveEra(era uint64) { f.era = max(f.era, era) }
 
 // IsStale reports whether a position is of an earlier era: its revision may be issued again, or
@@ -155,7 +158,7 @@
 // HandleStoreRead handles the result of Read or Watch. A watch may be answered by a replica
 // that lags behind an earlier read; the next watch then starts from the earlier read.
 func (f *Follower) HandleStoreRead(now time.Duration, reading authority.Reading) []Action {
-	watched := f.watching
+	wasWatching := f.watching
 	f.watching = false
 	switch {
 	case reading.Code == result.PlatformCompacted:
@@ -172,16 +175,16 @@
 	f.answered = true
 	f.era = reading.At.Era
 	actions := f.adoptFromStore(now, reading, SourceStore)
-	if watched && f.IsStale(f.position) {
-		// The answer misses the changes that were written in the new era before it.
+	if wasWatching && f.IsStale(f.position) {
+		// The watch did not report the changes between the start of the new era and this answer.
 		return append(actions, f.readAgain())
 	}
 	delay := max(0, f.watchedAt+f.config.Pace-now)
 	f.watchedAt = now + delay
 	f.position = position.Max(f.position, reading.At)
-	f.turn++
+	f.watchNumber++
 	f.watching = true
-	return append(actions, Action{Kind: Watch, From: f.position, Turn: f.turn, After: delay})
+	return append(actions, Action{Kind: Watch, From: f.position, Turn: f.watchNumber, After: delay})
 }
 
 // HandlePoll handles the result of a read made in addition to the watch: a watch may miss a
@@ -195,11 +198,11 @@
 }
 
 // IsWatchPending reports whether the watch with the number has not been answered yet.
-func (f *Follower) IsWatchPending(turn uint64) bool { return f.watching && f.turn == turn }
+func (f *Follower) IsWatchPending(number uint64) bool { return f.watching && f.watchNumber == number }
 
-// readAgain returns a read that replaces changes no longer available to a watch. After a change of
-// era, all daemons read at the same time; the read is then jittered and may lag, which is enough for
-// most of them.
+// readAgain returns the read that is needed when a watch can no longer report all changes. After a
+// change of era, all daemons read at the same time, so the read is delayed by a jitter. It may be
+// answered by a lagging replica, which is recent enough for most daemons.
 func (f *Follower) readAgain() Action {
 	if f.IsStale(f.position) {
 		return Action{Kind: Read, Freshness: authority.Lagging, After: f.jitter()}
@@ -218,15 +221,15 @@
 	if len(actions) == 0 || !f.watching {
 		return actions
 	}
-	return append(actions, Action{Kind: Rewatch, Turn: f.turn, After: f.config.Pace})
+	return append(actions, Action{Kind: Rewatch, Turn: f.watchNumber, After: f.config.Pace})
 }
 
 // IsNewer reports whether a version is newer than every version emitted for adoption.
 func (f *Follower) IsNewer(version protocol.Version) bool { return version > f.Version() }
 
-// adoptFromStore adopts a document of the store if it is newer than the one held. A document of the
-// same version also replaces it if the version was lost with an earlier era and rewritten in this one
-// with other content.
+// adoptFromStore adopts a document of the store if it is newer than the one held. It also adopts
+// a document of the same version with other content from a later era: the restored store had lost the
+// version, and another document was then written under its number.
 func (f *Follower) adoptFromStore(now time.Duration, reading authority.Reading, source string) []Action {
 	document := reading.Document
 	reissued := document.Version != 0 && document.Version == f.Version() && f.documentEra < reading.At.Era
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -41,7 +41,7 @@
 	check.Equal(actions[1].After, time.Duration(0))
 }
 
-func TestABurstOfVersionsCostsOneWatchPerPace(t *testing.T) {
+func TestWatchesStartAtLeastPaceApart(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	follower.HandleStoreRead(time.Minute, reading(1, 1))
@@ -56,11 +56,11 @@
 	follower.HandleStoreRead(0, reading(5, 5))
 	actions := follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted})
 	check.Equal(kinds(actions), []ActionKind{Read})
-	check.Equal(kinds(follower.HandleStoreRead(time.Minute, reading(3, 9))), []ActionKind{Watch}) // the replica lags
+	check.Equal(kinds(follower.HandleStoreRead(time.Minute, reading(3, 9))), []ActionKind{Watch}) // a lower version is not adopted
 	check.Equal(follower.Version(), protocol.Version(5))
 }
 
-func TestFailuresAreRetriedWithGrowingPauses(t *testing.T) {
+func TestFailedReadsAreRetriedWithinTheMaximumDelay(t *testing.T) {
 	check := is.New(t)
 	follower := New(DefaultConfig(), func() uint64 { return 1 << 40 })
 	for range 20 {
@@ -116,8 +116,8 @@
 	check.Equal(follower.HandleStoreRead(2*time.Minute, reading(8, 41))[1].From, at(41))
 }
 
-// TestVersionsNeverGoBack checks that no order of store reads and peers' replies leads to a lower
-// version.
+// TestVersionsNeverGoBack checks that no order of store reads and peers' replies leads to the
+// adoption of a lower version.
 func TestVersionsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		follower := newFollower()
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -37,7 +37,7 @@
 type Roster struct {
 	entries map[protocol.NodeID]*entry
 	// log lists the changes in order. An item is stale once its member has changed
-	// again; stale items are dropped when they outnumber the members.
+	// again; compact drops the stale items once there are many.
 	log        []change
 	nextCursor Cursor
 	// sorted holds the entries in ascending order of id.
@@ -65,8 +65,9 @@
 }
 
 type entry struct {
-	member    protocol.Member
-	cursor    Cursor
+	member protocol.Member
+	cursor Cursor
+	// changedAt is when Merge last replaced the record; MergeKeepingChangedAt keeps it.
 	changedAt time.Duration
 	source    Source
 }
@@ -113,8 +114,8 @@
 
 func compareEntry(known *entry, id protocol.NodeID) int { return cmp.Compare(known.member.ID, id) }
 
-// structureDiffers reports whether two records of a member differ in what determines
-// the counted members or the tree, and not only in the endpoint.
+// structureDiffers reports whether two records of a member differ in a field on
+// which the set of counted members (see Live) or the distribution tree depends.
 func structureDiffers(a, b protocol.Member) bool {
 	return a.Incarnation != b.Incarnation || Live(a) != Live(b) || MayBeParent(a) != MayBeParent(b) || a.Reader != b.Reader || a.Root != b.Root ||
 		a.Zone != b.Zone || a.Region != b.Region || a.ControlAddress != b.ControlAddress
@@ -132,11 +133,11 @@
 
 func bucketOf(id protocol.NodeID) int { return int(xxhash.Sum64String(string(id)) % BucketCount) }
 
-// StructureRevision returns a counter that grows with each change of the counted
-// members or of what determines the tree.
+// StructureRevision returns a counter that grows when a member is added, and with each
+// change of a record for which structureDiffers.
 func (r *Roster) StructureRevision() uint64 { return r.structureRevision }
 
-// Sums returns the checksums of all records.
+// Sums returns the sum of the record hashes for each bucket.
 func (r *Roster) Sums() BucketSums { return r.sums }
 
 // InDifferingBuckets returns the records in the buckets whose sums differ from the given
@@ -153,8 +154,8 @@
 }
 
 // MergeKeepingChangedAt is Merge for a state that another daemon has assigned to the
-// member, such as suspect. It does not show that the member is live, so ChangedAt
-// stays unchanged.
+// member, such as suspect. Such a change does not show that the member is live, so
+// ChangedAt stays unchanged.
 func (r *Roster) MergeKeepingChangedAt(now time.Duration, member protocol.Member, source Source) bool {
 	changedAt := r.ChangedAt(member.ID)
 	if !r.Merge(now, member, source) {
@@ -164,8 +165,9 @@
 	return true
 }
 
-// MarkUnreported marks a record as changed in the subtree, so that it is sent to a new
-// parent.
+// MarkUnreported adds a record to the change log again and sets its source to
+// SourceSubtree, so that SubtreeSince returns it for a new parent although it has not
+// changed.
 func (r *Roster) MarkUnreported(id protocol.NodeID) {
 	known, found := r.entries[id]
 	if !found {
@@ -206,7 +208,8 @@
 	return known.member, true
 }
 
-// ChangedAt returns when the member's record last changed in this roster.
+// ChangedAt returns when Merge last added or replaced the member's record. Changes by
+// MergeKeepingChangedAt do not count.
 func (r *Roster) ChangedAt(id protocol.NodeID) time.Duration {
 	if known, found := r.entries[id]; found {
 		return known.changedAt
--- a/internal/core/node/calls.go
+++ b/internal/core/node/calls.go
@@ -22,9 +22,9 @@
 	return n.calls.lastToken
 }
 
-// call sends a request to another daemon and calls done with the reply, or with
+// callPeer sends a request to another daemon and calls done with the reply, or with
 // nil when none arrived; the request may have taken effect even then.
-func (n *Node) call(address string, body any, timeout time.Duration, done func(reply any)) Token {
+func (n *Node) callPeer(address string, body any, timeout time.Duration, done func(reply any)) Token {
 	token := n.newToken()
 	n.calls.pending[token] = done
 	n.emit(CallPeer{Token: token, Address: address, Body: body, Timeout: timeout})
@@ -53,7 +53,7 @@
 	case *protocol.FetchRequest:
 		n.handleFetch(request.Token, body)
 	case *protocol.StoreRequest:
-		n.answer(request.Token, n.handleStore(body))
+		n.answerPeer(request.Token, n.handleStore(body))
 	case *protocol.FloorRequest:
 		n.handleFloor(request.Token, body)
 	case *protocol.SubmitRequest:
@@ -63,7 +63,7 @@
 	}
 }
 
-func (n *Node) answer(token Token, body any) {
+func (n *Node) answerPeer(token Token, body any) {
 	n.emit(PeerAnswer{Token: token, Body: body})
 }
 
--- a/internal/core/node/chaos_test.go
+++ b/internal/core/node/chaos_test.go
@@ -131,12 +131,12 @@
 	}
 }
 
-func (c *chaos) submitNext(through *daemon) {
-	if !through.running || c.now() < through.pausedUntil {
+func (c *chaos) submitNext(submitter *daemon) {
+	if !submitter.running || c.now() < submitter.pausedUntil {
 		return
 	}
 	c.changes++
-	c.replies = append(c.replies, c.submit(through, shopFile(1+c.changes%50)))
+	c.replies = append(c.replies, c.submit(submitter, shopFile(1+c.changes%50)))
 }
 
 func (c *chaos) heal() {
--- a/internal/core/node/cluster_test.go
+++ b/internal/core/node/cluster_test.go
@@ -59,7 +59,7 @@
 	// swap when set.
 	withholdsConfirmations bool
 	onSwap                 func()
-	// pausedUntil is when a paused daemon resumes.
+	// pausedUntil is when a paused daemon resumes; until then, messages to it wait.
 	pausedUntil time.Duration
 }
 
--- a/internal/core/node/downstream.go
+++ b/internal/core/node/downstream.go
@@ -16,7 +16,7 @@
 // downstream holds the state of this daemon's children.
 type downstream struct {
 	children map[protocol.NodeID]*child
-	// order lists the children in ascending order of id.
+	// sortedIDs lists the ids of the children in ascending order.
 	sortedIDs []protocol.NodeID
 	// acksChanged is set when the aggregated acknowledgements may have changed.
 	acksChanged bool
@@ -25,13 +25,13 @@
 
 // child is a daemon that fetches from this one.
 type child struct {
-	id          protocol.NodeID
-	incarnation protocol.Incarnation
-	counter     uint64
-	scope       protocol.Scope
-	haveVersion protocol.Version
-	haveDigest  resource.Digest
-	acks        []protocol.Acknowledgement
+	id           protocol.NodeID
+	incarnation  protocol.Incarnation
+	fetchCounter uint64
+	scope        protocol.Scope
+	haveVersion  protocol.Version
+	haveDigest   resource.Digest
+	acks         []protocol.Acknowledgement
 	// fetchedAt is when the last fetch arrived.
 	fetchedAt time.Duration
 	// cursor is the position in this daemon's change log up to which the child
@@ -41,9 +41,9 @@
 	// rosterSums are the checksums of the child's roster by bucket. Without a
 	// cursor they show which records the child is missing.
 	rosterSums []uint64
-	// joinedAt is the position in the change log just after the child's record
-	// was added.
-	joinedAt membership.Cursor
+	// joinCursor is the position in this daemon's change log just after the child's
+	// record was added.
+	joinCursor membership.Cursor
 	// leaseGranted is set once this daemon has granted a lease to the child since
 	// it joined.
 	leaseGranted bool
@@ -52,7 +52,7 @@
 	maxHold   time.Duration
 }
 
-// The bounds of the downstream side.
+// The limits on the children and on the replies to them.
 const (
 	// A root accepts children up to these multiples of the fan-out: leaves up to
 	// the first, relays up to the second, readers and daemons with a subtree up
@@ -85,7 +85,7 @@
 // a reply is due.
 func (n *Node) handleFetch(token Token, request *protocol.FetchRequest) {
 	if !isKnownFormat(request.Format) {
-		n.answer(token, newRefusal(result.UnknownFormat, n.config.Timing.DeadAfter))
+		n.answerPeer(token, newRefusal(result.UnknownFormat, n.config.Timing.DeadAfter))
 		return
 	}
 	if code := n.checkChild(request); code != result.OK {
@@ -93,8 +93,8 @@
 		return
 	}
 	sender, found := n.downstream.children[request.From]
-	if found && sender.incarnation == request.Incarnation && request.Counter <= sender.counter {
-		n.answer(token, newRefusal(result.Overloaded, idleFetchInterval))
+	if found && sender.incarnation == request.Incarnation && request.Counter <= sender.fetchCounter {
+		n.answerPeer(token, newRefusal(result.Overloaded, idleFetchInterval))
 		return
 	}
 	if !found || sender.incarnation != request.Incarnation {
@@ -112,7 +112,7 @@
 // relays; leaves are accepted by a root or by a relay directly below one. The tree
 // therefore has at most three levels.
 func (n *Node) checkChild(request *protocol.FetchRequest) result.Code {
-	if _, known := n.floor(); !known || n.held.store.Version() == 0 {
+	if _, known := n.floor(); !known || n.local.store.Version() == 0 {
 		if n.root.active {
 			return result.NotReadyYet
 		}
@@ -151,8 +151,8 @@
 
 // isCurrentFetch reports whether the first fetch of a new child is current. A late
 // duplicate, sent by an earlier incarnation or before the sender switched to
-// another parent, is not: counting the sender here as well as there would delay
-// the in-force version.
+// another parent, is not: a sender that is counted below two parents would
+// delay the in-force version.
 func (n *Node) isCurrentFetch(request *protocol.FetchRequest) bool {
 	if request.Self.ID != request.From || request.Self.Parent != n.self.ID {
 		return false
@@ -172,7 +172,7 @@
 	added := &child{id: request.From, incarnation: request.Incarnation}
 	n.downstream.children[request.From] = added
 	n.mergeMember(request.Self, membership.SourceSubtree)
-	added.joinedAt = n.roster.Cursor()
+	added.joinCursor = n.roster.Cursor()
 	return added
 }
 
@@ -182,12 +182,12 @@
 	if sender.heldToken == 0 {
 		return
 	}
-	n.answer(sender.heldToken, &protocol.FetchReply{Format: protocol.Format, Code: result.OK, Incarnation: n.self.Incarnation})
+	n.answerPeer(sender.heldToken, &protocol.FetchReply{Format: protocol.Format, Code: result.OK, Incarnation: n.self.Incarnation})
 	sender.heldToken = 0
 }
 
 func (n *Node) recordFetch(sender *child, token Token, request *protocol.FetchRequest) {
-	sender.counter = request.Counter
+	sender.fetchCounter = request.Counter
 	sender.scope = request.Scope
 	sender.haveVersion = request.Have
 	sender.haveDigest = request.HaveDigest
@@ -254,7 +254,7 @@
 }
 
 // sweepChildren marks the acknowledgements as changed when a child's lease has
-// expired since the last sweeps.
+// expired within the last two sweep intervals.
 func (n *Node) sweepChildren() {
 	expiry := withClockMargin(n.config.Timing.ServingLease)
 	for _, id := range n.downstream.sortedIDs {
@@ -280,7 +280,7 @@
 	switch {
 	case n.leaving, sender.cursor == 0, heldFor >= sender.maxHold:
 		return true
-	case n.held.store.Version() > sender.haveVersion:
+	case n.local.store.Version() > sender.haveVersion:
 		return true
 	case !sender.leaseGranted && n.canGrantLease(sender):
 		return true
@@ -293,8 +293,8 @@
 // have reached the root: the root then waits for the child before it declares a
 // version in force, even if this daemon crashes.
 func (n *Node) canGrantLease(holder *child) bool {
-	reported := n.root.active || (n.upstream.joined && n.upstream.reportedCursor >= holder.joinedAt)
-	return reported && n.held.grantUntil > n.now
+	reported := n.root.active || (n.upstream.joined && n.upstream.reportedCursor >= holder.joinCursor)
+	return reported && n.local.grantUntil > n.now
 }
 
 // answerFetch answers a held fetch.
@@ -302,15 +302,15 @@
 	token := sender.heldToken
 	sender.heldToken = 0
 	if n.leaving {
-		n.answer(token, n.leavingReply(sender))
+		n.answerPeer(token, n.leavingReply(sender))
 		return
 	}
-	store := n.held.store
+	store := n.local.store
 	reply := &protocol.FetchReply{
 		Format:       protocol.Format,
 		Code:         result.OK,
 		Released:     store.Version(),
-		InForce:      n.held.inForce,
+		InForce:      n.local.inForce,
 		Incarnation:  n.self.Incarnation,
 		Members:      n.membersToSend(sender),
 		MemberCursor: n.roster.Cursor(),
@@ -318,18 +318,18 @@
 	if store.Version() > sender.haveVersion {
 		reply.Delta = store.Delta(sender.scope, sender.haveVersion, sender.haveDigest)
 		if wait, admitted := n.admitDelta(reply.Delta); !admitted {
-			n.answer(token, newRefusal(result.Overloaded, wait))
+			n.answerPeer(token, newRefusal(result.Overloaded, wait))
 			return
 		}
 	}
-	if sender.keeperRevision < n.held.keepers.Revision {
-		reply.Keepers = n.held.keepers
+	if sender.keeperRevision < n.local.keepers.Revision {
+		reply.Keepers = n.local.keepers
 	}
 	if sender.cursor == 0 || store.Version() > sender.haveVersion {
 		reply.Regions = n.allRegions()
 	}
 	reply.LeaseRemaining = n.grantLease(sender)
-	n.answer(token, reply)
+	n.answerPeer(token, reply)
 }
 
 // membersToSend returns the records that a child is missing: those that changed
@@ -359,6 +359,6 @@
 		return 0
 	}
 	holder.leaseGranted = true
-	remaining := min(n.config.Timing.ServingLease, n.held.grantUntil-n.now)
+	remaining := min(n.config.Timing.ServingLease, n.local.grantUntil-n.now)
 	return remaining + n.now - holder.fetchedAt
 }
--- a/internal/core/node/failure_test.go
+++ b/internal/core/node/failure_test.go
@@ -13,16 +13,16 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// TestCrashDelaysInForceUntilFencedOnly guards against a fault: after the crash of one
-// daemon, no version came in force until the daemon was marked dead, 35 s later.
-func TestCrashDelaysInForceUntilFencedOnly(t *testing.T) {
+// TestAfterACrashAVersionIsInForceOnceFenced guards against a fault: after the crash of
+// one daemon, no version came in force until the daemon was marked dead, 35 s later.
+func TestAfterACrashAVersionIsInForceOnceFenced(t *testing.T) {
 	c, _, _ := newServingCluster(t)
-	crashed := c.anotherThan(c.root())
+	crashed := c.runningExcept(c.root())
 	c.stop(crashed)
-	through := c.anotherThan(crashed)
-	version := c.submitAccepted(through, 7)
-	took := c.waitInForce(through, version, 12*time.Second)
-	t.Logf("in force %v after a crash", took)
+	submitter := c.runningExcept(crashed)
+	version := c.submitAccepted(submitter, 7)
+	elapsed := c.waitInForce(submitter, version, 12*time.Second)
+	t.Logf("in force %v after a crash", elapsed)
 }
 
 // newServingCluster returns a cluster of twelve daemons that all serve an accepted
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// anotherThan returns a running daemon that is not among the excluded ones.
-func (c *cluster) anotherThan(excluded ...*daemon) *daemon {
+// runningExcept returns a running daemon that is not among the excluded ones.
+func (c *cluster) runningExcept(excluded ...*daemon) *daemon {
 	for i := range len(c.daemons) {
 		d := c.daemons[fmt.Sprintf("addr-d%02d", i)]
 		isExcluded := !d.running
@@ -74,32 +74,32 @@
 	c, _, _ := newServingCluster(t)
 	root := c.root()
 	c.stop(root)
-	through := c.anotherThan(root)
-	version := c.submitAccepted(through, 7)
-	held := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	took := c.waitInForce(through, version, 60*time.Second)
-	t.Logf("served everywhere after %v, in force after another %v", held, took)
+	submitter := c.runningExcept(root)
+	version := c.submitAccepted(submitter, 7)
+	servedAfter := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	elapsed := c.waitInForce(submitter, version, 60*time.Second)
+	t.Logf("served everywhere after %v, in force after another %v", servedAfter, elapsed)
 }
 
 func TestDaemonIsCutOffAndReturns(t *testing.T) {
 	c, daemons, _ := newServingCluster(t)
-	isolated := c.anotherThan(c.root())
+	isolated := c.runningExcept(c.root())
 	c.isCut = func(from, to string) bool {
 		return from == isolated.config.ControlAddress || to == isolated.config.ControlAddress
 	}
-	through := c.anotherThan(isolated)
-	version := c.submitAccepted(through, 7)
+	submitter := c.runningExcept(isolated)
+	version := c.submitAccepted(submitter, 7)
 	c.run(time.Second)
-	if c.status(through).Summary.InForce >= version {
+	if c.status(submitter).Summary.InForce >= version {
 		c.is.Fail() // one daemon may still serve the older version
 	}
 	c.run(15 * time.Second)
 	c.is.True(!c.serving(isolated)) // its lease has expired
-	c.waitInForce(through, version, 60*time.Second)
+	c.waitInForce(submitter, version, 60*time.Second)
 	c.isCut = func(string, string) bool { return false }
 	c.waitUntil("all serve", 20*time.Second, func() bool { return c.allServe(version) })
 	version = c.submitAccepted(daemons[3], 8)
-	c.waitInForce(through, version, 10*time.Second)
+	c.waitInForce(submitter, version, 10*time.Second)
 }
 
 func TestZoneIsLost(t *testing.T) {
@@ -109,11 +109,11 @@
 			c.stop(d)
 		}
 	}
-	through := c.anotherThan()
-	version := c.submitAccepted(through, 7)
-	held := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	took := c.waitInForce(through, version, 90*time.Second)
-	t.Logf("served everywhere after %v, in force after another %v", held, took)
+	submitter := c.runningExcept()
+	version := c.submitAccepted(submitter, 7)
+	servedAfter := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	elapsed := c.waitInForce(submitter, version, 90*time.Second)
+	t.Logf("served everywhere after %v, in force after another %v", servedAfter, elapsed)
 }
 
 func TestPlatformIsDown(t *testing.T) {
@@ -128,9 +128,9 @@
 	c.stop(root)
 	c.waitUntil("another root serves", 30*time.Second, func() bool { return c.allServe(version) })
 	c.platform.down = false
-	version = c.submitAccepted(c.anotherThan(root), 7)
+	version = c.submitAccepted(c.runningExcept(root), 7)
 	c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	c.waitInForce(c.anotherThan(root), version, 60*time.Second)
+	c.waitInForce(c.runningExcept(root), version, 60*time.Second)
 }
 
 // TestAllDaemonsRestartAtOnce restarts all daemons at once, first with the platform up,
@@ -147,8 +147,8 @@
 		}
 	}
 	restart()
-	took := c.waitUntil("all serve", 60*time.Second, func() bool { return c.allServe(version) })
-	t.Logf("all daemons serve %v after the restart", took)
+	elapsed := c.waitUntil("all serve", 60*time.Second, func() bool { return c.allServe(version) })
+	t.Logf("all daemons serve %v after the restart", elapsed)
 	c.platform.down = true
 	restart()
 	c.run(30 * time.Second)
@@ -173,36 +173,36 @@
 	}
 	c.waitUntil("all serve", 40*time.Second, func() bool { return c.allServe(1) })
 	c.run(30 * time.Second)
-	through := c.anotherThan()
-	version := c.submitAccepted(through, 6)
-	took := c.waitInForce(through, version, 10*time.Second)
-	t.Logf("in force in both regions after %v", took)
-	c.waitUntil("all members known", 10*time.Second, func() bool { return len(through.members) == 8 })
+	submitter := c.runningExcept()
+	version := c.submitAccepted(submitter, 6)
+	elapsed := c.waitInForce(submitter, version, 10*time.Second)
+	t.Logf("in force in both regions after %v", elapsed)
+	c.waitUntil("all members known", 10*time.Second, func() bool { return len(submitter.members) == 8 })
 
 	c.isCut = func(from, to string) bool { return c.daemons[from].config.Region != c.daemons[to].config.Region }
-	version = c.submitAccepted(through, 7)
+	version = c.submitAccepted(submitter, 7)
 	c.waitUntil("each region holds it", 10*time.Second, func() bool { return c.allServe(version) })
 	c.run(40 * time.Second)
-	summary := c.status(through).Summary
+	summary := c.status(submitter).Summary
 	c.is.True(summary.InForce < version) // the other region has not reported it
 	c.is.Equal(summary.CutRegions, []string{"accra"})
 	c.isCut = func(string, string) bool { return false }
-	took = c.waitInForce(through, version, 10*time.Second)
-	t.Logf("in force %v after the regions were joined", took)
+	elapsed = c.waitInForce(submitter, version, 10*time.Second)
+	t.Logf("in force %v after the regions were joined", elapsed)
 }
 
 func TestCleanLeaveIsNotCounted(t *testing.T) {
 	c, _, _ := newServingCluster(t)
-	leaver := c.anotherThan(c.root())
+	leaver := c.runningExcept(c.root())
 	c.step(leaver, node.Leave{})
 	c.run(time.Second)
 	c.step(leaver, node.Stopped{})
 	c.run(500 * time.Millisecond)
 	c.stop(leaver)
-	through := c.anotherThan(leaver)
-	version := c.submitAccepted(through, 7)
-	took := c.waitInForce(through, version, 5*time.Second)
-	t.Logf("in force after %v without the one that left", took)
+	submitter := c.runningExcept(leaver)
+	version := c.submitAccepted(submitter, 7)
+	elapsed := c.waitInForce(submitter, version, 5*time.Second)
+	t.Logf("in force after %v without the one that left", elapsed)
 }
 
 // TestStepsAreDeterministic runs the same cluster twice and compares the logs.
@@ -219,10 +219,10 @@
 	is.Equal(logs[0], logs[1])
 }
 
-// TestTooFewKeepersForANewVersionStillServeTheOldOne crashes so many keepers that no
+// TestTheReleasedVersionIsServedWhileTooFewKeepersRun crashes so many keepers that no
 // version can be released, and then accepts one: the other daemons continue to serve
 // the released version, and adopt the new one once the keepers have restarted.
-func TestTooFewKeepersForANewVersionStillServeTheOldOne(t *testing.T) {
+func TestTheReleasedVersionIsServedWhileTooFewKeepersRun(t *testing.T) {
 	c, daemons, released := newServingCluster(t)
 	root := c.root()
 	head, err := ledger.Decode(c.platform.objects[ledger.HeadObject].Data)
@@ -237,7 +237,7 @@
 		}
 	}
 	c.run(3 * time.Second)
-	version := c.submitAccepted(c.anotherThan(crashed...), 7)
+	version := c.submitAccepted(c.runningExcept(crashed...), 7)
 	c.run(20 * time.Second)
 	for _, d := range daemons {
 		if d.running && !c.serving(d) {
--- a/internal/core/node/heldstate.go
+++ b/internal/core/node/localstate.go
@@ -8,10 +8,10 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// heldState holds the daemon's snapshots, the released resources that it relays,
+// localState holds the daemon's snapshots, the released resources that it relays,
 // and its leases.
-type heldState struct {
-	// store holds all released resources; used by relays and roots.
+type localState struct {
+	// store holds all released resources. Only a daemon that isRelaying fills it.
 	store *snapshot.Store
 	// current is the snapshot in force on this daemon; nil before the first.
 	current *snapshot.Snapshot
@@ -25,7 +25,7 @@
 	// grantUntil is the latest end of a lease that may be granted to children for
 	// the store's version.
 	grantUntil time.Duration
-	// inForce is the newest version known to be in force everywhere.
+	// inForce is the newest version known to be in force in all regions.
 	inForce protocol.Version
 	keepers protocol.KeeperSet
 	// needsFullSnapshot is set after a delta could not be applied.
@@ -38,45 +38,45 @@
 	version protocol.Version
 }
 
-func newHeldState() heldState {
-	return heldState{store: snapshot.NewStore()}
+func newLocalState() localState {
+	return localState{store: snapshot.NewStore()}
 }
 
 // currentVersion returns the version in force on this daemon; 0 for none.
 func (n *Node) currentVersion() protocol.Version {
-	if n.held.current == nil {
+	if n.local.current == nil {
 		return 0
 	}
-	return n.held.current.Version
+	return n.local.current.Version
 }
 
 // stage passes a snapshot to the shell to be swapped in.
 //
-// Invariant (I1): the version of a staged snapshot is not below the floor, and is
-// above every version that is or may be in force here. Only one snapshot is staged
+// Invariant (I1): the version of a staged snapshot is at least the floor and higher
+// than every version that is or may be in force here. Only one snapshot is staged
 // at a time, so that the shell's confirmation is unambiguous.
 func (n *Node) stage(next *snapshot.Snapshot) {
 	floorVersion, known := n.floor()
-	if !known || next.Version < floorVersion || n.held.staged != nil || next.Version <= n.currentVersion() {
+	if !known || next.Version < floorVersion || n.local.staged != nil || next.Version <= n.currentVersion() {
 		return
 	}
-	n.held.staged = next
-	n.held.stagedAt = n.now
+	n.local.staged = next
+	n.local.stagedAt = n.now
 	n.emit(SwapSnapshot{Snapshot: next})
 }
 
 // handleSnapshotInForce handles the shell's confirmation of a swap. Only now is the
 // version acknowledged to the parent.
 func (n *Node) handleSnapshotInForce(version protocol.Version) {
-	staged := n.held.staged
+	staged := n.local.staged
 	if staged == nil || staged.Version != version {
 		return
 	}
-	n.held.current = staged
-	n.held.staged = nil
+	n.local.current = staged
+	n.local.staged = nil
 	n.downstream.acksChanged = true
 	n.log("snapshot_in_force", LogField{Key: "version", Value: strconv.FormatUint(uint64(version), 10)})
-	n.extendServingLease(n.held.pendingLease)
+	n.extendServingLease(n.local.pendingLease)
 	n.stageFromStore()
 	n.upstream.nextFetchAt = n.now
 	n.fetchIfDue()
@@ -85,12 +85,12 @@
 // stageFromStore stages the newest released version, restricted to this daemon's
 // own scope.
 func (n *Node) stageFromStore() {
-	newest := n.held.store.Newest()
-	if newest == nil || newest.Version <= n.currentVersion() || n.held.staged != nil {
+	newest := n.local.store.Newest()
+	if newest == nil || newest.Version <= n.currentVersion() || n.local.staged != nil {
 		return
 	}
-	selected := n.held.store.Select(n.config.Scope)
-	current := n.held.current
+	selected := n.local.store.Select(n.config.Scope)
+	current := n.local.current
 	if current != nil && current.Digest == snapshot.DigestOf(selected) {
 		n.stage(current.WithVersion(newest.Version))
 		return
@@ -109,17 +109,17 @@
 // version is in force here. A daemon that cannot apply the version thus stops
 // serving when its older lease expires.
 func (n *Node) extendServingLease(granted lease) {
-	if granted.until <= n.held.servingUntil {
+	if granted.until <= n.local.servingUntil {
 		return
 	}
 	floorVersion, known := n.floor()
 	if !known || n.currentVersion() == 0 || n.currentVersion() < granted.version || n.currentVersion() < floorVersion {
-		if granted.until > n.held.pendingLease.until {
-			n.held.pendingLease = granted
+		if granted.until > n.local.pendingLease.until {
+			n.local.pendingLease = granted
 		}
 		return
 	}
-	n.held.servingUntil = granted.until
+	n.local.servingUntil = granted.until
 	n.emit(ExtendServingLease{Until: granted.until})
 }
 
--- a/internal/core/node/massrestart_test.go
+++ b/internal/core/node/massrestart_test.go
@@ -8,8 +8,8 @@
 
 // TestHundredsOfDaemonsRestartAtOnce guards against a fault: after all daemons of a
 // region had restarted at once, some that ranked as relays by their incomplete rosters
-// kept asking a full root to accept them as relays; the last daemon served after
-// 103 s.
+// repeatedly sent fetches as relays to a root that accepted no more; the last daemon
+// served after 103 s.
 func TestHundredsOfDaemonsRestartAtOnce(t *testing.T) {
 	const (
 		size  = 500
@@ -30,6 +30,6 @@
 	}
 	c.run(time.Second)
 	start()
-	took := c.waitUntil("all serve again", 30*time.Second, func() bool { return c.allServe(1) })
-	t.Logf("%d daemons serve %v after the restart", size, took)
+	elapsed := c.waitUntil("all serve again", 30*time.Second, func() bool { return c.allServe(1) })
+	t.Logf("%d daemons serve %v after the restart", size, elapsed)
 }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -29,7 +29,7 @@
 	roster          *membership.Roster
 	view            rosterView
 	start           start
-	held            heldState
+	local           localState
 	upstream        upstream
 	downstream      downstream
 	root            root
@@ -77,7 +77,7 @@
 	}
 	node.calls = newCallTable()
 	node.start = newStart(config, random.Uint64())
-	node.held = newHeldState()
+	node.local = newLocalState()
 	node.downstream = newDownstream()
 	node.root = newRoot(config)
 	node.regions = newRegions()
@@ -188,8 +188,8 @@
 	treeAt       time.Duration
 	treeRevision uint64
 	expected     distribution.ExpectedMembers
-	// expectedRevision is the roster revision from which expected was computed; 0
-	// before the first.
+	// expectedRevision is the roster's StructureRevision from which expected was
+	// computed; 0 before the first computation.
 	expectedRevision uint64
 }
 
@@ -208,9 +208,9 @@
 	return n.view.tree
 }
 
-// expected returns the members that must hold a version before it is in force. It
+// expectedMembers returns the members that must hold a version before it is in force. It
 // always reflects the current roster.
-func (n *Node) expected() distribution.ExpectedMembers {
+func (n *Node) expectedMembers() distribution.ExpectedMembers {
 	if n.view.expectedRevision != n.roster.StructureRevision() {
 		n.view.expected = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
 		n.view.expectedRevision = n.roster.StructureRevision()
--- a/internal/core/node/node_test.go
+++ b/internal/core/node/node_test.go
@@ -73,8 +73,8 @@
 	c.waitUntil("all serve", 40*time.Second, func() bool { return c.allServe(1) })
 	c.run(20 * time.Second)
 	version := c.submitAccepted(daemons[7], 6)
-	took := c.waitInForce(daemons[9], version, 5*time.Second)
-	t.Logf("in force after %v", took)
+	elapsed := c.waitInForce(daemons[9], version, 5*time.Second)
+	t.Logf("in force after %v", elapsed)
 	c.run(30 * time.Second)
 	c.is.True(c.allServe(version))
 }
--- a/internal/core/node/operators.go
+++ b/internal/core/node/operators.go
@@ -15,10 +15,11 @@
 	changes []*change
 }
 
-// change is an operator's change. Its operation id makes it idempotent, so a lost
-// answer is followed by another attempt under the same id.
+// change is an operator's change. Its operation id makes it idempotent, so an
+// attempt that received no answer is repeated under the same id.
 type change struct {
-	token    Token
+	token Token
+	// request is nil once the operator has been answered.
 	request  *protocol.SubmitRequest
 	deadline time.Duration
 	// outcomeUnknown is set once an attempt may have taken effect without a
@@ -75,7 +76,7 @@
 	n.operators.changes = lo.Reject(n.operators.changes, func(pending *change, _ int) bool { return pending.request == nil })
 }
 
-// attemptChange submits a change to this daemon's own reader, if it holds the
+// attemptChange submits a change to this daemon's own reader, if it holds a reader
 // lease, or else to the next known reader.
 func (n *Node) attemptChange(pending *change) {
 	if n.readerSide.reader.IsReader() {
@@ -94,7 +95,7 @@
 	target := readers[pending.attempts%len(readers)]
 	pending.attempts++
 	pending.inFlight = true
-	n.call(target.ControlAddress, pending.request, attemptTimeout, func(body any) {
+	n.callPeer(target.ControlAddress, pending.request, attemptTimeout, func(body any) {
 		reply, _ := body.(*protocol.SubmitReply)
 		n.handleChangeReply(pending, reply)
 	})
@@ -158,13 +159,13 @@
 // handlePeerSubmit submits a change that another daemon forwards.
 func (n *Node) handlePeerSubmit(token Token, request *protocol.SubmitRequest) {
 	if !isKnownFormat(request.Format) {
-		n.answer(token, &protocol.SubmitReply{Code: result.UnknownFormat})
+		n.answerPeer(token, &protocol.SubmitReply{Code: result.UnknownFormat})
 		return
 	}
 	if !n.readerSide.reader.IsReader() {
-		n.answer(token, &protocol.SubmitReply{Code: result.NoReader})
+		n.answerPeer(token, &protocol.SubmitReply{Code: result.NoReader})
 		return
 	}
 	n.setWallClock(request.SentAt)
-	n.submit(request.SentAt, request, func(reply *protocol.SubmitReply) { n.answer(token, reply) })
+	n.submit(request.SentAt, request, func(reply *protocol.SubmitReply) { n.answerPeer(token, reply) })
 }
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -46,10 +46,10 @@
 	return n.bestCandidate()
 }
 
-// bestCandidate returns the first candidate that is not avoided, or this daemon
-// itself, to become root, when none that ranks before it can be reached. If one of
-// those answers that it is not a root yet, this daemon waits for it to become root
-// for up to betterRootTimeout.
+// bestCandidate returns the first candidate that is not avoided. If all candidates that
+// rank before this daemon are avoided, it returns this daemon itself, which then becomes
+// root. If a better-ranked candidate has answered that it accepts no children yet, this
+// daemon first waits for up to betterRootTimeout for that candidate to become root.
 func (n *Node) bestCandidate() (protocol.Member, bool) {
 	betterRefused := false
 	for _, candidate := range n.parentCandidates() {
@@ -62,7 +62,7 @@
 		if !n.isAvoided(candidate.ID) {
 			return candidate, true
 		}
-		betterRefused = betterRefused || n.upstream.avoided[candidate.ID].refused
+		betterRefused = betterRefused || n.upstream.avoided[candidate.ID].lastRefused
 	}
 	return protocol.Member{}, false
 }
@@ -79,15 +79,17 @@
 	return member.Incarnation
 }
 
+// avoidFor excludes a daemon as a parent for the period. refused is true when the daemon
+// refused a fetch, and false when its reply was missing or it no longer extends the lease.
 func (n *Node) avoidFor(id protocol.NodeID, period time.Duration, refused bool) {
 	if n.upstream.avoided == nil {
 		n.upstream.avoided = map[protocol.NodeID]avoidance{}
 	}
-	refusals := n.upstream.avoided[id].refusals
+	refusalCount := n.upstream.avoided[id].refusalCount
 	if refused {
-		refusals++
+		refusalCount++
 	}
-	n.upstream.avoided[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), refused: refused, refusals: refusals}
+	n.upstream.avoided[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), lastRefused: refused, refusalCount: refusalCount}
 }
 
 // avoidance excludes one incarnation of a daemon as a parent for a limited time. A
@@ -95,10 +97,12 @@
 type avoidance struct {
 	until       time.Duration
 	incarnation protocol.Incarnation
-	// refusals counts the daemon's refusals since this daemon last joined a parent.
-	refusals int
-	// refused is set when the daemon answered, but did not accept a child.
-	refused bool
+	// refusalCount is the number of refusals by the daemon since this one last joined a
+	// parent.
+	refusalCount int
+	// lastRefused is set when the daemon answered the last fetch with AskAnother or
+	// NotReadyYet.
+	lastRefused bool
 }
 
 // reconsiderParent tries the preferred parent once preferredRetryAt has passed. A
@@ -118,7 +122,7 @@
 	}
 	n.schedulePreferredRetry()
 	best, found := n.bestCandidate()
-	if !found || best.ID == up.target.ID || n.held.staged != nil {
+	if !found || best.ID == up.target.ID || n.local.staged != nil {
 		return
 	}
 	if best.ID == n.self.ID {
@@ -190,7 +194,7 @@
 	up.hintedParents = nil
 	up.lastUrgentAt = 0
 	for id, avoid := range up.avoided {
-		avoid.refusals = 0
+		avoid.refusalCount = 0
 		up.avoided[id] = avoid
 	}
 	// The sequence must be incremented: a probe may have sent the sequence of the
@@ -213,10 +217,10 @@
 	n.probeSeed()
 }
 
-// refusalBackoff is the time for which a daemon that refused a fetch is avoided. It
-// starts well below the serving lease: after the loss of a root, all candidates
-// refuse for a short time, and a daemon must find the next root before its own lease
-// expires.
+// refusalBackoff is the time for which a leaf avoids a daemon that refused its fetch,
+// unless the refusal demands longer; a relaying daemon uses rootRetryMax instead. It
+// starts well below the serving lease: after the loss of a root, all candidates refuse
+// for a short time, and a daemon must find the next root before its own lease expires.
 var refusalBackoff = distribution.Backoff{Base: 400 * time.Millisecond, Max: 6 * time.Second}
 
 // parentBackoff is the retry delay after a fetch that failed without an answer.
@@ -256,7 +260,7 @@
 	if root, _ := n.roster.Get(from); root.Root && up.sentRelaying && reply.Code == result.AskAnother {
 		up.joinAsLeafUntil = n.now + leafPeriod
 	}
-	period := refusalBackoff.Wait(n.random, up.avoided[from].refusals+1)
+	period := refusalBackoff.Wait(n.random, up.avoided[from].refusalCount+1)
 	if n.isRelaying() {
 		period = distribution.Jitter(n.random, rootRetryMax)
 	}
--- a/internal/core/node/probe.go
+++ b/internal/core/node/probe.go
@@ -25,8 +25,8 @@
 	n.sendProbe(addresses[n.random.IntN(len(addresses))], protocol.Member{})
 }
 
-// probeMember probes a known daemon and sends it the record held of it here, so
-// that the daemon can refute an outdated one.
+// probeMember probes a known daemon. The probe carries the record of that daemon in this
+// roster, so that the daemon can refute an outdated record.
 func (n *Node) probeMember(member protocol.Member) {
 	known, found := n.roster.Get(member.ID)
 	if !found {
@@ -43,7 +43,7 @@
 		Self:   n.self,
 		Known:  known,
 	}
-	n.call(address, request, probeTimeout, func(body any) {
+	n.callPeer(address, request, probeTimeout, func(body any) {
 		reply, ok := body.(*protocol.FloorReply)
 		if !ok || reply == nil {
 			return
--- a/internal/core/node/readerside.go
+++ b/internal/core/node/readerside.go
@@ -73,7 +73,8 @@
 	n.applyReaderOutputs(side.reader.Tick(n.now, side.candidacy))
 }
 
-// candidacy returns whether this daemon competes for a reader lease. The live and
+// candidacy returns whether and after what delay this daemon competes for a reader
+// lease. The live and
 // the starting members of the region are ranked by rendezvous hash, and the first
 // maxCandidates compete unless other members hold all leases. A daemon that no
 // other daemon has answered competes only after a jittered delay.
--- a/internal/core/node/refusal.go
+++ b/internal/core/node/refusal.go
@@ -15,10 +15,10 @@
 		reply.RetryAfter = notReadyRetryAfter
 	}
 	reply.Members = n.hints(request.From, request.Self.Zone)
-	n.answer(token, reply)
+	n.answerPeer(token, reply)
 }
 
-// hints returns daemons that may accept the sender of a refused request: this one,
+// hints returns daemons that may accept the sender of a refused request: this daemon,
 // its parent, the best root candidates, and randomly chosen relays, first those of
 // the sender's zone. The random choice spreads senders over the relays.
 func (n *Node) hints(sender protocol.NodeID, zone string) []protocol.Member {
@@ -28,8 +28,8 @@
 			list = append(list, parent)
 		}
 	}
-	roots := n.tree().RootCandidates()
-	list = append(list, roots[:min(len(roots), 2)]...)
+	rootCandidates := n.tree().RootCandidates()
+	list = append(list, rootCandidates[:min(len(rootCandidates), 2)]...)
 	list = append(list, n.shuffled(n.tree().Relays(zone), maxHints/2)...)
 	list = append(list, n.shuffled(n.tree().AllRelays(), maxHints)...)
 	var hints []protocol.Member
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -18,22 +18,22 @@
 	// complete is set once the list of all regions was received. Until then no
 	// version is declared in force.
 	complete bool
-	// inForceAt is the wall-clock time at which the newest version in force was
-	// recorded as such.
+	// inForceAt is the wall-clock time at which this daemon recorded the newest version
+	// in force.
 	inForceAt time.Time
 }
 
 // regionPeer is the state of another region as last reported by its root. A version
 // reported as in force there stays in force, since the in-force version never
-// reverts (I9).
+// decreases (I9).
 type regionPeer struct {
 	region     string
 	zones      []protocol.ZoneStatus
 	inForce    protocol.Version
 	repliedAt  time.Duration
 	hasReplied bool
-	// cursor is the position read in the change log of the other root, which rootID
-	// and rootIncarnation identify.
+	// cursor is the position up to which the other root's change log has been read;
+	// rootID and rootIncarnation identify that root.
 	cursor          uint64
 	rootID          protocol.NodeID
 	rootIncarnation protocol.Incarnation
@@ -59,7 +59,7 @@
 	return regions{peers: map[string]*regionPeer{}}
 }
 
-// sweepRegions adds the regions of all live members.
+// sweepRegions adds the regions of all live members to the regions that the root polls.
 func (n *Node) sweepRegions() {
 	if !n.root.active {
 		return
@@ -67,9 +67,9 @@
 	n.roster.Each(func(member protocol.Member) { n.addRegion(member.Region, membership.Live(member)) })
 }
 
-// addRegions adds the list of all regions at a version. A region that is not listed
-// has no keepers at that version: nothing was released there yet, and what will be
-// released is newer.
+// addRegions adds the complete list of the regions that had keepers at some version. In
+// a region that is not listed, no version has been released yet, and the first one will
+// be newer than that version.
 func (n *Node) addRegions(names []string) {
 	for _, name := range names {
 		n.addRegion(name, true)
@@ -82,7 +82,7 @@
 	if !n.regions.complete {
 		return nil
 	}
-	names := append(n.regionNames(), n.config.Region)
+	names := append(n.otherRegions(), n.config.Region)
 	slices.Sort(names)
 	return names
 }
@@ -94,8 +94,9 @@
 	n.regions.peers[region] = &regionPeer{region: region}
 }
 
-// regionNames returns the other regions in ascending order.
-func (n *Node) regionNames() []string {
+// otherRegions returns the names of the known regions except this daemon's own, in
+// ascending order.
+func (n *Node) otherRegions() []string {
 	names := lo.Keys(n.regions.peers)
 	slices.Sort(names)
 	return names
@@ -103,7 +104,7 @@
 
 // pollRegions polls the other regions' roots for the versions in force there.
 func (n *Node) pollRegions() {
-	for _, name := range n.regionNames() {
+	for _, name := range n.otherRegions() {
 		peer := n.regions.peers[name]
 		interval := regionInterval
 		if peer.hasReplied && peer.inForce < n.root.regionInForce {
@@ -130,7 +131,7 @@
 		Peer:            peer.rootID,
 		PeerIncarnation: peer.rootIncarnation,
 	}
-	n.call(address, request, regionTimeout, func(body any) {
+	n.callPeer(address, request, regionTimeout, func(body any) {
 		peer.inFlight = false
 		reply, _ := body.(*protocol.StatusReply)
 		n.handleRegionReply(peer, reply)
@@ -208,7 +209,7 @@
 	reply := &protocol.StatusReply{Code: result.AskAnother, Incarnation: n.self.Incarnation}
 	if !n.root.active {
 		reply.Members = n.hints(request.From, "")
-		n.answer(token, reply)
+		n.answerPeer(token, reply)
 		return
 	}
 	cursor := membership.Cursor(0)
@@ -222,16 +223,16 @@
 		return member.Region == n.config.Region
 	})
 	reply.Summary = protocol.Summary{
-		Version: n.held.store.Version(),
+		Version: n.local.store.Version(),
 		InForce: n.root.regionInForce,
 		Zones:   n.zoneStatuses(),
 	}
-	n.answer(token, reply)
+	n.answerPeer(token, reply)
 }
 
 // cutRegions returns the regions whose root has not replied within regionCutAfter.
 func (n *Node) cutRegions() []string {
-	return lo.Filter(n.regionNames(), func(name string, _ int) bool {
+	return lo.Filter(n.otherRegions(), func(name string, _ int) bool {
 		peer := n.regions.peers[name]
 		return !peer.hasReplied || n.now-peer.repliedAt > regionCutAfter
 	})
--- a/internal/core/node/release_test.go
+++ b/internal/core/node/release_test.go
@@ -16,12 +16,12 @@
 // daemon as behind.
 func TestNothingIsAcknowledgedBeforeTheSwap(t *testing.T) {
 	c, _, _ := newServingCluster(t)
-	slow := c.anotherThan(c.root())
+	slow := c.runningExcept(c.root())
 	slow.withholdsConfirmations = true
-	through := c.anotherThan(slow)
-	version := c.submitAccepted(through, 7)
+	submitter := c.runningExcept(slow)
+	version := c.submitAccepted(submitter, 7)
 	c.run(30 * time.Second)
-	summary := c.status(through).Summary
+	summary := c.status(submitter).Summary
 	c.is.Equal(summary.Version, version)
 	c.is.True(summary.InForce < version)
 	zone, found := lo.Find(summary.Zones, func(zone protocol.ZoneStatus) bool { return zone.Zone == slow.config.Zone })
@@ -29,7 +29,7 @@
 	c.is.Equal(zone.Behind, []protocol.NodeID{slow.id})
 	slow.withholdsConfirmations = false
 	c.confirm(slow)
-	c.waitInForce(through, version, 5*time.Second)
+	c.waitInForce(submitter, version, 5*time.Second)
 }
 
 // TestStatusCountsByZone checks the counts by zone of members at the newest version.
@@ -65,8 +65,8 @@
 		c.is.Equal(reply().Code, result.OK)
 		last = reply()
 	}
-	took := c.waitInForce(daemons[0], last.Version, 10*time.Second)
-	t.Logf("five changes came in force after %v with %d swaps", took, swaps)
+	elapsed := c.waitInForce(daemons[0], last.Version, 10*time.Second)
+	t.Logf("five changes came in force after %v with %d swaps", elapsed, swaps)
 	c.is.True(swaps == 1)
 }
 
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -49,7 +49,8 @@
 	// completionInterval is the least time between attempts to complete a change of
 	// the keeper set.
 	completionInterval = 500 * time.Millisecond
-	// keeperChangeInterval is the least time between changes of the keeper set.
+	// keeperChangeInterval is the least time between two decisions on a new keeper
+	// set. The completion of a change that has begun does not wait for it.
 	keeperChangeInterval = 5 * time.Second
 )
 
@@ -69,7 +70,7 @@
 	if !known || n.leaving {
 		return false
 	}
-	if version := n.held.store.Version(); version > 0 && version >= floorVersion {
+	if version := n.local.store.Version(); version > 0 && version >= floorVersion {
 		return true
 	}
 	return n.readerSide.catalogue != nil
@@ -87,7 +88,7 @@
 	n.root.target = nil
 	n.root.batch = nil
 	n.root.nextRoundAt = n.now
-	n.root.releaseTracker.RecordRelease(n.now, n.held.store.Version(), false)
+	n.root.releaseTracker.RecordRelease(n.now, n.local.store.Version(), false)
 	n.upstream.joined = false
 	n.upstream.fetchToken = 0
 	n.upstream.target = protocol.Member{}
@@ -96,7 +97,7 @@
 		self.Parent = ""
 	})
 	n.downstream.acksChanged = true
-	n.log("root_started", versionField("version", n.held.store.Version()))
+	n.log("root_started", versionField("version", n.local.store.Version()))
 	if n.readerSide.catalogue != nil {
 		n.propose(n.readerSide.catalogue)
 	}
@@ -124,7 +125,7 @@
 	}
 	n.applyFloorOutputs(n.root.releaser.Tick(n.now))
 	n.releaseTarget()
-	n.keeperRound()
+	n.sendRound()
 	n.chooseKeepers()
 	n.renewRootLease()
 	n.updateInForce()
@@ -133,13 +134,13 @@
 }
 
 // propose starts the release of a new catalogue. A catalogue with a batching window,
-// whose changed files prefer fewer bytes over an early release, is held back to be
+// which the owners of its changed files have set to save bandwidth, is held back and
 // released together with later ones.
 func (n *Node) propose(catalogue *reader.CatalogueReady) {
-	if catalogue.Version <= n.held.store.Version() {
+	if catalogue.Version <= n.local.store.Version() {
 		return
 	}
-	if catalogue.BatchWindow <= 0 || n.held.store.Version() == 0 {
+	if catalogue.BatchWindow <= 0 || n.local.store.Version() == 0 {
 		n.startRelease(catalogue)
 		return
 	}
@@ -150,15 +151,15 @@
 	n.root.batchUntil = min(n.root.batchUntil, n.now+catalogue.BatchWindow)
 }
 
-// recentRounds is the maximum age of the keepers' replies on which a root starts to
-// store a newer version.
-const recentRounds = 3 * roundInterval
+// maxKeeperReplyAge is the maximum age of the keepers' replies that permit a root to
+// start to store a newer version.
+const maxKeeperReplyAge = 3 * roundInterval
 
 // startRelease starts to store a version at the keepers. While too few of them
-// answer, the version is held back and the released one is served further.
+// answer, the version is held back, and daemons continue to serve the released one.
 func (n *Node) startRelease(catalogue *reader.CatalogueReady) {
 	n.root.batch = nil
-	if n.held.store.Version() > 0 && !n.root.lease.CanStore(n.now-recentRounds, n.keeperSets()...) {
+	if n.local.store.Version() > 0 && !n.root.lease.CanStore(n.now-maxKeeperReplyAge, n.keeperSets()...) {
 		n.root.batch = catalogue
 		n.root.batchUntil = n.now + roundInterval
 		return
@@ -167,7 +168,7 @@
 	if !found {
 		return
 	}
-	if set.Revision > n.held.keepers.Revision {
+	if set.Revision > n.local.keepers.Revision {
 		n.adoptKeepers(set)
 	}
 	n.root.target = catalogue
@@ -178,33 +179,33 @@
 }
 
 // releaseTarget adds the target to the store once a write quorum of keepers has
-// stored its version. Only then may any proxy of the region, this one included, put
-// it in force (I1).
+// stored its version. Only then may a daemon of the region, this one included, put it
+// in force (I1).
 func (n *Node) releaseTarget() {
 	target := n.root.target
 	if target == nil || n.root.releaser.Released() < target.Version {
 		return
 	}
 	n.root.target = nil
-	if err := n.held.store.Add(target.Version, target.Resources); err != nil {
+	if err := n.local.store.Add(target.Version, target.Resources); err != nil {
 		n.log("catalogue_refused", versionField("version", target.Version), LogField{Key: "error", Value: err.Error()})
 		return
 	}
-	alone := n.root.lease.IsOnlyRoot(n.root.targetSince, n.keeperSets()...)
-	n.root.releaseTracker.RecordRelease(n.now, target.Version, alone)
+	isOnlyRoot := n.root.lease.IsOnlyRoot(n.root.targetSince, n.keeperSets()...)
+	n.root.releaseTracker.RecordRelease(n.now, target.Version, isOnlyRoot)
 	n.renewRootLease()
 	n.log("version_released", versionField("version", target.Version))
 	n.stageFromStore()
 }
 
-// updateInForce determines the versions in force in this region and globally. In
-// force is a version that all expected members have acknowledged. While some are
-// silent, it is a version that all counted members have acknowledged and that is
-// fenced: the leases under which the silent ones could serve an older version have
-// expired. Status still lists the silent members.
+// updateInForce determines the versions in force in this region and globally. A
+// version is in force once all expected members have acknowledged it. While some
+// members are silent, it suffices that all other members have acknowledged it and that
+// every lease under which a silent member could serve an older version has expired
+// (the version is fenced). Status still lists the silent members.
 func (n *Node) updateInForce() {
 	acks := n.acknowledgements()
-	confirmed := n.expected().ConfirmedVersion(acks)
+	confirmed := n.expectedMembers().ConfirmedVersion(acks)
 	candidate := min(confirmed, n.root.releaseTracker.DeclarableVersion(n.now))
 	if counted, found := distribution.MinimumVersion(acks); found {
 		candidate = max(candidate, min(counted, n.root.releaseTracker.FencedVersion(n.now)))
@@ -215,12 +216,12 @@
 	n.raiseInForce(n.globalInForce())
 }
 
-// raiseInForce raises the global version in force. It is never lowered (I9).
+// raiseInForce raises the version in force in all regions. It is never lowered (I9).
 func (n *Node) raiseInForce(version protocol.Version) {
-	if version <= n.held.inForce {
+	if version <= n.local.inForce {
 		return
 	}
-	n.held.inForce = version
+	n.local.inForce = version
 	n.regions.inForceAt = n.estimatedWallClock()
 	n.log("version_in_force", versionField("version", version))
 }
--- a/internal/core/node/rootkeepers.go
+++ b/internal/core/node/rootkeepers.go
@@ -19,15 +19,15 @@
 // keeperSets returns the keeper sets whose quorums are required: the newest, and the
 // one that it replaces until the change is complete.
 func (n *Node) keeperSets() []protocol.KeeperSet {
-	if len(n.held.keepers.Members) == 0 {
+	if len(n.local.keepers.Members) == 0 {
 		return nil
 	}
-	return floor.ActiveSets(n.held.keepers)
+	return floor.ActiveSets(n.local.keepers)
 }
 
-// keeperRound sends the current version to every keeper. The replies renew the
-// root's lease and show whether a newer version was stored.
-func (n *Node) keeperRound() {
+// sendRound sends the released version to every keeper. The replies renew the root's
+// lease and show whether another root has stored a newer version.
+func (n *Node) sendRound() {
 	if n.now < n.root.nextRoundAt {
 		return
 	}
@@ -50,7 +50,7 @@
 		From:        n.self.ID,
 		Incarnation: n.self.Incarnation,
 		Term:        n.readerSide.reader.Term(),
-		Version:     n.held.store.Version(),
+		Version:     n.local.store.Version(),
 		Keepers:     n.keeperSetFor(keeper.ID),
 	}
 	address := keeper.ControlAddress
@@ -63,10 +63,10 @@
 // keeperSetFor returns the keeper set that a round sends to a keeper: only the
 // region once the keeper has confirmed the newest set.
 func (n *Node) keeperSetFor(keeper protocol.NodeID) protocol.KeeperSet {
-	if n.root.confirmedKeeperSets[keeper].revision == n.held.keepers.Revision {
+	if n.root.confirmedKeeperSets[keeper].revision == n.local.keepers.Revision {
 		return protocol.KeeperSet{Region: n.config.Region}
 	}
-	return n.held.keepers
+	return n.local.keepers
 }
 
 // recordConfirmedKeeperSet records the set that a keeper has confirmed, until the keeper
@@ -98,7 +98,7 @@
 		finish(n.handleStore(request))
 		return
 	}
-	n.call(address, request, timeout, func(body any) {
+	n.callPeer(address, request, timeout, func(body any) {
 		reply, _ := body.(*protocol.StoreReply)
 		finish(reply)
 	})
@@ -107,15 +107,15 @@
 // renewRootLease extends the time up to which this root may grant leases, and with
 // it its own serving lease.
 func (n *Node) renewRootLease() {
-	version := n.held.store.Version()
+	version := n.local.store.Version()
 	if version == 0 {
 		return
 	}
 	until := n.root.lease.GrantUntil(version, n.keeperSets()...)
-	if until <= n.held.grantUntil {
+	if until <= n.local.grantUntil {
 		return
 	}
-	n.held.grantUntil = until
+	n.local.grantUntil = until
 	n.extendServingLease(lease{until: until, version: version})
 }
 
@@ -130,13 +130,13 @@
 	if n.now < n.root.nextKeeperChangeAt && !n.canCompleteKeeperChange(current) {
 		return
 	}
-	if n.held.store.Version() < catalogue.Version && len(n.held.keepers.Members) > 0 {
+	if n.local.store.Version() < catalogue.Version && len(n.local.keepers.Members) > 0 {
 		return
 	}
 	n.root.nextKeeperChangeAt = n.now + keeperChangeInterval
 	n.root.nextCompletionAt = n.now + completionInterval
 	members := n.liveInRegion(n.config.Region)
-	chosen, changed := floor.ChooseKeepers(n.config.Region, current, members, n.held.store.Version())
+	chosen, changed := floor.ChooseKeepers(n.config.Region, current, members, n.local.store.Version())
 	if changed {
 		n.applyReaderOutputs(n.readerSide.reader.SetKeepers(n.now, n.estimatedWallClock(), []protocol.KeeperSet{chosen}))
 	}
@@ -146,12 +146,12 @@
 // Completion is not delayed until nextKeeperChangeAt: until then a quorum of the former
 // set is required as well, and too few of its keepers may be left.
 func (n *Node) canCompleteKeeperChange(current protocol.KeeperSet) bool {
-	return current.Previous != nil && n.held.store.Version() >= current.Revision && n.now >= n.root.nextCompletionAt
+	return current.Previous != nil && n.local.store.Version() >= current.Revision && n.now >= n.root.nextCompletionAt
 }
 
 // adoptKeepers adopts a newer keeper set of this region.
 func (n *Node) adoptKeepers(set protocol.KeeperSet) {
-	n.held.keepers = set
+	n.local.keepers = set
 	n.start.adoptKeepers(set)
 }
 
--- a/internal/core/node/start.go
+++ b/internal/core/node/start.go
@@ -43,8 +43,8 @@
 // The periods of the start.
 const (
 	// fallbackDelay plus a jitter of up to fallbackJitter is the time after which a
-	// daemon that no other daemon has answered may contact the platform. It bounds
-	// the first start of a mesh.
+	// daemon that no other daemon has answered may contact the platform. When a
+	// mesh starts for the first time, all its daemons wait for it.
 	fallbackDelay  = 500 * time.Millisecond
 	fallbackJitter = 1500 * time.Millisecond
 	// probeTimeout is the timeout of a probe.
@@ -66,7 +66,8 @@
 	}
 }
 
-// begin runs in the first step.
+// begin, called in the first step, adds this daemon's own record to the roster and sets
+// fallbackAt.
 func (n *Node) begin() {
 	n.started = true
 	n.startedAt = n.now
@@ -78,8 +79,8 @@
 	n.log("node_started", LogField{Key: "id", Value: string(n.self.ID)})
 }
 
-// floor returns the version below which this daemon serves nothing; false
-// while it is not known.
+// floor returns the version below which this daemon serves nothing; false while the
+// floor is not known.
 func (n *Node) floor() (protocol.Version, bool) { return n.start.floor, n.start.floorKnown }
 
 // tickStart drives the learner until the floor is known.
@@ -103,8 +104,8 @@
 	n.raiseIncarnation(n.start.learner.Incarnation())
 	set := n.start.learner.Keepers()
 	n.start.keeper.Validate(learnt, set)
-	if set.Revision > n.held.keepers.Revision {
-		n.held.keepers = set
+	if set.Revision > n.local.keepers.Revision {
+		n.local.keepers = set
 	}
 	for _, peer := range n.start.learner.Peers() {
 		n.mergePeer(peer)
@@ -135,7 +136,7 @@
 
 func (n *Node) sendFloorRequest(call floor.SendFloorRequest) {
 	call.Request.Self = n.self
-	n.call(call.Address, call.Request, call.Timeout, func(body any) {
+	n.callPeer(call.Address, call.Request, call.Timeout, func(body any) {
 		reply, _ := body.(*protocol.FloorReply)
 		n.start.peerAnswered = n.start.peerAnswered || reply != nil
 		n.recordStartingPeers(reply)
@@ -210,7 +211,7 @@
 // handleFloor answers a floor request: from a starting daemon, or a probe.
 func (n *Node) handleFloor(token Token, request *protocol.FloorRequest) {
 	if !isKnownFormat(request.Format) {
-		n.answer(token, &protocol.FloorReply{Code: result.UnknownFormat, From: n.self.ID})
+		n.answerPeer(token, &protocol.FloorReply{Code: result.UnknownFormat, From: n.self.ID})
 		return
 	}
 	n.startingPeers.record(n.now, request.Self)
@@ -242,7 +243,7 @@
 	if known, found := n.roster.Get(request.From); found {
 		reply.Incarnation = known.Incarnation
 	}
-	n.answer(token, reply)
+	n.answerPeer(token, reply)
 }
 
 // peersFor returns live members that help the sender to join: this daemon, readers
--- a/internal/core/node/status.go
+++ b/internal/core/node/status.go
@@ -43,9 +43,10 @@
 	return lo.Map(names, func(name string, _ int) protocol.ZoneStatus { return *zones[name] })
 }
 
-// countHolding counts the members at the newest version by zone. An acknowledgement
-// with an older minimum counts none of its members, since only their minimum is
-// known. Children whose lease has expired are left out, as in acknowledgements.
+// countHolding counts, for each zone, the members that hold the newest version. An
+// acknowledgement with an older minimum adds no members, since it does not show which
+// of them hold a newer version. Children whose lease has expired are left out, as in
+// acknowledgements.
 func (n *Node) countHolding(zones map[string]*protocol.ZoneStatus, newest protocol.Version) {
 	count := func(ack protocol.Acknowledgement) {
 		zone, found := zones[ack.Zone]
@@ -67,7 +68,7 @@
 
 // newestVersion returns the newest accepted version that this daemon knows.
 func (n *Node) newestVersion() protocol.Version {
-	newest := max(n.held.store.Version(), n.currentVersion())
+	newest := max(n.local.store.Version(), n.currentVersion())
 	if n.readerSide.catalogue != nil {
 		newest = max(newest, n.readerSide.catalogue.Version)
 	}
@@ -82,14 +83,14 @@
 		Code: result.OK,
 		Summary: protocol.Summary{
 			Version:   n.newestVersion(),
-			InForce:   n.held.inForce,
+			InForce:   n.local.inForce,
 			InForceAt: n.regions.inForceAt,
 		},
 		Members: n.roster.All(),
 	}
 	if n.root.active {
 		reply.Summary.Zones = n.zoneStatuses()
-		for _, name := range n.regionNames() {
+		for _, name := range n.otherRegions() {
 			reply.Summary.Zones = append(reply.Summary.Zones, n.regions.peers[name].zones...)
 		}
 		reply.Summary.CutRegions = n.cutRegions()
@@ -107,7 +108,7 @@
 	files := lo.Filter(n.readerSide.catalogue.Files, func(file protocol.FileStatus, _ int) bool {
 		return partner == "" || file.Partner == partner
 	})
-	return markInForce(files, n.held.inForce)
+	return markInForce(files, n.local.inForce)
 }
 
 // markInForce sets on each file whether its revision is in force.
@@ -122,13 +123,13 @@
 func (n *Node) handlePeerStatus(token Token, request *protocol.StatusRequest) {
 	switch {
 	case !isKnownFormat(request.Format):
-		n.answer(token, &protocol.StatusReply{Code: result.UnknownFormat})
+		n.answerPeer(token, &protocol.StatusReply{Code: result.UnknownFormat})
 	case request.From != "":
 		n.answerRegion(token, request)
 	case !n.root.active:
-		n.answer(token, &protocol.StatusReply{Code: result.AskAnother, Members: n.hints("", "")})
+		n.answerPeer(token, &protocol.StatusReply{Code: result.AskAnother, Members: n.hints("", "")})
 	default:
-		n.answer(token, n.status(request.Partner))
+		n.answerPeer(token, n.status(request.Partner))
 	}
 }
 
@@ -159,7 +160,7 @@
 		n.emit(OperatorAnswer{Token: token, Body: local})
 		return
 	}
-	n.call(targets[0].ControlAddress, request, statusTimeout, func(body any) {
+	n.callPeer(targets[0].ControlAddress, request, statusTimeout, func(body any) {
 		reply, _ := body.(*protocol.StatusReply)
 		if reply == nil || reply.Code != result.OK {
 			if reply != nil && reply.Code == result.NoReader {
@@ -174,15 +175,15 @@
 	})
 }
 
-// raiseReplyInForce raises the version in force of a root's reply to the one known
-// here: a root that has just taken over may know an older one, and the in-force
-// version never reverts (I9).
+// raiseReplyInForce replaces the in-force version in a root's reply by the one that
+// this daemon knows, if that is newer. A root that has just taken over may know an
+// older one, and the in-force version never decreases (I9).
 func (n *Node) raiseReplyInForce(reply *protocol.StatusReply) {
-	if reply.Summary.InForce >= n.held.inForce {
+	if reply.Summary.InForce >= n.local.inForce {
 		return
 	}
-	reply.Summary.InForce = n.held.inForce
-	reply.Files = markInForce(reply.Files, n.held.inForce)
+	reply.Summary.InForce = n.local.inForce
+	reply.Files = markInForce(reply.Files, n.local.inForce)
 }
 
 // statusTargets returns the likely roots of this region, best first.
--- a/internal/core/node/step.go
+++ b/internal/core/node/step.go
@@ -2,6 +2,8 @@
 // typed message and returns typed effects, which the caller (the shell: a daemon or
 // the simulator) carries out. The package composes the reader, floor, membership,
 // distribution and snapshot packages. It holds no lock: one goroutine steps it.
+//
+// Comments refer to the invariants of docs/INVARIANTS.md by number, such as (I1).
 package node
 
 import (
@@ -43,7 +45,8 @@
 	Token Token
 	// Body is the matching reply type; nil when Failed.
 	Body any
-	// Failed is set when no answer came; the call may have had its effect.
+	// Failed is set when no reply arrived; the request may nevertheless have been
+	// executed.
 	Failed bool
 }
 
@@ -53,13 +56,13 @@
 	Reply object.Reply
 }
 
-// PlatformEvent is a watch event of the running watch.
+// PlatformEvent is an event of a running watch.
 type PlatformEvent struct {
 	Watch Token
 	Event object.Event
 }
 
-// WatchEnded reports that a watch broke.
+// WatchEnded reports that a watch ended with an error.
 type WatchEnded struct {
 	Watch Token
 	Code  result.Code
@@ -75,8 +78,8 @@
 	WallClock time.Time
 }
 
-// SnapshotInForce confirms that the shell has swapped to a snapshot. The node does
-// not acknowledge the version before.
+// SnapshotInForce confirms that the shell has swapped to a snapshot. The node
+// acknowledges a version only after this confirmation.
 type SnapshotInForce struct {
 	Version protocol.Version
 }
@@ -188,7 +191,8 @@
 func (OperatorAnswer) effect()     {}
 func (LogEvent) effect()           {}
 
-// Config holds the settings of a node.
+// Config holds the settings of a node, which are fixed for its lifetime: its identity,
+// addresses, location, local back end and periods.
 type Config struct {
 	ID             protocol.NodeID
 	Incarnation    protocol.Incarnation
--- a/internal/core/node/take.go
+++ b/internal/core/node/take.go
@@ -11,10 +11,10 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// applyFetchReply applies a parent's reply. It leaves a parent that replies but has
-// not extended the lease for half the serving lease: that parent is cut off from the
-// root while another may not be. The check runs only on a reply, so a parent is not
-// left merely because its reply is slow.
+// applyFetchReply applies a parent's reply. It leaves a parent that replies but last
+// extended the lease more than half a serving lease ago: that parent is probably cut
+// off from the root, and another candidate may still reach the root. The check runs
+// only on a reply, so a parent is not left merely because its reply is slow.
 func (n *Node) applyFetchReply(sentAt time.Duration, reply *protocol.FetchReply) {
 	up := &n.upstream
 	if !up.joined {
@@ -27,7 +27,7 @@
 	for _, member := range reply.Members {
 		n.mergeMember(member, membership.SourceOutside)
 	}
-	if reply.Keepers.Revision > n.held.keepers.Revision {
+	if reply.Keepers.Revision > n.local.keepers.Revision {
 		n.adoptKeepers(reply.Keepers)
 	}
 	n.addRegions(reply.Regions)
@@ -43,14 +43,14 @@
 		up.nextFetchAt = n.now + idleFetchInterval
 	}
 	up.nextFetchAt = max(up.nextFetchAt, n.now+reply.RetryAfter)
-	if n.held.staged != nil {
+	if n.local.staged != nil {
 		up.nextFetchAt = max(up.nextFetchAt, n.now+swapTimeout)
 	}
 	n.fetchIfDue()
 }
 
-// applyReleased stages or stores the version released by the parent and reports
-// whether it is newer.
+// applyReleased stages or stores the version released by the parent. It returns false
+// if the version is not newer or cannot be applied.
 func (n *Node) applyReleased(reply *protocol.FetchReply) bool {
 	floorVersion, _ := n.floor()
 	if reply.Released < floorVersion {
@@ -65,7 +65,7 @@
 	if n.isRelaying() {
 		return n.storeReleased(reply)
 	}
-	if reply.Released <= n.currentVersion() || n.held.staged != nil {
+	if reply.Released <= n.currentVersion() || n.local.staged != nil {
 		return false
 	}
 	next, err := n.nextSnapshot(reply)
@@ -73,7 +73,7 @@
 		n.rejectDelta(err)
 		return false
 	}
-	n.held.needsFullSnapshot = false
+	n.local.needsFullSnapshot = false
 	n.stage(next)
 	return true
 }
@@ -81,7 +81,7 @@
 // nextSnapshot builds the next snapshot of a leaf: the current one with the delta
 // applied, or the same content at the new version.
 func (n *Node) nextSnapshot(reply *protocol.FetchReply) (*snapshot.Snapshot, error) {
-	current := n.held.current
+	current := n.local.current
 	if reply.Delta == nil && current != nil {
 		return current.WithVersion(reply.Released), nil
 	}
@@ -102,7 +102,7 @@
 // storeReleased adds the released version to the store, from which children and this
 // daemon itself are served.
 func (n *Node) storeReleased(reply *protocol.FetchReply) bool {
-	store := n.held.store
+	store := n.local.store
 	if reply.Released <= store.Version() {
 		return false
 	}
@@ -112,21 +112,21 @@
 		n.rejectDelta(err)
 		return false
 	}
-	n.held.needsFullSnapshot = false
+	n.local.needsFullSnapshot = false
 	n.stageFromStore()
 	return true
 }
 
 func (n *Node) applyToStore(reply *protocol.FetchReply) error {
 	var current []resource.Encoded
-	if newest := n.held.store.Newest(); newest != nil {
+	if newest := n.local.store.Newest(); newest != nil {
 		current = newest.Encoded
 	}
 	resources, err := snapshot.Apply(current, reply.Delta)
 	if err != nil {
 		return err
 	}
-	return n.held.store.Add(reply.Released, resources)
+	return n.local.store.Add(reply.Released, resources)
 }
 
 // rejectDelta discards a delta that cannot be applied; the next fetch requests a
@@ -134,7 +134,7 @@
 func (n *Node) rejectDelta(err error) {
 	n.log("delta_refused", LogField{Key: "error", Value: err.Error()})
 	n.upstream.nextFetchAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
-	n.held.needsFullSnapshot = true
+	n.local.needsFullSnapshot = true
 }
 
 // applyLease applies the lease of a reply. It is counted from when the request was
@@ -147,8 +147,8 @@
 	if until-n.now > n.config.Timing.ServingLease/4 {
 		n.upstream.leaseExtendedAt = n.now
 	}
-	if n.isRelaying() && n.held.store.Version() >= reply.Released {
-		n.held.grantUntil = max(n.held.grantUntil, until)
+	if n.isRelaying() && n.local.store.Version() >= reply.Released {
+		n.local.grantUntil = max(n.local.grantUntil, until)
 	}
 	n.extendServingLease(lease{until: until, version: reply.Released})
 }
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -22,7 +22,8 @@
 	// reportedCursor is the position in this daemon's change log up to which the
 	// parent has received records.
 	reportedCursor membership.Cursor
-	// leaseExtendedAt is when the parent last extended the lease.
+	// leaseExtendedAt is when the parent last sent a lease that ended more than a
+	// quarter of the serving lease later.
 	leaseExtendedAt time.Duration
 }
 
@@ -35,10 +36,10 @@
 	// parent.
 	hintedParents []protocol.Member
 	// former is the working parent while a preferred one is tried; nil otherwise.
-	former     *link
-	fetchToken Token
-	sentAt     time.Duration
-	counter    uint64
+	former       *link
+	fetchToken   Token
+	sentAt       time.Duration
+	fetchCounter uint64
 	// nextFetchAt is when the next fetch may be sent.
 	nextFetchAt time.Duration
 	failures    int
@@ -68,7 +69,7 @@
 	parentLostAt time.Duration
 }
 
-// The periods of the upstream side.
+// The periods of the fetches from the parent and of the search for one.
 const (
 	// replySlack is added to the hold time of a fetch for its timeout.
 	replySlack = time.Second
@@ -130,7 +131,7 @@
 // isAwaitingSwap reports whether the next fetch waits for a swap, in order to
 // acknowledge it.
 func (n *Node) isAwaitingSwap() bool {
-	return n.held.staged != nil && n.now-n.held.stagedAt < swapTimeout
+	return n.local.staged != nil && n.now-n.local.stagedAt < swapTimeout
 }
 
 // fetchIfDue sends the next fetch if it is due and none is in flight.
@@ -151,7 +152,7 @@
 	if up.target.ID != target.ID {
 		n.switchTarget(target)
 	}
-	up.counter++
+	up.fetchCounter++
 	up.sentAt = n.now
 	up.sentCursor = n.roster.Cursor()
 	up.sentAcks = n.acknowledgements()
@@ -159,8 +160,8 @@
 		Format:            protocol.Format,
 		From:              n.self.ID,
 		Incarnation:       n.self.Incarnation,
-		Counter:           up.counter,
-		KeeperRevision:    n.held.keepers.Revision,
+		Counter:           up.fetchCounter,
+		KeeperRevision:    n.local.keepers.Revision,
 		Scope:             n.fetchScope(),
 		Acknowledgements:  up.sentAcks,
 		MemberCursor:      up.memberCursor,
@@ -172,7 +173,7 @@
 	up.sentRelaying = request.Scope.Relay
 	var token Token
 	sentAt := n.now
-	token = n.call(target.ControlAddress, request, n.config.Timing.FetchWait+replySlack, func(reply any) {
+	token = n.callPeer(target.ControlAddress, request, n.config.Timing.FetchWait+replySlack, func(reply any) {
 		n.finishFetch(token, target.ID, sentAt, reply)
 	})
 	up.fetchToken = token
@@ -180,16 +181,16 @@
 
 // deltaBase returns the version and digest from which a delta for the scope starts.
 func (n *Node) deltaBase(scope protocol.Scope) (protocol.Version, resource.Digest) {
-	if n.held.needsFullSnapshot {
+	if n.local.needsFullSnapshot {
 		return 0, ""
 	}
 	if scope.Relay {
-		return n.held.store.Version(), n.held.store.Digest()
+		return n.local.store.Version(), n.local.store.Digest()
 	}
-	if n.held.current == nil {
+	if n.local.current == nil {
 		return 0, ""
 	}
-	return n.held.current.Version, n.held.current.Digest
+	return n.local.current.Version, n.local.current.Digest
 }
 
 // addUnreportedRecords adds the records that the parent has not received. Until the
@@ -237,11 +238,12 @@
 	}
 }
 
-// sendUrgentUpdates sends another fetch while one is held, with acknowledgements or
-// records that the parent should receive at once. The parent ends the held one.
+// sendUrgentUpdates sends another fetch while the parent holds one open, with
+// acknowledgements or records that the parent should receive at once. The parent then
+// ends the held fetch.
 func (n *Node) sendUrgentUpdates() {
 	up := &n.upstream
-	if n.root.active || !up.joined || up.fetchToken == 0 || n.held.staged != nil || n.now-up.sentAt < idleFetchInterval/10 {
+	if n.root.active || !up.joined || up.fetchToken == 0 || n.local.staged != nil || n.now-up.sentAt < idleFetchInterval/10 {
 		return
 	}
 	if !n.acksAreUrgent() && !n.membersAreUrgent() {
@@ -263,9 +265,11 @@
 		return false
 	}
 	lowest, _ := distribution.MinimumVersion(acks)
-	return lowest >= n.held.store.Version() || n.now-n.upstream.lastUrgentAt >= ackBatchInterval
+	return lowest >= n.local.store.Version() || n.now-n.upstream.lastUrgentAt >= ackBatchInterval
 }
 
+// membersAreUrgent reports whether changed records of the subtree are to be sent, which
+// is done at most once per memberBatchInterval.
 func (n *Node) membersAreUrgent() bool {
 	up := &n.upstream
 	if n.roster.Cursor() == up.sentCursor || n.now-up.lastUrgentAt < memberBatchInterval {
--- a/internal/core/position/position.go
+++ b/internal/core/position/position.go
@@ -1,6 +1,7 @@
 // Package position defines positions in the change history of an external store. When a store is
-// restored from an older copy, its revisions go back and are issued again, and its era is raised.
-// Only era and revision together determine which of two positions is newer.
+// restored from an older copy, its revision decreases, revision numbers are assigned again to other
+// changes, and its era is raised. Only era and revision together determine which of two positions is
+// newer.
 package position
 
 import (
@@ -10,14 +11,14 @@
 
 // Position is a position in the change history of a store. The zero value precedes all changes.
 type Position struct {
-	// Era counts how often the store was restored from an older copy; 0 if the store reports none.
+	// Era grows each time the store is restored from an older copy; 0 if the store reports no era.
 	Era uint64
-	// Revision is the store's number of the change within the era.
+	// Revision is the number that the store gave the change; it may recur in a later era.
 	Revision uint64
 }
 
-// Compare returns a negative number for a position before the other and a positive one for a
-// position after it. All positions of an era follow those of earlier eras.
+// Compare returns a negative number for a position before the other, a positive one for a position
+// after it, and 0 for equal positions. All positions of an era follow those of earlier eras.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Era, other.Era), cmp.Compare(p.Revision, other.Revision))
 }
@@ -25,7 +26,7 @@
 // Before reports whether the position precedes another one.
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
-// IsStart reports whether the position precedes all changes of its era.
+// IsStart reports whether the position precedes all changes of its era, which need not be the first.
 func (p Position) IsStart() bool { return p.Revision == 0 }
 
 // Max returns the later of two positions.
--- a/internal/core/protocol/exchange.go
+++ b/internal/core/protocol/exchange.go
@@ -18,11 +18,13 @@
 	Zone string
 	// Version is the configuration version in force on the sender.
 	Version Version
-	// Era is the newest era of the store that the sender knows; 0 for none.
+	// Era is the newest era of the configuration store that the sender knows; 0 for
+	// none.
 	Era uint64
 	// Poll requests that the receiver read the store, which does not answer the sender.
 	Poll bool
-	// Unregistered reports that the store holds no registration of the receiver.
+	// Unregistered reports that the configuration store holds no registration of the
+	// receiver.
 	Unregistered bool
 	// Total is the sum of the sender's record checksums over all buckets.
 	Total uint64
@@ -41,8 +43,8 @@
 	Rollouts []rollout.Record
 	// Evacuations are the evacuated zones as the sender knows them.
 	Evacuations evacuation.SharedOrders
-	// Harmful are the new records of harmful requests, which may end the back-end instances
-	// that run them. HarmfulSum is the checksum of all such records that the sender knows.
+	// Harmful are records of harmful requests that the receiver may not know. A harmful
+	// request may end the back-end instance that runs it. HarmfulSum is the checksum of all such records that the sender knows.
 	Harmful    []quarantine.Record
 	HarmfulSum uint64
 }
--- a/internal/core/protocol/keepers.go
+++ b/internal/core/protocol/keepers.go
@@ -5,8 +5,8 @@
 )
 
 // KeeperSet is the set of daemons (keepers) of a region that store its version
-// floor. A version is stored by Write keepers before any proxy there puts it in
-// force; Read answers are enough to learn the floor (Write + Read > size).
+// floor. Write keepers must store a version before any daemon of the region puts it in
+// force. Answers from Read keepers suffice to learn the floor (Write + Read > size).
 type KeeperSet struct {
 	Region string
 	// Revision is the head version that established the set.
@@ -26,15 +26,17 @@
 	ControlAddress string
 }
 
-// StoreRequest requests that a keeper store a version before it is released.
+// StoreRequest requests that a keeper store a version. A root sends it before it
+// releases a version, and repeats it for the released version to renew its lease.
 type StoreRequest struct {
 	Format int
 	From   NodeID
 	// Incarnation is the sender's incarnation.
 	Incarnation Incarnation
-	Term        uint64
-	Version     Version
-	Keepers     KeeperSet
+	// Term is the fencing term of the sender's reader lease; 0 if it holds none.
+	Term    uint64
+	Version Version
+	Keepers KeeperSet
 }
 
 // StoreReply answers a StoreRequest. Stored is meaningful only if Code is OK:
@@ -78,7 +80,8 @@
 	FromHead bool
 	// Keepers is the newest keeper set known, for the sender's next requests.
 	Keepers KeeperSet
-	// Incarnation is the highest known incarnation of the sender.
+	// Incarnation is the highest incarnation of the requesting daemon that the
+	// answering daemon knows.
 	Incarnation Incarnation
 	// Peers are some live members among which the sender can find a parent.
 	Peers []Member
--- a/internal/core/protocol/operators.go
+++ b/internal/core/protocol/operators.go
@@ -78,7 +78,7 @@
 	PeerIncarnation Incarnation
 }
 
-// FileStatus is one file as an operator sees it.
+// FileStatus is the state of one file, for operators and, with Resources, for daemons.
 type FileStatus struct {
 	Partner    resource.Partner
 	Name       string
@@ -118,12 +118,16 @@
 	// Holding is the number of members known to hold the newest version or a later
 	// one.
 	Holding uint32
+	// Minimum is the lowest version in force on any counted member of the zone.
 	Minimum Version
-	Behind  []NodeID
-	Silent  []NodeID
+	// Behind lists up to MaxListedNodes members that hold only Minimum, if that is
+	// not the newest version; Silent lists up to MaxListedNodes suspect members.
+	Behind []NodeID
+	Silent []NodeID
 }
 
-// Summary is the combined state of the region roots.
+// Summary is the progress of the newest version in all regions, combined from the
+// reports of the region roots.
 type Summary struct {
 	Version    Version
 	InForce    Version
--- a/internal/core/protocol/protocol.go
+++ b/internal/core/protocol/protocol.go
@@ -147,10 +147,10 @@
 	return BackendStart{Instance: m.Backend, Born: m.Born}
 }
 
-// Scope selects the resources that a daemon holds: the routes of its partners that
-// lead to the listed services (all routes if Services is empty), and every resource
-// that they reference, directly or indirectly. A relay scope selects all resources,
-// in encoded form.
+// Scope selects the resources that a daemon holds: the routes of Partners with one of
+// Services as a destination (all their routes if Services is empty), and every resource
+// that these routes reference, directly or indirectly. A scope with Relay set selects
+// all resources, in encoded form.
 type Scope struct {
 	Partners []resource.Partner
 	Services []resource.ServiceRef
@@ -163,7 +163,8 @@
 type Acknowledgement struct {
 	Region string
 	Zone   string
-	// Minimum is the lowest version in force on any counted member.
+	// Minimum is the lowest version in force on any counted member, that is, on any
+	// member that this acknowledgement covers.
 	Minimum Version
 	// Count and MemberSum identify the counted members: MemberSum is the sum
 	// modulo 2^64 of the xxhash of each id and incarnation, so that a member
@@ -242,7 +243,7 @@
 	Members        []Member
 	MemberCursor   uint64
 	Incarnation    Incarnation
-	// Summary is the region roots' combined state, for status; nil if unchanged.
+	// Summary is not set; status is requested by StatusRequest.
 	Summary *Summary
 }
 
--- a/internal/core/renewal/renewal.go
+++ b/internal/core/renewal/renewal.go
@@ -12,22 +12,22 @@
 
 // Scheduler schedules renewals. The zero value is ready for use. It is not safe for concurrent use.
 type Scheduler struct {
-	// renewed is set by the first renewal; renewedAt is the time of the last.
-	renewed   bool
-	renewedAt time.Duration
+	// hasRenewed is set by the first renewal; renewedAt is the time of the last.
+	hasRenewed bool
+	renewedAt  time.Duration
 	// scheduled is set from when a renewal is scheduled until it is done.
 	scheduled bool
 }
 
-// ReportDead reports a dead connection that was opened at the given time. It returns whether all
-// connections are to be renewed and after what delay. The caller must call MarkRenewed when it has
-// done so.
+// ReportDead reports a dead connection that was opened at the given time. It returns the delay
+// after which all connections are to be renewed, and whether they are. The caller must call MarkRenewed
+// once it has renewed them.
 func (s *Scheduler) ReportDead(now, opened time.Duration) (wait time.Duration, renew bool) {
-	if s.scheduled || s.renewed && opened < s.renewedAt {
+	if s.scheduled || s.hasRenewed && opened < s.renewedAt {
 		return 0, false // covered by a scheduled or completed renewal
 	}
 	s.scheduled = true
-	if !s.renewed {
+	if !s.hasRenewed {
 		return 0, true
 	}
 	return max(0, s.renewedAt+MinInterval-now), true
@@ -35,7 +35,7 @@
 
 // MarkRenewed records that all connections opened before now have been renewed.
 func (s *Scheduler) MarkRenewed(now time.Duration) {
-	s.renewed = true
+	s.hasRenewed = true
 	s.renewedAt = now
 	s.scheduled = false
 }
--- a/internal/core/renewal/renewal_test.go
+++ b/internal/core/renewal/renewal_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTheFirstDeadConnectionRenewsAtOnce(t *testing.T) {
+func TestTheFirstDeadConnectionCausesARenewalAtOnce(t *testing.T) {
 	check := is.New(t)
 	scheduler := &Scheduler{}
 	wait, renew := scheduler.ReportDead(time.Minute, time.Second)
@@ -15,15 +15,15 @@
 	check.Equal(wait, time.Duration(0))
 }
 
-func TestARenewedConnectionCausesNoFurtherRenewal(t *testing.T) {
+func TestConnectionsOpenedBeforeARenewalCauseNoOther(t *testing.T) {
 	check := is.New(t)
 	scheduler := &Scheduler{}
 	scheduler.ReportDead(time.Minute, time.Second)
-	_, again := scheduler.ReportDead(time.Minute, 2*time.Second) // the scheduled renewal is not done yet
-	check.True(!again)
+	_, renewAgain := scheduler.ReportDead(time.Minute, 2*time.Second) // the scheduled renewal is not done yet
+	check.True(!renewAgain)
 	scheduler.MarkRenewed(time.Minute)
-	_, again = scheduler.ReportDead(2*time.Minute, 59*time.Second)
-	check.True(!again)
+	_, renewAgain = scheduler.ReportDead(2*time.Minute, 59*time.Second)
+	check.True(!renewAgain)
 }
 
 func TestRepeatedRenewalsKeepTheMinimumInterval(t *testing.T) {
--- a/internal/sim/mutant/configuration.go
+++ b/internal/sim/mutant/configuration.go
@@ -55,7 +55,7 @@
 
 	{Name: "claim_what_is_released", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "node/root.go",
 		Old: "	candidate := min(confirmed, n.root.releaseTracker.DeclarableVersion(n.now))",
-		New: "	candidate := max(confirmed, n.held.store.Version())"},
+		New: "	candidate := max(confirmed, n.local.store.Version())"},
 	{Name: "claim_for_all_regions", Breaks: oracle.InForceHolds, Simulation: Mesh, File: "node/regions.go",
 		Old: "		lowest = min(lowest, peer.inForce)",
 		New: "		lowest = max(lowest, peer.inForce)"},
