--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -12,48 +12,50 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// ForgetAfter is how long the record of a dead or left member is kept, so that
-// a late record of it is not taken for a new member.
+// TombstoneRetention is how long the record of a dead or left member is kept, so that a
+// late record does not add the member again.
 const TombstoneRetention = time.Hour
 
-// Source says from where a record was heard.
+// Source is the direction from which a record was received.
 type Source int
 
 // The sources of a record.
 const (
-	// Below is this daemon itself or a child, so that the parent may not know
-	// the record yet.
+	// SourceSubtree marks records that the parent may not know yet, such as those of
+	// this daemon and its subtree.
 	SourceSubtree Source = iota + 1
-	// Above is the parent, or another region.
+	// SourceOutside marks records received from the parent, another region, or in
+	// a reply to a probe.
 	SourceOutside
 )
 
-// Cursor is a position in a roster's change log. 0 is before everything.
+// Cursor is a position in a roster's change log. 0 precedes all changes.
 type Cursor = uint64
 
-// Roster is what one daemon knows of all members. It is not safe for
-// concurrent use.
+// Roster holds the member records that one daemon knows. It is not safe for concurrent
+// use.
 type Roster struct {
 	entries map[protocol.NodeID]*entry
-	// log lists changes in order. An item is stale once its member changed
-	// again; stale items are dropped when they outnumber the members.
-	log  []change
-	next Cursor
-	// order holds the entries in ascending order of id.
-	order []*entry
-	// structure counts the changes that Structure speaks of.
-	structure uint64
-	// sums hold, by bucket of ids, the sum of the hashes of all records.
+	// log lists the changes in order. An item is stale once its member has changed
+	// again; compact drops the stale items once there are many.
+	log        []change
+	nextCursor Cursor
+	// sorted holds the entries in ascending order of id.
+	sorted []*entry
+	// structureRevision is the counter returned by StructureRevision.
+	structureRevision uint64
+	// sums holds the sum of the record hashes, by bucket of member ids.
 	sums BucketSums
 }
 
-// Buckets is into how many parts the records are divided for Sums.
+// BucketCount is the number of buckets into which records are divided for BucketSums.
 const BucketCount = 64
 
-// Sums tell two rosters apart, bucket by bucket, without sending records.
+// BucketSums are checksums of a roster by bucket. Two rosters are compared by them
+// without sending records.
 type BucketSums [BucketCount]uint64
 
-// Total sums all buckets up: equal rosters have equal totals.
+// Total returns the sum over all buckets: equal rosters have equal totals.
 func (s BucketSums) Total() uint64 {
 	total := uint64(0)
 	for _, sum := range s {
@@ -63,10 +65,11 @@
 }
 
 type entry struct {
-	member  protocol.Member
-	changed Cursor
-	at      time.Duration
-	source  Source
+	member protocol.Member
+	cursor Cursor
+	// changedAt is when Merge last replaced the record; MergeKeepingChangedAt keeps it.
+	changedAt time.Duration
+	source    Source
 }
 
 type change struct {
@@ -76,11 +79,11 @@
 
 // NewRoster returns an empty roster.
 func NewRoster() *Roster {
-	return &Roster{entries: map[protocol.NodeID]*entry{}, next: 1}
+	return &Roster{entries: map[protocol.NodeID]*entry{}, nextCursor: 1}
 }
 
-// Merge takes a record heard from source at now and reports whether it
-// replaced what was known.
+// Merge merges a record received from source at now and reports whether it was new or
+// replaced the known one.
 func (r *Roster) Merge(now time.Duration, member protocol.Member, source Source) bool {
 	known, found := r.entries[member.ID]
 	if found && !Newer(member, known.member) {
@@ -93,11 +96,11 @@
 		r.sums[bucketOf(member.ID)] -= recordHash(known.member)
 	}
 	if !found || structureDiffers(known.member, member) {
-		r.structure++
+		r.structureRevision++
 	}
 	r.sums[bucketOf(member.ID)] += recordHash(member)
 	known.member = member
-	known.at = now
+	known.changedAt = now
 	known.source = source
 	r.logChange(known)
 	return true
@@ -105,21 +108,21 @@
 
 func (r *Roster) insert(id protocol.NodeID, added *entry) {
 	r.entries[id] = added
-	at, _ := slices.BinarySearchFunc(r.order, id, compareEntry)
-	r.order = slices.Insert(r.order, at, added)
+	at, _ := slices.BinarySearchFunc(r.sorted, id, compareEntry)
+	r.sorted = slices.Insert(r.sorted, at, added)
 }
 
-func compareEntry(one *entry, id protocol.NodeID) int { return cmp.Compare(one.member.ID, id) }
+func compareEntry(known *entry, id protocol.NodeID) int { return cmp.Compare(known.member.ID, id) }
 
-// structureDiffers reports whether a change concerns who counts and who may be
-// whose parent, and not only an endpoint.
+// structureDiffers reports whether two records of a member differ in a field on
+// which the set of counted members (see Live) or the distribution tree depends.
 func structureDiffers(a, b protocol.Member) bool {
 	return a.Incarnation != b.Incarnation || Live(a) != Live(b) || MayBeParent(a) != MayBeParent(b) || a.Reader != b.Reader || a.Root != b.Root ||
 		a.Zone != b.Zone || a.Region != b.Region || a.ControlAddress != b.ControlAddress
 }
 
-// recordHash identifies one state of a record: two records of a daemon with
-// the same place in the order of merging are the same.
+// recordHash identifies a record: two records of a daemon with the same incarnation,
+// sequence and state are equal.
 func recordHash(member protocol.Member) uint64 {
 	text := []byte(member.ID)
 	text = binary.BigEndian.AppendUint64(text, uint64(member.Incarnation))
@@ -130,16 +133,18 @@
 
 func bucketOf(id protocol.NodeID) int { return int(xxhash.Sum64String(string(id)) % BucketCount) }
 
-// Structure grows with each change of who counts and who may be whose parent.
-func (r *Roster) StructureRevision() uint64 { return r.structure }
+// StructureRevision returns a counter that grows when a member is added, and with each
+// change of a record for which structureDiffers.
+func (r *Roster) StructureRevision() uint64 { return r.structureRevision }
 
-// Sums returns the sums of all records.
+// Sums returns the sum of the record hashes for each bucket.
 func (r *Roster) Sums() BucketSums { return r.sums }
 
-// Differing returns the records in buckets whose sums differ from the given.
+// InDifferingBuckets returns the records in the buckets whose sums differ from the given
+// ones.
 func (r *Roster) InDifferingBuckets(sums BucketSums) []protocol.Member {
 	var members []protocol.Member
-	for _, known := range r.order {
+	for _, known := range r.sorted {
 		bucket := bucketOf(known.member.ID)
 		if sums[bucket] != r.sums[bucket] {
 			members = append(members, known.member)
@@ -148,19 +153,21 @@
 	return members
 }
 
-// MergeQuietly is Merge for a judgement that is not news from the member, such
-// as suspicion: ChangedAt stays what it was.
+// MergeKeepingChangedAt is Merge for a state that another daemon has assigned to the
+// member, such as suspect. Such a change does not show that the member is live, so
+// ChangedAt stays unchanged.
 func (r *Roster) MergeKeepingChangedAt(now time.Duration, member protocol.Member, source Source) bool {
-	heard := r.ChangedAt(member.ID)
+	changedAt := r.ChangedAt(member.ID)
 	if !r.Merge(now, member, source) {
 		return false
 	}
-	r.entries[member.ID].at = heard
+	r.entries[member.ID].changedAt = changedAt
 	return true
 }
 
-// ReportAgain makes a record count as changed below, so that a new parent
-// hears it.
+// MarkUnreported adds a record to the change log again and sets its source to
+// SourceSubtree, so that SubtreeSince returns it for a new parent although it has not
+// changed.
 func (r *Roster) MarkUnreported(id protocol.NodeID) {
 	known, found := r.entries[id]
 	if !found {
@@ -171,25 +178,25 @@
 }
 
 func (r *Roster) logChange(known *entry) {
-	known.changed = r.next
-	r.log = append(r.log, change{cursor: r.next, id: known.member.ID})
-	r.next++
+	known.cursor = r.nextCursor
+	r.log = append(r.log, change{cursor: r.nextCursor, id: known.member.ID})
+	r.nextCursor++
 	r.compact()
 }
 
-// compact drops stale log items, so that the log stays in proportion to the
-// number of members.
+// compact drops stale log items, so that the length of the log stays proportional to
+// the number of members.
 func (r *Roster) compact() {
 	const slack = 64
 	if len(r.log) < 2*len(r.entries)+slack {
 		return
 	}
-	r.log = lo.Filter(r.log, func(item change, _ int) bool { return r.current(item) })
+	r.log = lo.Filter(r.log, func(item change, _ int) bool { return r.isCurrent(item) })
 }
 
-func (r *Roster) current(item change) bool {
+func (r *Roster) isCurrent(item change) bool {
 	known, found := r.entries[item.id]
-	return found && known.changed == item.cursor
+	return found && known.cursor == item.cursor
 }
 
 // Get returns the record of a member.
@@ -201,59 +208,60 @@
 	return known.member, true
 }
 
-// ChangedAt returns when the member's record last changed here.
+// ChangedAt returns when Merge last added or replaced the member's record. Changes by
+// MergeKeepingChangedAt do not count.
 func (r *Roster) ChangedAt(id protocol.NodeID) time.Duration {
 	if known, found := r.entries[id]; found {
-		return known.at
+		return known.changedAt
 	}
 	return 0
 }
 
 // All returns a copy of every record in ascending order of id.
 func (r *Roster) All() []protocol.Member {
-	members := make([]protocol.Member, len(r.order))
-	for i, known := range r.order {
+	members := make([]protocol.Member, len(r.sorted))
+	for i, known := range r.sorted {
 		members[i] = known.member
 	}
 	return members
 }
 
-// Each calls visit with every record in ascending order of id. Records may be
-// merged meanwhile.
+// Each calls visit with every record in ascending order of id. The callback may merge
+// records.
 func (r *Roster) Each(visit func(protocol.Member)) {
-	for _, known := range slices.Clone(r.order) {
+	for _, known := range slices.Clone(r.sorted) {
 		visit(known.member)
 	}
 }
 
-// Where returns the records that fit, in ascending order of id.
-func (r *Roster) Where(fits func(protocol.Member) bool) []protocol.Member {
+// Where returns the records for which matches returns true, in ascending order of id.
+func (r *Roster) Where(matches func(protocol.Member) bool) []protocol.Member {
 	var members []protocol.Member
-	for _, known := range r.order {
-		if fits(known.member) {
+	for _, known := range r.sorted {
+		if matches(known.member) {
 			members = append(members, known.member)
 		}
 	}
 	return members
 }
 
-// Cursor returns the position after the newest change.
-func (r *Roster) Cursor() Cursor { return r.next - 1 }
+// Cursor returns the position of the newest change.
+func (r *Roster) Cursor() Cursor { return r.nextCursor - 1 }
 
-// Since returns the records that changed after the cursor, each once and in
-// the order of their changes. After a cursor that this roster never gave out,
-// it returns everything.
+// Since returns the records that changed after the cursor, each once and in the order
+// of their changes. For a cursor beyond the newest change, which this roster never
+// issued, it returns all records.
 func (r *Roster) Since(cursor Cursor) []protocol.Member {
 	return r.since(cursor, func(*entry) bool { return true })
 }
 
-// SinceBelow is Since for records heard from below only.
+// SubtreeSince is Since restricted to records from SourceSubtree.
 func (r *Roster) SubtreeSince(cursor Cursor) []protocol.Member {
 	return r.since(cursor, func(known *entry) bool { return known.source == SourceSubtree })
 }
 
-func (r *Roster) since(cursor Cursor, fits func(*entry) bool) []protocol.Member {
-	if cursor >= r.next {
+func (r *Roster) since(cursor Cursor, matches func(*entry) bool) []protocol.Member {
+	if cursor >= r.nextCursor {
 		cursor = 0
 	}
 	from, _ := slices.BinarySearchFunc(r.log, cursor+1, func(item change, target Cursor) int {
@@ -261,21 +269,22 @@
 	})
 	var members []protocol.Member
 	for _, item := range r.log[from:] {
-		if r.current(item) && fits(r.entries[item.id]) {
+		if r.isCurrent(item) && matches(r.entries[item.id]) {
 			members = append(members, r.entries[item.id].member)
 		}
 	}
 	return members
 }
 
-// Forget drops members that have been dead or left for ForgetAfter.
+// RemoveExpired removes the records of members that have been dead or left for longer
+// than TombstoneRetention.
 func (r *Roster) RemoveExpired(now time.Duration) {
-	r.order = slices.DeleteFunc(r.order, func(known *entry) bool {
-		forgotten := !Live(known.member) && now-known.at > TombstoneRetention
-		if forgotten {
+	r.sorted = slices.DeleteFunc(r.sorted, func(known *entry) bool {
+		expired := !Live(known.member) && now-known.changedAt > TombstoneRetention
+		if expired {
 			delete(r.entries, known.member.ID)
 			r.sums[bucketOf(known.member.ID)] -= recordHash(known.member)
 		}
-		return forgotten
+		return expired
 	})
 }
--- a/internal/core/node/calls.go
+++ b/internal/core/node/calls.go
@@ -7,38 +7,38 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// calls pairs the effects that expect an answer with what to do with it.
-type calls struct {
-	next    Token
-	waiting map[Token]func(body any)
+// callTable holds the callbacks of the peer calls that await a reply.
+type callTable struct {
+	lastToken Token
+	pending   map[Token]func(body any)
 }
 
-func newCalls() calls {
-	return calls{waiting: map[Token]func(body any){}}
+func newCallTable() callTable {
+	return callTable{pending: map[Token]func(body any){}}
 }
 
 func (n *Node) newToken() Token {
-	n.calls.next++
-	return n.calls.next
+	n.calls.lastToken++
+	return n.calls.lastToken
 }
 
-// call asks another daemon and calls done with the reply, or with nil when no
-// answer came, which leaves open whether the call had its effect.
-func (n *Node) call(address string, body any, timeout time.Duration, done func(reply any)) Token {
+// callPeer sends a request to another daemon and calls done with the reply, or with
+// nil when none arrived; the request may have taken effect even then.
+func (n *Node) callPeer(address string, body any, timeout time.Duration, done func(reply any)) Token {
 	token := n.newToken()
-	n.calls.waiting[token] = done
+	n.calls.pending[token] = done
 	n.emit(CallPeer{Token: token, Address: address, Body: body, Timeout: timeout})
 	return token
 }
 
-// finishCall hands a reply to the one who waits for it. A reply that nobody
-// waits for is late or a duplicate and is dropped.
-func (n *Node) finishCall(reply PeerReply) {
-	done, found := n.calls.waiting[reply.Token]
+// handlePeerReply passes a reply to the callback of its call. A reply without a
+// pending call is late or a duplicate and is dropped.
+func (n *Node) handlePeerReply(reply PeerReply) {
+	done, found := n.calls.pending[reply.Token]
 	if !found {
 		return
 	}
-	delete(n.calls.waiting, reply.Token)
+	delete(n.calls.pending, reply.Token)
 	if reply.Failed {
 		done(nil)
 		return
@@ -46,13 +46,14 @@
 	done(reply.Body)
 }
 
-// handlePeerRequest answers another daemon, at once or later.
+// handlePeerRequest dispatches a request from another daemon; the answer may be
+// sent in a later step.
 func (n *Node) handlePeerRequest(request PeerRequest) {
 	switch body := request.Body.(type) {
 	case *protocol.FetchRequest:
 		n.handleFetch(request.Token, body)
 	case *protocol.StoreRequest:
-		n.answer(request.Token, n.handleStore(body))
+		n.answerPeer(request.Token, n.handleStore(body))
 	case *protocol.FloorRequest:
 		n.handleFloor(request.Token, body)
 	case *protocol.SubmitRequest:
@@ -62,14 +63,16 @@
 	}
 }
 
-func (n *Node) answer(token Token, body any) {
+func (n *Node) answerPeer(token Token, body any) {
 	n.emit(PeerAnswer{Token: token, Body: body})
 }
 
-// knownFormat reports whether a peer's message can be understood whole.
-func knownFormat(format int) bool { return format == protocol.Format }
+// isKnownFormat reports whether this daemon understands every field of a peer's
+// message.
+func isKnownFormat(format int) bool { return format == protocol.Format }
 
-// refusal returns the fetch reply of a daemon that is no parent for the sender.
-func refusal(code result.Code, retryAfter time.Duration) *protocol.FetchReply {
+// newRefusal returns the fetch reply of a daemon that does not accept the sender
+// as a child.
+func newRefusal(code result.Code, retryAfter time.Duration) *protocol.FetchReply {
 	return &protocol.FetchReply{Format: protocol.Format, Code: code, RetryAfter: retryAfter}
 }
--- a/internal/core/node/downstream.go
+++ b/internal/core/node/downstream.go
@@ -13,137 +13,147 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// downstream is this daemon's side of the calls of its children.
+// downstream holds the state of this daemon's children.
 type downstream struct {
 	children map[protocol.NodeID]*child
-	// order lists the children in ascending order of id.
-	order []protocol.NodeID
-	// acksChanged is set when the fold may have changed.
+	// sortedIDs lists the ids of the children in ascending order.
+	sortedIDs []protocol.NodeID
+	// acksChanged is set when the aggregated acknowledgements may have changed.
 	acksChanged bool
-	admission   *distribution.SendLimiter
+	sendLimiter *distribution.SendLimiter
 }
 
-// child is one daemon that fetches from this one.
+// child is a daemon that fetches from this one.
 type child struct {
-	id          protocol.NodeID
-	incarnation protocol.Incarnation
-	counter     uint64
-	scope       protocol.Scope
-	have        protocol.Version
-	digest      resource.Digest
-	acks        []protocol.Acknowledgement
-	heardAt     time.Duration
-	// cursor is how far in this daemon's change log the child has heard.
+	id           protocol.NodeID
+	incarnation  protocol.Incarnation
+	fetchCounter uint64
+	scope        protocol.Scope
+	haveVersion  protocol.Version
+	haveDigest   resource.Digest
+	acks         []protocol.Acknowledgement
+	// fetchedAt is when the last fetch arrived.
+	fetchedAt time.Duration
+	// cursor is the position in this daemon's change log up to which the child
+	// has received records.
 	cursor         membership.Cursor
 	keeperRevision protocol.Version
-	// sums tell which records the child lacks, when it has no cursor.
-	sums []uint64
-	// joinedAt is the position in the change log at which the child's record
-	// was known.
-	joinedAt membership.Cursor
-	// leased is set once a lease was granted in this stay.
-	leased bool
-	// token is that of the held fetch; 0 for none.
-	token Token
-	wait  time.Duration
+	// rosterSums are the checksums of the child's roster by bucket. Without a
+	// cursor they show which records the child is missing.
+	rosterSums []uint64
+	// joinCursor is the position in this daemon's change log just after the child's
+	// record was added.
+	joinCursor membership.Cursor
+	// leaseGranted is set once this daemon has granted a lease to the child since
+	// it joined.
+	leaseGranted bool
+	// heldToken is the token of the fetch that is held open; 0 for none.
+	heldToken Token
+	maxHold   time.Duration
 }
 
-// The bounds of the downstream side.
+// The limits on the children and on the replies to them.
 const (
-	// A root has places for these multiples of the fan-out: for any daemon, for
-	// relays as well, and for daemons that bring readers or subtrees as well, so
-	// that leaves that came first in a herd don't keep a subtree out.
-	rootPlacesAny     = 2
-	rootPlacesRelay   = 4
-	rootPlacesSubtree = 8
-	// memberNews gathers changes of members before a held fetch is answered.
-	memberNews = 500 * time.Millisecond
-	// maxHints bounds the members named in a refusal.
+	// A root accepts children up to these multiples of the fan-out: leaves up to
+	// the first, relays up to the second, readers and daemons with a subtree up
+	// to the third. Leaves that arrive first when many daemons start together
+	// thus cannot exclude a subtree.
+	rootLimitLeaf    = 2
+	rootLimitRelay   = 4
+	rootLimitSubtree = 8
+	// memberBatchDelay is how long member changes are batched before a held fetch
+	// is answered.
+	memberBatchDelay = 500 * time.Millisecond
+	// maxHints is the maximum number of members listed in a refusal.
 	maxHints = 8
-	// retryNotReady is the wait told by a daemon that holds nothing yet.
-	retryNotReady = 200 * time.Millisecond
-	// smallDelta is admitted without limit.
-	smallDelta = 16 << 10
+	// notReadyRetryAfter is the retry delay in the refusal of a daemon that holds
+	// no configuration yet.
+	notReadyRetryAfter = 200 * time.Millisecond
+	// unlimitedDeltaBytes is the payload size up to which deltas bypass the send
+	// limiter.
+	unlimitedDeltaBytes = 16 << 10
 )
 
 func newDownstream() downstream {
 	return downstream{
-		children:  map[protocol.NodeID]*child{},
-		admission: distribution.NewSendLimiter(distribution.DefaultBytesPerSecond, distribution.DefaultBurstBytes),
+		children:    map[protocol.NodeID]*child{},
+		sendLimiter: distribution.NewSendLimiter(distribution.DefaultBytesPerSecond, distribution.DefaultBurstBytes),
 	}
 }
 
-// handleFetch takes a fetch and holds it until there is something to say.
+// handleFetch handles a child's fetch. A fetch that is accepted is held open until
+// a reply is due.
 func (n *Node) handleFetch(token Token, request *protocol.FetchRequest) {
-	if !knownFormat(request.Format) {
-		n.answer(token, refusal(result.UnknownFormat, n.config.Timing.DeadAfter))
+	if !isKnownFormat(request.Format) {
+		n.answerPeer(token, newRefusal(result.UnknownFormat, n.config.Timing.DeadAfter))
 		return
 	}
-	if code := n.acceptance(request); code != result.OK {
+	if code := n.checkChild(request); code != result.OK {
 		n.refuseFetch(token, request, code)
 		return
 	}
-	known, found := n.downstream.children[request.From]
-	if found && known.incarnation == request.Incarnation && request.Counter <= known.counter {
-		n.answer(token, refusal(result.Overloaded, idleSpacing))
+	sender, found := n.downstream.children[request.From]
+	if found && sender.incarnation == request.Incarnation && request.Counter <= sender.fetchCounter {
+		n.answerPeer(token, newRefusal(result.Overloaded, idleFetchInterval))
 		return
 	}
-	if !found || known.incarnation != request.Incarnation {
-		if !n.newcomerIsCurrent(request) {
+	if !found || sender.incarnation != request.Incarnation {
+		if !n.isCurrentFetch(request) {
 			n.refuseFetch(token, request, result.AskAnother)
 			return
 		}
-		known = n.addChild(request)
+		sender = n.addChild(request)
 	}
-	n.supersede(known)
-	n.takeFetch(known, token, request)
+	n.supersedeHeldFetch(sender)
+	n.recordFetch(sender, token, request)
 }
 
-// acceptance decides whether the sender may be a child. Relays are only taken
-// by a root and leaves by a root or by a relay below one, so that the tree has
-// at most three levels.
-func (n *Node) acceptance(request *protocol.FetchRequest) result.Code {
-	if _, known := n.floor(); !known || n.holding.store.Version() == 0 {
+// checkChild decides whether the sender may be a child. Only a root accepts
+// relays; leaves are accepted by a root or by a relay directly below one. The tree
+// therefore has at most three levels.
+func (n *Node) checkChild(request *protocol.FetchRequest) result.Code {
+	if _, known := n.floor(); !known || n.local.store.Version() == 0 {
 		if n.root.active {
 			return result.NotReadyYet
 		}
 		return result.AskAnother
 	}
 	parentIsRoot := n.upstream.joined && n.upstream.target.Root
-	_, already := n.downstream.children[request.From]
+	_, isChild := n.downstream.children[request.From]
 	switch {
 	case n.leaving || request.From == n.self.ID:
 		return result.AskAnother
-	case n.root.active && (already || len(n.downstream.children) < n.rootPlaces(request)):
+	case n.root.active && (isChild || len(n.downstream.children) < n.rootChildLimit(request)):
 		return result.OK
-	case n.root.active || !parentIsRoot || request.Scope.Relay || !n.relaying():
+	case n.root.active || !parentIsRoot || request.Scope.Relay || !n.isRelaying():
 		return result.AskAnother
-	case already || len(n.downstream.children) < n.config.Timing.FanOut:
+	case isChild || len(n.downstream.children) < n.config.Timing.FanOut:
 		return result.OK
 	default:
 		return result.AskAnother
 	}
 }
 
-// rootPlaces returns how many children this root may have for the sender to be
-// one more.
-func (n *Node) rootPlaces(request *protocol.FetchRequest) int {
-	below := lo.SumBy(request.Acknowledgements, func(ack protocol.Acknowledgement) uint32 { return ack.Count })
+// rootChildLimit returns how many children this root accepts, which depends on the
+// kind of the sender.
+func (n *Node) rootChildLimit(request *protocol.FetchRequest) int {
+	subtreeSize := lo.SumBy(request.Acknowledgements, func(ack protocol.Acknowledgement) uint32 { return ack.Count })
 	fanOut := n.config.Timing.FanOut
 	switch {
-	case request.Self.Reader || below > 1:
-		return rootPlacesSubtree * fanOut
+	case request.Self.Reader || subtreeSize > 1:
+		return rootLimitSubtree * fanOut
 	case request.Scope.Relay && n.tree().WouldBeRelay(request.Self):
-		return rootPlacesRelay * fanOut
+		return rootLimitRelay * fanOut
 	default:
-		return rootPlacesAny * fanOut
+		return rootLimitLeaf * fanOut
 	}
 }
 
-// newcomerIsCurrent refuses a newcomer's late duplicate: one from an earlier
-// life, or from before it turned to another parent. Counting it here as well
-// would hold in force back.
-func (n *Node) newcomerIsCurrent(request *protocol.FetchRequest) bool {
+// isCurrentFetch reports whether the first fetch of a new child is current. A late
+// duplicate, sent by an earlier incarnation or before the sender switched to
+// another parent, is not: a sender that is counted below two parents would
+// delay the in-force version.
+func (n *Node) isCurrentFetch(request *protocol.FetchRequest) bool {
 	if request.Self.ID != request.From || request.Self.Parent != n.self.ID {
 		return false
 	}
@@ -156,195 +166,199 @@
 
 func (n *Node) addChild(request *protocol.FetchRequest) *child {
 	if _, found := n.downstream.children[request.From]; !found {
-		at, _ := slices.BinarySearch(n.downstream.order, request.From)
-		n.downstream.order = slices.Insert(n.downstream.order, at, request.From)
+		at, _ := slices.BinarySearch(n.downstream.sortedIDs, request.From)
+		n.downstream.sortedIDs = slices.Insert(n.downstream.sortedIDs, at, request.From)
 	}
 	added := &child{id: request.From, incarnation: request.Incarnation}
 	n.downstream.children[request.From] = added
-	n.heardMember(request.Self, membership.SourceSubtree)
-	added.joinedAt = n.roster.Cursor()
+	n.mergeMember(request.Self, membership.SourceSubtree)
+	added.joinCursor = n.roster.Cursor()
 	return added
 }
 
-// supersede answers a held fetch when a newer one of the same child arrives.
-// The child waits for the newer only.
-func (n *Node) supersede(known *child) {
-	if known.token == 0 {
+// supersedeHeldFetch ends a held fetch with an empty reply. The child waits only
+// for its newest fetch.
+func (n *Node) supersedeHeldFetch(sender *child) {
+	if sender.heldToken == 0 {
 		return
 	}
-	n.answer(known.token, &protocol.FetchReply{Format: protocol.Format, Code: result.OK, Incarnation: n.self.Incarnation})
-	known.token = 0
+	n.answerPeer(sender.heldToken, &protocol.FetchReply{Format: protocol.Format, Code: result.OK, Incarnation: n.self.Incarnation})
+	sender.heldToken = 0
 }
 
-func (n *Node) takeFetch(known *child, token Token, request *protocol.FetchRequest) {
-	known.counter = request.Counter
-	known.scope = request.Scope
-	known.have = request.Have
-	known.digest = request.HaveDigest
-	known.keeperRevision = request.KeeperRevision
-	known.heardAt = n.now
-	known.token = token
-	known.wait = min(request.Wait, n.config.Timing.FetchWait)
-	known.cursor = 0
-	known.sums = request.RosterSums
+func (n *Node) recordFetch(sender *child, token Token, request *protocol.FetchRequest) {
+	sender.fetchCounter = request.Counter
+	sender.scope = request.Scope
+	sender.haveVersion = request.Have
+	sender.haveDigest = request.HaveDigest
+	sender.keeperRevision = request.KeeperRevision
+	sender.fetchedAt = n.now
+	sender.heldToken = token
+	sender.maxHold = min(request.Wait, n.config.Timing.FetchWait)
+	sender.cursor = 0
+	sender.rosterSums = request.RosterSums
 	if request.ParentIncarnation == n.self.Incarnation {
-		known.cursor = request.MemberCursor
+		sender.cursor = request.MemberCursor
 	}
-	if !distribution.EqualAcknowledgements(known.acks, request.Acknowledgements) {
-		known.acks = request.Acknowledgements
+	if !distribution.EqualAcknowledgements(sender.acks, request.Acknowledgements) {
+		sender.acks = request.Acknowledgements
 		n.downstream.acksChanged = true
 	}
 	if request.Self.ID == request.From {
-		n.heardMember(request.Self, membership.SourceSubtree)
+		n.mergeMember(request.Self, membership.SourceSubtree)
 	}
 	for _, member := range request.Members {
-		n.heardMember(member, membership.SourceSubtree)
+		n.mergeMember(member, membership.SourceSubtree)
 	}
 }
 
-// childMoved forgets a child that has another parent now, or has left or died.
-func (n *Node) childMoved(member protocol.Member) {
-	known, found := n.downstream.children[member.ID]
-	if !found || known.incarnation > member.Incarnation {
+// removeChild removes a child that has switched to another parent, left or died.
+func (n *Node) removeChild(member protocol.Member) {
+	removed, found := n.downstream.children[member.ID]
+	if !found || removed.incarnation > member.Incarnation {
 		return
 	}
-	n.supersede(known)
+	n.supersedeHeldFetch(removed)
 	delete(n.downstream.children, member.ID)
-	n.downstream.order = slices.DeleteFunc(n.downstream.order, func(id protocol.NodeID) bool { return id == member.ID })
+	n.downstream.sortedIDs = slices.DeleteFunc(n.downstream.sortedIDs, func(id protocol.NodeID) bool { return id == member.ID })
 	n.downstream.acksChanged = true
 }
 
-// acknowledgements folds what this daemon and all below it hold.
+// acknowledgements aggregates the versions held by this daemon and its subtree.
 //
-// What must hold: a child is counted from its first fetch until every lease
-// that this daemon granted to it has certainly ended, or until it is known to
-// be counted elsewhere, so that no version is called in force while it may
-// serve an older one.
+// Invariant: a child is counted from its first fetch until every lease that this
+// daemon granted to it has certainly expired, or until it is known to be counted
+// elsewhere. Otherwise a version could be declared in force while the child may
+// still serve an older one.
 func (n *Node) acknowledgements() []protocol.Acknowledgement {
-	fold := distribution.NewAcknowledgementAggregator()
+	aggregator := distribution.NewAcknowledgementAggregator()
 	if membership.Live(n.self) {
-		fold.Add(distribution.MemberAcknowledgement(n.self, n.held()))
+		aggregator.Add(distribution.MemberAcknowledgement(n.self, n.currentVersion()))
 	}
-	for _, id := range n.downstream.order {
-		known := n.downstream.children[id]
-		if n.leaseEnded(known) {
+	for _, id := range n.downstream.sortedIDs {
+		child := n.downstream.children[id]
+		if n.hasLeaseExpired(child) {
 			continue
 		}
-		for _, one := range known.acks {
-			fold.Add(one)
+		for _, ack := range child.acks {
+			aggregator.Add(ack)
 		}
 	}
-	return fold.List()
+	return aggregator.List()
 }
 
-// leaseEnded reports that the lease granted to a child has certainly ended.
-func (n *Node) leaseEnded(known *child) bool {
-	return n.now-known.heardAt > marginOf(n.config.Timing.ServingLease)
+// hasLeaseExpired reports whether every lease granted to a child has certainly
+// expired.
+func (n *Node) hasLeaseExpired(holder *child) bool {
+	return n.now-holder.fetchedAt > withClockMargin(n.config.Timing.ServingLease)
 }
 
-// sweepChildren notices children whose leases have ended.
+// sweepChildren marks the acknowledgements as changed when a child's lease has
+// expired within the last two sweep intervals.
 func (n *Node) sweepChildren() {
-	margin := marginOf(n.config.Timing.ServingLease)
-	for _, id := range n.downstream.order {
-		silent := n.now - n.downstream.children[id].heardAt
-		if silent > margin && silent <= margin+2*sweepInterval {
+	expiry := withClockMargin(n.config.Timing.ServingLease)
+	for _, id := range n.downstream.sortedIDs {
+		silentFor := n.now - n.downstream.children[id].fetchedAt
+		if silentFor > expiry && silentFor <= expiry+2*sweepInterval {
 			n.downstream.acksChanged = true
 		}
 	}
 }
 
-// serveChildren answers the held fetches that have an answer now.
-func (n *Node) serveChildren() {
-	for _, id := range n.downstream.order {
-		known := n.downstream.children[id]
-		if known.token != 0 && n.hasNews(known) {
-			n.serve(known)
+// answerHeldFetches answers the held fetches for which a reply is due.
+func (n *Node) answerHeldFetches() {
+	for _, id := range n.downstream.sortedIDs {
+		child := n.downstream.children[id]
+		if child.heldToken != 0 && n.isReplyDue(child) {
+			n.answerFetch(child)
 		}
 	}
 }
 
-func (n *Node) hasNews(known *child) bool {
-	held := n.now - known.heardAt
+func (n *Node) isReplyDue(sender *child) bool {
+	heldFor := n.now - sender.fetchedAt
 	switch {
-	case n.leaving, known.cursor == 0, held >= known.wait:
+	case n.leaving, sender.cursor == 0, heldFor >= sender.maxHold:
 		return true
-	case n.holding.store.Version() > known.have:
+	case n.local.store.Version() > sender.haveVersion:
 		return true
-	case !known.leased && n.mayLease(known):
+	case !sender.leaseGranted && n.canGrantLease(sender):
 		return true
 	default:
-		return n.roster.Cursor() != known.cursor && held >= memberNews
+		return n.roster.Cursor() != sender.cursor && heldFor >= memberBatchDelay
 	}
 }
 
-// mayLease reports whether a child may serve: its record has reached the root,
-// which then waits for it before calling anything in force, even when this
-// daemon dies in the next moment.
-func (n *Node) mayLease(known *child) bool {
-	reported := n.root.active || (n.upstream.joined && n.upstream.reported >= known.joinedAt)
-	return reported && n.holding.grantUntil > n.now
+// canGrantLease reports whether a child may be granted a lease. Its record must
+// have reached the root: the root then waits for the child before it declares a
+// version in force, even if this daemon crashes.
+func (n *Node) canGrantLease(holder *child) bool {
+	reported := n.root.active || (n.upstream.joined && n.upstream.reportedCursor >= holder.joinCursor)
+	return reported && n.local.grantUntil > n.now
 }
 
-// serve answers a held fetch.
-func (n *Node) serve(known *child) {
-	token := known.token
-	known.token = 0
+// answerFetch answers a held fetch.
+func (n *Node) answerFetch(sender *child) {
+	token := sender.heldToken
+	sender.heldToken = 0
 	if n.leaving {
-		n.answer(token, n.farewell(known))
+		n.answerPeer(token, n.leavingReply(sender))
 		return
 	}
-	store := n.holding.store
+	store := n.local.store
 	reply := &protocol.FetchReply{
 		Format:       protocol.Format,
 		Code:         result.OK,
 		Released:     store.Version(),
-		InForce:      n.holding.inForce,
+		InForce:      n.local.inForce,
 		Incarnation:  n.self.Incarnation,
-		Members:      n.membersFor(known),
+		Members:      n.membersToSend(sender),
 		MemberCursor: n.roster.Cursor(),
 	}
-	if store.Version() > known.have {
-		reply.Delta = store.Delta(known.scope, known.have, known.digest)
-		if wait, admitted := n.admit(reply.Delta); !admitted {
-			n.answer(token, refusal(result.Overloaded, wait))
+	if store.Version() > sender.haveVersion {
+		reply.Delta = store.Delta(sender.scope, sender.haveVersion, sender.haveDigest)
+		if wait, admitted := n.admitDelta(reply.Delta); !admitted {
+			n.answerPeer(token, newRefusal(result.Overloaded, wait))
 			return
 		}
 	}
-	if known.keeperRevision < n.holding.keepers.Revision {
-		reply.Keepers = n.holding.keepers
+	if sender.keeperRevision < n.local.keepers.Revision {
+		reply.Keepers = n.local.keepers
 	}
-	if known.cursor == 0 || store.Version() > known.have {
+	if sender.cursor == 0 || store.Version() > sender.haveVersion {
 		reply.Regions = n.allRegions()
 	}
-	reply.LeaseRemaining = n.grant(known)
-	n.answer(token, reply)
+	reply.LeaseRemaining = n.grantLease(sender)
+	n.answerPeer(token, reply)
 }
 
-// membersFor returns the records that a child lacks: those that changed since
-// its cursor, or, without one, those in which its roster differs.
-func (n *Node) membersFor(known *child) []protocol.Member {
-	if known.cursor == 0 && len(known.sums) == membership.BucketCount {
-		return n.roster.InDifferingBuckets(membership.BucketSums(known.sums))
+// membersToSend returns the records that a child is missing: those that changed
+// since its cursor or, without a cursor, those in the buckets whose checksums
+// differ.
+func (n *Node) membersToSend(receiver *child) []protocol.Member {
+	if receiver.cursor == 0 && len(receiver.rosterSums) == membership.BucketCount {
+		return n.roster.InDifferingBuckets(membership.BucketSums(receiver.rosterSums))
 	}
-	return n.roster.Since(known.cursor)
+	return n.roster.Since(receiver.cursor)
 }
 
-// admit limits the bytes that go out at once.
-func (n *Node) admit(delta *protocol.Delta) (time.Duration, bool) {
-	if delta == nil || len(delta.Payload) <= smallDelta {
+// admitDelta applies the send limiter to a delta. It returns the time to wait and
+// false when the delta may not be sent now.
+func (n *Node) admitDelta(delta *protocol.Delta) (time.Duration, bool) {
+	if delta == nil || len(delta.Payload) <= unlimitedDeltaBytes {
 		return 0, true
 	}
-	return n.downstream.admission.Admit(n.now, len(delta.Payload))
+	return n.downstream.sendLimiter.Admit(n.now, len(delta.Payload))
 }
 
-// grant returns the lease of a child, from the sending of its request: what
-// this daemon itself was granted at most, plus the time that the request was
-// held here, which has certainly passed at the child too.
-func (n *Node) grant(known *child) time.Duration {
-	if !n.mayLease(known) {
+// grantLease returns the lease of a child, counted from when the child sent its
+// request: at most the remainder of this daemon's own lease, plus the time for
+// which the request was held here, which has certainly passed at the child too.
+func (n *Node) grantLease(holder *child) time.Duration {
+	if !n.canGrantLease(holder) {
 		return 0
 	}
-	known.leased = true
-	remaining := min(n.config.Timing.ServingLease, n.holding.grantUntil-n.now)
-	return remaining + n.now - known.heardAt
+	holder.leaseGranted = true
+	remaining := min(n.config.Timing.ServingLease, n.local.grantUntil-n.now)
+	return remaining + n.now - holder.fetchedAt
 }
--- a/internal/core/node/failure_test.go
+++ b/internal/core/node/failure_test.go
@@ -13,34 +13,34 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// TestCrashHoldsInForceBackByTheFenceOnly guards a found fault: after the crash
-// of one daemon nothing was in force before it was called dead, 35 s later.
-func TestCrashHoldsInForceBackByTheFenceOnly(t *testing.T) {
-	c, _, _ := settled(t)
-	crashed := c.other(c.root())
+// TestAfterACrashAVersionIsInForceOnceFenced guards against a fault: after the crash of
+// one daemon, no version came in force until the daemon was marked dead, 35 s later.
+func TestAfterACrashAVersionIsInForceOnceFenced(t *testing.T) {
+	c, _, _ := newServingCluster(t)
+	crashed := c.runningExcept(c.root())
 	c.stop(crashed)
-	through := c.other(crashed)
-	version := c.accept(through, 7)
-	took := c.inForce(through, version, 12*time.Second)
-	t.Logf("in force %v after a crash", took)
+	submitter := c.runningExcept(crashed)
+	version := c.submitAccepted(submitter, 7)
+	elapsed := c.waitInForce(submitter, version, 12*time.Second)
+	t.Logf("in force %v after a crash", elapsed)
 }
 
-// settled returns twelve daemons that serve an accepted file everywhere, with
-// keepers that have been up for longer than any lease.
-func settled(t *testing.T) (*cluster, []*daemon, protocol.Version) {
+// newServingCluster returns a cluster of twelve daemons that all serve an accepted
+// file, with keepers that have been running for longer than any lease.
+func newServingCluster(t *testing.T) (*cluster, []*daemon, protocol.Version) {
 	c := newCluster(t)
 	if os.Getenv("NODE_LOGS") != "" {
-		c.logs = func(line string) { t.Log(line) }
+		c.logLine = func(line string) { t.Log(line) }
 	}
-	daemons := twelve(c)
-	c.until("all serve", 40*time.Second, func() bool { return c.allServe(1) })
+	daemons := startTwelve(c)
+	c.waitUntil("all serve", 40*time.Second, func() bool { return c.allServe(1) })
 	c.run(30 * time.Second)
-	version := c.accept(daemons[7], 6)
-	c.inForce(daemons[9], version, 5*time.Second)
+	version := c.submitAccepted(daemons[7], 6)
+	c.waitInForce(daemons[9], version, 5*time.Second)
 	return c, daemons, version
 }
 
-// root returns the running daemon that calls itself root.
+// root returns the running daemon whose own record marks it as root.
 func (c *cluster) root() *daemon {
 	for _, d := range c.daemons {
 		if !d.running {
@@ -55,15 +55,15 @@
 	return nil
 }
 
-// other returns a running daemon that is none of the given.
-func (c *cluster) other(not ...*daemon) *daemon {
+// runningExcept returns a running daemon that is not among the excluded ones.
+func (c *cluster) runningExcept(excluded ...*daemon) *daemon {
 	for i := range len(c.daemons) {
 		d := c.daemons[fmt.Sprintf("addr-d%02d", i)]
-		known := !d.running
-		for _, one := range not {
-			known = known || one == d
+		isExcluded := !d.running
+		for _, other := range excluded {
+			isExcluded = isExcluded || other == d
 		}
-		if !known {
+		if !isExcluded {
 			return d
 		}
 	}
@@ -71,72 +71,72 @@
 }
 
 func TestRootDies(t *testing.T) {
-	c, _, _ := settled(t)
+	c, _, _ := newServingCluster(t)
 	root := c.root()
 	c.stop(root)
-	through := c.other(root)
-	version := c.accept(through, 7)
-	held := c.until("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	took := c.inForce(through, version, 60*time.Second)
-	t.Logf("served everywhere after %v, in force after another %v", held, took)
+	submitter := c.runningExcept(root)
+	version := c.submitAccepted(submitter, 7)
+	servedAfter := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	elapsed := c.waitInForce(submitter, version, 60*time.Second)
+	t.Logf("served everywhere after %v, in force after another %v", servedAfter, elapsed)
 }
 
 func TestDaemonIsCutOffAndReturns(t *testing.T) {
-	c, daemons, _ := settled(t)
-	lost := c.other(c.root())
-	c.cut = func(from, to string) bool {
-		return from == lost.config.ControlAddress || to == lost.config.ControlAddress
+	c, daemons, _ := newServingCluster(t)
+	isolated := c.runningExcept(c.root())
+	c.isCut = func(from, to string) bool {
+		return from == isolated.config.ControlAddress || to == isolated.config.ControlAddress
 	}
-	through := c.other(lost)
-	version := c.accept(through, 7)
+	submitter := c.runningExcept(isolated)
+	version := c.submitAccepted(submitter, 7)
 	c.run(time.Second)
-	if c.status(through).Summary.InForce >= version {
-		c.is.Fail() // a daemon that may still serve the older version holds it back
+	if c.status(submitter).Summary.InForce >= version {
+		c.is.Fail() // one daemon may still serve the older version
 	}
 	c.run(15 * time.Second)
-	c.is.True(!c.serving(lost)) // it stopped by itself
-	c.inForce(through, version, 60*time.Second)
-	c.cut = func(string, string) bool { return false }
-	c.until("all serve", 20*time.Second, func() bool { return c.allServe(version) })
-	version = c.accept(daemons[3], 8)
-	c.inForce(through, version, 10*time.Second)
+	c.is.True(!c.serving(isolated)) // its lease has expired
+	c.waitInForce(submitter, version, 60*time.Second)
+	c.isCut = func(string, string) bool { return false }
+	c.waitUntil("all serve", 20*time.Second, func() bool { return c.allServe(version) })
+	version = c.submitAccepted(daemons[3], 8)
+	c.waitInForce(submitter, version, 10*time.Second)
 }
 
 func TestZoneIsLost(t *testing.T) {
-	c, daemons, _ := settled(t)
+	c, daemons, _ := newServingCluster(t)
 	for _, d := range daemons {
 		if d.config.Zone == "eros-hall" {
 			c.stop(d)
 		}
 	}
-	through := c.other()
-	version := c.accept(through, 7)
-	held := c.until("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	took := c.inForce(through, version, 90*time.Second)
-	t.Logf("served everywhere after %v, in force after another %v", held, took)
+	submitter := c.runningExcept()
+	version := c.submitAccepted(submitter, 7)
+	servedAfter := c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	elapsed := c.waitInForce(submitter, version, 90*time.Second)
+	t.Logf("served everywhere after %v, in force after another %v", servedAfter, elapsed)
 }
 
 func TestPlatformIsDown(t *testing.T) {
-	c, daemons, version := settled(t)
+	c, daemons, version := newServingCluster(t)
 	c.platform.down = true
 	c.run(60 * time.Second)
 	c.is.True(c.allServe(version))
 	c.stop(daemons[4])
 	c.start("windhoek", "klein-hall", "d04", "addr-d00", "addr-d01", "addr-d02")
-	c.until("a new daemon serves", 20*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("a new daemon serves", 20*time.Second, func() bool { return c.allServe(version) })
 	root := c.root()
 	c.stop(root)
-	c.until("another root serves", 30*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("another root serves", 30*time.Second, func() bool { return c.allServe(version) })
 	c.platform.down = false
-	version = c.accept(c.other(root), 7)
-	c.until("all hold", 15*time.Second, func() bool { return c.allServe(version) })
-	c.inForce(c.other(root), version, 60*time.Second)
+	version = c.submitAccepted(c.runningExcept(root), 7)
+	c.waitUntil("all hold", 15*time.Second, func() bool { return c.allServe(version) })
+	c.waitInForce(c.runningExcept(root), version, 60*time.Second)
 }
 
-// TestHerdRestarts restarts all daemons at once with the platform up, then
-// with the platform down: without a floor nothing is served.
-func TestHerdRestarts(t *testing.T) {
-	c, daemons, version := settled(t)
+// TestAllDaemonsRestartAtOnce restarts all daemons at once, first with the platform up,
+// then with the platform down: without a floor no daemon serves.
+func TestAllDaemonsRestartAtOnce(t *testing.T) {
+	c, daemons, version := newServingCluster(t)
 	restart := func() {
 		for _, d := range daemons {
 			c.stop(d)
@@ -147,8 +147,8 @@
 		}
 	}
 	restart()
-	took := c.until("all serve", 60*time.Second, func() bool { return c.allServe(version) })
-	t.Logf("all serve %v after the herd restarted", took)
+	elapsed := c.waitUntil("all serve", 60*time.Second, func() bool { return c.allServe(version) })
+	t.Logf("all daemons serve %v after the restart", elapsed)
 	c.platform.down = true
 	restart()
 	c.run(30 * time.Second)
@@ -156,88 +156,88 @@
 		c.is.True(!c.serving(d))
 	}
 	c.platform.down = false
-	c.until("all serve", 60*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("all serve", 60*time.Second, func() bool { return c.allServe(version) })
 }
 
-// TestRegionsAreCut follows a change over two regions, of which one is then
-// cut off.
+// TestRegionsAreCut distributes changes over two regions, before and while they are
+// cut off from each other.
 func TestRegionsAreCut(t *testing.T) {
 	c := newCluster(t)
 	if os.Getenv("NODE_LOGS") != "" {
-		c.logs = func(line string) { t.Log(line) }
+		c.logLine = func(line string) { t.Log(line) }
 	}
 	regions := map[string][]string{"windhoek": {"klein-hall", "eros-hall"}, "accra": {"tema-hall", "osu-hall"}}
 	for i := range 8 {
 		region := []string{"windhoek", "accra"}[i%2]
 		c.start(region, regions[region][i/2%2], fmt.Sprintf("d%02d", i), "addr-d00", "addr-d01")
 	}
-	c.until("all serve", 40*time.Second, func() bool { return c.allServe(1) })
+	c.waitUntil("all serve", 40*time.Second, func() bool { return c.allServe(1) })
 	c.run(30 * time.Second)
-	through := c.other()
-	version := c.accept(through, 6)
-	took := c.inForce(through, version, 10*time.Second)
-	t.Logf("in force in both regions after %v", took)
-	c.until("all members known", 10*time.Second, func() bool { return len(through.members) == 8 })
+	submitter := c.runningExcept()
+	version := c.submitAccepted(submitter, 6)
+	elapsed := c.waitInForce(submitter, version, 10*time.Second)
+	t.Logf("in force in both regions after %v", elapsed)
+	c.waitUntil("all members known", 10*time.Second, func() bool { return len(submitter.members) == 8 })
 
-	c.cut = func(from, to string) bool { return c.daemons[from].config.Region != c.daemons[to].config.Region }
-	version = c.accept(through, 7)
-	c.until("each region holds it", 10*time.Second, func() bool { return c.allServe(version) })
+	c.isCut = func(from, to string) bool { return c.daemons[from].config.Region != c.daemons[to].config.Region }
+	version = c.submitAccepted(submitter, 7)
+	c.waitUntil("each region holds it", 10*time.Second, func() bool { return c.allServe(version) })
 	c.run(40 * time.Second)
-	summary := c.status(through).Summary
-	c.is.True(summary.InForce < version) // not known of the other region
+	summary := c.status(submitter).Summary
+	c.is.True(summary.InForce < version) // the other region has not reported it
 	c.is.Equal(summary.CutRegions, []string{"accra"})
-	c.cut = func(string, string) bool { return false }
-	took = c.inForce(through, version, 10*time.Second)
-	t.Logf("in force %v after the regions were joined", took)
+	c.isCut = func(string, string) bool { return false }
+	elapsed = c.waitInForce(submitter, version, 10*time.Second)
+	t.Logf("in force %v after the regions were joined", elapsed)
 }
 
 func TestCleanLeaveIsNotCounted(t *testing.T) {
-	c, _, _ := settled(t)
-	gone := c.other(c.root())
-	c.step(gone, node.Leave{})
+	c, _, _ := newServingCluster(t)
+	leaver := c.runningExcept(c.root())
+	c.step(leaver, node.Leave{})
 	c.run(time.Second)
-	c.step(gone, node.Stopped{})
+	c.step(leaver, node.Stopped{})
 	c.run(500 * time.Millisecond)
-	c.stop(gone)
-	through := c.other(gone)
-	version := c.accept(through, 7)
-	took := c.inForce(through, version, 5*time.Second)
-	t.Logf("in force after %v without the one that left", took)
+	c.stop(leaver)
+	submitter := c.runningExcept(leaver)
+	version := c.submitAccepted(submitter, 7)
+	elapsed := c.waitInForce(submitter, version, 5*time.Second)
+	t.Logf("in force after %v without the one that left", elapsed)
 }
 
-// TestStepsAreDeterministic runs the same cluster twice.
+// TestStepsAreDeterministic runs the same cluster twice and compares the logs.
 func TestStepsAreDeterministic(t *testing.T) {
 	is := is.New(t)
 	var logs [2][]string
 	for i := range logs {
 		c := newCluster(t)
-		c.logs = func(line string) { logs[i] = append(logs[i], line) }
-		twelve(c)
+		c.logLine = func(line string) { logs[i] = append(logs[i], line) }
+		startTwelve(c)
 		c.run(20 * time.Second)
 	}
 	is.True(len(logs[0]) > 20)
 	is.Equal(logs[0], logs[1])
 }
 
-// TestTooFewKeepersForANewVersionStillServeTheOldOne crashes so many keepers
-// that nothing can be released any more, and accepts a version: the others
-// serve on what is released, and take the version once keepers return.
-func TestTooFewKeepersForANewVersionStillServeTheOldOne(t *testing.T) {
-	c, daemons, released := settled(t)
+// TestTheReleasedVersionIsServedWhileTooFewKeepersRun crashes so many keepers that no
+// version can be released, and then accepts one: the other daemons continue to serve
+// the released version, and adopt the new one once the keepers have restarted.
+func TestTheReleasedVersionIsServedWhileTooFewKeepersRun(t *testing.T) {
+	c, daemons, released := newServingCluster(t)
 	root := c.root()
 	head, err := ledger.Decode(c.platform.objects[ledger.HeadObject].Data)
 	c.is.NoErr(err)
 	set, _ := head.KeeperSet("windhoek")
 	var crashed []*daemon
 	for _, keeper := range set.Members {
-		one := c.daemons["addr-"+string(keeper.ID)]
-		if one != root && len(crashed) <= len(set.Members)-set.Write {
-			c.stop(one)
-			crashed = append(crashed, one)
+		stopped := c.daemons["addr-"+string(keeper.ID)]
+		if stopped != root && len(crashed) <= len(set.Members)-set.Write {
+			c.stop(stopped)
+			crashed = append(crashed, stopped)
 		}
 	}
 	c.run(3 * time.Second)
-	version := c.accept(c.other(crashed...), 7)
+	version := c.submitAccepted(c.runningExcept(crashed...), 7)
 	c.run(20 * time.Second)
 	for _, d := range daemons {
 		if d.running && !c.serving(d) {
@@ -250,15 +250,15 @@
 	for _, d := range crashed {
 		c.start("windhoek", d.config.Zone, string(d.id), "addr-d00", "addr-d01", "addr-d02", "addr-d03")
 	}
-	c.until("the new version is in force", 60*time.Second, func() bool { return c.allServe(version) })
+	c.waitUntil("the new version is in force", 60*time.Second, func() bool { return c.allServe(version) })
 }
 
-// TestAChangeOfKeepersSettlesAtOnce watches the first growth of a keeper set.
-// While it has not settled, the former set counts as well, and that may be a
-// single daemon whose loss would stop the region.
-func TestAChangeOfKeepersSettlesAtOnce(t *testing.T) {
+// TestAChangeOfKeepersIsCompletedAtOnce checks that the first growth of a keeper set is
+// completed within 2 s. Until then a quorum of the former set is required as well, which
+// may be a single daemon whose loss would stop the region.
+func TestAChangeOfKeepersIsCompletedAtOnce(t *testing.T) {
 	c := newCluster(t)
-	var changedAt, settledAt time.Duration
+	var changedAt, completedAt time.Duration
 	c.observe = func(_, _ string, body any) {
 		request, isStore := body.(*protocol.StoreRequest)
 		if !isStore || request.Keepers.Revision == 0 {
@@ -267,11 +267,11 @@
 		switch {
 		case changedAt == 0 && request.Keepers.Previous != nil:
 			changedAt = c.now()
-		case changedAt > 0 && settledAt == 0 && request.Keepers.Previous == nil:
-			settledAt = c.now()
+		case changedAt > 0 && completedAt == 0 && request.Keepers.Previous == nil:
+			completedAt = c.now()
 		}
 	}
-	twelve(c)
-	c.until("the set has grown and settled", 60*time.Second, func() bool { return settledAt > 0 })
-	c.is.True(settledAt-changedAt < 2*time.Second)
+	startTwelve(c)
+	c.waitUntil("the keeper set has grown and the change is complete", 60*time.Second, func() bool { return completedAt > 0 })
+	c.is.True(completedAt-changedAt < 2*time.Second)
 }
--- a/internal/core/node/members.go
+++ b/internal/core/node/members.go
@@ -9,31 +9,32 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// changeSelf changes this daemon's own record under the next sequence.
-func (n *Node) changeSelf(change func(self *protocol.Member)) {
+// updateSelf applies a change to this daemon's own record and increments its
+// sequence.
+func (n *Node) updateSelf(change func(self *protocol.Member)) {
 	change(&n.self)
 	n.self.Sequence++
 	n.roster.Merge(n.now, n.self, membership.SourceSubtree)
 }
 
-// heardMember merges a record heard from elsewhere.
-func (n *Node) heardMember(member protocol.Member, source membership.Source) {
+// mergeMember merges a record received from another daemon.
+func (n *Node) mergeMember(member protocol.Member, source membership.Source) {
 	if member.ID == n.self.ID {
-		n.heardOfSelf(member)
+		n.refuteRecord(member)
 		return
 	}
 	if !n.roster.Merge(n.now, member, source) {
 		return
 	}
 	if member.Parent != n.self.ID || !membership.Live(member) {
-		n.childMoved(member)
+		n.removeChild(member)
 	}
 }
 
-// heardOfSelf refutes what others say of this daemon: a sequence above the one
-// heard wins over suspicion and death, and an incarnation above a remembered
-// one over an earlier life.
-func (n *Node) heardOfSelf(member protocol.Member) {
+// refuteRecord handles a record of this daemon received from another. It refutes a
+// suspect or dead state by a higher sequence, and a record of an earlier run of this
+// daemon by a higher incarnation.
+func (n *Node) refuteRecord(member protocol.Member) {
 	if member.Incarnation > n.self.Incarnation {
 		n.raiseIncarnation(member.Incarnation)
 		return
@@ -42,16 +43,17 @@
 		return
 	}
 	n.self.Sequence = max(n.self.Sequence, member.Sequence)
-	n.changeSelf(func(*protocol.Member) {})
+	n.updateSelf(func(*protocol.Member) {})
 }
 
-// raiseIncarnation starts a life above one that a peer remembers, for example
-// because the wall clock stood back when this daemon started.
+// raiseIncarnation raises this daemon's incarnation above the one that a peer
+// remembers, which is needed, for example, when the wall clock was set back before
+// this daemon started.
 func (n *Node) raiseIncarnation(remembered protocol.Incarnation) {
 	if remembered < n.self.Incarnation {
 		return
 	}
-	n.changeSelf(func(self *protocol.Member) { self.Incarnation = remembered + 1 })
+	n.updateSelf(func(self *protocol.Member) { self.Incarnation = remembered + 1 })
 	n.downstream.acksChanged = true
 }
 
@@ -59,60 +61,61 @@
 	if n.self.Endpoint == state {
 		return
 	}
-	n.changeSelf(func(self *protocol.Member) { self.Endpoint = state })
+	n.updateSelf(func(self *protocol.Member) { self.Endpoint = state })
 }
 
-// handleLeave starts the drain. A draining member is still counted.
+// handleLeave starts draining. A draining member is still counted.
 func (n *Node) handleLeave() {
 	if n.leaving {
 		return
 	}
 	n.leaving = true
-	n.changeSelf(func(self *protocol.Member) { self.State = protocol.MemberDraining })
-	n.applyReader(n.readerSide.reader.Resign(n.now))
+	n.updateSelf(func(self *protocol.Member) { self.State = protocol.MemberDraining })
+	n.applyReaderOutputs(n.readerSide.reader.Resign(n.now))
 }
 
-// handleStopped reports that this daemon serves no more.
+// handleStopped marks this daemon as having left: it serves no longer.
 func (n *Node) handleStopped() {
 	n.leaving = true
-	n.changeSelf(func(self *protocol.Member) { self.State = protocol.MemberLeft })
+	n.updateSelf(func(self *protocol.Member) { self.State = protocol.MemberLeft })
 }
 
-// publishMembers gives the data path the newest records.
+// publishMembers passes the newest records to the data path, at most once per
+// publishInterval.
 func (n *Node) publishMembers() {
-	if n.published == n.roster.Cursor() || (n.published > 0 && n.now-n.publishedAt < publishInterval) {
+	if n.publishedCursor == n.roster.Cursor() || (n.publishedCursor > 0 && n.now-n.publishedAt < publishInterval) {
 		return
 	}
-	n.published = n.roster.Cursor()
+	n.publishedCursor = n.roster.Cursor()
 	n.publishedAt = n.now
 	n.emit(PublishMembers{Members: n.roster.All()})
 }
 
-// suspectAfter is how long a child may be silent before it is suspect. The
-// data path then prefers others; it is still counted.
+// suspectAfter returns the time without a fetch after which a child is suspect.
+// The data path then prefers other daemons; the child is still counted.
 func (n *Node) suspectAfter() time.Duration {
 	return n.config.Timing.FetchWait + n.config.Timing.ServingLease/2
 }
 
-// sweepMembers marks silent members that this daemon answers for.
+// sweepMembers updates the state of the silent members that this daemon monitors.
 func (n *Node) sweepMembers() {
 	if _, known := n.floor(); !known {
 		return
 	}
 	n.roster.Each(func(member protocol.Member) {
-		if member.ID != n.self.ID && membership.Live(member) && n.answersFor(member) {
-			n.judge(member)
+		if member.ID != n.self.ID && membership.Live(member) && n.monitors(member) {
+			n.updateLiveness(member)
 		}
 	})
 }
 
-// answersFor reports whether this daemon watches a member: its parent does,
-// and the root does for members whose parent is gone or who have none.
+// monitors reports whether this daemon monitors a member: a parent monitors its
+// children, and the root monitors members whose parent is unknown or not live.
 //
-// A wrong death does no harm to what is called in force: the member is still
-// counted below its parent, the sums then differ from the roster, and in force
-// is withheld until the member has refuted its death.
-func (n *Node) answersFor(member protocol.Member) bool {
+// Marking a live member as dead does not make a wrong version in force: the member
+// is still counted below its parent, so the aggregated counts differ from the
+// roster, and no version is declared in force until the member refutes the state.
+func (n *Node) monitors(member protocol.Member) bool {
 	if member.Parent == n.self.ID {
 		return true
 	}
@@ -123,91 +126,93 @@
 	return !found || !membership.Live(parent)
 }
 
-func (n *Node) judge(member protocol.Member) {
-	silent := n.now - n.lastHeard(member.ID)
+func (n *Node) updateLiveness(member protocol.Member) {
+	silentFor := n.now - n.lastContact(member.ID)
 	switch {
-	case silent > n.config.Timing.DeadAfter:
+	case silentFor > n.config.Timing.DeadAfter:
 		member.State = protocol.MemberDead
 		n.roster.Merge(n.now, member, membership.SourceSubtree)
-		n.childMoved(member)
+		n.removeChild(member)
 		n.log("member_dead", LogField{Key: "member", Value: string(member.ID)})
-	case silent > n.suspectAfter() && member.State == protocol.MemberAlive && member.Parent == n.self.ID:
+	case silentFor > n.suspectAfter() && member.State == protocol.MemberAlive && member.Parent == n.self.ID:
 		member.State = protocol.MemberSuspect
 		n.roster.MergeKeepingChangedAt(n.now, member, membership.SourceSubtree)
 		n.log("member_suspect", LogField{Key: "member", Value: string(member.ID)})
 	}
 }
 
-// lastHeard returns when a member was last heard by this daemon: its last
-// fetch if it is a child, else the last change of its record, or this daemon's
-// own start.
-func (n *Node) lastHeard(id protocol.NodeID) time.Duration {
-	heard := max(n.roster.ChangedAt(id), n.start.readyAt)
+// lastContact returns the latest of a member's last fetch, if it is a child, the
+// last change of its record, and the time from which on this daemon could observe
+// it.
+func (n *Node) lastContact(id protocol.NodeID) time.Duration {
+	contact := max(n.roster.ChangedAt(id), n.start.readyAt)
 	if n.root.active {
-		heard = max(heard, n.root.since)
+		contact = max(contact, n.root.activeSince)
 	}
 	if child, found := n.downstream.children[id]; found {
-		heard = max(heard, child.heardAt)
+		contact = max(contact, child.fetchedAt)
 	}
-	return heard
+	return contact
 }
 
-// visitors are daemons that start and have not joined yet. They are told to
-// others that start, but not counted.
-type visitors struct {
-	list []visitor
+// startingPeers holds the senders of floor requests and the daemons listed in the
+// replies, which may not have joined yet. They are listed to other starting daemons,
+// but not counted.
+type startingPeers struct {
+	list []startingPeer
 }
 
-type visitor struct {
-	member  protocol.Member
-	heardAt time.Duration
+type startingPeer struct {
+	member protocol.Member
+	seenAt time.Duration
 }
 
-// The bounds of the visitors remembered.
+// The limits of startingPeers.
 const (
-	maxVisitors   = 256
-	visitorExpiry = 20 * time.Second
+	maxStartingPeers   = 256
+	startingPeerExpiry = 20 * time.Second
 )
 
-func (v *visitors) heard(now time.Duration, member protocol.Member) {
+func (p *startingPeers) record(now time.Duration, member protocol.Member) {
 	if member.ID == "" {
 		return
 	}
-	for i := range v.list {
-		if v.list[i].member.ID == member.ID {
-			v.list[i] = visitor{member: member, heardAt: now}
+	for i := range p.list {
+		if p.list[i].member.ID == member.ID {
+			p.list[i] = startingPeer{member: member, seenAt: now}
 			return
 		}
 	}
-	if len(v.list) == maxVisitors {
-		v.list = slices.Delete(v.list, 0, 1)
+	if len(p.list) == maxStartingPeers {
+		p.list = slices.Delete(p.list, 0, 1)
 	}
-	v.list = append(v.list, visitor{member: member, heardAt: now})
+	p.list = append(p.list, startingPeer{member: member, seenAt: now})
 }
 
-// first returns the visitors that rank first as readers of a region. They are
-// all that others need to know: who does not rank before them does not turn to
+// topRanked returns the recorded daemons that rank first as readers of a region.
+// The others need not be listed: a daemon that ranks below these does not contact
 // the platform.
-func (v *visitors) first(region string) []protocol.Member {
+func (p *startingPeers) topRanked(region string) []protocol.Member {
 	var members []protocol.Member
-	for _, one := range v.list {
-		if one.member.Region == region {
-			members = append(members, one.member)
+	for _, peer := range p.list {
+		if peer.member.Region == region {
+			members = append(members, peer.member)
 		}
 	}
 	ranked := membership.Rank(readerPurpose(region), members)
 	return ranked[:min(len(ranked), maxCandidates)]
 }
 
-func (v *visitors) expire(now time.Duration) {
-	kept := v.list[:0]
-	for _, one := range v.list {
-		if now-one.heardAt <= visitorExpiry {
-			kept = append(kept, one)
+func (p *startingPeers) expire(now time.Duration) {
+	kept := p.list[:0]
+	for _, peer := range p.list {
+		if now-peer.seenAt <= startingPeerExpiry {
+			kept = append(kept, peer)
 		}
 	}
-	v.list = kept
+	p.list = kept
 }
 
-// marginOf returns a time with the margin for clocks of different rates.
-func marginOf(lease time.Duration) time.Duration { return distribution.LeaseWithMargin(lease) }
+// withClockMargin returns a lease duration plus a margin for clocks that run at
+// different rates.
+func withClockMargin(lease time.Duration) time.Duration { return distribution.LeaseWithMargin(lease) }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -17,36 +17,38 @@
 	startedAt time.Duration
 	started   bool
 	random    *rand.Rand
-	// effects gathers what the current step asks for.
+	// effects collects the effects of the current step.
 	effects []Effect
-	// wallClock is the newest wall clock heard, at wallClockAt; status only.
+	// wallClock is the newest wall-clock time received, at wallClockAt; used for
+	// status only.
 	wallClock   time.Time
 	wallClockAt time.Duration
 
-	calls       calls
-	self        protocol.Member
-	roster      *membership.Roster
-	view        view
-	start       start
-	holding     holding
-	upstream    upstream
-	downstream  downstream
-	root        root
-	regions     regions
-	readerSide  readerSide
-	operators   operators
-	visitors    visitors
-	leaving     bool
-	publishedAt time.Duration
-	published   membership.Cursor
-	// lastSweep is when the slow work was last done.
+	calls           callTable
+	self            protocol.Member
+	roster          *membership.Roster
+	view            rosterView
+	start           start
+	local           localState
+	upstream        upstream
+	downstream      downstream
+	root            root
+	regions         regions
+	readerSide      readerSide
+	operators       operators
+	startingPeers   startingPeers
+	leaving         bool
+	publishedAt     time.Duration
+	publishedCursor membership.Cursor
+	// lastSweep is when sweep last ran.
 	lastSweep time.Duration
 }
 
-// sweepInterval is how often work that looks at every member is done.
+// sweepInterval is the time between runs of sweep.
 const sweepInterval = time.Second
 
-// publishInterval gathers changes of members for the data path.
+// publishInterval is the least time between publications of member records to the
+// data path; changes in between are batched.
 const publishInterval = 200 * time.Millisecond
 
 // New returns a node that has not been stepped yet.
@@ -73,9 +75,9 @@
 			Slots:          config.Slots,
 		},
 	}
-	node.calls = newCalls()
+	node.calls = newCallTable()
 	node.start = newStart(config, random.Uint64())
-	node.holding = newHolding()
+	node.local = newLocalState()
 	node.downstream = newDownstream()
 	node.root = newRoot(config)
 	node.regions = newRegions()
@@ -84,8 +86,9 @@
 	return node
 }
 
-// Step takes one message at the monotonic time now and returns what the shell
-// has to do, in order. It never blocks. Times must not decrease between calls.
+// Step processes one message at the monotonic time now and returns the effects that
+// the shell must carry out, in order. It never blocks. Times must not decrease
+// between calls.
 func (n *Node) Step(now time.Duration, message Message) []Effect {
 	n.now = max(n.now, now)
 	n.effects = nil
@@ -93,31 +96,31 @@
 		n.begin()
 	}
 	n.dispatch(message)
-	n.settle()
+	n.flush()
 	return n.effects
 }
 
 func (n *Node) dispatch(message Message) {
-	switch one := message.(type) {
+	switch received := message.(type) {
 	case Tick:
-		n.heardWallClock(one.WallClock)
+		n.setWallClock(received.WallClock)
 		n.tick()
 	case PeerRequest:
-		n.handlePeerRequest(one)
+		n.handlePeerRequest(received)
 	case PeerReply:
-		n.finishCall(one)
+		n.handlePeerReply(received)
 	case PlatformReply:
-		n.handlePlatformReply(one)
+		n.handlePlatformReply(received)
 	case PlatformEvent:
-		n.handlePlatformEvent(one)
+		n.handlePlatformEvent(received)
 	case WatchEnded:
-		n.handleWatchEnded(one)
+		n.handleWatchEnded(received)
 	case OperatorRequest:
-		n.handleOperatorRequest(one)
+		n.handleOperatorRequest(received)
 	case SnapshotInForce:
-		n.handleSnapshotInForce(one.Version)
+		n.handleSnapshotInForce(received.Version)
 	case BackendReport:
-		n.handleBackendReport(one.State)
+		n.handleBackendReport(received.State)
 	case Leave:
 		n.handleLeave()
 	case Stopped:
@@ -125,7 +128,7 @@
 	}
 }
 
-// tick does what is due by time.
+// tick runs the time-driven work.
 func (n *Node) tick() {
 	n.tickReader()
 	n.tickStart()
@@ -138,21 +141,21 @@
 	}
 }
 
-// sweep does the slow work that looks at every member.
+// sweep runs the work that iterates over all members.
 func (n *Node) sweep() {
 	n.sweepChildren()
 	n.sweepMembers()
 	n.sweepRegions()
-	n.visitors.expire(n.now)
+	n.startingPeers.expire(n.now)
 	n.roster.RemoveExpired(n.now)
 }
 
-// settle does what follows from any message: children that wait may have an
-// answer now, and the parent may have news to hear.
-func (n *Node) settle() {
+// flush runs after every message: held fetches may now have a reply, and the parent
+// and the data path may need an update.
+func (n *Node) flush() {
 	n.readerSide.reader.SetFloor(n.newestVersion())
-	n.serveChildren()
-	n.sendUrgentNews()
+	n.answerHeldFetches()
+	n.sendUrgentUpdates()
 	n.publishMembers()
 }
 
@@ -162,7 +165,7 @@
 	n.emit(LogEvent{Name: name, Fields: fields})
 }
 
-func (n *Node) heardWallClock(clock time.Time) {
+func (n *Node) setWallClock(clock time.Time) {
 	if clock.IsZero() {
 		return
 	}
@@ -170,50 +173,52 @@
 	n.wallClockAt = n.now
 }
 
-// wallNow estimates the wall clock; zero when none was heard.
-func (n *Node) wallNow() time.Time {
+// estimatedWallClock returns the estimated wall-clock time; zero when none was
+// received.
+func (n *Node) estimatedWallClock() time.Time {
 	if n.wallClock.IsZero() {
 		return n.wallClock
 	}
 	return n.wallClock.Add(n.now - n.wallClockAt)
 }
 
-// view caches what is computed from the whole roster.
-type view struct {
-	tree          *distribution.Tree
-	treeAt        time.Duration
-	treeStructure uint64
-	expected      distribution.ExpectedMembers
-	// structure is that of expected; 0 before the first.
-	structure uint64
+// rosterView caches results computed from the whole roster.
+type rosterView struct {
+	tree         *distribution.Tree
+	treeAt       time.Duration
+	treeRevision uint64
+	expected     distribution.ExpectedMembers
+	// expectedRevision is the roster's StructureRevision from which expected was
+	// computed; 0 before the first computation.
+	expectedRevision uint64
 }
 
-// treeInterval is the least time between computations of the tree. A tree that
-// is a little old only leads to another parent.
+// treeInterval is the least time between computations of the tree. A slightly
+// outdated tree is harmless: at worst it leads to another parent.
 const treeInterval = 500 * time.Millisecond
 
 // tree returns this daemon's view of its region's tree.
 func (n *Node) tree() *distribution.Tree {
-	stale := n.view.treeStructure != n.roster.StructureRevision() && n.now-n.view.treeAt >= treeInterval
+	stale := n.view.treeRevision != n.roster.StructureRevision() && n.now-n.view.treeAt >= treeInterval
 	if n.view.tree == nil || stale || n.now == n.startedAt {
 		n.view.tree = distribution.NewTree(n.self, n.roster.All(), n.config.Timing.FanOut)
 		n.view.treeAt = n.now
-		n.view.treeStructure = n.roster.StructureRevision()
+		n.view.treeRevision = n.roster.StructureRevision()
 	}
 	return n.view.tree
 }
 
-// expected returns who must hold a version before it is in force; it is never
-// older than the roster.
-func (n *Node) expected() distribution.ExpectedMembers {
-	if n.view.structure != n.roster.StructureRevision() {
+// expectedMembers returns the members that must hold a version before it is in force. It
+// always reflects the current roster.
+func (n *Node) expectedMembers() distribution.ExpectedMembers {
+	if n.view.expectedRevision != n.roster.StructureRevision() {
 		n.view.expected = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
-		n.view.structure = n.roster.StructureRevision()
+		n.view.expectedRevision = n.roster.StructureRevision()
 	}
 	return n.view.expected
 }
 
-// liveInRegion returns the members of a region that are counted.
+// liveInRegion returns the live members of a region.
 func (n *Node) liveInRegion(region string) []protocol.Member {
 	return n.roster.Where(func(member protocol.Member) bool {
 		return member.Region == region && membership.Live(member)
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -11,93 +11,102 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// candidates returns the daemons to fetch from, best first. A daemon that
-// relays fetches from a root only, so the tree is never deeper than root,
-// relay, leaf; it finds itself in the list where it would be root.
-func (n *Node) candidates() []protocol.Member {
-	if n.relaying() {
+// parentCandidates returns the daemons to fetch from, best first. A relaying daemon
+// fetches from a root only, so the tree is never deeper than root, relay, leaf. The
+// list of a relaying daemon contains the daemon itself at its rank as a root
+// candidate.
+func (n *Node) parentCandidates() []protocol.Member {
+	if n.isRelaying() {
 		return n.tree().RootCandidates()
 	}
-	parents := append(n.tree().ParentCandidates(), n.upstream.hinted...)
+	parents := append(n.tree().ParentCandidates(), n.upstream.hintedParents...)
 	return lo.UniqBy(parents, func(member protocol.Member) protocol.NodeID { return member.ID })
 }
 
-// heardHints takes the daemons that a refusal names. Until this daemon knows
-// all members, its own tree has fewer relays than there are.
-func (n *Node) heardHints(hints []protocol.Member) {
-	const most = 2 * maxHints
+// addHints adds the daemons listed in a refusal to the candidates. They are needed
+// until this daemon knows all members, since its own tree lacks some relays until
+// then.
+func (n *Node) addHints(hints []protocol.Member) {
+	const limit = 2 * maxHints
 	for _, member := range hints {
-		n.heardPeer(member)
+		n.mergePeer(member)
 	}
-	hinted := append(slices.Clone(hints), n.upstream.hinted...)
+	hinted := append(slices.Clone(hints), n.upstream.hintedParents...)
 	hinted = lo.UniqBy(hinted, func(member protocol.Member) protocol.NodeID { return member.ID })
 	hinted = lo.Reject(hinted, func(member protocol.Member, _ int) bool { return member.ID == n.self.ID })
-	n.upstream.hinted = hinted[:min(len(hinted), most)]
+	n.upstream.hintedParents = hinted[:min(len(hinted), limit)]
 }
 
-// chooseParent returns the current parent while it works, else the best
-// candidate that is not avoided.
+// chooseParent returns the current parent, unless that is avoided, or else the best
+// candidate.
 func (n *Node) chooseParent() (protocol.Member, bool) {
-	if n.upstream.joined && !n.avoided(n.upstream.target.ID) {
+	if n.upstream.joined && !n.isAvoided(n.upstream.target.ID) {
 		return n.upstream.target, true
 	}
 	return n.bestCandidate()
 }
 
-// bestCandidate returns the first candidate that is not avoided. This daemon
-// itself is the best once everyone before it cannot be reached. While one
-// before it answers that it is no root yet, that one is about to become it.
+// bestCandidate returns the first candidate that is not avoided. If all candidates that
+// rank before this daemon are avoided, it returns this daemon itself, which then becomes
+// root. If a better-ranked candidate has answered that it accepts no children yet, this
+// daemon first waits for up to betterRootTimeout for that candidate to become root.
 func (n *Node) bestCandidate() (protocol.Member, bool) {
-	betterAnswers := false
-	for _, candidate := range n.candidates() {
+	betterRefused := false
+	for _, candidate := range n.parentCandidates() {
 		if candidate.ID == n.self.ID {
-			if n.canBeRoot() && (!betterAnswers || n.now-n.upstream.orphanedAt > rootPatience) {
+			if n.canBeRoot() && (!betterRefused || n.now-n.upstream.parentLostAt > betterRootTimeout) {
 				return n.self, true
 			}
 			continue
 		}
-		if !n.avoided(candidate.ID) {
+		if !n.isAvoided(candidate.ID) {
 			return candidate, true
 		}
-		betterAnswers = betterAnswers || n.upstream.avoid[candidate.ID].refused
+		betterRefused = betterRefused || n.upstream.avoided[candidate.ID].lastRefused
 	}
 	return protocol.Member{}, false
 }
 
-func (n *Node) avoided(id protocol.NodeID) bool {
-	avoid, found := n.upstream.avoid[id]
+func (n *Node) isAvoided(id protocol.NodeID) bool {
+	avoid, found := n.upstream.avoided[id]
 	return found && n.now < avoid.until && avoid.incarnation == n.incarnationOf(id)
 }
 
-// incarnationOf returns the life of a daemon that the roster knows; 0 for none.
+// incarnationOf returns the incarnation of a daemon in the roster; 0 if it is not
+// listed.
 func (n *Node) incarnationOf(id protocol.NodeID) protocol.Incarnation {
 	member, _ := n.roster.Get(id)
 	return member.Incarnation
 }
 
+// avoidFor excludes a daemon as a parent for the period. refused is true when the daemon
+// refused a fetch, and false when its reply was missing or it no longer extends the lease.
 func (n *Node) avoidFor(id protocol.NodeID, period time.Duration, refused bool) {
-	if n.upstream.avoid == nil {
-		n.upstream.avoid = map[protocol.NodeID]avoidance{}
+	if n.upstream.avoided == nil {
+		n.upstream.avoided = map[protocol.NodeID]avoidance{}
 	}
-	refusals := n.upstream.avoid[id].refusals
+	refusalCount := n.upstream.avoided[id].refusalCount
 	if refused {
-		refusals++
+		refusalCount++
 	}
-	n.upstream.avoid[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), refused: refused, refusals: refusals}
+	n.upstream.avoided[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), lastRefused: refused, refusalCount: refusalCount}
 }
 
-// avoidance leaves one life of a daemon out for a while. When it returns with
-// nothing remembered it is tried like any other.
+// avoidance excludes one incarnation of a daemon as a parent for a limited time. A
+// daemon that has restarted is not avoided.
 type avoidance struct {
 	until       time.Duration
 	incarnation protocol.Incarnation
-	// refusals counts how often it has refused since a parent was last found.
-	refusals int
-	// refused is set when the daemon answered, but is no parent now.
-	refused bool
+	// refusalCount is the number of refusals by the daemon since this one last joined a
+	// parent.
+	refusalCount int
+	// lastRefused is set when the daemon answered the last fetch with AskAnother or
+	// NotReadyYet.
+	lastRefused bool
 }
 
-// reconsiderParent returns to the preferred parent after a jittered time.
+// reconsiderParent tries the preferred parent once preferredRetryAt has passed. A
+// reader that can be root becomes root unless its parent is a reader.
 func (n *Node) reconsiderParent() {
 	up := &n.upstream
 	if n.root.active || !up.joined {
@@ -108,12 +117,12 @@
 		n.becomeRoot()
 		return
 	}
-	if n.now < up.preferAt {
+	if n.now < up.preferredRetryAt {
 		return
 	}
-	n.planPreferred()
+	n.schedulePreferredRetry()
 	best, found := n.bestCandidate()
-	if !found || best.ID == up.target.ID || n.holding.staged != nil {
+	if !found || best.ID == up.target.ID || n.local.staged != nil {
 		return
 	}
 	if best.ID == n.self.ID {
@@ -125,15 +134,16 @@
 	up.former = &former
 }
 
-// planPreferred sets the jittered time at which the preferred parent is tried.
-func (n *Node) planPreferred() {
-	interval := min(preferInterval<<min(n.upstream.preferRefusals, 8), preferMax)
-	n.upstream.preferAt = n.now + interval/2 + distribution.Jitter(n.random, interval)
+// schedulePreferredRetry sets the jittered time at which the preferred parent is
+// tried next.
+func (n *Node) schedulePreferredRetry() {
+	interval := min(preferredRetryInterval<<min(n.upstream.preferredFailures, 8), preferredRetryMax)
+	n.upstream.preferredRetryAt = n.now + interval/2 + distribution.Jitter(n.random, interval)
 }
 
-// returnToFormer goes on with the former parent after a preferred one was
-// tried in vain, and reports whether there is one.
-func (n *Node) returnToFormer() bool {
+// restoreFormerParent resumes fetching from the former parent after an attempt to
+// join a preferred one failed. It reports whether there is a former parent.
+func (n *Node) restoreFormerParent() bool {
 	up := &n.upstream
 	if up.former == nil {
 		return false
@@ -141,117 +151,122 @@
 	up.link = *up.former
 	up.former = nil
 	up.joined = true
-	up.nextAt = n.now
-	up.preferRefusals++
-	n.planPreferred()
+	up.nextFetchAt = n.now
+	up.preferredFailures++
+	n.schedulePreferredRetry()
 	return true
 }
 
-// leaveParent gives up the parent; the next tick chooses again.
-func (n *Node) leaveParent(avoid time.Duration) {
+// leaveParent leaves the parent; the next tick chooses another. With a positive
+// avoidPeriod, the former parent is avoided for that time.
+func (n *Node) leaveParent(avoidPeriod time.Duration) {
 	up := &n.upstream
-	if avoid > 0 {
-		n.avoidFor(up.target.ID, avoid, false)
+	if avoidPeriod > 0 {
+		n.avoidFor(up.target.ID, avoidPeriod, false)
 	}
 	up.joined = false
 	up.former = nil
-	up.token = 0
-	up.nextAt = n.now
-	up.orphanedAt = n.now
+	up.fetchToken = 0
+	up.nextFetchAt = n.now
+	up.parentLostAt = n.now
 }
 
-// adoptTarget turns to another parent. The own record that says so carries a
-// new sequence, so that the former parent stops answering for this daemon.
-func (n *Node) adoptTarget(target protocol.Member) {
+// switchTarget switches to another target. The sequence of this daemon's record is
+// incremented, so that the former parent stops monitoring this daemon.
+func (n *Node) switchTarget(target protocol.Member) {
 	up := &n.upstream
-	up.link = link{target: target, leaseAt: n.now}
+	up.link = link{target: target, leaseExtendedAt: n.now}
 	up.joined = false
 	up.former = nil
-	n.planPreferred()
+	n.schedulePreferredRetry()
 	n.self.Sequence++
-	for _, id := range n.downstream.order {
+	for _, id := range n.downstream.sortedIDs {
 		n.roster.MarkUnreported(id)
 	}
 }
 
-// join records that the target has taken this daemon in.
+// join records that the target has accepted this daemon as a child.
 func (n *Node) join() {
 	up := &n.upstream
 	n.log("parent_joined", LogField{Key: "parent", Value: string(up.target.ID)})
 	up.joined = true
 	up.former = nil
-	up.hinted = nil
-	up.urgentAt = 0
-	for id, avoid := range up.avoid {
-		avoid.refusals = 0
-		up.avoid[id] = avoid
+	up.hintedParents = nil
+	up.lastUrgentAt = 0
+	for id, avoid := range up.avoided {
+		avoid.refusalCount = 0
+		up.avoided[id] = avoid
 	}
-	// A new sequence: greetings may have carried the one of the fetch with
-	// another parent, and two records must never share one.
-	n.changeSelf(func(self *protocol.Member) {
+	// The sequence must be incremented: a probe may have sent the sequence of the
+	// fetch in a record that names another parent, and two different records must
+	// never share a sequence.
+	n.updateSelf(func(self *protocol.Member) {
 		self.Parent = up.target.ID
 		self.Root = false
 	})
 }
 
-// discover asks a random daemon for others, when no parent is known.
-func (n *Node) discover() {
+// probeSeedIfDue probes a random seed for other daemons; it is called while no parent
+// is known.
+func (n *Node) probeSeedIfDue() {
 	up := &n.upstream
-	if n.now < up.discoverAt {
+	if n.now < up.nextSeedProbeAt {
 		return
 	}
-	up.discoverAt = n.now + discoverInterval/2 + distribution.Jitter(n.random, discoverInterval)
-	n.greet()
+	up.nextSeedProbeAt = n.now + seedProbeInterval/2 + distribution.Jitter(n.random, seedProbeInterval)
+	n.probeSeed()
 }
 
-// refusalBackoff is how long a daemon that answered AskAnother is left out. It
-// starts well below the serving lease: after a root has gone all candidates
-// refuse for a moment, and a daemon must find the next one while it may still
-// serve.
+// refusalBackoff is the time for which a leaf avoids a daemon that refused its fetch,
+// unless the refusal demands longer; a relaying daemon uses rootRetryMax instead. It
+// starts well below the serving lease: after the loss of a root, all candidates refuse
+// for a short time, and a daemon must find the next root before its own lease expires.
 var refusalBackoff = distribution.Backoff{Base: 400 * time.Millisecond, Max: 6 * time.Second}
 
+// parentBackoff is the retry delay after a fetch that failed without an answer.
 var parentBackoff = distribution.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
 
-func (n *Node) fetchFailed(from protocol.NodeID) {
+func (n *Node) handleFetchFailure(from protocol.NodeID) {
 	up := &n.upstream
 	up.failures++
 	n.avoidFor(from, parentBackoff.Max/2+parentBackoff.Wait(n.random, up.failures), false)
-	if n.returnToFormer() {
+	if n.restoreFormerParent() {
 		return
 	}
 	if up.joined {
-		up.orphanedAt = n.now
+		up.parentLostAt = n.now
 		n.log("parent_lost", LogField{Key: "parent", Value: string(from)})
 	}
 	up.joined = false
-	up.nextAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
+	up.nextFetchAt = n.now + distribution.Jitter(n.random, parentBackoff.Base)
 }
 
-// fetchRefused turns elsewhere. The refusal names daemons that may accept.
-func (n *Node) fetchRefused(from protocol.NodeID, reply *protocol.FetchReply) {
+// handleFetchRefusal leaves a target that refused a fetch. The refusal lists daemons
+// that may accept.
+func (n *Node) handleFetchRefusal(from protocol.NodeID, reply *protocol.FetchReply) {
 	up := &n.upstream
-	n.heardHints(reply.Members)
+	n.addHints(reply.Members)
 	wasJoined := up.joined
 	up.joined = false
 	up.failures++
 	if reply.Incarnation != 0 && reply.Incarnation != up.incarnation && up.incarnation != 0 {
 		up.target = protocol.Member{}
-		up.nextAt = n.now + distribution.Jitter(n.random, idleSpacing)
+		up.nextFetchAt = n.now + distribution.Jitter(n.random, idleFetchInterval)
 		return
 	}
 	if wasJoined {
-		up.orphanedAt = n.now
+		up.parentLostAt = n.now
 	}
 	if root, _ := n.roster.Get(from); root.Root && up.sentRelaying && reply.Code == result.AskAnother {
-		up.leafUntil = n.now + leafPeriod
+		up.joinAsLeafUntil = n.now + leafPeriod
 	}
-	period := refusalBackoff.Wait(n.random, up.avoid[from].refusals+1)
-	if n.relaying() {
-		period = distribution.Jitter(n.random, rootRefusal)
+	period := refusalBackoff.Wait(n.random, up.avoided[from].refusalCount+1)
+	if n.isRelaying() {
+		period = distribution.Jitter(n.random, rootRetryMax)
 	}
 	n.avoidFor(from, max(reply.RetryAfter, period), reply.Code == result.AskAnother || reply.Code == result.NotReadyYet)
-	if n.returnToFormer() {
+	if n.restoreFormerParent() {
 		return
 	}
-	up.nextAt = n.now + distribution.Jitter(n.random, idleSpacing)
+	up.nextFetchAt = n.now + distribution.Jitter(n.random, idleFetchInterval)
 }
--- a/internal/core/node/readerside.go
+++ b/internal/core/node/readerside.go
@@ -11,34 +11,35 @@
 	"github.com/springstack/springstack/internal/core/reader"
 )
 
-// readerSide joins the reader to the node: tokens, tickets and the newest
-// catalogue.
+// readerSide connects the reader to the node: it maps tokens and tickets and keeps
+// the newest catalogue.
 type readerSide struct {
 	reader *reader.Reader
-	// calls and watches map the shell's tokens to the reader's.
+	// calls and watches map the node's tokens to the reader's.
 	calls   map[Token]reader.Token
 	watches map[Token]reader.Token
-	// nextTicket and the maps below pair questions with their answers.
-	nextTicket reader.Ticket
-	heads      map[reader.Ticket]func(reader.FreshHeadResult)
-	submits    map[reader.Ticket]func(*protocol.SubmitReply)
-	// catalogue is the newest; nil before the first.
+	// lastTicket is the last ticket issued. The maps below hold the callbacks of
+	// the requests that await a result from the reader, by ticket.
+	lastTicket      reader.Ticket
+	headCallbacks   map[reader.Ticket]func(reader.FreshHeadResult)
+	submitCallbacks map[reader.Ticket]func(*protocol.SubmitReply)
+	// catalogue is the newest catalogue received; nil before the first.
 	catalogue *reader.CatalogueReady
-	// candidacy is decided anew at candidacyAt.
+	// candidacy is computed again at candidacyAt.
 	candidacy   reader.Candidacy
 	candidacyAt time.Duration
 }
 
-// The bounds of candidates for a reader lease.
+// The limits and periods of the competition for reader leases.
 const (
-	// leaseSlots is how many readers a region has.
+	// leaseSlots is the number of reader leases of a region.
 	leaseSlots = 2
-	// maxCandidates is how many members of a region may turn to the platform:
-	// one for each slot and a spare.
+	// maxCandidates is the number of members of a region that may compete for the
+	// leases on the platform: one for each slot and a spare.
 	maxCandidates = leaseSlots + 1
-	// candidateDelay separates the attempts of the ranks.
+	// candidateDelay is the delay between the attempts of successive ranks.
 	candidateDelay = 500 * time.Millisecond
-	// candidacyInterval is how often the candidates are ranked anew.
+	// candidacyInterval is the time between rankings of the candidates.
 	candidacyInterval = time.Second
 )
 
@@ -51,10 +52,10 @@
 			LeaseDuration: config.Timing.ReaderLease,
 			RandomSeed:    seed,
 		}),
-		calls:   map[Token]reader.Token{},
-		watches: map[Token]reader.Token{},
-		heads:   map[reader.Ticket]func(reader.FreshHeadResult){},
-		submits: map[reader.Ticket]func(*protocol.SubmitReply){},
+		calls:           map[Token]reader.Token{},
+		watches:         map[Token]reader.Token{},
+		headCallbacks:   map[reader.Ticket]func(reader.FreshHeadResult){},
+		submitCallbacks: map[reader.Ticket]func(*protocol.SubmitReply){},
 	}
 }
 
@@ -69,21 +70,22 @@
 	if !side.candidacy.Candidate && !side.reader.IsReader() && len(side.calls) == 0 {
 		return
 	}
-	n.applyReader(side.reader.Tick(n.now, side.candidacy))
+	n.applyReaderOutputs(side.reader.Tick(n.now, side.candidacy))
 }
 
-// candidacy ranks the live members of the region, and those that start, by
-// rendezvous hash; the first few are candidates. While all slots are taken by
-// others there is nothing to compete for. A daemon that nobody answers is a
-// candidate after a jittered wait.
+// candidacy returns whether and after what delay this daemon competes for a reader
+// lease. The live and
+// the starting members of the region are ranked by rendezvous hash, and the first
+// maxCandidates compete unless other members hold all leases. A daemon that no
+// other daemon has answered competes only after a jittered delay.
 func (n *Node) candidacy() reader.Candidacy {
-	if n.leaving || n.now < n.start.aloneAt && !n.start.answered {
+	if n.leaving || n.now < n.start.fallbackAt && !n.start.peerAnswered {
 		return reader.Candidacy{}
 	}
 	members := n.liveInRegion(n.config.Region)
-	for _, visitor := range n.visitors.list {
-		if visitor.member.Region == n.config.Region {
-			members = append(members, visitor.member)
+	for _, peer := range n.startingPeers.list {
+		if peer.member.Region == n.config.Region {
+			members = append(members, peer.member)
 		}
 	}
 	members = lo.UniqBy(members, func(member protocol.Member) protocol.NodeID { return member.ID })
@@ -105,11 +107,12 @@
 	return reader.Candidacy{}
 }
 
-// readerPurpose is the purpose of the rank of candidates for a reader lease.
+// readerPurpose returns the rendezvous-hash purpose for ranking the candidates for a
+// reader lease.
 func readerPurpose(region string) string { return "reader/" + region }
 
-// applyReader carries out what the reader asks for.
-func (n *Node) applyReader(outputs []reader.Output) {
+// applyReaderOutputs carries out the reader's outputs.
+func (n *Node) applyReaderOutputs(outputs []reader.Output) {
 	for _, output := range outputs {
 		n.applyReaderOutput(output)
 	}
@@ -117,34 +120,34 @@
 
 func (n *Node) applyReaderOutput(output reader.Output) {
 	side := &n.readerSide
-	switch one := output.(type) {
+	switch received := output.(type) {
 	case reader.PlatformCall:
 		token := n.newToken()
-		side.calls[token] = one.Token
-		n.emit(CallPlatform{Token: token, Call: one.Call, Timeout: one.Timeout})
+		side.calls[token] = received.Token
+		n.emit(CallPlatform{Token: token, Call: received.Call, Timeout: received.Timeout})
 	case reader.StartWatch:
 		token := n.newToken()
-		side.watches[token] = one.Token
-		n.emit(StartWatch{Token: token, Prefix: one.Prefix, From: one.From})
+		side.watches[token] = received.Token
+		n.emit(StartWatch{Token: token, Prefix: received.Prefix, From: received.From})
 	case reader.StopWatch:
-		n.stopWatch(one.Token)
+		n.stopWatch(received.Token)
 	case reader.SubmitResult:
-		n.submitDone(one)
+		n.handleSubmitResult(received)
 	case reader.FreshHeadResult:
-		n.headRead(one)
+		n.handleFreshHead(received)
 	case reader.CatalogueReady:
-		n.catalogueReady(one)
+		n.handleCatalogue(received)
 	case reader.LeaseGained:
-		n.changeSelf(func(self *protocol.Member) { self.Reader = true })
+		n.updateSelf(func(self *protocol.Member) { self.Reader = true })
 		n.log("reader_gained")
 	case reader.LeaseLost:
-		n.changeSelf(func(self *protocol.Member) { self.Reader = false })
+		n.updateSelf(func(self *protocol.Member) { self.Reader = false })
 		n.log("reader_lost")
 	case reader.LogEvent:
-		fields := lo.Map(one.Fields, func(field reader.LogField, _ int) LogField {
+		fields := lo.Map(received.Fields, func(field reader.LogField, _ int) LogField {
 			return LogField{Key: field.Key, Value: field.Value}
 		})
-		n.log(one.Name, fields...)
+		n.log(received.Name, fields...)
 	}
 }
 
@@ -158,15 +161,15 @@
 	}
 }
 
-// catalogueReady takes a whole version from the platform. What a root takes it
-// releases; others keep it for the day they become root.
-func (n *Node) catalogueReady(catalogue reader.CatalogueReady) {
+// handleCatalogue stores a complete version read from the platform. A root releases
+// it; other daemons keep it in case they become root.
+func (n *Node) handleCatalogue(catalogue reader.CatalogueReady) {
 	known := n.readerSide.catalogue
 	if known != nil && catalogue.Version < known.Version {
 		return
 	}
 	n.readerSide.catalogue = &catalogue
-	n.heardRegions(lo.Map(catalogue.Keepers, func(set protocol.KeeperSet, _ int) string { return set.Region }))
+	n.addRegions(lo.Map(catalogue.Keepers, func(set protocol.KeeperSet, _ int) string { return set.Region }))
 	if n.root.active {
 		n.propose(&catalogue)
 	}
@@ -178,12 +181,12 @@
 		return
 	}
 	delete(n.readerSide.calls, reply.Token)
-	n.applyReader(n.readerSide.reader.HandlePlatformReply(n.now, token, reply.Reply))
+	n.applyReaderOutputs(n.readerSide.reader.HandlePlatformReply(n.now, token, reply.Reply))
 }
 
 func (n *Node) handlePlatformEvent(event PlatformEvent) {
 	if token, found := n.readerSide.watches[event.Watch]; found {
-		n.applyReader(n.readerSide.reader.HandleEvent(n.now, token, event.Event))
+		n.applyReaderOutputs(n.readerSide.reader.HandleEvent(n.now, token, event.Event))
 	}
 }
 
@@ -193,42 +196,42 @@
 		return
 	}
 	delete(n.readerSide.watches, ended.Watch)
-	n.applyReader(n.readerSide.reader.HandleWatchEnded(n.now, token, ended.Code))
+	n.applyReaderOutputs(n.readerSide.reader.HandleWatchEnded(n.now, token, ended.Code))
 }
 
 func (n *Node) newTicket() reader.Ticket {
-	n.readerSide.nextTicket++
-	return n.readerSide.nextTicket
+	n.readerSide.lastTicket++
+	return n.readerSide.lastTicket
 }
 
-// freshHead reads the platform's head through the own reader.
-func (n *Node) freshHead(done func(reader.FreshHeadResult)) {
+// readFreshHead reads the platform's head through this daemon's reader.
+func (n *Node) readFreshHead(done func(reader.FreshHeadResult)) {
 	ticket := n.newTicket()
-	n.readerSide.heads[ticket] = done
-	n.applyReader(n.readerSide.reader.RequestFreshHead(n.now, ticket))
+	n.readerSide.headCallbacks[ticket] = done
+	n.applyReaderOutputs(n.readerSide.reader.RequestFreshHead(n.now, ticket))
 }
 
-func (n *Node) headRead(head reader.FreshHeadResult) {
-	done, found := n.readerSide.heads[head.Ticket]
+func (n *Node) handleFreshHead(head reader.FreshHeadResult) {
+	done, found := n.readerSide.headCallbacks[head.Ticket]
 	if !found {
 		return
 	}
-	delete(n.readerSide.heads, head.Ticket)
+	delete(n.readerSide.headCallbacks, head.Ticket)
 	done(head)
 }
 
-// submit drives a change through the own reader.
+// submit submits a change through this daemon's reader.
 func (n *Node) submit(wallClock time.Time, request *protocol.SubmitRequest, done func(*protocol.SubmitReply)) {
 	ticket := n.newTicket()
-	n.readerSide.submits[ticket] = done
-	n.applyReader(n.readerSide.reader.Submit(n.now, wallClock, ticket, request))
+	n.readerSide.submitCallbacks[ticket] = done
+	n.applyReaderOutputs(n.readerSide.reader.Submit(n.now, wallClock, ticket, request))
 }
 
-func (n *Node) submitDone(answer reader.SubmitResult) {
-	done, found := n.readerSide.submits[answer.Ticket]
+func (n *Node) handleSubmitResult(answer reader.SubmitResult) {
+	done, found := n.readerSide.submitCallbacks[answer.Ticket]
 	if !found {
 		return
 	}
-	delete(n.readerSide.submits, answer.Ticket)
+	delete(n.readerSide.submitCallbacks, answer.Ticket)
 	done(answer.Reply)
 }
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -11,169 +11,175 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// regions is what a root knows of the other regions, from their roots.
+// regions holds the state of the other regions as reported by their roots.
 type regions struct {
-	// peers are the other regions that hold configuration.
+	// peers holds the other regions that hold configuration, by name.
 	peers map[string]*regionPeer
-	// known is set once all regions are known as of the version held. Until
-	// then nothing is called in force.
-	known bool
-	// inForceAt is the wall clock at which the newest version came in force.
+	// complete is set once the list of all regions was received. Until then no
+	// version is declared in force.
+	complete bool
+	// inForceAt is the wall-clock time at which this daemon recorded the newest version
+	// in force.
 	inForceAt time.Time
 }
 
-// regionPeer is another region as its root last told. What it said is in force
-// there stays so whatever happens after, for in force never reverts (I9).
+// regionPeer is the state of another region as last reported by its root. A version
+// reported as in force there stays in force, since the in-force version never
+// decreases (I9).
 type regionPeer struct {
-	region  string
-	zones   []protocol.ZoneStatus
-	inForce protocol.Version
-	heardAt time.Duration
-	heard   bool
-	// cursor, from and incarnation follow the other root's change log.
-	cursor      uint64
-	from        protocol.NodeID
-	incarnation protocol.Incarnation
-	askedAt     time.Duration
-	asking      bool
-	attempts    int
+	region     string
+	zones      []protocol.ZoneStatus
+	inForce    protocol.Version
+	repliedAt  time.Duration
+	hasReplied bool
+	// cursor is the position up to which the other root's change log has been read;
+	// rootID and rootIncarnation identify that root.
+	cursor          uint64
+	rootID          protocol.NodeID
+	rootIncarnation protocol.Incarnation
+	requestedAt     time.Duration
+	inFlight        bool
+	failures        int
 }
 
 // The periods between roots of different regions.
 const (
-	// regionInterval is how often another region's root is asked at rest, and
-	// regionFast how often while it has not yet what is released here.
-	regionInterval = 2 * time.Second
-	regionFast     = 200 * time.Millisecond
-	regionTimeout  = 1500 * time.Millisecond
-	// cutAfter is how long another region may be silent before it is shown as
-	// cut off.
-	cutAfter = 6 * time.Second
+	// regionInterval is the poll interval of another region's root;
+	// regionCatchUpInterval applies while that region is behind the version in force
+	// in this one.
+	regionInterval        = 2 * time.Second
+	regionCatchUpInterval = 200 * time.Millisecond
+	regionTimeout         = 1500 * time.Millisecond
+	// regionCutAfter is the time without a reply after which status shows another
+	// region as cut off.
+	regionCutAfter = 6 * time.Second
 )
 
 func newRegions() regions {
 	return regions{peers: map[string]*regionPeer{}}
 }
 
-// sweepRegions finds the other regions that have members.
+// sweepRegions adds the regions of all live members to the regions that the root polls.
 func (n *Node) sweepRegions() {
 	if !n.root.active {
 		return
 	}
-	n.roster.Each(func(member protocol.Member) { n.needRegion(member.Region, membership.Live(member)) })
+	n.roster.Each(func(member protocol.Member) { n.addRegion(member.Region, membership.Live(member)) })
 }
 
-// heardRegions takes the list of all regions at a version. A region that is
-// not in it has no keepers at that version, so nothing was released there yet,
-// and what will be is newer.
-func (n *Node) heardRegions(names []string) {
+// addRegions adds the complete list of the regions that had keepers at some version. In
+// a region that is not listed, no version has been released yet, and the first one will
+// be newer than that version.
+func (n *Node) addRegions(names []string) {
 	for _, name := range names {
-		n.needRegion(name, true)
+		n.addRegion(name, true)
 	}
-	n.regions.known = n.regions.known || len(names) > 0
+	n.regions.complete = n.regions.complete || len(names) > 0
 }
 
-// allRegions returns the names for a child; nil while they are not known.
+// allRegions returns the names of all regions; nil while the list is incomplete.
 func (n *Node) allRegions() []string {
-	if !n.regions.known {
+	if !n.regions.complete {
 		return nil
 	}
-	names := append(n.regionNames(), n.config.Region)
+	names := append(n.otherRegions(), n.config.Region)
 	slices.Sort(names)
 	return names
 }
 
-func (n *Node) needRegion(region string, live bool) {
+func (n *Node) addRegion(region string, live bool) {
 	if !live || region == n.config.Region || n.regions.peers[region] != nil {
 		return
 	}
 	n.regions.peers[region] = &regionPeer{region: region}
 }
 
-// regionNames returns the other regions in ascending order.
-func (n *Node) regionNames() []string {
+// otherRegions returns the names of the known regions except this daemon's own, in
+// ascending order.
+func (n *Node) otherRegions() []string {
 	names := lo.Keys(n.regions.peers)
 	slices.Sort(names)
 	return names
 }
 
-// tickRegions asks the other regions' roots what is in force there.
-func (n *Node) tickRegions() {
-	for _, name := range n.regionNames() {
+// pollRegions polls the other regions' roots for the versions in force there.
+func (n *Node) pollRegions() {
+	for _, name := range n.otherRegions() {
 		peer := n.regions.peers[name]
 		interval := regionInterval
-		if peer.heard && peer.inForce < n.root.regional {
-			interval = regionFast
+		if peer.hasReplied && peer.inForce < n.root.regionInForce {
+			interval = regionCatchUpInterval
 		}
-		if !peer.asking && n.now-peer.askedAt >= interval {
-			n.askRegion(peer)
+		if !peer.inFlight && n.now-peer.requestedAt >= interval {
+			n.pollRegion(peer)
 		}
 	}
 }
 
-func (n *Node) askRegion(peer *regionPeer) {
+func (n *Node) pollRegion(peer *regionPeer) {
 	address := n.regionAddress(peer)
 	if address == "" {
 		return
 	}
-	peer.asking = true
-	peer.askedAt = n.now
+	peer.inFlight = true
+	peer.requestedAt = n.now
 	request := &protocol.StatusRequest{
 		Format:          protocol.Format,
 		From:            n.self.ID,
 		Self:            n.self,
 		MemberCursor:    peer.cursor,
-		Peer:            peer.from,
-		PeerIncarnation: peer.incarnation,
+		Peer:            peer.rootID,
+		PeerIncarnation: peer.rootIncarnation,
 	}
-	n.call(address, request, regionTimeout, func(body any) {
-		peer.asking = false
+	n.callPeer(address, request, regionTimeout, func(body any) {
+		peer.inFlight = false
 		reply, _ := body.(*protocol.StatusReply)
-		n.heardRegion(peer, reply)
+		n.handleRegionReply(peer, reply)
 	})
 }
 
-// regionAddress returns whom to ask in another region: its root or readers as
-// far as known, else its members and keepers in turn.
+// regionAddress returns the address to poll in another region: that of its root or
+// a reader, if known, and after failed attempts that of any member or keeper, in
+// turn.
 func (n *Node) regionAddress(peer *regionPeer) string {
 	inRegion := n.liveInRegion(peer.region)
 	best := lo.Filter(inRegion, func(member protocol.Member, _ int) bool { return member.Root })
 	rest := lo.Filter(inRegion, func(member protocol.Member, _ int) bool { return member.Reader && !member.Root })
 	addresses := lo.Map(append(best, rest...), func(member protocol.Member, _ int) string { return member.ControlAddress })
-	if peer.attempts >= len(addresses) {
+	if peer.failures >= len(addresses) {
 		addresses = append(addresses, lo.Map(inRegion, func(member protocol.Member, _ int) string { return member.ControlAddress })...)
 		if n.readerSide.catalogue != nil {
-			set, _ := keeperSetOf(n.readerSide.catalogue.Keepers, peer.region)
+			set, _ := findKeeperSet(n.readerSide.catalogue.Keepers, peer.region)
 			addresses = append(addresses, lo.Map(set.Members, func(keeper protocol.KeeperMember, _ int) string { return keeper.ControlAddress })...)
 		}
 	}
 	if len(addresses) == 0 {
 		return ""
 	}
-	return addresses[peer.attempts%len(addresses)]
+	return addresses[peer.failures%len(addresses)]
 }
 
-// heardRegion takes the answer of another region's root.
-func (n *Node) heardRegion(peer *regionPeer, reply *protocol.StatusReply) {
+// handleRegionReply handles the reply from another region.
+func (n *Node) handleRegionReply(peer *regionPeer, reply *protocol.StatusReply) {
 	if reply == nil {
-		peer.attempts++
+		peer.failures++
 		return
 	}
 	for _, member := range reply.Members {
 		if member.Region != n.config.Region {
-			n.heardMember(member, membership.SourceOutside)
+			n.mergeMember(member, membership.SourceOutside)
 		}
 	}
 	if reply.Code != result.OK {
-		peer.attempts++
+		peer.failures++
 		return
 	}
-	peer.attempts = 0
-	peer.heard = true
-	peer.heardAt = n.now
+	peer.failures = 0
+	peer.hasReplied = true
+	peer.repliedAt = n.now
 	peer.cursor = reply.MemberCursor
-	peer.from = reply.From
-	peer.incarnation = reply.Incarnation
+	peer.rootID = reply.From
+	peer.rootIncarnation = reply.Incarnation
 	peer.inForce = max(peer.inForce, reply.Summary.InForce)
 	peer.zones = reply.Summary.Zones
 	if n.root.active {
@@ -181,29 +187,29 @@
 	}
 }
 
-// globalInForce returns what is in force in every region that has members. A
-// region that was never heard holds everything back.
+// globalInForce returns the version in force in every region: the minimum over all
+// of them, and 0 while some region has not replied.
 func (n *Node) globalInForce() protocol.Version {
-	if !n.regions.known {
+	if !n.regions.complete {
 		return 0
 	}
-	lowest := n.root.regional
+	lowest := n.root.regionInForce
 	for _, peer := range n.regions.peers {
 		lowest = min(lowest, peer.inForce)
 	}
 	return lowest
 }
 
-// answerRegion answers another region's root with what is in force in this
-// region and with the records of its members that changed.
+// answerRegion answers another region's root with the version in force in this
+// region and the changed records of its members.
 func (n *Node) answerRegion(token Token, request *protocol.StatusRequest) {
 	if request.Self.Region != n.config.Region {
-		n.heardMember(request.Self, membership.SourceOutside)
+		n.mergeMember(request.Self, membership.SourceOutside)
 	}
 	reply := &protocol.StatusReply{Code: result.AskAnother, Incarnation: n.self.Incarnation}
 	if !n.root.active {
 		reply.Members = n.hints(request.From, "")
-		n.answer(token, reply)
+		n.answerPeer(token, reply)
 		return
 	}
 	cursor := membership.Cursor(0)
@@ -217,17 +223,17 @@
 		return member.Region == n.config.Region
 	})
 	reply.Summary = protocol.Summary{
-		Version: n.holding.store.Version(),
-		InForce: n.root.regional,
+		Version: n.local.store.Version(),
+		InForce: n.root.regionInForce,
 		Zones:   n.zoneStatuses(),
 	}
-	n.answer(token, reply)
+	n.answerPeer(token, reply)
 }
 
-// cutRegions returns the regions whose root has not been heard lately.
+// cutRegions returns the regions whose root has not replied within regionCutAfter.
 func (n *Node) cutRegions() []string {
-	return lo.Filter(n.regionNames(), func(name string, _ int) bool {
+	return lo.Filter(n.otherRegions(), func(name string, _ int) bool {
 		peer := n.regions.peers[name]
-		return !peer.heard || n.now-peer.heardAt > cutAfter
+		return !peer.hasReplied || n.now-peer.repliedAt > regionCutAfter
 	})
 }
--- a/internal/core/node/release_test.go
+++ b/internal/core/node/release_test.go
@@ -11,29 +11,30 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// TestNothingIsAcknowledgedBeforeTheSwap lets one shell keep its old snapshot:
-// in force waits for it, and names it, until it has swapped.
+// TestNothingIsAcknowledgedBeforeTheSwap leaves the swap of one daemon unconfirmed:
+// the version does not come in force until the confirmation, and status lists that
+// daemon as behind.
 func TestNothingIsAcknowledgedBeforeTheSwap(t *testing.T) {
-	c, _, _ := settled(t)
-	slow := c.other(c.root())
-	slow.holdsSwaps = true
-	through := c.other(slow)
-	version := c.accept(through, 7)
+	c, _, _ := newServingCluster(t)
+	slow := c.runningExcept(c.root())
+	slow.withholdsConfirmations = true
+	submitter := c.runningExcept(slow)
+	version := c.submitAccepted(submitter, 7)
 	c.run(30 * time.Second)
-	summary := c.status(through).Summary
+	summary := c.status(submitter).Summary
 	c.is.Equal(summary.Version, version)
 	c.is.True(summary.InForce < version)
 	zone, found := lo.Find(summary.Zones, func(zone protocol.ZoneStatus) bool { return zone.Zone == slow.config.Zone })
 	c.is.True(found)
 	c.is.Equal(zone.Behind, []protocol.NodeID{slow.id})
-	slow.holdsSwaps = false
+	slow.withholdsConfirmations = false
 	c.confirm(slow)
-	c.inForce(through, version, 5*time.Second)
+	c.waitInForce(submitter, version, 5*time.Second)
 }
 
-// TestStatusCountsByZone reads who holds the newest version where.
+// TestStatusCountsByZone checks the counts by zone of members at the newest version.
 func TestStatusCountsByZone(t *testing.T) {
-	c, daemons, version := settled(t)
+	c, daemons, version := newServingCluster(t)
 	status := c.status(daemons[5])
 	c.is.Equal(status.Code, result.OK)
 	c.is.Equal(status.Summary.InForce, version)
@@ -48,36 +49,36 @@
 	c.is.Equal(len(status.Members), len(daemons))
 }
 
-// TestFilesThatPreferBytesAreGathered accepts several changes within the
-// window of a file that prefers bytes: few versions are sent out.
-func TestFilesThatPreferBytesAreGathered(t *testing.T) {
-	c, daemons, _ := settled(t)
-	patient := func(slots int) string {
+// TestChangesOfFilesThatPreferBytesAreBatched accepts several changes within the
+// batching window of a file: they are distributed as a single version.
+func TestChangesOfFilesThatPreferBytesAreBatched(t *testing.T) {
+	c, daemons, _ := newServingCluster(t)
+	batchedFile := func(slots int) string {
 		return strings.Replace(shopFile(slots), "name: shop\n", "name: shop\ndistribution: {prefer: bytes, batch_window: 2s}\n", 1)
 	}
 	swaps := 0
-	daemons[3].swapped = func() { swaps++ }
+	daemons[3].onSwap = func() { swaps++ }
 	var last *protocol.SubmitReply
 	for slots := range 5 {
-		reply := c.submit(daemons[0], patient(10+slots))
-		c.until("answer", 20*time.Second, func() bool { return reply() != nil })
+		reply := c.submit(daemons[0], batchedFile(10+slots))
+		c.waitUntil("answer", 20*time.Second, func() bool { return reply() != nil })
 		c.is.Equal(reply().Code, result.OK)
 		last = reply()
 	}
-	took := c.inForce(daemons[0], last.Version, 10*time.Second)
-	t.Logf("five changes came in force after %v with %d swaps", took, swaps)
+	elapsed := c.waitInForce(daemons[0], last.Version, 10*time.Second)
+	t.Logf("five changes came in force after %v with %d swaps", elapsed, swaps)
 	c.is.True(swaps == 1)
 }
 
-// TestNoReaderIsToldTruthfully submits while the platform can't be reached by
-// anyone: the change did not run.
-func TestNoReaderIsToldTruthfully(t *testing.T) {
+// TestSubmitWithoutAnyReaderReportsNoReader submits while the platform is unreachable
+// for all daemons: the change certainly did not run.
+func TestSubmitWithoutAnyReaderReportsNoReader(t *testing.T) {
 	c := newCluster(t)
 	c.platform.down = true
 	d := c.start("windhoek", "klein-hall", "d00")
 	c.run(5 * time.Second)
 	reply := c.submit(d, shopFile(6))
-	c.until("answer", 30*time.Second, func() bool { return reply() != nil })
+	c.waitUntil("answer", 30*time.Second, func() bool { return reply() != nil })
 	c.is.Equal(reply().Code, result.NoReader)
 	c.is.Equal(c.status(d).Code, result.NoReader)
 	c.is.True(!c.serving(d))
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -9,105 +9,110 @@
 	"github.com/springstack/springstack/internal/core/reader"
 )
 
-// root is what a daemon does as the root of its region: it stores versions at
-// the keepers, releases them, grants leases and says what is in force.
+// root is the state of a daemon in the role of its region's root. The root stores
+// versions at the keepers, releases them, grants leases and declares versions in
+// force.
 type root struct {
-	active bool
-	since  time.Duration
-	lease  *distribution.RootLease
-	claims *distribution.ReleaseTracker
+	active         bool
+	activeSince    time.Duration
+	lease          *distribution.RootLease
+	releaseTracker *distribution.ReleaseTracker
 	// releaser stores versions at the keepers.
 	releaser *floor.Releaser
-	// target is the catalogue being stored; nil when there is none.
-	target   *reader.CatalogueReady
-	targetAt time.Duration
-	// batch gathers catalogues that may wait for others.
+	// target is the catalogue being stored at the keepers; nil for none.
+	target      *reader.CatalogueReady
+	targetSince time.Duration
+	// batch is the newest catalogue that is held back for batching; nil for none.
 	batch *reader.CatalogueReady
-	// batchUntil is when the batch goes out.
-	batchUntil time.Duration
-	roundAt    time.Duration
-	keepersAt  time.Duration
-	// settleAt is the earliest time of the next try to settle a change of keepers.
-	settleAt time.Duration
-	greetAt  time.Duration
-	// told says which keeper set a keeper has confirmed, so that the rounds need
-	// not carry it again.
-	told map[protocol.NodeID]toldSet
-	// regional is what is in force in this region.
-	regional protocol.Version
+	// batchUntil is when the release of the batch starts.
+	batchUntil         time.Duration
+	nextRoundAt        time.Duration
+	nextKeeperChangeAt time.Duration
+	// nextCompletionAt is the earliest time of the next attempt to complete a change
+	// of the keeper set, which ends the use of the former set.
+	nextCompletionAt time.Duration
+	nextProbeAt      time.Duration
+	// confirmedKeeperSets holds the keeper set that each keeper has confirmed, so that the
+	// rounds need not send it again.
+	confirmedKeeperSets map[protocol.NodeID]confirmedKeeperSet
+	// regionInForce is the version in force in this region.
+	regionInForce protocol.Version
 }
 
 // The periods of a root.
 const (
-	// roundInterval is how often the keepers are asked to renew the root's
-	// right to grant leases.
+	// roundInterval is the time between rounds of requests to the keepers, which
+	// renew the root's right to grant leases.
 	roundInterval = time.Second
-	// keeperTimeout is how long a keeper may take to answer.
+	// keeperTimeout is the timeout of a request of a round.
 	keeperTimeout = time.Second
-	// settleInterval is the least time between tries to settle a change.
-	settleInterval = 500 * time.Millisecond
-	// keeperChangeInterval is the least time between changes of the keeper set.
+	// completionInterval is the least time between attempts to complete a change of
+	// the keeper set.
+	completionInterval = 500 * time.Millisecond
+	// keeperChangeInterval is the least time between two decisions on a new keeper
+	// set. The completion of a change that has begun does not wait for it.
 	keeperChangeInterval = 5 * time.Second
 )
 
 func newRoot(config Config) root {
 	return root{
-		releaser: floor.NewReleaser(config.ID, config.Region),
-		told:     map[protocol.NodeID]toldSet{},
-		lease:    distribution.NewRootLease(config.Timing.ServingLease),
-		claims:   distribution.NewReleaseTracker(config.Timing.ServingLease),
+		releaser:            floor.NewReleaser(config.ID, config.Region),
+		confirmedKeeperSets: map[protocol.NodeID]confirmedKeeperSet{},
+		lease:               distribution.NewRootLease(config.Timing.ServingLease),
+		releaseTracker:      distribution.NewReleaseTracker(config.Timing.ServingLease),
 	}
 }
 
-// canBeRoot reports whether this daemon has something to release.
+// canBeRoot reports whether this daemon holds a version that it may release as
+// root.
 func (n *Node) canBeRoot() bool {
 	floorVersion, known := n.floor()
 	if !known || n.leaving {
 		return false
 	}
-	if version := n.holding.store.Version(); version > 0 && version >= floorVersion {
+	if version := n.local.store.Version(); version > 0 && version >= floorVersion {
 		return true
 	}
 	return n.readerSide.catalogue != nil
 }
 
-// becomeRoot takes the role of root. Two roots of one region do no harm: see
-// distribution.RootLease and distribution.Claims.
+// becomeRoot assumes the role of root. Two concurrent roots of one region are safe:
+// see distribution.RootLease and distribution.ReleaseTracker.
 func (n *Node) becomeRoot() {
 	n.root.active = true
-	n.root.since = n.now
+	n.root.activeSince = n.now
 	n.root.lease = distribution.NewRootLease(n.config.Timing.ServingLease)
-	n.root.claims = distribution.NewReleaseTracker(n.config.Timing.ServingLease)
+	n.root.releaseTracker = distribution.NewReleaseTracker(n.config.Timing.ServingLease)
 	n.root.releaser = floor.NewReleaser(n.config.ID, n.config.Region)
-	n.root.told = map[protocol.NodeID]toldSet{}
+	n.root.confirmedKeeperSets = map[protocol.NodeID]confirmedKeeperSet{}
 	n.root.target = nil
 	n.root.batch = nil
-	n.root.roundAt = n.now
-	n.root.claims.RecordRelease(n.now, n.holding.store.Version(), false)
+	n.root.nextRoundAt = n.now
+	n.root.releaseTracker.RecordRelease(n.now, n.local.store.Version(), false)
 	n.upstream.joined = false
-	n.upstream.token = 0
+	n.upstream.fetchToken = 0
 	n.upstream.target = protocol.Member{}
-	n.changeSelf(func(self *protocol.Member) {
+	n.updateSelf(func(self *protocol.Member) {
 		self.Root = true
 		self.Parent = ""
 	})
 	n.downstream.acksChanged = true
-	n.log("root_started", versionField("version", n.holding.store.Version()))
+	n.log("root_started", versionField("version", n.local.store.Version()))
 	if n.readerSide.catalogue != nil {
 		n.propose(n.readerSide.catalogue)
 	}
 }
 
-// stepDown leaves the role to a better root that has answered.
+// stepDown gives up the role of root to a better root that has replied.
 func (n *Node) stepDown(better protocol.Member) {
 	n.root.active = false
 	n.root.target = nil
 	n.root.batch = nil
 	n.log("root_stopped", LogField{Key: "root", Value: string(better.ID)})
 	n.upstream.target = protocol.Member{}
-	n.upstream.orphanedAt = n.now
-	delete(n.upstream.avoid, better.ID)
-	n.upstream.nextAt = n.now
+	n.upstream.parentLostAt = n.now
+	delete(n.upstream.avoided, better.ID)
+	n.upstream.nextFetchAt = n.now
 	n.fetchFrom(better)
 }
 
@@ -118,23 +123,24 @@
 	if n.root.batch != nil && n.now >= n.root.batchUntil {
 		n.startRelease(n.root.batch)
 	}
-	n.carryOutFloor(n.root.releaser.Tick(n.now))
-	n.release()
-	n.keeperRound()
+	n.applyFloorOutputs(n.root.releaser.Tick(n.now))
+	n.releaseTarget()
+	n.sendRound()
 	n.chooseKeepers()
 	n.renewRootLease()
-	n.decideInForce()
-	n.tickRegions()
-	n.greetOthers()
+	n.updateInForce()
+	n.pollRegions()
+	n.probeRoots()
 }
 
-// propose takes a new catalogue. When the files that changed prefer bytes, it
-// waits for others for the batching window.
+// propose starts the release of a new catalogue. A catalogue with a batching window,
+// which the owners of its changed files have set to save bandwidth, is held back and
+// released together with later ones.
 func (n *Node) propose(catalogue *reader.CatalogueReady) {
-	if catalogue.Version <= n.holding.store.Version() {
+	if catalogue.Version <= n.local.store.Version() {
 		return
 	}
-	if catalogue.BatchWindow <= 0 || n.holding.store.Version() == 0 {
+	if catalogue.BatchWindow <= 0 || n.local.store.Version() == 0 {
 		n.startRelease(catalogue)
 		return
 	}
@@ -145,90 +151,93 @@
 	n.root.batchUntil = min(n.root.batchUntil, n.now+catalogue.BatchWindow)
 }
 
-// recentRounds is how old the answers of keepers may be for a root to begin to
-// store a newer version.
-const recentRounds = 3 * roundInterval
+// maxKeeperReplyAge is the maximum age of the keepers' replies that permit a root to
+// start to store a newer version.
+const maxKeeperReplyAge = 3 * roundInterval
 
-// startRelease begins to store a version at the keepers. While too few of them
-// answer, what is released is served on and the version waits.
+// startRelease starts to store a version at the keepers. While too few of them
+// answer, the version is held back, and daemons continue to serve the released one.
 func (n *Node) startRelease(catalogue *reader.CatalogueReady) {
 	n.root.batch = nil
-	if n.holding.store.Version() > 0 && !n.root.lease.CanStore(n.now-recentRounds, n.keeperSets()...) {
+	if n.local.store.Version() > 0 && !n.root.lease.CanStore(n.now-maxKeeperReplyAge, n.keeperSets()...) {
 		n.root.batch = catalogue
 		n.root.batchUntil = n.now + roundInterval
 		return
 	}
-	set, found := keeperSetOf(catalogue.Keepers, n.config.Region)
+	set, found := findKeeperSet(catalogue.Keepers, n.config.Region)
 	if !found {
 		return
 	}
-	if set.Revision > n.holding.keepers.Revision {
+	if set.Revision > n.local.keepers.Revision {
 		n.adoptKeepers(set)
 	}
 	n.root.target = catalogue
-	n.root.targetAt = n.now
+	n.root.targetSince = n.now
 	n.root.releaser.UpdateMembers(n.roster.All())
-	n.carryOutFloor(n.root.releaser.SetTarget(n.now, n.readerSide.reader.Term(), catalogue.Version, set))
-	n.release()
+	n.applyFloorOutputs(n.root.releaser.SetTarget(n.now, n.readerSide.reader.Term(), catalogue.Version, set))
+	n.releaseTarget()
 }
 
-// release puts the target in the store once enough keepers remember it. Only
-// then may any proxy of the region put it in force, this one included (I1).
-func (n *Node) release() {
+// releaseTarget adds the target to the store once a write quorum of keepers has
+// stored its version. Only then may a daemon of the region, this one included, put it
+// in force (I1).
+func (n *Node) releaseTarget() {
 	target := n.root.target
 	if target == nil || n.root.releaser.Released() < target.Version {
 		return
 	}
 	n.root.target = nil
-	if err := n.holding.store.Add(target.Version, target.Resources); err != nil {
+	if err := n.local.store.Add(target.Version, target.Resources); err != nil {
 		n.log("catalogue_refused", versionField("version", target.Version), LogField{Key: "error", Value: err.Error()})
 		return
 	}
-	alone := n.root.lease.IsOnlyRoot(n.root.targetAt, n.keeperSets()...)
-	n.root.claims.RecordRelease(n.now, target.Version, alone)
+	isOnlyRoot := n.root.lease.IsOnlyRoot(n.root.targetSince, n.keeperSets()...)
+	n.root.releaseTracker.RecordRelease(n.now, target.Version, isOnlyRoot)
 	n.renewRootLease()
 	n.log("version_released", versionField("version", target.Version))
-	n.adoptFromStore()
+	n.stageFromStore()
 }
 
-// decideInForce says what is in force in this region and everywhere: what all
-// have acknowledged, or, while some are silent, what all that are heard have and
-// the fence has put beyond doubt for the others. Status still names those.
-func (n *Node) decideInForce() {
-	folded := n.acknowledgements()
-	holding := n.expected().ConfirmedVersion(folded)
-	claimed := min(holding, n.root.claims.DeclarableVersion(n.now))
-	if heard, any := distribution.MinimumVersion(folded); any {
-		claimed = max(claimed, min(heard, n.root.claims.FencedVersion(n.now)))
-	}
-	if claimed > n.root.regional {
-		n.root.regional = claimed
+// updateInForce determines the versions in force in this region and globally. A
+// version is in force once all expected members have acknowledged it. While some
+// members are silent, it suffices that all other members have acknowledged it and that
+// every lease under which a silent member could serve an older version has expired
+// (the version is fenced). Status still lists the silent members.
+func (n *Node) updateInForce() {
+	acks := n.acknowledgements()
+	confirmed := n.expectedMembers().ConfirmedVersion(acks)
+	candidate := min(confirmed, n.root.releaseTracker.DeclarableVersion(n.now))
+	if counted, found := distribution.MinimumVersion(acks); found {
+		candidate = max(candidate, min(counted, n.root.releaseTracker.FencedVersion(n.now)))
+	}
+	if candidate > n.root.regionInForce {
+		n.root.regionInForce = candidate
 	}
 	n.raiseInForce(n.globalInForce())
 }
 
-// raiseInForce takes a newer version in force. It never moves back (I9).
+// raiseInForce raises the version in force in all regions. It is never lowered (I9).
 func (n *Node) raiseInForce(version protocol.Version) {
-	if version <= n.holding.inForce {
+	if version <= n.local.inForce {
 		return
 	}
-	n.holding.inForce = version
-	n.regions.inForceAt = n.wallNow()
+	n.local.inForce = version
+	n.regions.inForceAt = n.estimatedWallClock()
 	n.log("version_in_force", versionField("version", version))
 }
 
-// greetOthers lets better roots and new daemons find this root, and this root
-// find a better one.
-func (n *Node) greetOthers() {
-	if n.now < n.root.greetAt {
+// probeRoots probes the better root candidates and a random seed, so that better
+// roots and new daemons find this root, and this root finds a better one.
+func (n *Node) probeRoots() {
+	if n.now < n.root.nextProbeAt {
 		return
 	}
-	n.root.greetAt = n.now + rootPreferInterval/2 + distribution.Jitter(n.random, rootPreferInterval)
+	n.root.nextProbeAt = n.now + rootProbeInterval/2 + distribution.Jitter(n.random, rootProbeInterval)
 	for _, candidate := range n.tree().RootCandidates() {
 		if candidate.ID == n.self.ID {
 			break
 		}
-		n.greetMember(candidate)
+		n.probeMember(candidate)
 	}
-	n.greet()
+	n.probeSeed()
 }
--- a/internal/core/node/rootkeepers.go
+++ b/internal/core/node/rootkeepers.go
@@ -10,81 +10,83 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// toldSet is a keeper set that one life of a keeper remembers.
-type toldSet struct {
+// confirmedKeeperSet is a keeper set that one incarnation of a keeper has confirmed.
+type confirmedKeeperSet struct {
 	incarnation protocol.Incarnation
 	revision    protocol.Version
 }
 
-// keeperSets returns every keeper set that must agree: the newest, and the one
-// that it replaces until that has settled.
+// keeperSets returns the keeper sets whose quorums are required: the newest, and the
+// one that it replaces until the change is complete.
 func (n *Node) keeperSets() []protocol.KeeperSet {
-	if len(n.holding.keepers.Members) == 0 {
+	if len(n.local.keepers.Members) == 0 {
 		return nil
 	}
-	return floor.ActiveSets(n.holding.keepers)
+	return floor.ActiveSets(n.local.keepers)
 }
 
-// keeperRound asks the keepers whether anything newer was stored.
-func (n *Node) keeperRound() {
-	if n.now < n.root.roundAt {
+// sendRound sends the released version to every keeper. The replies renew the root's
+// lease and show whether another root has stored a newer version.
+func (n *Node) sendRound() {
+	if n.now < n.root.nextRoundAt {
 		return
 	}
-	n.root.roundAt = n.now + roundInterval
-	asked := map[protocol.NodeID]bool{}
+	n.root.nextRoundAt = n.now + roundInterval
+	sent := map[protocol.NodeID]bool{}
 	for _, set := range n.keeperSets() {
 		for _, keeper := range set.Members {
-			if asked[keeper.ID] {
+			if sent[keeper.ID] {
 				continue
 			}
-			asked[keeper.ID] = true
-			n.askKeeper(keeper)
+			sent[keeper.ID] = true
+			n.sendRoundTo(keeper)
 		}
 	}
 }
 
-func (n *Node) askKeeper(keeper protocol.KeeperMember) {
+func (n *Node) sendRoundTo(keeper protocol.KeeperMember) {
 	request := &protocol.StoreRequest{
 		Format:      protocol.Format,
 		From:        n.self.ID,
 		Incarnation: n.self.Incarnation,
 		Term:        n.readerSide.reader.Term(),
-		Version:     n.holding.store.Version(),
-		Keepers:     n.setFor(keeper.ID),
+		Version:     n.local.store.Version(),
+		Keepers:     n.keeperSetFor(keeper.ID),
 	}
 	address := keeper.ControlAddress
 	if member, found := n.roster.Get(keeper.ID); found {
 		address = member.ControlAddress
 	}
-	n.store(address, request, keeperTimeout, func(reply *protocol.StoreReply) { n.noteTold(request, reply) })
+	n.sendStore(address, request, keeperTimeout, func(reply *protocol.StoreReply) { n.recordConfirmedKeeperSet(request, reply) })
 }
 
-// setFor returns the keeper set that a round carries to a keeper: the region
-// alone once the keeper remembers the newest set.
-func (n *Node) setFor(keeper protocol.NodeID) protocol.KeeperSet {
-	if n.root.told[keeper].revision == n.holding.keepers.Revision {
+// keeperSetFor returns the keeper set that a round sends to a keeper: only the
+// region once the keeper has confirmed the newest set.
+func (n *Node) keeperSetFor(keeper protocol.NodeID) protocol.KeeperSet {
+	if n.root.confirmedKeeperSets[keeper].revision == n.local.keepers.Revision {
 		return protocol.KeeperSet{Region: n.config.Region}
 	}
-	return n.holding.keepers
+	return n.local.keepers
 }
 
-// noteTold remembers which set a keeper has confirmed, until it restarts.
-func (n *Node) noteTold(request *protocol.StoreRequest, reply *protocol.StoreReply) {
+// recordConfirmedKeeperSet records the set that a keeper has confirmed, until the keeper
+// restarts.
+func (n *Node) recordConfirmedKeeperSet(request *protocol.StoreRequest, reply *protocol.StoreReply) {
 	if reply == nil || reply.Code != result.OK {
 		return
 	}
 	if revision := request.Keepers.Revision; revision > 0 {
-		n.root.told[reply.From] = toldSet{incarnation: reply.Incarnation, revision: revision}
+		n.root.confirmedKeeperSets[reply.From] = confirmedKeeperSet{incarnation: reply.Incarnation, revision: revision}
 		return
 	}
-	if n.root.told[reply.From].incarnation != reply.Incarnation {
-		delete(n.root.told, reply.From)
+	if n.root.confirmedKeeperSets[reply.From].incarnation != reply.Incarnation {
+		delete(n.root.confirmedKeeperSets, reply.From)
 	}
 }
 
-// store sends a store request to a keeper, which may be this daemon, and takes
-// what the reply says for the root's lease.
-func (n *Node) store(address string, request *protocol.StoreRequest, timeout time.Duration, done func(*protocol.StoreReply)) {
+// sendStore sends a store request to a keeper, which may be this daemon, and records
+// the reply for the root's lease.
+func (n *Node) sendStore(address string, request *protocol.StoreRequest, timeout time.Duration, done func(*protocol.StoreReply)) {
 	sentAt := n.now
 	finish := func(reply *protocol.StoreReply) {
 		if reply != nil {
@@ -96,61 +98,63 @@
 		finish(n.handleStore(request))
 		return
 	}
-	n.call(address, request, timeout, func(body any) {
+	n.callPeer(address, request, timeout, func(body any) {
 		reply, _ := body.(*protocol.StoreReply)
 		finish(reply)
 	})
 }
 
-// renewRootLease extends what this root may grant, and serves itself by it.
+// renewRootLease extends the time up to which this root may grant leases, and with
+// it its own serving lease.
 func (n *Node) renewRootLease() {
-	version := n.holding.store.Version()
+	version := n.local.store.Version()
 	if version == 0 {
 		return
 	}
 	until := n.root.lease.GrantUntil(version, n.keeperSets()...)
-	if until <= n.holding.grantUntil {
+	if until <= n.local.grantUntil {
 		return
 	}
-	n.holding.grantUntil = until
-	n.extendServing(lease{until: until, version: version})
+	n.local.grantUntil = until
+	n.extendServingLease(lease{until: until, version: version})
 }
 
-// chooseKeepers changes the keeper set when a keeper is gone for good or when
-// the region has grown. Only a reader can write it into the head.
+// chooseKeepers changes the keeper set when a keeper is permanently lost or the
+// region has grown. Only a reader can write the set to the head.
 func (n *Node) chooseKeepers() {
 	catalogue := n.readerSide.catalogue
 	if catalogue == nil || !n.readerSide.reader.IsReader() {
 		return
 	}
-	current, _ := keeperSetOf(catalogue.Keepers, n.config.Region)
-	if n.now < n.root.keepersAt && !n.maySettle(current) {
+	current, _ := findKeeperSet(catalogue.Keepers, n.config.Region)
+	if n.now < n.root.nextKeeperChangeAt && !n.canCompleteKeeperChange(current) {
 		return
 	}
-	if n.holding.store.Version() < catalogue.Version && len(n.holding.keepers.Members) > 0 {
+	if n.local.store.Version() < catalogue.Version && len(n.local.keepers.Members) > 0 {
 		return
 	}
-	n.root.keepersAt = n.now + keeperChangeInterval
-	n.root.settleAt = n.now + settleInterval
+	n.root.nextKeeperChangeAt = n.now + keeperChangeInterval
+	n.root.nextCompletionAt = n.now + completionInterval
 	members := n.liveInRegion(n.config.Region)
-	chosen, changed := floor.ChooseKeepers(n.config.Region, current, members, n.holding.store.Version())
+	chosen, changed := floor.ChooseKeepers(n.config.Region, current, members, n.local.store.Version())
 	if changed {
-		n.applyReader(n.readerSide.reader.SetKeepers(n.now, n.wallNow(), []protocol.KeeperSet{chosen}))
+		n.applyReaderOutputs(n.readerSide.reader.SetKeepers(n.now, n.estimatedWallClock(), []protocol.KeeperSet{chosen}))
 	}
 }
 
-// maySettle tells whether a change of the keeper set can be ended. That does not
-// wait: until then the former set counts as well, and too few of it may be left.
-func (n *Node) maySettle(current protocol.KeeperSet) bool {
-	return current.Previous != nil && n.holding.store.Version() >= current.Revision && n.now >= n.root.settleAt
+// canCompleteKeeperChange reports whether a change of the keeper set can be completed.
+// Completion is not delayed until nextKeeperChangeAt: until then a quorum of the former
+// set is required as well, and too few of its keepers may be left.
+func (n *Node) canCompleteKeeperChange(current protocol.KeeperSet) bool {
+	return current.Previous != nil && n.local.store.Version() >= current.Revision && n.now >= n.root.nextCompletionAt
 }
 
-// adoptKeepers takes a newer keeper set of this region.
+// adoptKeepers adopts a newer keeper set of this region.
 func (n *Node) adoptKeepers(set protocol.KeeperSet) {
-	n.holding.keepers = set
+	n.local.keepers = set
 	n.start.adoptKeepers(set)
 }
 
-func keeperSetOf(sets []protocol.KeeperSet, region string) (protocol.KeeperSet, bool) {
+func findKeeperSet(sets []protocol.KeeperSet, region string) (protocol.KeeperSet, bool) {
 	return lo.Find(sets, func(set protocol.KeeperSet) bool { return set.Region == region })
 }
--- a/internal/core/node/status.go
+++ b/internal/core/node/status.go
@@ -11,30 +11,30 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// zoneStatuses returns how far the zones of this region are, as the root sees
+// zoneStatuses returns the progress of the zones of this region as the root observes
 // it, in ascending order of zone.
 func (n *Node) zoneStatuses() []protocol.ZoneStatus {
 	zones := map[string]*protocol.ZoneStatus{}
 	for _, member := range n.liveInRegion(n.config.Region) {
-		one, found := zones[member.Zone]
+		zone, found := zones[member.Zone]
 		if !found {
-			one = &protocol.ZoneStatus{Region: member.Region, Zone: member.Zone}
-			zones[member.Zone] = one
+			zone = &protocol.ZoneStatus{Region: member.Region, Zone: member.Zone}
+			zones[member.Zone] = zone
 		}
-		one.Members++
-		if member.State == protocol.MemberSuspect && len(one.Silent) < protocol.MaxListedNodes {
-			one.Silent = append(one.Silent, member.ID)
+		zone.Members++
+		if member.State == protocol.MemberSuspect && len(zone.Silent) < protocol.MaxListedNodes {
+			zone.Silent = append(zone.Silent, member.ID)
 		}
 	}
 	newest := n.newestVersion()
 	for _, ack := range n.acknowledgements() {
-		one, found := zones[ack.Zone]
+		zone, found := zones[ack.Zone]
 		if !found {
 			continue
 		}
-		one.Minimum = ack.Minimum
+		zone.Minimum = ack.Minimum
 		if ack.Minimum < newest {
-			one.Behind = ack.Behind
+			zone.Behind = ack.Behind
 		}
 	}
 	n.countHolding(zones, newest)
@@ -43,52 +43,54 @@
 	return lo.Map(names, func(name string, _ int) protocol.ZoneStatus { return *zones[name] })
 }
 
-// countHolding adds up the members at the newest version. A fold that is not
-// at the newest version counts none of its members: it only knows a minimum.
-// Children whose lease has ended are left out, as in acknowledgements.
+// countHolding counts, for each zone, the members that hold the newest version. An
+// acknowledgement with an older minimum adds no members, since it does not show which
+// of them hold a newer version. Children whose lease has expired are left out, as in
+// acknowledgements.
 func (n *Node) countHolding(zones map[string]*protocol.ZoneStatus, newest protocol.Version) {
 	count := func(ack protocol.Acknowledgement) {
-		one, found := zones[ack.Zone]
+		zone, found := zones[ack.Zone]
 		if found && ack.Minimum >= newest {
-			one.Holding = min(one.Members, one.Holding+ack.Count)
+			zone.Holding = min(zone.Members, zone.Holding+ack.Count)
 		}
 	}
-	for _, id := range n.downstream.order {
+	for _, id := range n.downstream.sortedIDs {
 		child := n.downstream.children[id]
-		if n.leaseEnded(child) {
+		if n.hasLeaseExpired(child) {
 			continue
 		}
 		for _, ack := range child.acks {
 			count(ack)
 		}
 	}
-	count(protocol.Acknowledgement{Zone: n.config.Zone, Minimum: n.held(), Count: 1})
+	count(protocol.Acknowledgement{Zone: n.config.Zone, Minimum: n.currentVersion(), Count: 1})
 }
 
 // newestVersion returns the newest accepted version that this daemon knows.
 func (n *Node) newestVersion() protocol.Version {
-	newest := max(n.holding.store.Version(), n.held())
+	newest := max(n.local.store.Version(), n.currentVersion())
 	if n.readerSide.catalogue != nil {
 		newest = max(newest, n.readerSide.catalogue.Version)
 	}
 	return newest
 }
 
-// status answers from what this daemon knows itself, with NoReader when it
-// can't tell the files: it has not read the platform since it started.
+// status returns the status from this daemon's own state. The code is NoReader while
+// the files are unknown because this daemon has not read the platform since its
+// start.
 func (n *Node) status(partner resource.Partner) *protocol.StatusReply {
 	reply := &protocol.StatusReply{
 		Code: result.OK,
 		Summary: protocol.Summary{
 			Version:   n.newestVersion(),
-			InForce:   n.holding.inForce,
+			InForce:   n.local.inForce,
 			InForceAt: n.regions.inForceAt,
 		},
 		Members: n.roster.All(),
 	}
 	if n.root.active {
 		reply.Summary.Zones = n.zoneStatuses()
-		for _, name := range n.regionNames() {
+		for _, name := range n.otherRegions() {
 			reply.Summary.Zones = append(reply.Summary.Zones, n.regions.peers[name].zones...)
 		}
 		reply.Summary.CutRegions = n.cutRegions()
@@ -106,10 +108,10 @@
 	files := lo.Filter(n.readerSide.catalogue.Files, func(file protocol.FileStatus, _ int) bool {
 		return partner == "" || file.Partner == partner
 	})
-	return markInForce(files, n.holding.inForce)
+	return markInForce(files, n.local.inForce)
 }
 
-// markInForce says of each file whether its revision is in force.
+// markInForce sets on each file whether its revision is in force.
 func markInForce(files []protocol.FileStatus, inForce protocol.Version) []protocol.FileStatus {
 	return lo.Map(files, func(file protocol.FileStatus, _ int) protocol.FileStatus {
 		file.InForce = !file.Held && file.Version > 0 && file.Version <= inForce
@@ -117,74 +119,76 @@
 	})
 }
 
-// handlePeerStatus answers another daemon's question.
+// handlePeerStatus answers another daemon's status request.
 func (n *Node) handlePeerStatus(token Token, request *protocol.StatusRequest) {
 	switch {
-	case !knownFormat(request.Format):
-		n.answer(token, &protocol.StatusReply{Code: result.UnknownFormat})
+	case !isKnownFormat(request.Format):
+		n.answerPeer(token, &protocol.StatusReply{Code: result.UnknownFormat})
 	case request.From != "":
 		n.answerRegion(token, request)
 	case !n.root.active:
-		n.answer(token, &protocol.StatusReply{Code: result.AskAnother, Members: n.hints("", "")})
+		n.answerPeer(token, &protocol.StatusReply{Code: result.AskAnother, Members: n.hints("", "")})
 	default:
-		n.answer(token, n.status(request.Partner))
+		n.answerPeer(token, n.status(request.Partner))
 	}
 }
 
-// statusTimeout bounds the question to the root.
+// statusTimeout is the timeout of a status request to a root.
 const statusTimeout = 2 * time.Second
 
-// operatorStatus answers an operator: as the root, or by asking the root. When
-// no root answers, it tells what this daemon knows itself, with NoReader.
-func (n *Node) operatorStatus(token Token, request *protocol.StatusRequest) {
+// handleOperatorStatus answers an operator's status request, from this daemon's own
+// state if it is the root, or else by a request to the root. When no root answers, it
+// returns this daemon's own state with the code NoReader.
+func (n *Node) handleOperatorStatus(token Token, request *protocol.StatusRequest) {
 	if n.root.active {
 		n.emit(OperatorAnswer{Token: token, Body: n.status(request.Partner)})
 		return
 	}
-	n.askStatus(token, request, n.statusTargets(), nil)
+	n.queryStatus(token, request, n.statusTargets(), nil)
 }
 
-// askStatus asks the targets in turn. partial is what a root answered that
-// can't tell the files; it is better than what this daemon knows.
-func (n *Node) askStatus(token Token, request *protocol.StatusRequest, targets []protocol.Member, partial *protocol.StatusReply) {
+// queryStatus queries the targets in turn. partial is the reply of a root that does
+// not know the files; it is preferred over this daemon's own state.
+func (n *Node) queryStatus(token Token, request *protocol.StatusRequest, targets []protocol.Member, partial *protocol.StatusReply) {
 	if len(targets) == 0 && partial != nil {
 		n.emit(OperatorAnswer{Token: token, Body: partial})
 		return
 	}
 	if len(targets) == 0 {
-		own := n.status(request.Partner)
-		own.Code = result.NoReader
-		n.emit(OperatorAnswer{Token: token, Body: own})
+		local := n.status(request.Partner)
+		local.Code = result.NoReader
+		n.emit(OperatorAnswer{Token: token, Body: local})
 		return
 	}
-	n.call(targets[0].ControlAddress, request, statusTimeout, func(body any) {
+	n.callPeer(targets[0].ControlAddress, request, statusTimeout, func(body any) {
 		reply, _ := body.(*protocol.StatusReply)
 		if reply == nil || reply.Code != result.OK {
 			if reply != nil && reply.Code == result.NoReader {
 				partial = reply
 			}
-			n.askStatus(token, request, targets[1:], partial)
+			n.queryStatus(token, request, targets[1:], partial)
 			return
 		}
 		n.raiseInForce(reply.Summary.InForce)
-		n.addKnownInForce(reply)
+		n.raiseReplyInForce(reply)
 		n.emit(OperatorAnswer{Token: token, Body: reply})
 	})
 }
 
-// addKnownInForce lifts a root's answer to what this daemon has heard before: a
-// root that has just taken over may know less, and in force never reverts (I9).
-func (n *Node) addKnownInForce(reply *protocol.StatusReply) {
-	if reply.Summary.InForce >= n.holding.inForce {
+// raiseReplyInForce replaces the in-force version in a root's reply by the one that
+// this daemon knows, if that is newer. A root that has just taken over may know an
+// older one, and the in-force version never decreases (I9).
+func (n *Node) raiseReplyInForce(reply *protocol.StatusReply) {
+	if reply.Summary.InForce >= n.local.inForce {
 		return
 	}
-	reply.Summary.InForce = n.holding.inForce
-	reply.Files = markInForce(reply.Files, n.holding.inForce)
+	reply.Summary.InForce = n.local.inForce
+	reply.Files = markInForce(reply.Files, n.local.inForce)
 }
 
 // statusTargets returns the likely roots of this region, best first.
 func (n *Node) statusTargets() []protocol.Member {
-	const most = 3
+	const limit = 3
 	var targets []protocol.Member
 	if n.upstream.joined && n.upstream.target.Root {
 		targets = append(targets, n.upstream.target)
@@ -193,5 +197,5 @@
 	targets = lo.UniqBy(targets, func(member protocol.Member) protocol.NodeID { return member.ID })
 	targets = lo.Reject(targets, func(member protocol.Member, _ int) bool { return member.ID == n.self.ID })
 	slices.SortStableFunc(targets, func(a, b protocol.Member) int { return lo.Ternary(a.Root == b.Root, 0, lo.Ternary(a.Root, -1, 1)) })
-	return targets[:min(len(targets), most)]
+	return targets[:min(len(targets), limit)]
 }
--- a/internal/core/node/status_test.go
+++ b/internal/core/node/status_test.go
@@ -11,14 +11,14 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// TestSilentMemberIsNotShownAsHolding crashes each daemon but the root, relays
-// and leaves alike, and looks after its lease has ended, while it is still
-// counted as a member.
+// TestSilentMemberIsNotShownAsHolding crashes each daemon but the root, one per
+// cluster, and checks the status after the daemon's lease has expired, while it is
+// still counted as a member.
 func TestSilentMemberIsNotShownAsHolding(t *testing.T) {
-	_, all, _ := settled(t)
+	_, all, _ := newServingCluster(t)
 	for i := range all {
 		is := is.New(t)
-		c, daemons, _ := settled(t)
+		c, daemons, _ := newServingCluster(t)
 		root := c.root()
 		crashed := daemons[i]
 		if crashed == root {
@@ -36,11 +36,11 @@
 	}
 }
 
-// TestRestartedRootWithoutPlatformDoesNotCallTheMeshEmpty crashes a root while
-// the platform is down: status must not show an empty list of files as whole.
-func TestRestartedRootWithoutPlatformDoesNotCallTheMeshEmpty(t *testing.T) {
+// TestRestartedRootWithoutPlatformReportsNoReader restarts roots while the platform
+// is down: status must not show an empty list of files as complete.
+func TestRestartedRootWithoutPlatformReportsNoReader(t *testing.T) {
 	is := is.New(t)
-	c, _, version := settled(t)
+	c, _, version := newServingCluster(t)
 	c.platform.down = true
 	const readers = 2
 	for range readers {
@@ -59,15 +59,16 @@
 	}
 }
 
-// TestChangeWithoutPlatformIsKnownNotToHaveRun holds that the operator hears
-// the certain answer and not a bound that ran out before it.
-func TestChangeWithoutPlatformIsKnownNotToHaveRun(t *testing.T) {
+// TestChangeWithoutPlatformReportsNotRun checks that the operator receives the
+// conclusive answer, rather than an unknown outcome from a time limit that expires
+// before it.
+func TestChangeWithoutPlatformReportsNotRun(t *testing.T) {
 	is := is.New(t)
-	c, daemons, _ := settled(t)
+	c, daemons, _ := newServingCluster(t)
 	c.platform.down = true
 	for _, d := range daemons[:3] {
 		answer := c.submit(d, "partner: kameeldoring\nname: shop\n")
-		c.until("an answer", 13*time.Second, func() bool { return answer() != nil })
+		c.waitUntil("an answer", 13*time.Second, func() bool { return answer() != nil })
 		entry, _ := result.Lookup(answer().Code)
 		is.Equal(entry.Ran, result.RanNo)
 	}
--- a/internal/core/node/step.go
+++ b/internal/core/node/step.go
@@ -1,8 +1,9 @@
-// Package node is the state machine of one daemon. It is stepped with the
-// time and one typed message and answers with typed effects; the daemon's
-// shell, and the simulator, carry the effects out. It composes the reader,
-// floor, membership, distribution and snapshot packages and holds no lock:
-// one goroutine steps it.
+// Package node is the state machine of one daemon. Each step takes the time and one
+// typed message and returns typed effects, which the caller (the shell: a daemon or
+// the simulator) carries out. The package composes the reader, floor, membership,
+// distribution and snapshot packages. It holds no lock: one goroutine steps it.
+//
+// Comments refer to the invariants of docs/INVARIANTS.md by number, such as (I1).
 package node
 
 import (
@@ -21,7 +22,7 @@
 // Message is an input of Step.
 type Message interface{ message() }
 
-// Tick lets time pass; the shell sends one every TickInterval.
+// Tick advances the time; the shell sends one every TickInterval.
 type Tick struct {
 	// WallClock is the shell's wall clock, shown in status; zero if not known.
 	WallClock time.Time
@@ -44,7 +45,8 @@
 	Token Token
 	// Body is the matching reply type; nil when Failed.
 	Body any
-	// Failed is set when no answer came; the call may have had its effect.
+	// Failed is set when no reply arrived; the request may nevertheless have been
+	// executed.
 	Failed bool
 }
 
@@ -54,45 +56,45 @@
 	Reply object.Reply
 }
 
-// PlatformEvent is a watch event of the running watch.
+// PlatformEvent is an event of a running watch.
 type PlatformEvent struct {
 	Watch Token
 	Event object.Event
 }
 
-// WatchEnded reports that a watch broke.
+// WatchEnded reports that a watch ended with an error.
 type WatchEnded struct {
 	Watch Token
 	Code  result.Code
 }
 
-// OperatorRequest is a change or a question from this daemon's operators' API;
+// OperatorRequest is a change or a status request from this daemon's operators' API;
 // the node answers with OperatorAnswer.
 type OperatorRequest struct {
 	Token Token
 	// Body is a *protocol.SubmitRequest or *protocol.StatusRequest.
 	Body any
-	// WallClock is the shell's wall clock, for "accepted at".
+	// WallClock is the shell's wall clock, recorded as the time of acceptance.
 	WallClock time.Time
 }
 
-// SnapshotInForce tells the node that the shell has swapped to a snapshot;
-// only now may the node acknowledge it.
+// SnapshotInForce confirms that the shell has swapped to a snapshot. The node
+// acknowledges a version only after this confirmation.
 type SnapshotInForce struct {
 	Version protocol.Version
 }
 
-// BackendReport is what the shell knows of the back end beside it.
+// BackendReport reports the state of the daemon's local back end.
 type BackendReport struct {
 	State protocol.EndpointState
 }
 
-// Leave starts the drain: the node tells the mesh that it is leaving.
+// Leave starts draining: the node reports to the mesh that it is leaving.
 type Leave struct{}
 
-// Stopped follows Leave when the data path has stopped for good. The node then
-// reports that it has left and is not counted any more; the shell steps it for
-// a moment longer (half a second) so that the report goes out.
+// Stopped follows Leave when the data path has stopped permanently. The node then
+// reports that it has left and is no longer counted. The shell steps it for another
+// half second so that the report is sent.
 type Stopped struct{}
 
 func (Tick) message()            {}
@@ -110,13 +112,13 @@
 // Effect is an output of Step.
 type Effect interface{ effect() }
 
-// CallPeer asks the shell to call another daemon.
+// CallPeer makes the shell call another daemon.
 type CallPeer struct {
 	Token   Token
 	Address string
 	// Body is the pointer to a protocol request.
 	Body any
-	// Timeout is when the shell gives up and sends a failed PeerReply.
+	// Timeout is the time after which the shell sends a failed PeerReply.
 	Timeout time.Duration
 }
 
@@ -126,14 +128,14 @@
 	Body  any
 }
 
-// CallPlatform asks the shell to call the platform.
+// CallPlatform makes the shell call the platform.
 type CallPlatform struct {
 	Token   Token
 	Call    object.Call
 	Timeout time.Duration
 }
 
-// StartWatch asks the shell to watch the platform; events carry its token.
+// StartWatch makes the shell watch the platform; its events carry the token.
 type StartWatch struct {
 	Token  Token
 	Prefix string
@@ -143,18 +145,18 @@
 // StopWatch ends a watch.
 type StopWatch struct{ Token Token }
 
-// SwapSnapshot asks the shell to put a snapshot in force by one atomic
-// pointer swap and then to send SnapshotInForce.
+// SwapSnapshot makes the shell put a snapshot in force by one atomic pointer swap and
+// then send SnapshotInForce.
 type SwapSnapshot struct {
 	Snapshot *snapshot.Snapshot
 }
 
-// ExtendServing lets the shell's data path serve until Until on the node's
-// clock. The path compares it with the clock on each call, so that a daemon
-// that was paused does not serve when it wakes.
+// ExtendServingLease extends the lease of the shell's data path to Until on the node's
+// clock. The data path compares it with the clock on each call, so that a daemon that
+// was paused beyond its lease does not serve when it resumes.
 type ExtendServingLease struct{ Until time.Duration }
 
-// PublishMembers gives the data path the newest member records, whole.
+// PublishMembers passes all current member records to the data path.
 type PublishMembers struct {
 	Members []protocol.Member
 }
@@ -165,7 +167,7 @@
 	Body  any
 }
 
-// LogEvent asks for one log line.
+// LogEvent is one log line to be written.
 type LogEvent struct {
 	// Name is a stable event name listed in docs/OPERATIONS.md.
 	Name   string
@@ -189,7 +191,8 @@
 func (OperatorAnswer) effect()     {}
 func (LogEvent) effect()           {}
 
-// Config is what a node is told at its start.
+// Config holds the settings of a node, which are fixed for its lifetime: its identity,
+// addresses, location, local back end and periods.
 type Config struct {
 	ID             protocol.NodeID
 	Incarnation    protocol.Incarnation
@@ -200,7 +203,7 @@
 	Scope          protocol.Scope
 	// Seeds are control addresses of some daemons, tried at random at start.
 	Seeds []string
-	// Service and Backend name the back end beside it; empty for none.
+	// Service and Backend identify the local back end; empty for none.
 	Service resource.ServiceRef
 	Backend string
 	Slots   int
@@ -213,14 +216,15 @@
 type Timing struct {
 	// FetchWait is how long a parent may hold a fetch open.
 	FetchWait time.Duration
-	// ServingLease is how long a daemon serves without word from the mesh.
+	// ServingLease is how long a daemon serves without contact to the mesh.
 	ServingLease time.Duration
-	// DeadAfter is when a silent member stops being counted; at least three
-	// serving leases, so that it has certainly stopped serving.
+	// DeadAfter is the time after which a silent member is no longer counted; at
+	// least three serving leases, so that it has certainly stopped serving.
 	DeadAfter time.Duration
 	// ReaderLease is how long a reader lease lasts on the platform.
 	ReaderLease time.Duration
-	// FanOut is how many children a parent takes.
+	// FanOut is the number of children that a relay accepts; a root accepts a
+	// multiple of it.
 	FanOut int
 }
 
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -11,101 +11,114 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// link is what is shared with one parent.
+// link is the state of the connection to one parent.
 type link struct {
-	// target is the daemon fetched from.
+	// target is the daemon that fetches are sent to.
 	target protocol.Member
-	// memberCursor and incarnation are the parent's, from its last reply.
+	// memberCursor and incarnation are the parent's change log position and
+	// incarnation, from its last reply.
 	memberCursor uint64
 	incarnation  protocol.Incarnation
-	// reported is the own change log position that the parent has taken.
-	reported membership.Cursor
-	// leaseAt is when the parent last extended the lease.
-	leaseAt time.Duration
+	// reportedCursor is the position in this daemon's change log up to which the
+	// parent has received records.
+	reportedCursor membership.Cursor
+	// leaseExtendedAt is when the parent last sent a lease that ended more than a
+	// quarter of the serving lease later.
+	leaseExtendedAt time.Duration
 }
 
-// upstream is this daemon's side of the calls to its parent.
+// upstream holds the state of the fetches from this daemon's parent.
 type upstream struct {
 	link
 	// joined is set once the target has answered OK.
 	joined bool
-	// hinted are daemons that refusals have named since the last parent.
-	hinted []protocol.Member
-	// former is the parent that works while a preferred one is tried.
-	former  *link
-	token   Token
-	sentAt  time.Duration
-	counter uint64
-	// nextAt is when the next fetch may be sent.
-	nextAt   time.Duration
-	failures int
-	// avoid holds daemons that failed or refused, until when.
-	avoid map[protocol.NodeID]avoidance
-	// sentCursor is the own change log position at the fetch under way.
+	// hintedParents are the daemons listed in refusals since this daemon last joined a
+	// parent.
+	hintedParents []protocol.Member
+	// former is the working parent while a preferred one is tried; nil otherwise.
+	former       *link
+	fetchToken   Token
+	sentAt       time.Duration
+	fetchCounter uint64
+	// nextFetchAt is when the next fetch may be sent.
+	nextFetchAt time.Duration
+	failures    int
+	// avoided holds the daemons that failed or refused and until when each is
+	// avoided.
+	avoided map[protocol.NodeID]avoidance
+	// sentCursor is the position in this daemon's change log up to which the
+	// records of the subtree have been sent.
 	sentCursor membership.Cursor
 	sentAcks   []protocol.Acknowledgement
-	// leafUntil is until when this daemon joins as a leaf although it ranks as a
-	// relay: the root knows more members and had no place for it.
-	leafUntil time.Duration
-	// sentRelaying is whether the fetch under way asked for the whole
-	// configuration, as a relay does.
+	// joinAsLeafUntil is until when this daemon joins as a leaf although it ranks as a
+	// relay by its own roster, because the root, which knows more members, refused
+	// it as a relay.
+	joinAsLeafUntil time.Duration
+	// sentRelaying is whether the last fetch requested the whole configuration, as
+	// a relay does.
 	sentRelaying bool
-	urgentAt     time.Duration
-	// preferAt is when the preferred parent is tried again; preferRefusals
-	// counts how often it was tried in vain.
-	preferAt       time.Duration
-	preferRefusals int
-	// discoverAt is when others are asked for parents again.
-	discoverAt time.Duration
-	// orphanedAt is when the last parent was lost.
-	orphanedAt time.Duration
+	// lastUrgentAt is when sendUrgentUpdates last interrupted a held fetch.
+	lastUrgentAt time.Duration
+	// preferredRetryAt is when the preferred parent is tried again;
+	// preferredFailures counts the failed attempts.
+	preferredRetryAt  time.Duration
+	preferredFailures int
+	// nextSeedProbeAt is when a seed is probed next while no parent is known.
+	nextSeedProbeAt time.Duration
+	// parentLostAt is when the last parent was lost.
+	parentLostAt time.Duration
 }
 
-// The periods of the upstream side.
+// The periods of the fetches from the parent and of the search for one.
 const (
-	// replySlack is added to the wait of a fetch before it counts as failed.
+	// replySlack is added to the hold time of a fetch for its timeout.
 	replySlack = time.Second
-	// avoidStale is how long a parent that no longer extends the lease is left
-	// out.
-	avoidStale = 2 * time.Second
-	// preferInterval is the mean time until the preferred parent is tried again;
-	// it doubles with each refusal, up to preferMax: the preferred one may be
-	// full.
-	preferInterval = 20 * time.Second
-	preferMax      = 10 * time.Minute
-	// rootPreferInterval is the same for a root that finds a better one.
-	rootPreferInterval = 2 * time.Second
-	// ackGather and memberGather bound how often news interrupts a held fetch.
-	ackGather    = 200 * time.Millisecond
-	memberGather = 100 * time.Millisecond
-	// idleSpacing is the least time between fetches that bring nothing.
-	idleSpacing = 200 * time.Millisecond
-	// swapPatience is how long a swap may take before the parent is told, by a
-	// fetch without it, that this daemon is alive and behind.
-	swapPatience = time.Second
-	// rootPatience is how long a daemon waits for a better one to become root.
-	rootPatience = 4 * time.Second
-	// rootRefusal bounds the wait before a candidate for root is asked again.
-	rootRefusal = 400 * time.Millisecond
+	// staleParentAvoidance is how long a parent that no longer extends the lease is
+	// avoided.
+	staleParentAvoidance = 2 * time.Second
+	// preferredRetryInterval is the mean time until the preferred parent is tried
+	// again. It doubles with each failure, up to preferredRetryMax, since the
+	// preferred parent may be full.
+	preferredRetryInterval = 20 * time.Second
+	preferredRetryMax      = 10 * time.Minute
+	// rootProbeInterval is the mean time between a root's probes for better roots.
+	rootProbeInterval = 2 * time.Second
+	// ackBatchInterval and memberBatchInterval are the least times between updates
+	// that interrupt a held fetch.
+	ackBatchInterval    = 200 * time.Millisecond
+	memberBatchInterval = 100 * time.Millisecond
+	// idleFetchInterval is the least time between fetches that return nothing new.
+	idleFetchInterval = 200 * time.Millisecond
+	// swapTimeout is how long the next fetch waits for a swap, in order to
+	// acknowledge it. After that, a fetch shows the parent that this daemon is alive
+	// and behind.
+	swapTimeout = time.Second
+	// betterRootTimeout is how long a daemon waits for a better candidate to become
+	// root.
+	betterRootTimeout = 4 * time.Second
+	// rootRetryMax is the maximum time for which a relaying daemon avoids a root
+	// candidate that refused, unless the refusal demands longer.
+	rootRetryMax = 400 * time.Millisecond
 	// leafPeriod is how long a daemon that ranks as a relay, but was refused by a
-	// root, asks for a place as a leaf.
+	// root, joins as a leaf instead.
 	leafPeriod = 5 * time.Second
-	// discoverInterval is how often seeds are asked when no parent is found.
-	discoverInterval = time.Second
+	// seedProbeInterval is the mean time between probes of seeds while no parent is
+	// found.
+	seedProbeInterval = time.Second
 )
 
-// tickUpstream sends the next fetch when it is due.
+// tickUpstream chooses the parent and sends the next fetch when it is due.
 func (n *Node) tickUpstream() {
-	if _, known := n.floor(); !known || n.self.State == protocol.MemberLeft && n.upstream.reported >= n.roster.Cursor() {
+	if _, known := n.floor(); !known || n.self.State == protocol.MemberLeft && n.upstream.reportedCursor >= n.roster.Cursor() {
 		return
 	}
 	n.reconsiderParent()
-	if n.root.active || n.upstream.token != 0 || n.now < n.upstream.nextAt || n.awaitsSwap() {
+	if n.root.active || n.upstream.fetchToken != 0 || n.now < n.upstream.nextFetchAt || n.isAwaitingSwap() {
 		return
 	}
 	target, found := n.chooseParent()
 	if !found {
-		n.discover()
+		n.probeSeedIfDue()
 		return
 	}
 	if target.ID == n.self.ID {
@@ -115,30 +128,31 @@
 	n.fetchFrom(target)
 }
 
-// awaitsSwap reports whether the next fetch waits for a swap, to acknowledge it.
-func (n *Node) awaitsSwap() bool {
-	return n.holding.staged != nil && n.now-n.holding.stagedAt < swapPatience
+// isAwaitingSwap reports whether the next fetch waits for a swap, in order to
+// acknowledge it.
+func (n *Node) isAwaitingSwap() bool {
+	return n.local.staged != nil && n.now-n.local.stagedAt < swapTimeout
 }
 
-// fetchSoon sends the next fetch at once when none is under way.
-func (n *Node) fetchSoon() {
-	if n.root.active || n.upstream.token != 0 || !n.upstream.joined || n.awaitsSwap() {
+// fetchIfDue sends the next fetch if it is due and none is in flight.
+func (n *Node) fetchIfDue() {
+	if n.root.active || n.upstream.fetchToken != 0 || !n.upstream.joined || n.isAwaitingSwap() {
 		return
 	}
-	if n.now < n.upstream.nextAt {
+	if n.now < n.upstream.nextFetchAt {
 		return
 	}
 	n.fetchFrom(n.upstream.target)
 }
 
-// fetchFrom sends a fetch. One is under way at a time: the parent answers the
-// older of two at once, and this daemon then waits for the newer only.
+// fetchFrom sends a fetch. A newer fetch replaces the one in flight: the parent
+// answers the older at once, and this daemon ignores that reply.
 func (n *Node) fetchFrom(target protocol.Member) {
 	up := &n.upstream
 	if up.target.ID != target.ID {
-		n.adoptTarget(target)
+		n.switchTarget(target)
 	}
-	up.counter++
+	up.fetchCounter++
 	up.sentAt = n.now
 	up.sentCursor = n.roster.Cursor()
 	up.sentAcks = n.acknowledgements()
@@ -146,45 +160,45 @@
 		Format:            protocol.Format,
 		From:              n.self.ID,
 		Incarnation:       n.self.Incarnation,
-		Counter:           up.counter,
-		KeeperRevision:    n.holding.keepers.Revision,
-		Scope:             n.scopeToFetch(),
+		Counter:           up.fetchCounter,
+		KeeperRevision:    n.local.keepers.Revision,
+		Scope:             n.fetchScope(),
 		Acknowledgements:  up.sentAcks,
 		MemberCursor:      up.memberCursor,
 		ParentIncarnation: up.incarnation,
 		Wait:              n.config.Timing.FetchWait,
 	}
-	n.addRecords(request)
-	request.Have, request.HaveDigest = n.haveOf(request.Scope)
+	n.addUnreportedRecords(request)
+	request.Have, request.HaveDigest = n.deltaBase(request.Scope)
 	up.sentRelaying = request.Scope.Relay
 	var token Token
 	sentAt := n.now
-	token = n.call(target.ControlAddress, request, n.config.Timing.FetchWait+replySlack, func(reply any) {
+	token = n.callPeer(target.ControlAddress, request, n.config.Timing.FetchWait+replySlack, func(reply any) {
 		n.finishFetch(token, target.ID, sentAt, reply)
 	})
-	up.token = token
+	up.fetchToken = token
 }
 
-// haveOf returns what a delta for the scope would start from.
-func (n *Node) haveOf(scope protocol.Scope) (protocol.Version, resource.Digest) {
-	if n.holding.wholeWanted {
+// deltaBase returns the version and digest from which a delta for the scope starts.
+func (n *Node) deltaBase(scope protocol.Scope) (protocol.Version, resource.Digest) {
+	if n.local.needsFullSnapshot {
 		return 0, ""
 	}
 	if scope.Relay {
-		return n.holding.store.Version(), n.holding.store.Digest()
+		return n.local.store.Version(), n.local.store.Digest()
 	}
-	if n.holding.current == nil {
+	if n.local.current == nil {
 		return 0, ""
 	}
-	return n.holding.current.Version, n.holding.current.Digest
+	return n.local.current.Version, n.local.current.Digest
 }
 
-// addRecords adds the records that the parent has not heard. Until it has
-// taken this daemon in, the own record names it as the parent: only a parent
-// that accepts the fetch merges it.
-func (n *Node) addRecords(request *protocol.FetchRequest) {
+// addUnreportedRecords adds the records that the parent has not received. Until the
+// target has accepted this daemon, the daemon's own record in the request already
+// names it as the parent; a target that does not accept the fetch ignores the record.
+func (n *Node) addUnreportedRecords(request *protocol.FetchRequest) {
 	up := &n.upstream
-	for _, member := range n.roster.SubtreeSince(up.reported) {
+	for _, member := range n.roster.SubtreeSince(up.reportedCursor) {
 		if member.ID == n.self.ID {
 			request.Self = member
 			continue
@@ -202,44 +216,45 @@
 	}
 }
 
-// finishFetch takes the parent's reply to the fetch with the token.
+// finishFetch handles the parent's reply to the fetch with the token.
 func (n *Node) finishFetch(token Token, from protocol.NodeID, sentAt time.Duration, body any) {
 	up := &n.upstream
-	if token != up.token {
+	if token != up.fetchToken {
 		return
 	}
-	up.token = 0
+	up.fetchToken = 0
 	reply, ok := body.(*protocol.FetchReply)
-	if !ok || reply == nil || !knownFormat(reply.Format) {
-		n.fetchFailed(from)
+	if !ok || reply == nil || !isKnownFormat(reply.Format) {
+		n.handleFetchFailure(from)
 		return
 	}
 	switch reply.Code {
 	case result.OK:
-		n.takeReply(sentAt, reply)
+		n.applyFetchReply(sentAt, reply)
 	case result.Overloaded:
-		up.nextAt = n.now + reply.RetryAfter + distribution.Jitter(n.random, idleSpacing)
+		up.nextFetchAt = n.now + reply.RetryAfter + distribution.Jitter(n.random, idleFetchInterval)
 	default:
-		n.fetchRefused(from, reply)
+		n.handleFetchRefusal(from, reply)
 	}
 }
 
-// sendUrgentNews interrupts a held fetch with acknowledgements or records that
-// the parent should hear now. The parent answers the held one at once.
-func (n *Node) sendUrgentNews() {
+// sendUrgentUpdates sends another fetch while the parent holds one open, with
+// acknowledgements or records that the parent should receive at once. The parent then
+// ends the held fetch.
+func (n *Node) sendUrgentUpdates() {
 	up := &n.upstream
-	if n.root.active || !up.joined || up.token == 0 || n.holding.staged != nil || n.now-up.sentAt < idleSpacing/10 {
+	if n.root.active || !up.joined || up.fetchToken == 0 || n.local.staged != nil || n.now-up.sentAt < idleFetchInterval/10 {
 		return
 	}
 	if !n.acksAreUrgent() && !n.membersAreUrgent() {
 		return
 	}
-	up.urgentAt = n.now
+	up.lastUrgentAt = n.now
 	n.fetchFrom(up.target)
 }
 
-// acksAreUrgent reports whether the fold has changed: at once when everyone
-// below holds the newest version, gathered otherwise.
+// acksAreUrgent reports whether changed acknowledgements are to be sent: at once when
+// the whole subtree holds the newest version, batched otherwise.
 func (n *Node) acksAreUrgent() bool {
 	if !n.downstream.acksChanged {
 		return false
@@ -250,12 +265,14 @@
 		return false
 	}
 	lowest, _ := distribution.MinimumVersion(acks)
-	return lowest >= n.holding.store.Version() || n.now-n.upstream.urgentAt >= ackGather
+	return lowest >= n.local.store.Version() || n.now-n.upstream.lastUrgentAt >= ackBatchInterval
 }
 
+// membersAreUrgent reports whether changed records of the subtree are to be sent, which
+// is done at most once per memberBatchInterval.
 func (n *Node) membersAreUrgent() bool {
 	up := &n.upstream
-	if n.roster.Cursor() == up.sentCursor || n.now-up.urgentAt < memberGather {
+	if n.roster.Cursor() == up.sentCursor || n.now-up.lastUrgentAt < memberBatchInterval {
 		return false
 	}
 	if len(n.roster.SubtreeSince(up.sentCursor)) > 0 {
--- a/internal/core/renewal/renewal_test.go
+++ b/internal/core/renewal/renewal_test.go
@@ -7,35 +7,35 @@
 	"github.com/matryer/is"
 )
 
-func TestTheFirstDeadConnectionRenewsAtOnce(t *testing.T) {
+func TestTheFirstDeadConnectionCausesARenewalAtOnce(t *testing.T) {
 	check := is.New(t)
-	decider := &Scheduler{}
-	wait, renew := decider.ReportDead(time.Minute, time.Second)
+	scheduler := &Scheduler{}
+	wait, renew := scheduler.ReportDead(time.Minute, time.Second)
 	check.True(renew)
 	check.Equal(wait, time.Duration(0))
 }
 
-func TestConnectionsThatWereRenewedAreNoNews(t *testing.T) {
+func TestConnectionsOpenedBeforeARenewalCauseNoOther(t *testing.T) {
 	check := is.New(t)
-	decider := &Scheduler{}
-	decider.ReportDead(time.Minute, time.Second)
-	_, again := decider.ReportDead(time.Minute, 2*time.Second) // before the renewal has come
-	check.True(!again)
-	decider.MarkRenewed(time.Minute)
-	_, again = decider.ReportDead(2*time.Minute, 59*time.Second)
-	check.True(!again)
+	scheduler := &Scheduler{}
+	scheduler.ReportDead(time.Minute, time.Second)
+	_, renewAgain := scheduler.ReportDead(time.Minute, 2*time.Second) // the scheduled renewal is not done yet
+	check.True(!renewAgain)
+	scheduler.MarkRenewed(time.Minute)
+	_, renewAgain = scheduler.ReportDead(2*time.Minute, 59*time.Second)
+	check.True(!renewAgain)
 }
 
-func TestConnectionsThatDieAgainAreRenewedAtAPace(t *testing.T) {
+func TestRepeatedRenewalsKeepTheMinimumInterval(t *testing.T) {
 	check := is.New(t)
-	decider := &Scheduler{}
-	decider.ReportDead(time.Minute, time.Second)
-	decider.MarkRenewed(time.Minute)
-	wait, renew := decider.ReportDead(time.Minute+300*time.Millisecond, time.Minute+time.Millisecond)
+	scheduler := &Scheduler{}
+	scheduler.ReportDead(time.Minute, time.Second)
+	scheduler.MarkRenewed(time.Minute)
+	wait, renew := scheduler.ReportDead(time.Minute+300*time.Millisecond, time.Minute+time.Millisecond)
 	check.True(renew)
 	check.Equal(wait, 700*time.Millisecond)
-	decider.MarkRenewed(time.Minute + MinInterval)
-	wait, renew = decider.ReportDead(time.Hour, time.Hour-time.Millisecond)
+	scheduler.MarkRenewed(time.Minute + MinInterval)
+	wait, renew = scheduler.ReportDead(time.Hour, time.Hour-time.Millisecond)
 	check.True(renew)
 	check.Equal(wait, time.Duration(0))
 }
