--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -1,7 +1,8 @@
-// Package backend follows the back end beside a daemon by what it reports
-// itself: which start of it runs, and whether it may get work. Reports may
-// come late, twice, out of order and from a start that has ended. It does
-// no input or output and reads no clock.
+// Package backend tracks the state of the back end beside a daemon from its heartbeats, health
+// probes and calls: which start of it runs, and whether it may receive work. A start is one run of
+// the back-end process, identified by the name of the instance and the time at which it began.
+// Reports may arrive late, repeatedly, out of order and from a start that has ended. The package
+// performs no input or output and reads no clock.
 package backend
 
 import (
@@ -11,53 +12,53 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// silentBeats is how many heartbeats must be missing, without an answered call, before a start
-// counts as down: a busy machine may lose or delay a few of them.
+// silentBeats is the number of missed heartbeats, without an answered call, after which a start
+// counts as down. A busy machine may lose or delay a few of them.
 const silentBeats = 4
 
-// Tracker is what one daemon knows of the back end beside it. It is not safe
-// for concurrent use.
+// Tracker tracks the state of the back end beside one daemon. It is not safe for concurrent use.
 type Tracker struct {
 	interval time.Duration
 
-	// running is the start that gets the calls, or got them last.
+	// running is the start that receives calls, or the last one that did.
 	running protocol.BackendStart
-	// unconfirmed says that the running start has told of itself and has not answered yet: it
-	// gets no call until it has.
+	// unconfirmed is true if the running start has reported but has not answered a probe yet. It
+	// receives no calls until it has.
 	unconfirmed bool
-	// crashed says that the start which got calls before the running one had not said that it
-	// leaves, so that none of its runs can go on.
+	// crashed is true if the start that received calls before the running one ended without a drain
+	// or leave, so that none of its calls can still be running.
 	crashed bool
-	// sequence, slots and software are by the newest report of the running start.
+	// sequence, slots and software are those of the latest report of the running start.
 	sequence uint64
 	slots    int
 	software string
 	warmth   warmth
-	// draining says that the running start has said that it leaves; it never takes that back.
+	// draining is true once the running start has reported that it drains or leaves. It is never
+	// reset for the same start.
 	draining bool
-	// down says that the running start is not confirmed, took no connection or is doubted; its
-	// next report that counts ends that.
+	// down is true if the running start is unconfirmed, has refused a connection, or may not be the
+	// start that runs (see doubtRunning). Its next valid report resets it.
 	down bool
-	// heardAt is when the running start last reported or answered a call, reportedAt when it
-	// last reported.
+	// heardAt is the time of the running start's latest report or answered call, reportedAt the
+	// time of its latest report.
 	heardAt    time.Duration
 	reportedAt time.Duration
-	// candidates are the newest reports of starts that have not been confirmed, one for each
-	// instance, oldest first. The back end's answer to a probe tells which of them runs.
+	// candidates holds the latest reports of unconfirmed starts, one for each instance, oldest
+	// first. The answer to a probe shows which of them runs.
 	candidates []Report
-	// ended are starts that have left or been replaced, oldest first.
+	// ended holds starts that have left or been replaced, oldest first.
 	ended []endedStart
-	// older follows a start that seems older than one that is known.
+	// older tracks a start that appears to be older than a known one.
 	older   persistence
 	outlier outlier
 }
 
-// NewTracker returns a tracker of back ends that report each interval.
+// NewTracker returns a tracker of a back end that reports once per interval.
 func NewTracker(interval time.Duration) *Tracker { return &Tracker{interval: interval} }
 
-// Reported takes a report, and tells whether the back end must be probed before the start is
-// taken for the one that runs: the first report of a new start looks like a late one of a
-// start that has ended.
+// Reported processes a report. It returns true if the back end must be probed before its start may
+// replace the running one, since the first report of a new start cannot be distinguished from a
+// late report of an ended one.
 func (t *Tracker) HandleReport(now time.Duration, report Report) (probe bool) {
 	start := report.Start()
 	if t.hasEnded(start) {
@@ -73,8 +74,9 @@
 	return t.reportedAnother(now, report)
 }
 
-// reportedOlder takes a report of a start that seems older than a known one, and tells
-// whether it is taken for one that lives. It then replaces what waits under its name.
+// reportedOlder processes a report of a start that appears to be older than a known one. It returns
+// true if that start has reported for long enough to be considered running. The start then replaces
+// the candidate of the same instance.
 func (t *Tracker) reportedOlder(now time.Duration, report Report) bool {
 	beats := t.beatsNeeded(report.Start())
 	if !t.older.persists(now, t.interval, t.reportedAt, beats, report) {
@@ -89,25 +91,28 @@
 	return true
 }
 
-// doubtRunning takes the end of a start that seems older than the running one under its
-// name. Where it alone goes on reporting, a clock may have been wrong and the calls may reach
-// it: nothing is sent there before the running one has reported again.
+// doubtRunning processes the end of a start that appears to be older than the running one of the
+// same instance. If only the older one has been reporting, a clock may have been wrong and calls
+// may in fact reach the older one. The running start is therefore marked down until it reports
+// again.
 func (t *Tracker) doubtRunning(ended protocol.BackendStart) {
 	if ended.Instance == t.running.Instance && t.older.alone(ended, t.reportedAt) {
 		t.down = true
 	}
 }
 
-// heedWarmUp takes a start that seems older than the running one under its name at its word that it
-// is cold, where it alone goes on reporting: the calls may reach it. A probe tells better.
+// heedWarmUp processes the warm-up time of a start that appears to be older than the running one of
+// the same instance. If only the older one has been reporting, calls may in fact reach it, so the
+// back end is assumed to be cold. The answer to a probe is more reliable and replaces this
+// assumption.
 func (t *Tracker) heedWarmUp(now time.Duration, report Report) {
 	if report.WarmUp > 0 && report.Instance == t.running.Instance && t.older.alone(report.Start(), t.reportedAt) {
 		t.AssumeCold(now, report.WarmUp)
 	}
 }
 
-// takeLater takes a report of the running start unless a later one has come. That it drains
-// was acknowledged all the same, and binds.
+// takeLater applies a report of the running start unless a later one has been applied already. A
+// drain takes effect in either case, because it has been acknowledged.
 func (t *Tracker) takeLater(now time.Duration, report Report) {
 	if report.Sequence > t.sequence {
 		t.take(now, report)
@@ -115,14 +120,14 @@
 	t.draining = t.draining || report.Draining
 }
 
-// reportedAnother takes a report of a start that does not run yet. One that is newer under
-// the name of the running one shows that that has ended, and may be cold: nothing is sent to
-// it before it has answered.
+// reportedAnother processes a report of a start other than the running one. If the start has the
+// same instance name as the running one and is newer, the running one must have ended. The new
+// start may be cold, so it receives no calls until it has answered a probe.
 func (t *Tracker) reportedAnother(now time.Duration, report Report) (probe bool) {
 	start := report.Start()
 	sameName := t.running.Instance == start.Instance
 	if report.Draining && (sameName || t.running.Instance == "") {
-		t.HandleLeave(start, 0) // no probe is needed for taking no work
+		t.HandleLeave(start, 0) // no probe is needed to stop sending calls
 		return false
 	}
 	if sameName {
@@ -133,7 +138,7 @@
 	return true
 }
 
-// take puts a report of the running start in force. A drain stays: it was acknowledged.
+// take applies a report of the running start. It never resets a drain, which has been acknowledged.
 func (t *Tracker) take(now time.Duration, report Report) {
 	t.sequence = report.Sequence
 	t.slots = report.Slots
@@ -145,8 +150,9 @@
 	t.reportedAt = now
 }
 
-// begin makes a start the running one, unconfirmed and down until it has answered. Nothing
-// that was known of the one before it counts but until when it was assumed to be cold.
+// begin makes a start the running one, unconfirmed and down until it has answered a probe. Of the
+// previous start's state it keeps only the time until which the back end is assumed to be cold, and
+// the count of answered calls.
 func (t *Tracker) begin(start protocol.BackendStart) {
 	if start == t.running {
 		return
@@ -167,10 +173,10 @@
 	t.outlier = outlier{answered: t.outlier.answered}
 }
 
-// Probed takes the answer of a probe. A candidate that answers replaces the start that ran
-// before it. The answer names the instance and not the start, but starts under one name never
-// run at once: what answers is the newest that has reported, or a newer one whose report will
-// replace it.
+// Probed processes the answer to a probe. A candidate that answers replaces the running start. The
+// answer names only the instance, not the start, but starts of one instance never run at the same
+// time. The start that answers is therefore the newest one that has reported, or a newer one whose
+// report will replace it.
 func (t *Tracker) HandleProbe(now time.Duration, probe ProbeResult) {
 	at := t.candidateAt(probe.Instance)
 	if at < 0 {
@@ -179,7 +185,7 @@
 	}
 	confirmed := t.candidates[at]
 	if !probe.Healthy && !confirmed.Draining {
-		return // it is leaving, or fails: the next report asks again
+		return // it is leaving or failing: its next report triggers another probe
 	}
 	t.begin(confirmed.Start())
 	t.unconfirmed = false
@@ -191,10 +197,11 @@
 	t.candidates = nil
 }
 
-// Left takes a start's word, said at a time in Unix milliseconds, that it gets no more work.
-// Where no start is known yet, it counts as the one that runs, so that peers hear of it and
-// can remind the next start of this daemon. A word that does not tell its start is that of
-// the newest one known under the name, or else of any that had begun by then.
+// Left processes a start's notice, sent at a time in Unix milliseconds, that it accepts no more
+// work. If no start is known yet, it becomes the running one, so that peers learn of the leave and
+// can restore it after a restart of this daemon. If the notice does not identify the start, it
+// applies to the newest known start of the instance, or, if none is known, to any that began before
+// the notice was sent.
 func (t *Tracker) HandleLeave(start protocol.BackendStart, saidAt int64) {
 	known := t.newestOf(start.Instance)
 	unknown := start.Born == 0 && known.Instance == ""
@@ -207,14 +214,14 @@
 	t.leave(endedStart{start: start, orEarlier: unknown})
 }
 
-// Remembered takes what a peer remembers: an earlier start of this daemon acknowledged that a
-// start of the back end is leaving, which binds this one. Where the back end had not told when
-// it started, the peer's time is that of its word, so an earlier start may be meant.
+// Remembered processes a leave that a peer has stored: an earlier process of this daemon had
+// acknowledged it, so it remains binding. If the back end had not reported its start time, the
+// stored time is that of the notice, so an earlier start may be meant.
 func (t *Tracker) RestoreLeave(start protocol.BackendStart) {
 	t.leave(endedStart{start: start, orEarlier: true})
 }
 
-// leave gives a start no more work, nor the candidates that are it or older.
+// leave stops sending work to a start and drops the candidates that are the same start or older.
 func (t *Tracker) leave(left endedStart) {
 	start := left.start
 	if t.running.Instance == "" || t.running.Instance == start.Instance && start.Born > t.running.Born {
@@ -230,43 +237,42 @@
 	})
 }
 
-// Unreachable is called when a call found that a start takes no connections. Its next report
-// ends that.
+// Unreachable marks a start that has refused a connection as down until its next report.
 func (t *Tracker) MarkUnreachable(start protocol.BackendStart) {
 	if start == t.running {
 		t.down = true
 	}
 }
 
-// Failed is called when a start has failed a call, with the count of all calls so far that
-// went well. It tells whether the back end is ejected by it. Calls that an earlier start has
-// failed say nothing of the present one.
+// Failed records a failed call of a start, with the total count of successful calls so far. It
+// reports whether the failure ejects the back end. Failures of an earlier start are ignored.
 func (t *Tracker) RecordFailure(now time.Duration, start protocol.BackendStart, answered uint64) bool {
 	return start == t.running && t.outlier.failed(now, answered)
 }
 
-// Answered is called when the back end has answered a call.
+// Answered records that the back end has answered a call.
 func (t *Tracker) RecordAnswer(now time.Duration) { t.heardAt = max(t.heardAt, now) }
 
-// Leaving tells whether the running start drains or has left.
+// Leaving reports whether the running start drains or has left.
 func (t *Tracker) IsDraining() bool { return t.draining }
 
-// View is the state of the back end at a time, for the gate and the mesh.
+// View is the state of the back end at a given time, for the gate and for the members of the mesh.
 type View struct {
-	// Start is the start that gets the calls, or got them last; Slots and Software are by its
-	// newest report.
+	// Start is the start that receives calls, or the last one that did; Slots and Software are
+	// those of its latest report.
 	Start    protocol.BackendStart
 	Slots    int
 	Software string
 	State    protocol.EndpointState
-	// ColdUntil is until when the start is cold, on the daemon's clock; 0 when it is warm.
+	// ColdUntil is the time, on the daemon's clock, until which the start is cold; 0 if it is warm.
 	ColdUntil time.Duration
-	// EarlierCrashed says that the start was confirmed in place of one that had not said that
-	// it leaves: nothing that was sent to that one can still run.
+	// EarlierCrashed is true if the start was confirmed as the replacement of one that had ended
+	// without a drain or leave. No call sent to that earlier one can still be running.
 	EarlierCrashed bool
 }
 
-// View returns the state at a time. Of several that hold the one that bars most work is shown.
+// View returns the state at a given time. If several states apply, it returns the most restrictive
+// one.
 func (t *Tracker) View(now time.Duration) View {
 	view := View{
 		Start: t.running, Slots: t.slots, Software: t.software,
--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -42,7 +42,7 @@
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 5, Draining: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4})
-	tracker.HandleReport(0, Report{Instance: "a", Sequence: 6}) // a daemon that was restarted in between may hear this
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 6}) // may arrive if the daemon was restarted in between
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
@@ -104,20 +104,20 @@
 	tracker := NewTracker(time.Second)
 	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	check.True(!tracker.HandleReport(0, Report{Instance: "one", Sequence: 9, Slots: 6})) // it denies that, in vain
+	check.True(!tracker.HandleReport(0, Report{Instance: "one", Sequence: 9, Slots: 6})) // contradicts the leave, without effect
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 	check.True(tracker.HandleReport(0, Report{Instance: "two", Sequence: 1, Slots: 6}))
 	tracker.HandleProbe(0, ProbeResult{Instance: "two", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"}) // told late: the newer instance works on
+	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"}) // arrives late: the newer instance keeps running
 	check.Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "two"}, Slots: 6, State: protocol.EndpointReady})
 }
 
-// A heartbeat that was held up comes from an instance that has crashed, after the first one of
-// its successor: the successor is taken as soon as it answers itself.
+// A delayed heartbeat of an instance that has crashed arrives after the first one of its successor.
+// The successor replaces it as soon as it answers a probe itself.
 func TestALateReportDoesNotHoldItsSuccessorUp(t *testing.T) {
 	check := is.New(t)
-	for _, before := range []string{"", "a"} { // the daemon may have known the crashed one, or not
+	for _, before := range []string{"", "a"} { // the daemon may have known the crashed instance or not
 		tracker := NewTracker(time.Second)
 		if before != "" {
 			tracker.HandleReport(0, Report{Instance: before, Sequence: 1, Slots: 6})
@@ -128,14 +128,14 @@
 		tracker.HandleProbe(2*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(2*time.Second).Start.Instance, "b")
 		check.Equal(tracker.View(2*time.Second).State, protocol.EndpointReady)
-		tracker.HandleReport(3*time.Second, Report{Instance: "a", Sequence: 10, Slots: 6}) // later still
+		tracker.HandleReport(3*time.Second, Report{Instance: "a", Sequence: 10, Slots: 6}) // even later
 		tracker.HandleProbe(3*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(3*time.Second).Start.Instance, "b")
 	}
 }
 
-// A daemon that has had no heartbeat since its start tells of what it acknowledges: were it
-// killed then, nobody else would know.
+// A daemon that has received no heartbeat since it started publishes the leaves it acknowledges.
+// Otherwise they would be lost if it were killed.
 func TestALeaveBeforeTheFirstHeartbeatIsTold(t *testing.T) {
 	check := is.New(t)
 	leave := map[string]func(*Tracker){
@@ -148,16 +148,17 @@
 		t.Log(name)
 		check.Equal(tracker.View(0).Start.Instance, "a")
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-		tracker.HandleReport(0, Report{Instance: "a", Sequence: 9, Slots: 6}) // it denies that
+		tracker.HandleReport(0, Report{Instance: "a", Sequence: 9, Slots: 6}) // contradicts the leave
 		tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-		tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6}) // its successor
+		tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6}) // the successor
 		tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	}
 }
 
-// Two reports may cross, and both are acknowledged: an instance that is leaving stays so.
+// Two reports may arrive in reverse order, and both are acknowledged. An instance that is leaving
+// stays in that state.
 func TestADrainThatALaterReportOvertookCounts(t *testing.T) {
 	check := is.New(t)
 	tracker := started(t)
--- a/internal/core/backend/candidates.go
+++ b/internal/core/backend/candidates.go
@@ -4,15 +4,15 @@
 	"slices"
 )
 
-// candidateLimit bounds the unconfirmed instances: one that starts, and a few before it that
-// have crashed within the time for which heartbeats may be held up.
+// candidateLimit bounds the number of unconfirmed instances: one that starts, and a few earlier
+// ones that crashed within the time for which heartbeats may be delayed.
 const candidateLimit = 4
 
-// Unconfirmed tells whether a report waits for a probe.
+// Unconfirmed reports whether there are candidates waiting for a probe.
 func (t *Tracker) HasCandidates() bool { return len(t.candidates) > 0 }
 
-// addCandidate keeps a report unless a newer one of its instance is held. At the limit the
-// oldest candidate is forgotten.
+// addCandidate stores a report unless it has a newer one of the same instance. At the limit it
+// drops the oldest candidate.
 func (t *Tracker) addCandidate(report Report) {
 	at := t.candidateAt(report.Instance)
 	if at < 0 {
@@ -25,7 +25,7 @@
 	held := t.candidates[at]
 	switch {
 	case held.Born == report.Born:
-		drains := report.Draining || held.Draining // what was acknowledged binds
+		drains := report.Draining || held.Draining // a drain has been acknowledged and remains binding
 		if held.Sequence < report.Sequence {
 			t.candidates[at] = report
 		}
@@ -36,7 +36,7 @@
 	}
 }
 
-// dropCandidates gives up the reports that match.
+// dropCandidates removes the reports that match.
 func (t *Tracker) dropCandidates(matches func(Report) bool) {
 	for _, held := range t.candidates {
 		if matches(held) {
@@ -46,15 +46,15 @@
 	t.candidates = slices.DeleteFunc(t.candidates, matches)
 }
 
-// forget is called for a report that is given up. If its start drains, it stays ended: that
-// was acknowledged.
+// forget must be called for each report that is dropped. If its start drains, that start is
+// recorded as ended, because the drain has been acknowledged.
 func (t *Tracker) forget(report Report) {
 	if report.Draining {
 		t.end(endedStart{start: report.Start()})
 	}
 }
 
-// candidateAt is the index of an instance's report, or -1.
+// candidateAt returns the index of the report of an instance, or -1.
 func (t *Tracker) candidateAt(instance string) int {
 	return slices.IndexFunc(t.candidates, func(held Report) bool { return held.Instance == instance })
 }
--- a/internal/core/backend/crashed_test.go
+++ b/internal/core/backend/crashed_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// The runs of a start that has left may go on beside the next one.
+// Calls of a start that has left may still run while the next start does.
 func TestAStartThatLeftHasNotCrashed(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
@@ -26,7 +26,7 @@
 	check.True(tracker.View(0).EarlierCrashed)
 }
 
-// A start that never got a call says nothing of the one before it, which has left.
+// A start that never received a call does not change whether the one before it left or crashed.
 func TestAnUnconfirmedStartBetweenHidesNoLeave(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
--- a/internal/core/backend/order_test.go
+++ b/internal/core/backend/order_test.go
@@ -10,8 +10,8 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// world is a back end that starts again and again under one of two names at one address,
-// with what it has said that has not come yet.
+// world simulates a back end that restarts repeatedly under one of two instance names at one
+// address, with its reports that are still to be delivered.
 type world struct {
 	now      time.Duration
 	instance string
@@ -20,7 +20,7 @@
 	draining bool
 	up       bool
 	pending  []Report
-	// gone are the starts whose drain or leave the daemon has acknowledged.
+	// gone holds the starts whose drain or leave the daemon has acknowledged.
 	gone map[protocol.BackendStart]bool
 }
 
@@ -35,17 +35,17 @@
 	return Report{Instance: w.instance, Born: w.born, Sequence: w.sequence, Draining: w.draining, Slots: 6}
 }
 
-// deliver gives the daemon a report, and lets the back end answer the probe that it asks for.
+// deliver passes a report to the daemon, and answers the probe that results from it.
 func (w *world) deliver(tracker *Tracker, report Report) {
 	if tracker.HandleReport(w.now, report) && w.up {
-		tracker.HandleProbe(w.now, ProbeResult{Instance: w.instance, Healthy: true}) // its health may be false
+		tracker.HandleProbe(w.now, ProbeResult{Instance: w.instance, Healthy: true}) // whether or not the instance drains
 	}
 	if report.Draining {
 		w.gone[report.Start()] = true
 	}
 }
 
-// step draws what happens next.
+// step draws and runs the next event.
 func (w *world) step(t *rapid.T, tracker *Tracker) {
 	w.now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
 	switch rapid.IntRange(0, 6).Draw(t, "step") {
@@ -56,7 +56,7 @@
 	case 2:
 		w.draining = w.up
 	case 3:
-		if w.up && len(w.pending) < persistentBeats-1 { // more would show a start that lives
+		if w.up && len(w.pending) < persistentBeats-1 { // more of them would look like a running start
 			w.pending = append(w.pending, w.say())
 		}
 	case 4:
@@ -74,7 +74,7 @@
 	}
 }
 
-// deliverLate gives the daemon a report of any time before, once more or for the last time.
+// deliverLate delivers one of the pending reports, which may be delivered again later.
 func (w *world) deliverLate(t *rapid.T, tracker *Tracker) {
 	if len(w.pending) == 0 {
 		return
@@ -92,7 +92,8 @@
 	return made, NewTracker(interval)
 }
 
-// Whatever comes late, twice or out of order: a start whose end was acknowledged gets nothing.
+// Reports that arrive late, repeatedly or out of order never bring back a start whose end was
+// acknowledged.
 func TestNoOrderOfReportsBringsAnEndedStartBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		made, tracker := drawnWorld(t)
@@ -106,7 +107,8 @@
 	})
 }
 
-// Whatever came before: a back end that runs and reports gets work with its second report.
+// After any sequence of reports, a back end that runs and reports receives work by its second
+// report.
 func TestAfterAnyOrderOfReportsTheLivingStartIsTaken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		made, tracker := drawnWorld(t)
@@ -126,7 +128,7 @@
 	})
 }
 
-// Whatever comes late: the newer of two starts under a name is never given up for the older.
+// Reports that arrive late never replace the newer of two starts of an instance by the older one.
 func TestNoOrderOfReportsGoesBackToAnOlderStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		made, tracker := drawnWorld(t)
--- a/internal/core/backend/outlier.go
+++ b/internal/core/backend/outlier.go
@@ -5,39 +5,38 @@
 	"time"
 )
 
-// The rules of outlier detection.
+// Parameters of outlier detection.
 const (
-	// failureHalfLife is the time in which what calls met counts half.
+	// failureHalfLife is the time in which the weight of a call's result is halved.
 	failureHalfLife = 1500 * time.Millisecond
-	// failureShare of the calls must fail, of at least failureCalls, for a back
-	// end to be ejected. Back ends fail a few in a thousand in ordinary times.
+	// A back end is ejected if at least failureShare of its calls fail, of at least failureCalls.
+	// In normal operation a few calls in a thousand fail.
 	failureShare = 0.25
 	failureCalls = 6
-	// ejectionUnit is the first ejection. Each one that follows within
-	// ejectionMemory of the end of another doubles, up to ejectionLimit.
+	// ejectionUnit is the duration of the first ejection. It doubles, up to ejectionLimit, with
+	// each further ejection that begins within ejectionMemory of the end of the previous one.
 	ejectionUnit   = 2 * time.Second
 	ejectionLimit  = 16 * time.Second
 	ejectionMemory = 5 * time.Second
 )
 
-// outlier detects a back end that fails many of its calls while its health says
-// that it is well. The counts come from the gate, which sees all its calls; a
-// single caller sees too few.
+// outlier detects a back end that fails many of its calls while its health checks succeed. The gate
+// provides the counts because it sees all calls of the back end; a single caller sees too few.
 type outlier struct {
-	// answered is the count of calls that went well when it was last looked at.
+	// answered is the count of successful calls at the latest update.
 	answered uint64
-	// calls and failures are weights that fade with time.
+	// calls and failures are weighted counts that decay exponentially.
 	calls    float64
 	failures float64
 	updated  time.Duration
-	// until is when the present or last ejection ends, ejections how many came
-	// one upon another.
+	// until is the end of the present or latest ejection, ejections the number of ejections in a
+	// row.
 	until     time.Duration
 	ejections int
 }
 
-// failed takes one failed call, with the count of all calls so far that went
-// well, and tells whether the back end is ejected by it.
+// failed records one failed call, with the total count of successful calls so far, and reports
+// whether it ejects the back end.
 func (o *outlier) failed(now time.Duration, answered uint64) bool {
 	if now < o.until {
 		o.answered = answered
@@ -71,5 +70,5 @@
 	o.failures = 0
 }
 
-// ejected tells whether the back end is ejected at a time.
+// ejected reports whether the back end is ejected at a given time.
 func (o *outlier) ejected(now time.Duration) bool { return now < o.until }
--- a/internal/core/backend/outlier_test.go
+++ b/internal/core/backend/outlier_test.go
@@ -9,9 +9,8 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// failing reports calls, one each 50 ms, of which every nth fails, until the
-// back end is ejected or the calls have been made. It returns the time and the
-// count of calls that went well.
+// failing records calls, one every 50 ms, of which every nth fails, until the back end is ejected
+// or the given number of calls is reached. It returns the time and the count of successful calls.
 func failing(tracker *Tracker, from time.Duration, answered uint64, calls, every int) (time.Duration, uint64) {
 	now := from
 	for call := 1; call <= calls; call++ {
@@ -50,7 +49,7 @@
 	check.Equal(answered, uint64(900))
 	few := started(t)
 	for call := range failureCalls - 1 {
-		check.True(!few.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few to tell
+		check.True(!few.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few failures
 	}
 }
 
--- a/internal/core/backend/report.go
+++ b/internal/core/backend/report.go
@@ -8,40 +8,39 @@
 
 // Report is a heartbeat of a back end.
 type Report struct {
-	// Instance is the name of the back end, which several starts may bear.
+	// Instance is the name of the back end. Several successive starts may share it.
 	Instance string
-	// Born is when it started by its own word, in Unix milliseconds; 0 when it does not tell.
+	// Born is the start time that the back end reports, in Unix milliseconds; 0 if it reports none.
 	Born int64
-	// Service is the name of the service that it belongs to.
+	// Service is the name of the service to which the back end belongs.
 	Service string
-	// Sequence grows with each report of a start, and begins anew with the next one.
+	// Sequence increases with each report of a start, and restarts with the next start.
 	Sequence uint64
-	// Draining says that the instance is about to end.
+	// Draining is true if the instance is about to end.
 	Draining bool
-	// WarmUp is how much longer the instance is slow.
+	// WarmUp is the remaining time for which the instance is slow.
 	WarmUp time.Duration
-	// Slots is how many calls it runs at once.
+	// Slots is the number of calls that the instance can run concurrently.
 	Slots int
-	// Software is the version of its software.
+	// Software is the version of the instance's software.
 	Software string
 }
 
-// Start is the start that reports.
+// Start returns the start that sent the report.
 func (r Report) Start() protocol.BackendStart {
 	return protocol.BackendStart{Instance: r.Instance, Born: r.Born}
 }
 
-// Probe is what the back end itself answered when it was asked.
+// Probe is the back end's answer to a health probe.
 type ProbeResult struct {
-	// Instance is the one that answered; empty when there was no answer.
+	// Instance is the name of the instance that answered; empty if there was no answer.
 	Instance string
-	// Healthy says that the instance takes work.
+	// Healthy is true if the instance accepts work.
 	Healthy bool
-	// TellsWarmUp says that the answer told how much longer the instance is cold, which is
-	// WarmUp.
+	// TellsWarmUp is true if the answer contains the remaining warm-up time, WarmUp.
 	TellsWarmUp bool
 	WarmUp      time.Duration
-	// TellsHeld says that the answer told how many calls the instance holds, which is Held.
+	// TellsHeld is true if the answer contains the number of calls that the instance holds, Held.
 	TellsHeld bool
 	Held      int
 }
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -17,12 +17,12 @@
 	return Report{Instance: "a", Born: born, Sequence: sequence, Slots: 6}
 }
 
-// answers has the back end answer a probe under its name.
+// answers passes a healthy answer of the instance to the tracker.
 func answers(tracker *Tracker, now time.Duration) {
 	tracker.HandleProbe(now, ProbeResult{Instance: "a", Healthy: true})
 }
 
-// runningSince returns a tracker of a back end that runs since a time.
+// runningSince returns a tracker whose running start began at the given time.
 func runningSince(t *testing.T, born int64) *Tracker {
 	t.Helper()
 	tracker := NewTracker(interval)
@@ -35,9 +35,9 @@
 func TestANewerStartReplacesTheOlderOne(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	check.True(tracker.HandleReport(interval, reportOf(200, 1))) // its counts begin anew
+	check.True(tracker.HandleReport(interval, reportOf(200, 1))) // the sequence restarts
 	check.Equal(tracker.View(interval).Start, startOf(200))
-	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // nothing before it has answered
+	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // no calls before it has answered
 	answers(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 	check.True(!tracker.HandleReport(interval, reportOf(200, 2)))
@@ -50,7 +50,7 @@
 	check.True(tracker.HandleReport(interval, reportOf(200, 1)))
 	answers(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
-	tracker.HandleLeave(startOf(100), 0) // told twice, late
+	tracker.HandleLeave(startOf(100), 0) // repeated and late
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 }
 
@@ -65,7 +65,7 @@
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	for range failureCalls {
-		check.True(!tracker.RecordFailure(0, startOf(100), 0)) // calls lost with the older one
+		check.True(!tracker.RecordFailure(0, startOf(100), 0)) // failed calls of the older start
 	}
 	tracker.MarkUnreachable(startOf(100))
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
@@ -102,12 +102,12 @@
 	drained.Draining = true
 	check.True(!tracker.HandleReport(0, drained))
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointDraining})
-	check.True(!tracker.HandleReport(0, reportOf(200, 2))) // it denies that
+	check.True(!tracker.HandleReport(0, reportOf(200, 2))) // contradicts the drain
 	answers(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-// A leave call need not say when the start began: it is that of the newest one heard of.
+// A leave without a start time applies to the newest known start.
 func TestALeaveWithoutATimeBindsTheNewestStart(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
@@ -117,13 +117,14 @@
 	check.True(tracker.HandleReport(0, reportOf(200, 1)))
 }
 
-// A daemon that knows nothing yet can't tell which start leaves: whichever had begun by then.
+// A daemon that knows no start of the instance applies a leave without a start time to all that
+// began before it was sent.
 func TestALeaveWithoutATimeOfAnUnknownStartBindsAllBefore(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	for beat := range uint64(4 * persistentBeats) { // it denies that, for long
+	for beat := range uint64(4 * persistentBeats) { // contradicts the leave repeatedly
 		now := time.Duration(beat) * interval
 		check.True(!tracker.HandleReport(now, reportOf(4000, beat)))
 		answers(tracker, now)
@@ -143,12 +144,12 @@
 	check.True(!tracker.HandleReport(0, reportOf(50, 9)))
 	check.True(tracker.HandleReport(0, reportOf(200, 1)))
 	answers(tracker, 0)
-	tracker.RestoreLeave(startOf(100)) // told late
+	tracker.RestoreLeave(startOf(100)) // arrives late
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointReady})
 }
 
-// The clock by which starts tell their time may be set back, or another writer may have told
-// a time that never comes: the start that lives is taken in the end.
+// The clock that provides the start times may be set back, or another sender may have reported an
+// absurd time. The start that runs is accepted eventually.
 func TestAnAbsurdTimeLocksNobodyOut(t *testing.T) {
 	for _, absurd := range []int64{300, 1 << 62} {
 		check := is.New(t)
@@ -163,11 +164,11 @@
 		}
 		check.Equal(taken, persistentBeats+1)
 		check.Equal(tracker.View((persistentBeats+1)*interval).Start, startOf(200))
-		check.True(tracker.HandleReport(0, reportOf(201, 1))) // the next one as ever
+		check.True(tracker.HandleReport(0, reportOf(201, 1))) // the next start is accepted as usual
 	}
 }
 
-// Reports that were held up come together, however many they are.
+// Delayed reports that arrive together do not show that the start runs, however many they are.
 func TestABurstOfOldReportsIsNoLife(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 200)
@@ -176,7 +177,7 @@
 	}
 }
 
-// While the newer start reports, an older one is never taken.
+// While the newer start reports, an older one never replaces it.
 func TestAnOlderStartWaitsForTheSilenceOfTheNewerOne(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 200)
@@ -187,7 +188,7 @@
 	}
 }
 
-// An instance that does not tell when it started is told apart by its name alone.
+// An instance that reports no start time is identified by its name alone.
 func TestAnInstanceWithoutATimeNeverComesBack(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 0)
@@ -196,7 +197,8 @@
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-// What an unconfirmed start has had acknowledged binds although a later report denies it.
+// The acknowledged drain of an unconfirmed start remains binding although a later report
+// contradicts it.
 func TestACandidateThatDrainsIsTakenAsDraining(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
@@ -206,11 +208,12 @@
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-// A start that is taken after all, since a clock was wrong, is the one that the probe confirms.
+// If a start that appears to be older is accepted because a clock was wrong, it replaces the
+// unconfirmed newer one as the candidate for the probe.
 func TestAPersistentStartReplacesAnUnconfirmedAbsurdOne(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.HandleReport(0, reportOf(1<<62, 1)) // its health was bad then
+	tracker.HandleReport(0, reportOf(1<<62, 1)) // its probe failed
 	for beat := 1; beat <= persistentBeats+1; beat++ {
 		now := time.Duration(beat) * interval
 		if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
@@ -222,7 +225,7 @@
 	})
 }
 
-// A drain that an unconfirmed start has had acknowledged binds also after a newer start left.
+// The acknowledged drain of an unconfirmed start remains binding after a newer start has left.
 func TestALeaveForgetsNoDrainOfAnOlderCandidate(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
@@ -238,8 +241,8 @@
 	}
 }
 
-// A start that seems older than the one in force but alone reports may be the one that runs:
-// once its drain is acknowledged nothing is sent there under the name of the other one.
+// If only a start that appears to be older than the running one reports, it may be the one that
+// runs. Once its drain is acknowledged, calls to the running one stop as well.
 func TestADrainOfAPersistentOlderStartEndsCalls(t *testing.T) {
 	drained := reportOf(200, 9)
 	drained.Draining = true
@@ -256,29 +259,29 @@
 			say(tracker)
 			tracker.RecordAnswer(3 * interval)
 			check.True(!tracker.View(3 * interval).State.AcceptsCalls())
-			tracker.HandleReport(3*interval, reportOf(300, 8)) // it was late only, and runs
+			tracker.HandleReport(3*interval, reportOf(300, 8)) // it was only late, and runs
 			check.Equal(tracker.View(3*interval).State, protocol.EndpointReady)
 		})
 	}
 }
 
-// A living start that is taken in spite of an absurd time is probed with each report, as any
+// A start that is accepted in spite of an absurd start time is probed after each report, like any
 // other one.
 func TestAPersistentStartIsProbedUntilItAnswers(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 100)
-	tracker.HandleLeave(startOf(1<<62), 0) // another writer's word
+	tracker.HandleLeave(startOf(1<<62), 0) // sent by another process
 	probes := 0
 	for beat := 1; beat <= persistentBeats+3; beat++ {
 		if tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat))) {
-			probes++ // its health is bad
+			probes++ // its probe fails
 		}
 	}
 	check.Equal(probes, 3)
 }
 
-// A peer's memory of a drain, or a leave without a time, may tell a time by a clock that was
-// set back since: the next start is late, but not locked out.
+// A leave restored by a peer, or one without a start time, may carry the time of a clock that has
+// been set back since. The next start is delayed but not locked out.
 func TestAClockSetBackAfterALeaveLocksNobodyOut(t *testing.T) {
 	for name, leave := range map[string]func(*Tracker){
 		"remembered": func(tracker *Tracker) { tracker.RestoreLeave(startOf(5000)) },
@@ -298,12 +301,12 @@
 			}
 			check.Equal(tracker.View(now).Start, startOf(200))
 			check.Equal(tracker.View(now).State, protocol.EndpointReady)
-			check.True(!tracker.HandleReport(now, reportOf(5000, 1))) // the one that left stays away
+			check.True(!tracker.HandleReport(now, reportOf(5000, 1))) // the start that left stays ended
 		})
 	}
 }
 
-// A drain that was acknowledged binds although a report with a higher sequence came before it.
+// An acknowledged drain is binding although a report with a higher sequence arrived before it.
 func TestADrainThatComesLateBinds(t *testing.T) {
 	for name, before := range map[string]func(*Tracker){
 		"running":     func(tracker *Tracker) { answers(tracker, 0) },
@@ -326,19 +329,20 @@
 	}
 }
 
-// A start that seems older than the one in force but alone reports may be the one that runs: the back
-// end counts as cold once it tells that it has become so, until the running one reports or answers.
+// If only a start that appears to be older than the running one reports, it may be the one that
+// runs. When it reports that it is cold, the back end counts as cold until the running one reports
+// or answers a probe.
 func TestAPersistentOlderStartThatBecomesColdIsHeard(t *testing.T) {
 	check := is.New(t)
 	tracker := runningSince(t, 300)
 	cold := reportOf(200, 3)
 	cold.WarmUp = time.Second
-	tracker.HandleReport(interval, cold) // a single one may have been held up
+	tracker.HandleReport(interval, cold) // a single report may have been delayed
 	check.Equal(tracker.View(interval).ColdUntil, time.Duration(0))
 	cold.Sequence++
 	tracker.HandleReport(2*interval, cold)
 	check.Equal(tracker.View(2*interval).ColdUntil, 2*interval+time.Second)
-	check.True(tracker.NeedsWarmthProbe(2 * interval)) // so it is probed
+	check.True(tracker.NeedsWarmthProbe(2 * interval)) // so a probe is due
 	tracker.HandleProbe(2*interval, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(tracker.View(2*interval).ColdUntil, time.Duration(0))
 }
--- a/internal/core/backend/starts.go
+++ b/internal/core/backend/starts.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// endedLimit bounds the ended starts that are remembered: many more than there are within
-	// the time for which a heartbeat may be held up.
+	// endedLimit bounds the number of ended starts that are kept. It is far higher than the number
+	// of starts within the time for which a heartbeat may be delayed.
 	endedLimit = 32
-	// persistentBeats is how many heartbeats in a row, over as many intervals, a start must
-	// send that seems older than a silent one to be taken for the one that runs: a clock was
-	// wrong then. Heartbeats that were held up come together, and are fewer.
+	// persistentBeats is the number of consecutive heartbeats, over as many intervals, after which
+	// a start that appears to be older than a silent one is considered running: a clock must have
+	// been wrong. Delayed heartbeats arrive together and are fewer.
 	persistentBeats = 8
-	// leavingBeats is the same for a start that may be one that left, where only a time is
-	// known by which that one had begun: several times as long as a back end lives on after
-	// it has left.
+	// leavingBeats replaces persistentBeats for a start that may be one that left, if only an upper
+	// bound of the start time of the one that left is known. It is several times as long as a back
+	// end keeps running after its leave.
 	leavingBeats = 120
 )
 
-// endedStart is a start that gets no work any more.
+// endedStart is a start that receives no more work.
 type endedStart struct {
 	start protocol.BackendStart
-	// orEarlier says that it may have been any earlier start under the name.
+	// orEarlier is true if an earlier start of the same instance may be meant.
 	orEarlier bool
 }
 
-// hasEnded tells whether a start is known to have left or been replaced.
+// hasEnded reports whether a start is known to have left or been replaced.
 func (t *Tracker) hasEnded(start protocol.BackendStart) bool {
 	return slices.ContainsFunc(t.ended, func(known endedStart) bool { return known.start == start })
 }
 
-// beatsNeeded is how many heartbeats in a row make a start that seems older the one that runs.
+// beatsNeeded returns the number of consecutive heartbeats after which a start that appears to be
+// older is considered running.
 func (t *Tracker) beatsNeeded(start protocol.BackendStart) int {
 	mayHaveLeft := slices.ContainsFunc(t.ended, func(known endedStart) bool {
 		return known.orEarlier && known.start.Instance == start.Instance && start.Born < known.start.Born
@@ -44,14 +45,14 @@
 	return persistentBeats
 }
 
-// end remembers a start that gets no work any more, once.
+// end records a start that receives no more work, without duplicates.
 func (t *Tracker) end(ended endedStart) {
 	if !slices.Contains(t.ended, ended) {
 		t.ended = appendBounded(t.ended, endedLimit, ended)
 	}
 }
 
-// isOlder tells whether a start is older than another one known under its name.
+// isOlder reports whether a start is older than another known start of the same instance.
 func (t *Tracker) isOlder(start protocol.BackendStart) bool {
 	if t.running.Instance == start.Instance && start.Born < t.running.Born {
 		return true
@@ -64,7 +65,7 @@
 	})
 }
 
-// newestOf is the newest start known under a name; empty where none is.
+// newestOf returns the newest known start of an instance; the zero value if there is none.
 func (t *Tracker) newestOf(instance string) protocol.BackendStart {
 	var newest protocol.BackendStart
 	note := func(start protocol.BackendStart) {
@@ -82,19 +83,19 @@
 	return newest
 }
 
-// persistence follows a start that seems older than a known one and goes on reporting. Times
-// of starts come from clocks that may be wrong, and a start that lives must not be locked out
-// by an absurd time that another one has told.
+// persistence tracks a start that appears to be older than a known one and keeps reporting. Start
+// times come from clocks that may be wrong, and a running start must not be locked out by a wrong
+// start time of another one.
 type persistence struct {
 	start    protocol.BackendStart
 	sequence uint64
-	// reports is how many reports in a row have come, the first of them at since.
+	// reports is the number of consecutive reports, the first of which arrived at since.
 	reports int
 	since   time.Duration
 }
 
-// persists takes a report of an older start, with the time at which the running one last
-// reported. It tells whether the older one has gone on for so many beats, over as many
+// persists records a report of the older start, given the time of the running start's latest
+// report. It reports whether the older start has sent the given number of heartbeats, over as many
 // intervals, while the running one was silent.
 func (p *persistence) persists(now, interval, runningAt time.Duration, beats int, report Report) bool {
 	if p.start != report.Start() || runningAt >= p.since && p.reports > 0 {
@@ -108,13 +109,13 @@
 	return p.reports >= beats && now-p.since >= time.Duration(beats)*interval
 }
 
-// alone tells whether a start that seems older has reported again while the running one, which
-// last reported at runningAt, was silent. A single report may have been held up.
+// alone reports whether the older start has reported more than once while the running one, whose
+// latest report arrived at runningAt, was silent. A single report may have been delayed.
 func (p *persistence) alone(start protocol.BackendStart, runningAt time.Duration) bool {
 	return p.start == start && p.reports > 1 && runningAt < p.since
 }
 
-// appendBounded appends to a list that forgets its oldest entry at a limit.
+// appendBounded appends an entry and removes the oldest one if the list has reached its limit.
 func appendBounded[Entry any](list []Entry, limit int, entry Entry) []Entry {
 	if len(list) >= limit {
 		list = slices.Delete(list, 0, 1)
--- a/internal/core/backend/warmth_test.go
+++ b/internal/core/backend/warmth_test.go
@@ -10,7 +10,7 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// coldUntil is until when the instance that runs is cold, as seen at a time.
+// coldUntil returns the time until which the running instance is cold, as seen at the given time.
 func coldUntil(t *Tracker, now time.Duration) time.Duration { return t.View(now).ColdUntil }
 
 func TestAWarmInstanceThatSaysItIsColdAgainIsBelieved(t *testing.T) {
@@ -64,7 +64,7 @@
 	check := is.New(t)
 	tracker := started(t)
 	tracker.AssumeCold(0, 3*interval)
-	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6}) // it may have been held up
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6}) // it may have been delayed
 	check.Equal(coldUntil(tracker, 0), 3*interval)
 }
 
--- a/internal/core/evacuation/eras_test.go
+++ b/internal/core/evacuation/eras_test.go
@@ -9,8 +9,8 @@
 	"github.com/springstack/springstack/internal/core/position"
 )
 
-// An order that the store has lost with an era binds until a later reading gives it up; one that
-// was withdrawn in the new era does not.
+// An order that the store has lost in a change of era remains in force until a later reading drops
+// it. An order that was withdrawn in the new era does not.
 func TestALostOrderBindsUntilItIsGivenUp(t *testing.T) {
 	check := is.New(t)
 	table := &Table{}
@@ -26,11 +26,12 @@
 	again := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
 	merge(3*time.Second, again.WithLost(table.Orders()))
 	check.Equal(table.Orders().Lost, []string{})
-	merge(4*time.Second, withdrawn.WithLost(table.Orders())) // a reading that was overtaken
+	merge(4*time.Second, withdrawn.WithLost(table.Orders())) // an outdated reading
 	check.Equal(table.Orders().AllZones(), []string{"a"})
 }
 
-// Of two readings at one position the later one counts, in whatever order they are heard.
+// Of two readings at the same position the later one applies, regardless of the order in which they
+// are received.
 func TestAtOnePositionTheLaterReadingCounts(t *testing.T) {
 	check := is.New(t)
 	at := position.Position{Era: 2, Revision: 880}
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -1,8 +1,8 @@
-// Package evacuation keeps an operator's orders to empty zones as one daemon knows them.
-// All orders are one value: what the store held at one of its positions. A higher position
-// wins whole, so orders that are made, withdrawn and made again, heard late, twice or in
-// another order come to the same on every daemon. It does no input or output and reads no
-// clock.
+// Package evacuation holds an operator's orders to evacuate zones as one daemon knows them. All
+// orders together form one value: the contents of the store at one position. The value with the
+// higher position replaces the other as a whole, so daemons converge on the same orders even if
+// orders are issued, withdrawn and issued again, and are received late, repeatedly or out of order.
+// The package performs no input or output and reads no clock.
 package evacuation
 
 import (
@@ -12,26 +12,27 @@
 	"github.com/springstack/springstack/internal/core/position"
 )
 
-// Orders are all orders that the store held at one position. They are immutable.
+// Orders holds all orders in the store at one position. It is immutable.
 type Orders struct {
-	// At is the store's position; at the start of its era where it holds no order of that era.
+	// At is the position of the store. If the store holds no order of its present era, it is the
+	// start of that era.
 	At position.Position
-	// Zones are the zones to be empty, in ascending order.
+	// Zones holds the zones to evacuate, in ascending order.
 	Zones []string
-	// Lost are zones to be empty, in ascending order, by orders of an earlier era that the store
-	// does not hold any more and that nobody is known to have withdrawn.
+	// Lost holds the zones, in ascending order, to evacuate by orders of an earlier era that the
+	// store no longer holds but that are not known to have been withdrawn.
 	Lost []string
 }
 
-// NewOrders returns the orders for some zones, in any order of them.
+// NewOrders returns the orders for the given zones, which may be in any order.
 func NewOrders(at position.Position, zones []string) Orders {
 	sorted := slices.Clone(zones)
 	slices.Sort(sorted)
 	return Orders{At: at, Zones: slices.Compact(sorted)}
 }
 
-// WithLost returns the orders of a reading together with those that the store may have lost since
-// some that are known were read.
+// WithLost returns the orders read from the store, extended by those that the store may have lost
+// since the known orders were read.
 func (o Orders) WithLost(known Orders) Orders {
 	lost := known.Lost
 	if known.At.Era < o.At.Era {
@@ -41,7 +42,7 @@
 	return o
 }
 
-// All are all zones to be empty, in ascending order.
+// All returns all zones to evacuate, in ascending order.
 func (o Orders) AllZones() []string {
 	if len(o.Lost) == 0 {
 		return o.Zones
@@ -51,47 +52,48 @@
 	return all
 }
 
-// Evacuates tells whether a zone is to be empty.
+// Evacuates reports whether a zone is to be evacuated.
 func (o Orders) Evacuates(zone string) bool {
 	return slices.Contains(o.Zones, zone) || slices.Contains(o.Lost, zone)
 }
 
-// Word is what a daemon tells another one of the orders.
+// Word is the state of the orders as daemons exchange it.
 type SharedOrders struct {
 	Orders Orders
-	// Known is false while the daemon has neither read the orders nor heard of them.
+	// Known is false if the sender has neither read nor received the orders yet.
 	Known bool
-	// Age is how long ago the newest reading of the store that the daemon knows of began.
+	// Age is the time since the start of the latest reading of the store that the sender knows of.
 	Age time.Duration
 }
 
-// Table is what one daemon knows of the orders. Not safe for concurrent use.
+// Table holds the orders as one daemon knows them. It is not safe for concurrent use.
 type Table struct {
 	orders Orders
 	known  bool
-	// readAt is when the newest reading began, by this daemon's clock.
+	// readAt is the start of the latest reading, on this daemon's clock.
 	readAt time.Duration
 }
 
-// Orders are the newest orders known; none before the first reading.
+// Orders returns the latest known orders; empty before the first reading.
 func (t *Table) Orders() Orders { return t.orders }
 
-// Known tells whether the daemon has read the orders or heard of them.
+// Known reports whether the daemon has read or received the orders.
 func (t *Table) IsKnown() bool { return t.known }
 
-// Age is how long ago the newest reading began, or how long the daemon runs if it has heard
-// of none: its clock begins at its start.
+// Age returns the time since the start of the latest reading, or since the start of the daemon if
+// it has none: its clock begins at its start.
 func (t *Table) ReadingAge(now time.Duration) time.Duration { return now - t.readAt }
 
-// Word is what the daemon tells others now.
+// Word returns the state to send to peers.
 func (t *Table) SharedOrders(now time.Duration) SharedOrders {
 	return SharedOrders{Orders: t.orders, Known: t.known, Age: t.ReadingAge(now)}
 }
 
-// Merge takes a reading, or the word of another daemon, and tells whether other zones are to
-// be empty since. Orders at a lower position are older and count for nothing, not even as a
-// reading; those of a later era are newer whatever their revision. Of two readings at one position
-// the later one counts: what it leaves out of an earlier era is given up.
+// Merge merges a reading, or the state received from a peer, and reports whether the set of zones
+// to evacuate has changed. Orders at a lower position are outdated and ignored, and do not count as
+// a reading either. Orders of a later era are newer regardless of their revision. Of two readings
+// at the same position the later one applies: orders of an earlier era that it no longer contains
+// are dropped.
 func (t *Table) Merge(now time.Duration, word SharedOrders) (news bool) {
 	if !word.Known || (t.known && word.Orders.At.Before(t.orders.At)) {
 		return false
--- a/internal/core/evacuation/evacuation_test.go
+++ b/internal/core/evacuation/evacuation_test.go
@@ -12,8 +12,8 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// drawHistory draws what the store holds at some positions of it: orders that are made,
-// withdrawn and made again, and positions at which only other objects have changed.
+// drawHistory draws the contents of the store at several positions: orders that are issued,
+// withdrawn and issued again, and positions at which only other objects changed.
 func drawHistory(t *rapid.T) []Orders {
 	history := []Orders{{}}
 	for range rapid.IntRange(1, 12).Draw(t, "changes") {
@@ -30,8 +30,8 @@
 	return history
 }
 
-// Daemons that hear of readings late, twice, crossed, or miss some, know the same once each
-// has heard of the newest one.
+// Daemons that receive readings late, repeatedly, out of order or not at all hold the same orders
+// once each has received the latest one.
 func TestAllDaemonsComeToTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
@@ -50,8 +50,8 @@
 	})
 }
 
-// Word passes from daemon to daemon, some of it lost: nobody ever knows of a position
-// anything but what the store held there, nor goes back.
+// Daemons exchange orders with losses. The orders of a daemon are always those of the store at
+// their position, and its position never decreases.
 func TestWordBetweenDaemonsIsNeverMixed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
@@ -85,7 +85,7 @@
 	check.True(!table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 9}, nil), Known: true}))
 	check.True(!table.Merge(time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 7}, []string{"a"}), Known: true}))
 	check.True(!table.Orders().Evacuates("a"))
-	check.Equal(table.ReadingAge(time.Second), time.Second) // it is no reading either
+	check.Equal(table.ReadingAge(time.Second), time.Second) // it does not count as a reading either
 }
 
 func TestADaemonWithoutKnowledgeTellsNothing(t *testing.T) {
@@ -112,6 +112,6 @@
 	reader.Merge(10*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 3}, nil), Known: true})
 	other.Merge(40*time.Second, reader.SharedOrders(11*time.Second))
 	check.Equal(other.ReadingAge(40*time.Second), time.Second)
-	reader.Merge(12*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 4}, nil), Known: true, Age: -time.Hour}) // of a broken peer
+	reader.Merge(12*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 4}, nil), Known: true, Age: -time.Hour}) // from a faulty peer
 	check.Equal(reader.ReadingAge(12*time.Second), time.Duration(0))
 }
--- a/internal/core/evacuation/timing.go
+++ b/internal/core/evacuation/timing.go
@@ -2,44 +2,46 @@
 
 import "time"
 
-// FollowerCount is how many daemons watch the orders: the first of all by rank, so that some
-// are left when others end or are refused by the store.
+// FollowerCount is the number of daemons that watch the orders in the store: those with the lowest
+// ranks. It is above one so that some remain if others end or are refused by the store.
 const WatcherCount = 3
 
 const (
-	// relistPart is the part of the bound after which the first follower reads the orders
-	// again, for a watch may be silent about a change: an order that no watch tells of is
-	// then in force well within half of the bound.
+	// relistPart is the fraction of the bound after which the first follower reads the orders
+	// again, since a watch may miss a change. An order that no watch reports then takes effect well
+	// within half of the bound.
 	relistPart = 4
-	// staggerPart is the part of the bound by which the next follower waits longer, so that
-	// usually one alone reads.
+	// staggerPart is the fraction of the bound by which each further follower waits longer, so that
+	// usually only the first one reads.
 	staggerPart = 20
-	// stalePart and spreadPart: two parts in five of the bound after the newest reading that
-	// it has heard of, and up to a tenth more by chance, any daemon reads the orders itself.
-	// It is half of the bound at most, and the first that reads spares the others.
+	// A daemon that is no follower reads the orders itself once its latest known reading is older
+	// than stalePart of the bound plus a random time of up to spreadPart. The sum is at most half
+	// of the bound, and the first such daemon to read usually saves the others from reading.
 	stalePart  = 0.4
 	spreadPart = 0.1
-	// startPart is the part of the bound for which a daemon that starts waits for the word
-	// of a peer before it reads.
+	// startPart is the fraction of the bound for which a starting daemon waits for the orders from
+	// a peer before it reads them.
 	startPart = 16
-	// longestRetry is how many bounds a daemon that is no follower waits at most between
-	// two tries that the store refuses: each try is a call, and peers tell it meanwhile.
+	// longestRetry is the maximum delay, in bounds, between two attempts of a daemon that is no
+	// follower while the store refuses them. Each attempt costs the store a call, and peers may
+	// provide the orders in the meantime.
 	longestRetry = 2
 )
 
-// Timing says when a daemon reads the orders itself. The zero value never does.
+// Timing determines when a daemon reads the orders itself. If Within is 0 it never does; callers
+// check this.
 type Timing struct {
-	// Within is the bound: the time from an order to its last call.
+	// Within is the bound: the maximum time from an order to the last call sent to the zone.
 	Within time.Duration
 }
 
-// Relist is the time between two readings of the first follower.
+// Relist returns the interval between two readings of the first follower.
 func (t Timing) RelistInterval() time.Duration { return t.Within / relistPart }
 
-// Due is how old the newest reading known may become before a daemon of a rank reads itself;
-// random is uniform.
+// Due returns the age of the latest known reading at which a daemon of the given rank reads the
+// orders itself. random must be uniformly distributed.
 func (t Timing) RefreshAge(rank int, known bool, random uint64) time.Duration {
-	drawn := time.Duration(spreadPart * float64(t.Within) * float64(random>>11) / (1 << 53)) // 53 bits are a float64's fraction
+	drawn := time.Duration(spreadPart * float64(t.Within) * float64(random>>11) / (1 << 53)) // the fraction of a float64 has 53 bits
 	switch {
 	case !known:
 		return t.Within/startPart + drawn
@@ -49,7 +51,8 @@
 	return time.Duration(stalePart*float64(t.Within)) + drawn
 }
 
-// Retry is how long a daemon of a rank waits after a number of readings in a row that failed.
+// Retry returns how long a daemon of the given rank waits after a number of consecutive failed
+// readings.
 func (t Timing) RetryDelay(rank, failures int) time.Duration {
 	if rank < WatcherCount {
 		return t.RelistInterval()
--- a/internal/core/evacuation/timing_test.go
+++ b/internal/core/evacuation/timing_test.go
@@ -13,8 +13,8 @@
 
 const testWithin = 5 * time.Second
 
-// testDaemon is a daemon in virtual time: what it knows, and whether the store and its peers
-// answer it.
+// testDaemon is a daemon in virtual time, with its known orders and its connections to the store
+// and to peers.
 type testDaemon struct {
 	table    Table
 	rank     int
@@ -26,7 +26,7 @@
 	failures int
 }
 
-// testFleet is daemons that follow a store whose watches are all silent.
+// testFleet holds daemons that read from a store whose watches report no changes.
 type testFleet struct {
 	daemons []*testDaemon
 	random  *rand.Rand
@@ -44,7 +44,7 @@
 	return fleet
 }
 
-// run steps all daemons from one time to another over a store that holds some orders.
+// run steps all daemons through a period in which the store holds the given orders.
 func (f *testFleet) run(from, to time.Duration, held Orders) {
 	for now := from; now < to; now += 10 * time.Millisecond {
 		for _, one := range f.daemons {
@@ -55,7 +55,7 @@
 	}
 }
 
-// read reads the orders and tells all others, as a reading is broadcast.
+// read simulates a reading by one daemon, which broadcasts the result.
 func (f *testFleet) read(now time.Duration, one *testDaemon, held Orders) {
 	f.reads++
 	if one.refused || one.cutOff {
@@ -72,7 +72,7 @@
 	}
 }
 
-// unaware counts the daemons in touch that don't know an order.
+// unaware returns the number of connected daemons that do not know the order for a zone.
 func (f *testFleet) unaware(zone string) (count int) {
 	for _, one := range f.daemons {
 		if !one.dead && !one.cutOff && !one.table.Orders().Evacuates(zone) {
@@ -82,8 +82,8 @@
 	return count
 }
 
-// An order that no watch tells of is known to all in touch within half of the bound, at any
-// phase, whoever is dead, refused by the store or cut off.
+// An order that no watch reports reaches all connected daemons within half of the bound, at any
+// phase, even if some daemons are dead, refused by the store or disconnected.
 func TestASilentOrderIsKnownWithinHalfOfTheBound(t *testing.T) {
 	for name, harm := range map[string]func(*testDaemon){
 		"nobody":                          func(*testDaemon) {},
@@ -102,23 +102,24 @@
 					harm(one)
 				}
 				fleet.run(made, made+testWithin/2, NewOrders(position.Position{Revision: 4}, []string{"z"}))
-				check.Equal(fleet.unaware("z"), 0) // who does not know it
+				check.Equal(fleet.unaware("z"), 0) // the daemons that do not know the order
 			}
 		})
 	}
 }
 
-// A calm minute costs the store a call of the first follower each quarter of the bound.
+// In normal operation the store receives only one call per quarter of the bound, from the first
+// follower.
 func TestACalmMinuteIsCheap(t *testing.T) {
 	check := is.New(t)
 	fleet := newFleet(77)
 	fleet.run(0, 10*time.Second, NewOrders(position.Position{Revision: 3}, nil))
 	fleet.reads = 0
 	fleet.run(10*time.Second, 70*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	check.True(fleet.reads <= 49) // 60 s over 1.25 s, and one for the phase
+	check.True(fleet.reads <= 49) // 60 s divided by 1.25 s, and one more for the phase
 }
 
-// While the store refuses everybody, daemons that are no followers ask ever less often.
+// While the store refuses all calls, daemons that are no followers call it at increasing intervals.
 func TestADeadStoreIsNotStormed(t *testing.T) {
 	check := is.New(t)
 	fleet := newFleet(77)
@@ -133,7 +134,7 @@
 	check.True(fleet.reads <= followers+others)
 }
 
-// All daemons start at once: a few read, the others hear.
+// When all daemons start at once, a few read the orders and the others receive them.
 func TestAStartTogetherReadsLittle(t *testing.T) {
 	check := is.New(t)
 	fleet := newFleet(77)
--- a/internal/core/hang/answers.go
+++ b/internal/core/hang/answers.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// answersKept is how many answers are remembered: overtakenNeeded, and some more for those
-// to calls that were sent earlier.
+// answersKept is the number of answers kept: overtakenNeeded, and a reserve for answers to calls
+// that were sent earlier.
 const answersKept = 16
 
-// Answers remembers when the calls were sent that were answered last. It may be used from
-// several goroutines and takes no lock. The zero value has none.
+// Answers records the send times of the most recently answered calls. It is safe for concurrent use
+// and takes no lock. The zero value is empty.
 type RecentAnswers struct {
 	count  atomic.Uint64
 	sentAt [answersKept]atomic.Int64
 }
 
-// Note takes the answer to a call that was sent at a time above 0.
+// Note records the answer to a call that was sent at the given time, which must be above 0.
 func (a *RecentAnswers) Record(sentAt time.Duration) {
 	at := a.count.Add(1) % answersKept
 	a.sentAt[at].Store(int64(sentAt))
 }
 
-// Since is how many of the calls answered last were sent after a time.
+// Since returns how many of the recently answered calls were sent after the given time.
 func (a *RecentAnswers) CountSentAfter(sentAt time.Duration) int {
 	count := 0
 	for index := range a.sentAt {
--- a/internal/core/hang/balance.go
+++ b/internal/core/hang/balance.go
@@ -7,31 +7,33 @@
 )
 
 const (
-	// balanceSpan is the span in which the least number counts. Calls that have been sent and
-	// have not arrived, or were answered while the report was on its way, are no longer
-	// missed a few milliseconds later.
+	// balanceSpan is the period over which the minimum is taken. A call that was still on its way,
+	// or was answered while the report was on its way, is missing only for a few milliseconds.
 	balanceSpan = 200 * time.Millisecond
-	// balanceReports is how many reports a span must hold to tell anything.
+	// balanceReports is the number of reports that a period must contain to be valid.
 	balanceReports = 3
-	// balanceAge is how old a span may be that still tells something.
+	// balanceAge is the time for which the result of a period remains valid.
 	balanceAge = 2 * time.Second
 )
 
-// Balance follows how many calls fewer a back end says to hold than are under way there. It
-// may be used from several goroutines, of which none waits. The zero value knows nothing.
+// Balance tracks how many of the calls in flight at a back end the back end does not report as
+// held. It is safe for concurrent use, and recording never blocks. The zero value has no data.
 type MissingCalls struct {
 	mutex sync.Mutex
-	// since is the start of the present span; least of its reports so many were missing.
+	// since is the start of the present period, least the lowest number of missing calls in its
+	// reports.
 	since   time.Duration
 	reports int
 	least   int
-	// last is that of the newest whole span, which ended at lastAt; 0 for none.
+	// last is the result of the latest complete period, which ended at lastAt; lastAt is 0 if there
+	// is none.
 	last   int
 	lastAt time.Duration
 }
 
-// Note takes a back end's report that it holds a number of calls, while so many were under
-// way there. One that comes while another is taken is left out: more will come.
+// Note records a back end's report of the number of calls it holds, with the number of calls in
+// flight there. A report that arrives while another one is being recorded is dropped, since reports
+// are frequent.
 func (b *MissingCalls) Record(now time.Duration, underWay, held int) {
 	if !b.mutex.TryLock() {
 		return
@@ -49,7 +51,7 @@
 	b.reports = 0
 }
 
-// Missing is how many are missing; false means that the back end has not told lately.
+// Missing returns the number of missing calls; false if there is no recent result.
 func (b *MissingCalls) Count(now time.Duration) (int, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -59,7 +61,7 @@
 	return b.last, true
 }
 
-// Reset forgets what an earlier start of the back end has told.
+// Reset discards the reports of an earlier start of the back end.
 func (b *MissingCalls) Reset() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/core/hang/hang.go
+++ b/internal/core/hang/hang.go
@@ -1,45 +1,47 @@
-// Package hang tells a call that its back end will never answer from one that runs long. It
-// weighs what the gate beside the back end sees: the age of the call against the service
-// times of its class, answers to calls that were sent after it, and the back end's own count
-// of what it holds. It does no input or output and reads no clock.
+// Package hang distinguishes calls that their back end will never answer from calls that take long.
+// It uses what the gate beside the back end observes: the age of the call compared with the service
+// times of its class, answers to calls that were sent later, and the back end's own count of the
+// calls it holds. It performs no input or output and reads no clock.
 package hang
 
 import "time"
 
 const (
-	// seenNeeded is how many calls of a class must have been answered before its longest
-	// service time says anything: with fewer, one in twenty sound calls is longer.
+	// seenNeeded is the number of answered calls of a class from which its longest service time is
+	// usable. With fewer, one in twenty healthy calls takes longer.
 	seenNeeded = 20
-	// overtakenNeeded is how many calls that were sent later must have been answered: the
-	// back end answers, and the call has not just met a pause of it.
+	// overtakenNeeded is the number of calls sent later that must have been answered. They show
+	// that the back end is answering, so the call is not merely delayed by a pause of the whole
+	// back end.
 	overtakenNeeded = 3
-	// untoldFactor is by how much a call must exceed the longest service time where the back
-	// end does not tell what it holds, so that age is the only evidence against it.
+	// untoldFactor is the multiple of the longest service time that a call must exceed if the back
+	// end does not report the calls it holds, so that its age is the only evidence.
 	untoldFactor = 2
 )
 
-// Evidence is what is known of one call that is under way.
+// Evidence holds the observations about one call in flight.
 type Evidence struct {
-	// Age is how long ago the call was sent to the back end.
+	// Age is the time since the call was sent to the back end.
 	Age time.Duration
-	// Long is what few calls of its class take, and Longest the longest service time lately, of
-	// Seen calls in all.
+	// Long is the service time that few calls of the class exceed, and Longest the longest recent
+	// one; Seen is the total number of answered calls of the class.
 	Long    time.Duration
 	Longest time.Duration
 	Seen    int
-	// Overtaken is how many calls that were sent after it have been answered.
+	// Overtaken is the number of answered calls that were sent after this one.
 	Overtaken int
-	// Told says that the back end tells how many calls it holds, and Missing how many fewer
-	// these are than are under way there.
+	// Told is true if the back end reports the number of calls it holds, and Missing is by how much
+	// this is below the number of calls in flight there.
 	Told    bool
 	Missing int
-	// Rank is the place of the call among those under way, the one longest overdue being 1.
+	// Rank is the position of the call among those in flight, starting at 1 for the one that is
+	// longest overdue.
 	Rank int
 }
 
-// Hangs tells whether the call is taken for one that is never answered. A back end that tells
-// that it holds all calls works on this one as well, however long it takes. No call is
-// ended for it: that only costs another attempt where one is allowed.
+// Hangs reports whether the call is considered hung. A back end that reports holding all calls is
+// still running this one, however long it takes. A call is not ended for being hung: the only cost
+// of a wrong result is another attempt, if one is allowed.
 func (e Evidence) IsHung() bool {
 	if e.Seen < seenNeeded || e.Overtaken < overtakenNeeded {
 		return false
@@ -47,7 +49,7 @@
 	if !e.Told {
 		return e.Age > untoldFactor*e.Longest
 	}
-	// That calls are missing is certain here. Which ones is likely those that are overdue; to
-	// wait until it is certain leaves no time to answer them elsewhere within their target.
+	// It is certain here that calls are missing, and likely that these are the overdue ones.
+	// Waiting for certainty would leave no time to run them elsewhere within their latency target.
 	return e.Rank <= e.Missing && e.Age > e.Long
 }
--- a/internal/core/hang/hang_test.go
+++ b/internal/core/hang/hang_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// hung is a call of which all evidence says that it hangs.
+// hung returns evidence that meets all conditions of a hung call.
 func hung() Evidence {
 	return Evidence{
 		Age: 600 * time.Millisecond, Long: 500 * time.Millisecond, Longest: time.Second,
@@ -20,7 +20,7 @@
 	is.New(t).True(hung().IsHung())
 }
 
-// A slow run that the back end says to hold is at work, whatever its age.
+// A call that the back end reports as held is still running, whatever its age.
 func TestALongRunThatTheBackEndHoldsDoesNotHang(t *testing.T) {
 	evidence := hung()
 	evidence.Missing = 0
@@ -28,7 +28,7 @@
 	is.New(t).True(!evidence.IsHung())
 }
 
-// What is missing is first put down to the call that is longest overdue.
+// Missing calls are attributed first to the one that is longest overdue.
 func TestOnlyAsManyHangAsAreMissing(t *testing.T) {
 	evidence := hung()
 	evidence.Rank = 2
@@ -51,7 +51,7 @@
 	check.True(evidence.IsHung())
 }
 
-// A back end that answers nobody pauses as a whole: no call of it is told from the others.
+// If the back end answers no call, it may be paused as a whole, and no call can be singled out.
 func TestNothingHangsWhileTheBackEndAnswersNobody(t *testing.T) {
 	evidence := hung()
 	evidence.Overtaken = overtakenNeeded - 1
@@ -77,7 +77,7 @@
 	check.Equal(answers.CountSentAfter(2*time.Second), answersKept)
 }
 
-// Calls on their way to the back end are missing in some reports and not in all.
+// Calls on their way to the back end are missing in some reports, but not in all of them.
 func TestWhatIsMissingForAMomentIsNotMissing(t *testing.T) {
 	check := is.New(t)
 	var balance MissingCalls
--- a/internal/core/quarantine/company.go
+++ b/internal/core/quarantine/company.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// witnessLimit bounds the ends of which a daemon remembers all that was at work, so that a
-// request which is noted late still finds the others.
+// witnessLimit bounds the number of ends for which a daemon keeps all requests in flight, so that a
+// request recorded later is still linked to the others at the same end.
 const witnessLimit = 64
 
-// witnessed are the requests at work at the ends that one daemon has seen.
+// witnessed holds the requests in flight at the ends that one daemon has observed, by instance.
 type witnessed struct {
 	requests map[string][]Companion
-	// order are the instances, the oldest first.
+	// order holds the names of the instances, the oldest first.
 	order []string
 }
 
-// add notes a request at the end of an instance.
+// add records a request as in flight at the end of an instance.
 func (w *witnessed) add(instance string, one Companion) {
 	if _, found := w.requests[instance]; !found {
 		w.order = append(w.order, instance)
@@ -28,8 +28,9 @@
 	w.requests[instance] = uniteCompanions(w.requests[instance], []Companion{one})
 }
 
-// uniteCompanions are all of two lists. Past the limit those with the lowest keys are kept and
-// the others stand as one that is not known, so that all daemons keep the same.
+// uniteCompanions returns the union of two lists. Above companionLimit it keeps the companions with
+// the lowest keys and replaces the others by one unidentified companion, so that all daemons keep
+// the same ones.
 func uniteCompanions(one, other []Companion) []Companion {
 	all := slices.Concat(one, other)
 	slices.SortFunc(all, func(a, b Companion) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(b.Round, a.Round)) })
@@ -40,9 +41,9 @@
 	return all
 }
 
-// addEnds adds ends and what is known of them, and tells whether any of it is new. Past the
-// limit those at which nothing else was at work are kept, then those of the latest trials and
-// the first by name, so that all daemons keep the same.
+// addEnds adds ends and their details and reports whether the record has changed. Above endLimit it
+// prefers ends at which no other request ran, then ends of later trials, then the lowest instance
+// names, so that all daemons keep the same ones.
 func (e *entry) addEnds(ends []string, details []EndDetail) bool {
 	all := slices.Compact(slices.Sorted(slices.Values(slices.Concat(e.record.Ends, ends))))
 	united := Record{Details: uniteDetails(e.record.Details, details)}
@@ -60,12 +61,13 @@
 	return d.Instance == other.Instance && d.Trial == other.Trial && slices.Equal(d.Beside, other.Beside)
 }
 
-// compareDetails orders ends by what they tell: those that tell most come first.
+// compareDetails sorts ends by the strength of their evidence, the strongest first: ends without
+// companions, then ends of later trials.
 func compareDetails(a, b EndDetail) int {
 	return cmp.Or(cmp.Compare(min(len(a.Beside), 1), min(len(b.Beside), 1)), cmp.Compare(b.Trial, a.Trial))
 }
 
-// uniteDetails unites what is known of the same ends, in order of the instances.
+// uniteDetails merges two lists of details by instance. The result is in order of the instances.
 func uniteDetails(one, other []EndDetail) []EndDetail {
 	all := slices.Clone(one)
 	for _, given := range other {
--- a/internal/core/quarantine/company_test.go
+++ b/internal/core/quarantine/company_test.go
@@ -8,15 +8,15 @@
 	"github.com/matryer/is"
 )
 
-// endOf has an instance end under some requests at once.
+// endOf records the end of an instance for all given requests at once.
 func endOf(table *Table, instance string, requests ...Signature) {
 	for _, request := range requests {
 		table.RecordEnd(0, request, instance, false)
 	}
 }
 
-// threeHarmful are a harmless request and three harmful ones, each of which ended one back end
-// while the harmless one was at work there too.
+// threeHarmful records ends of one harmless and three harmful requests. Each harmful request has
+// ended one back end, and the harmless one ran at all three ends.
 func threeHarmful(table *Table) (harmless Signature, harmful []Signature) {
 	harmless = signatureOf("/harmless")
 	for number := range 3 {
@@ -27,8 +27,8 @@
 	return harmless, harmful
 }
 
-// Guards against a harmless request that is held since it was at work beside several harmful
-// ones, each of which has ended too few back ends yet to be found.
+// Guards against holding a harmless request that ran concurrently with several harmful ones, before
+// each of them has enough ends to be held itself.
 func TestARequestThatOnlyRanBesideOthersIsNotHeld(t *testing.T) {
 	for more := range 4 {
 		check := is.New(t)
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against a harmless request that is held since the harmful one beside it has ended more
-// back ends than a record names.
+// Guards against holding a harmless request because it ran at ends of a harmful one that exceed the
+// limit of ends in a record.
 func TestEndsPastTheLimitAreExplainedToo(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -68,8 +68,8 @@
 	check.Equal(beliefIn(table, 0, harmless), Trusted)
 }
 
-// Guards against a harmless request that is held from the moment at which the harmful one beside
-// it is released, or is answered well by a version in which it was mended.
+// Guards against holding a harmless request as soon as the harmful one that ran at the same ends is
+// released by an operator or answered successfully by a fixed version.
 func TestEndsStayExplainedWhenAHarmfulRequestIsCleared(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -82,17 +82,17 @@
 	check.True(table.Clear(0, harmful))
 	check.Equal(beliefIn(table, 0, harmful), Trusted)
 	check.Equal(beliefIn(table, 0, harmless), Trusted)
-	told := NewTable(DefaultRules()) // a daemon that hears of both only now
+	told := NewTable(DefaultRules()) // a daemon that receives both records only now
 	for _, record := range table.Records(0) {
 		told.Merge(0, record)
 	}
 	check.Equal(beliefIn(told, 0, harmless), Trusted)
-	endOf(table, "e", harmful) // a new round
+	endOf(table, "e", harmful) // starts a new round
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
 	check.Equal(beliefIn(table, 0, harmless), Trusted)
 }
 
-// Guards against a harmless request that is held for two ends of a harmful one and one of
+// Guards against holding a harmless request for two ends caused by a harmful one and one end with
 // another cause.
 func TestOneEndOfAnotherCauseHoldsNothing(t *testing.T) {
 	check := is.New(t)
@@ -102,15 +102,15 @@
 	endOf(table, "b", harmful, harmless)
 	endOf(table, "c", harmless)
 	check.Equal(beliefIn(table, 0, harmless), Suspected)
-	endOf(table, "d", harmful) // as much speaks against either
+	endOf(table, "d", harmful) // the evidence against both is equal
 	check.Equal(beliefIn(table, 0, harmless), Suspected)
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
 	endOf(table, "e", harmful)
 	check.Equal(beliefIn(table, 0, harmful), Held)
-	check.Equal(beliefIn(table, 0, harmless), Suspected) // for the one end that is left
+	check.Equal(beliefIn(table, 0, harmless), Suspected) // because of the end without the harmful request
 }
 
-// Guards against a request that is held once those beside it are forgotten.
+// Guards against holding a request as soon as the records of its companions expire.
 func TestARequestIsNotHeldWhenOthersLapse(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -124,7 +124,7 @@
 	}
 }
 
-// An end at which requests were at work that are not known yet is of none of the others alone.
+// A request is not treated as having run alone at an end with unidentified companions.
 func TestAnEndBesideUnknownRequestsIsNotAlone(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -138,7 +138,7 @@
 	check.Equal(beliefIn(table, 0, request), Held)
 }
 
-// A request runs apart the more strictly the more ends speak against it.
+// The isolation of a request becomes stricter with each end.
 func TestARequestIsIsolatedBeforeItIsHeld(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -152,13 +152,13 @@
 	}
 	endOf(table, "alone", request)
 	check.Equal(beliefIn(table, 0, request), Held)
-	check.Equal(table.View(firstHold).Isolation(firstHold, request), AloneRequired) // it may have to be held longer
+	check.Equal(table.View(firstHold).Isolation(firstHold, request), AloneRequired) // a further end may extend the hold
 	table.Clear(0, request)
 	check.Equal(isolation(), AlongsideTrusted)
 }
 
-// What was at work at an end beside others is bounded, and one that was past the bound is not
-// taken for a request that was at work alone.
+// The number of companions per end is bounded. A request recorded beyond the bound is not treated
+// as having run alone.
 func TestCompanyIsBounded(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -174,7 +174,7 @@
 	check.True(record.valid())
 }
 
-// Guards against a harmless request that is held since a rack failed whose back ends all ran it.
+// Guards against holding a harmless request after the failure of a rack whose back ends all ran it.
 func TestEndsOfOneMomentAreOneTrial(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -185,13 +185,14 @@
 	check.Equal(table.View(0).LastTrial(request), uint32(1))
 	check.Equal(beliefIn(table, 0, request), Suspected)
 	check.Equal(table.View(0).Isolation(0, request), AloneRequired)
-	table.RecordEndInTrial(0, request, "e", false, 2) // alone, after the others
+	table.RecordEndInTrial(0, request, "e", false, 2) // ran alone, after the other ends
 	check.Equal(beliefIn(table, 0, request), Held)
 	_, left := table.View(0).State(0, request)
-	check.Equal(left, firstHold) // four ends of one moment hold it no longer
+	check.Equal(left, firstHold) // four ends of one trial do not extend the hold
 }
 
-// A rack that fails and another end beside others hold nothing either.
+// A request is not held either for the failure of a rack and a later end at which another request
+// ran.
 func TestAnEndBesideOthersAfterARackFailedHoldsNothing(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -206,7 +207,8 @@
 	check.Equal(beliefIn(table, 0, request), Held)
 }
 
-// A trial is never counted as one that was there, whatever of the earlier ones is not known.
+// A new trial gets a number above all earlier ones, even if the trials of some earlier ends are
+// unknown.
 func TestTrialsAreNumberedPastAllThatAreKnown(t *testing.T) {
 	check := is.New(t)
 	request := signatureOf("/request")
--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -1,15 +1,16 @@
-// Package quarantine decides which requests are kept from the back ends of a mesh because
-// they end each back end that runs them (a query of death). It does no input or output and
-// reads no clock.
+// Package quarantine detects requests that terminate the back ends that run them (queries of death)
+// and decides which requests a mesh refuses. It performs no input or output and reads no clock.
 //
-// A gate tells of the end of its back end and of the requests that were at work there. Most
-// of these are harmless: they only ran beside the one that did it. So a request is first
-// suspected only, and a suspected one runs apart from others that are: callers' sides send
-// each suspected request to one gate that all of them agree on, and gates run one at a time.
-// A good answer clears it. All ends together are explained by as few requests as possible
-// (see Table.judge); one that explains enough of them is held, that is refused by every
-// daemon at once, and what only ran beside it is trusted again.
+// An end is the termination of a back-end instance. For each end a gate records the instance and
+// the requests that were in flight on it. Most of these requests are harmless and only ran
+// concurrently with the one that caused the end, so an end only makes a request suspected.
+// Suspected requests run separately from each other: callers send all attempts of a suspected
+// request to one gate on which all callers agree, and that gate runs one suspected request at a
+// time. A successful answer clears the request. The ends are attributed to as few requests as
+// possible (see Table.judge). A request with enough ends attributed to it is held: every daemon
+// refuses it at once. Requests that only ran concurrently with it are trusted again.
 //
-// Records of requests are merged in any order, as often as they come: the ends of a round are
-// a set, and a good answer ends the round.
+// A trial is an attempt to run a request after its earlier ends were known. A round is the series
+// of ends up to a successful answer, which starts the next round. Records of requests can be merged
+// in any order and repeatedly: the ends of a round form a set.
 package quarantine
--- a/internal/core/quarantine/explain.go
+++ b/internal/core/quarantine/explain.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// judgement is what follows from all records for one request.
+// judgement is the classification of one request that results from all records.
 type judgement struct {
-	// suspectedUntil and heldUntil are until when the request is suspected, and held, on the
-	// own clock; not after 0 for never.
+	// The request is suspected before suspectedUntil and held before heldUntil, on this daemon's
+	// clock. A value of 0 or less means never.
 	suspectedUntil time.Duration
 	heldUntil      time.Duration
-	// unexplained counts its ends that no harmful request explains, needed how many hold it.
+	// unexplained is the number of ends that are not attributed to a harmful request, needed the
+	// number from which the request is held.
 	unexplained int
 	needed      int
-	// lastTrial is the newest trial that met an end, unless the request was cleared.
+	// lastTrial is the number of the latest trial that met an end; 0 if the request was cleared.
 	lastTrial uint32
 }
 
-// belief is what follows at a time.
+// belief returns the classification at a given time.
 func (j judgement) belief(now time.Duration) State {
 	switch {
 	case now < j.heldUntil:
@@ -30,7 +31,7 @@
 	return Trusted
 }
 
-// isolation is how a request that may run has to be kept apart.
+// isolation returns how the request must be isolated if it may run.
 func (j judgement) isolation() Isolation {
 	switch {
 	case j.needed == 0 || j.unexplained < j.needed-1:
@@ -41,19 +42,20 @@
 	return AloneRequired
 }
 
-// candidate is a request that may have ended back ends, while ends are being explained.
+// candidate is a request that may have caused ends and is not classified yet.
 type candidate struct {
 	*entry
-	// open are its ends that no harmful request explains yet.
+	// open holds the ends that are not attributed to a harmful request yet.
 	open []string
 }
 
-// judge explains the ends by as few requests as possible (a greedy cover): the one that was
-// at work at the most of them, if that is enough, is harmful, and what else was at work there
-// only ran beside it. Where two were at work at just the same ends, neither can be told from
-// the other, and both stay suspected. So does one that was never at work alone: each of its
-// ends may be of one of those beside it. They run apart, so that a good answer or the next
-// end settles it. Every daemon that has heard the same comes to the same.
+// judge classifies all requests by attributing the ends to as few of them as possible (a greedy set
+// cover): the request that ran at the most open ends is harmful if these are enough, and the other
+// requests at these ends are taken to have only run concurrently. If two requests ran at exactly
+// the same ends, they cannot be told apart, and both stay suspected. A request that never ran alone
+// also stays suspected, since each of its ends may be due to another request. Suspected requests
+// run separately, so the next successful answer or end resolves the case. Daemons with the same
+// records arrive at the same result.
 func (t *Table) judge(now time.Duration) map[Signature]judgement {
 	facts := t.companions(now)
 	candidates := t.candidates(now, facts)
@@ -81,8 +83,8 @@
 	return judged
 }
 
-// companionFacts are what is known now of requests that were at work beside others, by the
-// short form of their signatures.
+// companionFacts maps the keys of signatures to the valid entries of their requests, for the
+// evaluation of companions.
 type companionFacts map[uint64]*entry
 
 func (t *Table) companions(now time.Duration) companionFacts {
@@ -95,16 +97,16 @@
 	return facts
 }
 
-// explains tells whether a companion was found harmful in the round in which it was at work:
-// an end stays explained after the record of the request was cleared.
+// explains reports whether a companion was found harmful in the round in which it ran at an end. It
+// remains the cause of that end after its record was cleared.
 func (f companionFacts) explains(one Companion) bool {
 	known := f[one.Key]
 	return known != nil && known.record.Proven > one.Round
 }
 
-// excuses tells whether a companion did not end the back end: it was answered well since, or
-// it was answered well before and the request beside it was not. Nothing excuses one that is
-// not known any more.
+// excuses reports whether a companion cannot have caused an end: it was answered successfully since
+// then, or it was answered successfully before and the request beside it was not. A companion
+// without a valid record is never excused.
 func (f companionFacts) excuses(one Companion, beside *entry) bool {
 	known := f[one.Key]
 	if known == nil {
@@ -116,7 +118,7 @@
 	return known.record.Familiar && !beside.record.Familiar
 }
 
-// candidates are the requests that count and were not cleared, in order of their signatures.
+// candidates returns the valid records that were not cleared, in order of their signatures.
 func (t *Table) candidates(now time.Duration, facts companionFacts) []*candidate {
 	var found []*candidate
 	for _, one := range t.entries {
@@ -132,7 +134,7 @@
 	return found
 }
 
-// dropExplained drops the ends that a harmful request explains.
+// dropExplained removes the open ends that are attributed to a harmful request.
 func (c *candidate) dropExplained(harmful *candidate) {
 	key := harmful.record.Signature.Key()
 	c.open = slices.DeleteFunc(c.open, func(end string) bool {
@@ -141,8 +143,8 @@
 	})
 }
 
-// isHarmful tells whether enough ends are open for a candidate, and no other one may have
-// ended the same back ends.
+// isHarmful reports whether a candidate has enough open ends and no other candidate may have caused
+// the same ones.
 func (t *Table) isHarmful(one *candidate, all []*candidate, facts companionFacts) bool {
 	needed := t.rules.endsNeeded(&one.record)
 	if len(one.open) < needed {
@@ -163,8 +165,9 @@
 	return t.isProven(one, facts) && (len(one.open) > needed || !one.hasRival(all))
 }
 
-// isProven tells whether an open end speaks for itself: of a run that had the back end to itself
-// in a later trial, or, after enough trials, one at which nothing else may have ended it.
+// isProven reports whether at least one open end can only be due to this candidate: either it ran
+// alone at that end in a later trial, or it has enough trials and every companion at that end is
+// excused.
 func (t *Table) isProven(one *candidate, facts companionFacts) bool {
 	if one.ranIsolated() {
 		return true
@@ -173,11 +176,11 @@
 	return enough && one.wasAlone(facts)
 }
 
-// trials counts the trials that met open ends.
+// trials returns the number of distinct trials that met open ends.
 func (c *candidate) trials() int { return c.record.trials(c.open) }
 
-// ranIsolated tells whether a run met an open end with nothing beside it, after an earlier trial
-// had met one: that is no part of a moment at which several back ends ended of one cause.
+// ranIsolated reports whether the candidate ran alone at an open end after an earlier trial had met
+// one. Such an end is not part of a single failure that ended several back ends at once.
 func (c *candidate) ranIsolated() bool {
 	return slices.ContainsFunc(c.open, func(end string) bool {
 		detail := c.record.detail(end)
@@ -185,8 +188,9 @@
 	})
 }
 
-// covers tells whether a candidate explains all that another one does but for some ends. One
-// that was answered well before explains nothing that one does which was not.
+// covers reports whether the candidate ran at all open ends of another one, except for at most the
+// given number. A request that was answered successfully before cannot account for the ends of one
+// that was not.
 func (c *candidate) covers(other *candidate, but int) bool {
 	if c.record.Familiar && !other.record.Familiar {
 		return false
@@ -200,13 +204,12 @@
 	return missing <= but
 }
 
-// wasAlone tells whether the request was at work at an open end at which nothing else may have
-// ended the back end.
+// wasAlone reports whether the candidate has an open end that no other request may have caused.
 func (c *candidate) wasAlone(facts companionFacts) bool {
 	return slices.ContainsFunc(c.open, func(end string) bool { return c.suspectsBeside(end, facts) == 0 })
 }
 
-// suspectsBeside counts what else may have ended a back end.
+// suspectsBeside returns the number of companions that may have caused an end.
 func (c *candidate) suspectsBeside(end string, facts companionFacts) int {
 	count := 0
 	for _, one := range c.record.detail(end).Beside {
@@ -217,7 +220,8 @@
 	return count
 }
 
-// share is the number of open ends, each divided among those that may have brought it about.
+// share returns the sum of the open ends, each divided by the number of requests that may have
+// caused it.
 func (c *candidate) share(facts companionFacts) float64 {
 	sum := 0.0
 	for _, end := range c.open {
@@ -226,9 +230,9 @@
 	return sum
 }
 
-// hasRival tells whether another candidate was at work at all open ends but one, which may be of
-// any other cause. One that has been at an end which a harmful request explains is known to run
-// beside others.
+// hasRival reports whether another candidate ran at all open ends but one, which may have a
+// separate cause. A candidate that ran at an end attributed to a harmful request is no rival: it is
+// known to run concurrently with harmful requests.
 func (c *candidate) hasRival(all []*candidate) bool {
 	return slices.ContainsFunc(all, func(other *candidate) bool {
 		ranBeside := len(other.open) < len(other.record.Ends)
@@ -236,14 +240,14 @@
 	})
 }
 
-// whenHarmful is the judgement of a harmful request.
+// whenHarmful returns the judgement of a harmful request.
 func (e *entry) whenHarmful() judgement {
 	held := e.endedAt + e.rules.holdTime(&e.record)
 	needed := e.rules.endsNeeded(&e.record)
 	return judgement{heldUntil: held, suspectedUntil: held + holdMemory, unexplained: len(e.record.Ends), needed: needed}
 }
 
-// whenSuspected is the judgement of a request that is not held.
+// whenSuspected returns the judgement of a suspected request.
 func (c *candidate) whenSuspected() judgement {
 	return judgement{
 		suspectedUntil: c.endedAt + suspicionTime,
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -5,142 +5,150 @@
 	"time"
 )
 
-// Belief is what a daemon believes of a request.
+// Belief is the classification of a request by a daemon.
 type State int
 
-// The beliefs.
+// The classifications, in order of severity.
 const (
-	// Trusted requests are sent like any other.
+	// Trusted requests are sent without restriction.
 	Trusted State = iota
-	// Suspected ones run apart from each other.
+	// Suspected requests run separately from each other.
 	Suspected
-	// Held ones are refused.
+	// Held requests are refused.
 	Held
 )
 
-// beliefNames are the names of the beliefs in logs.
+// beliefNames holds the names of the classifications in logs.
 var beliefNames = map[State]string{Trusted: "trusted", Suspected: "suspected", Held: "held"}
 
-// String names the belief.
+// String returns the name of the classification in logs.
 func (b State) String() string { return beliefNames[b] }
 
-// Rules say how many ends in a row hold a request. All daemons of a mesh need the same.
+// Rules define how many ends a request needs to be held. All daemons of a mesh must use the same
+// rules.
 type Rules struct {
-	// Ends is for a request that no daemon remembers a good answer to. The first end may be
-	// of any request that ran there, and at a second one it may be by chance.
+	// Ends applies to a request for which no daemon has recorded a successful answer. The first end
+	// may be due to any request that ran on the instance, and the second one to coincidence.
 	Ends int
-	// EndsFamiliar is for a request that was answered well before: it must have become
-	// harmful since, which is rare, and it is often at work as others end back ends.
+	// EndsFamiliar applies to a request that was answered successfully before its first end. Such a
+	// request rarely becomes harmful, and it often runs while other requests end back ends.
 	EndsFamiliar int
-	// EachByItself leaves out that one request explains ends that others were at work at. It
-	// is for comparisons only.
+	// EachByItself classifies each request by its own ends alone, without attributing shared ends
+	// to another request. It is used for comparisons only.
 	EachByItself bool
-	// IgnoresCompany holds a request that was never at work alone as well. It is for
+	// IgnoresCompany also holds a request that never ran alone at an end. It is used for
 	// comparisons only.
 	IgnoresCompany bool
-	// IgnoresTrials counts each end, also of runs that began before any was known. It is for
-	// comparisons only.
+	// IgnoresTrials counts every end, including those of attempts that began before an earlier end
+	// was known. It is used for comparisons only.
 	IgnoresTrials bool
-	// LeastShare, when it is above 0, divides each end among all that were at work, and holds
-	// a request whose parts come to so many ends. It is for comparisons only.
+	// LeastShare, when above 0, divides each end equally among all requests that ran at it, and
+	// holds a request whose shares add up to at least this number of ends. It is used for
+	// comparisons only.
 	LeastShare float64
 }
 
-// DefaultRules hold a request after the fewest ends of those that held no harmless one on
-// drawn days with harmful requests; docs/design/harmful-requests.md has the figures.
+// DefaultRules returns the rules with the fewest ends at which no harmless request was held in
+// simulated days with harmful requests. The results are in docs/design/harmful-requests.md.
 func DefaultRules() Rules { return Rules{Ends: 3, EndsFamiliar: 4} }
 
-// The times of suspicions and holds.
+// Limits of records, and the durations of suspicions and holds.
 const (
-	// endLimit bounds the ends that are remembered of a request, nameLimit the length of an
-	// instance's name in bytes, and companionLimit the requests that are remembered beside
-	// it at one end.
+	// endLimit bounds the ends recorded for a request, nameLimit the length of an instance name in
+	// bytes, and companionLimit the companions recorded for one end.
 	endLimit       = 16
 	nameLimit      = 128
 	companionLimit = 24
-	// trialLimit bounds the trials that a record can tell of: more than come in its life.
+	// trialLimit is the highest trial number accepted in a record. It exceeds the number of trials
+	// possible in the lifetime of a record.
 	trialLimit = 1 << 20
-	// suspicionTime is how long a request is suspected after the last end under it. Who
-	// comes again later than that ends one back end more.
+	// suspicionTime is how long a request stays suspected after its latest end. A harmful request
+	// that is sent at longer intervals ends one back end each time.
 	suspicionTime = 2 * time.Minute
-	// firstHold is how long a request is held after the end that was enough for it. It may
-	// still be harmless: then it was at work at ends of several causes. After that it is
-	// suspected again, and its next try, which runs apart, settles it.
+	// firstHold is how long a request is held after the end that reached the required number. It is
+	// short because the request may still be harmless, if its ends had several causes. After the
+	// hold the request is suspected again, and its next attempt, which runs separately, decides.
 	firstHold = time.Minute
-	// holdTime is how long it is held after one end more, and doubles with each further one
-	// up to holdLimit.
+	// holdTime is how long a request is held after one further end. It doubles with each end after
+	// that, up to holdLimit.
 	holdTime  = 10 * time.Minute
 	holdLimit = 2 * time.Hour
-	// holdMemory is how long a request that was held is suspected after that.
+	// holdMemory is how long a request stays suspected after its hold has expired.
 	holdMemory = time.Hour
 )
 
-// LongestMemory is the age at which a record counts no more, whatever it says.
+// LongestMemory is the longest time for which any record is kept after its latest end.
 const MaxRecordAge = holdLimit + holdMemory
 
-// Isolation is how a request that may run is kept apart at its gate.
+// Isolation defines how a gate separates a request from the other requests on its back end.
 type Isolation int
 
-// The isolations.
+// The isolation levels, in ascending order.
 const (
-	// Beside lets it run while others do that are not suspected.
+	// Beside allows the request to run concurrently with requests that are not suspected.
 	AlongsideTrusted Isolation = iota
-	// AloneIfPossible has it run alone, so that the next end is of it and no other, unless
-	// others keep the back end busy for too long.
+	// AloneIfPossible runs the request alone, so that the next end can be attributed to it with
+	// certainty. If other requests keep the back end busy for too long, it runs concurrently with
+	// them.
 	AlonePreferred
-	// AloneOnly has it run alone or not at all: it has been at enough ends to be held.
+	// AloneOnly refuses the request unless it can run alone: it already has enough ends to be held.
 	AloneRequired
 )
 
-// isolationNames are the names of the isolations in logs.
+// isolationNames holds the names of the isolation levels in logs.
 var isolationNames = map[Isolation]string{AlongsideTrusted: "none", AlonePreferred: "if_possible", AloneRequired: "always"}
 
-// String names the isolation.
+// String returns the name of the isolation level in logs.
 func (i Isolation) String() string { return isolationNames[i] }
 
-// Companion is a request that was at work at an end beside another one.
+// Companion identifies a request that was in flight together with another one at an end.
 type Companion struct {
-	// Key is the short form of its signature; 0 stands for one that is not known.
+	// Key is the short form of the signature of the companion; 0 if the companion is unidentified.
 	Key uint64
-	// Round is the round of its record at the end.
+	// Round is the round of the companion's record at the time of the end.
 	Round uint32
 }
 
-// EndDetail is what is known of one end under a request.
+// EndDetail holds the circumstances of one end of a request.
 type EndDetail struct {
 	Instance string
-	// Trial is which trial of the request the run was that met the end, from 1. Runs that
-	// began before any end was known are one trial: a rack that fails ends all of them. 0 is
-	// not known, and stands for a trial of its own.
+	// Trial is the number, starting at 1, of the trial that met the end. All attempts that began
+	// before any end was known belong to the same trial, since the failure of a rack ends all of
+	// them at once. 0 means unknown, and counts as a separate trial.
 	Trial uint32
-	// Beside are the other requests at work there, in ascending order of their keys, each
-	// once.
+	// Beside holds the companions at this end, in ascending order of their keys and without
+	// duplicates.
 	Beside []Companion
 }
 
-// Record is what daemons tell each other of one request.
+// Record is the state of one request as daemons exchange it.
 type Record struct {
 	Signature Signature
-	// Round counts the times that the request was cleared before. A later round replaces
-	// an earlier one.
+	// Round is the number of times that the request was cleared before. A record of a later round
+	// replaces one of an earlier round.
 	Round uint32
-	// Ends are the instances that have ended under it in this round, in ascending order.
+	// Ends holds the names of the instances that ended while they ran the request in this round, in
+	// ascending order.
 	Ends []string
-	// Details are what is known of the ends, in the same order; some may be missing.
+	// Details holds the circumstances of the ends, in the same order. Ends without known
+	// circumstances have no entry.
 	Details []EndDetail
-	// Proven is the round before which the request was found harmful: ends of earlier rounds
-	// are of no request that was at work beside it.
+	// Proven is one more than the last round in which the request was found harmful; 0 if there was
+	// none. Ends that it shared with other requests in an earlier round than Proven are attributed
+	// to it.
 	Proven uint32
-	// Familiar says that a back end had answered it well before the first of these ends.
+	// Familiar is true if a back end answered the request successfully before the first of these
+	// ends.
 	Familiar bool
-	// Cleared says that a back end has answered it well since, or that an operator has
-	// released it.
+	// Cleared is true if a back end has answered the request successfully since these ends, or if
+	// an operator has released it.
 	Cleared bool
-	// Age is how long ago the newest end was first heard of, when the record was sent.
+	// Age is the time since the latest end was first recorded by any daemon, measured when the
+	// record was sent.
 	Age time.Duration
 }
 
-// valid tells whether a record of a peer can be true.
+// valid reports whether a record received from a peer is well-formed and within the limits.
 func (r Record) valid() bool {
 	if r.Signature.Head == (Hash{}) || r.Age < 0 || r.Age > MaxRecordAge {
 		return false
@@ -156,7 +164,7 @@
 	})
 }
 
-// detail is what is known of an end.
+// detail returns the circumstances of an end.
 func (r Record) detail(end string) EndDetail {
 	for _, one := range r.Details {
 		if one.Instance == end {
@@ -166,7 +174,7 @@
 	return EndDetail{Instance: end}
 }
 
-// trials counts the trials that met some of the ends.
+// trials returns the number of distinct trials that met the given ends.
 func (r Record) trials(ends []string) int {
 	unknown := 0
 	known := map[uint32]bool{}
@@ -180,7 +188,8 @@
 	return unknown + len(known)
 }
 
-// lastTrial is the newest trial, past all that are not known; 0 without ends.
+// lastTrial returns the highest trial number, counting each end of an unknown trial as one more
+// trial; 0 without ends.
 func (r Record) lastTrial() uint32 {
 	last, unknown := uint32(0), uint32(len(r.Ends))
 	for _, one := range r.Details {
@@ -192,7 +201,7 @@
 	return last + unknown
 }
 
-// Beside counts the ends at which other requests were at work too.
+// Beside returns the number of ends at which other requests ran too.
 func (r Record) CountSharedEnds() int {
 	count := 0
 	for _, one := range r.Details {
@@ -203,7 +212,7 @@
 	return count
 }
 
-// endsNeeded is how many ends hold the request.
+// endsNeeded returns the number of ends after which the request is held.
 func (r Rules) endsNeeded(record *Record) int {
 	if record.Familiar {
 		return r.EndsFamiliar
@@ -211,12 +220,12 @@
 	return r.Ends
 }
 
-// isHarmful tells whether enough back ends have ended under the request.
+// isHarmful reports whether the request has enough ends to be held and was not cleared.
 func (r Rules) isHarmful(record *Record) bool {
 	return !record.Cleared && len(record.Ends) >= r.endsNeeded(record)
 }
 
-// holdTime is how long the request is held after the newest end; 0 when it is not.
+// holdTime returns how long the request is held after its latest end; 0 if it has too few ends.
 func (r Rules) holdTime(record *Record) time.Duration {
 	if !r.isHarmful(record) {
 		return 0
@@ -228,7 +237,7 @@
 	return min(holdTime<<(more-1), holdLimit)
 }
 
-// lifeTime is how long after the newest end the record counts.
+// lifeTime returns how long the record is valid after its latest end.
 func (r Rules) lifeTime(record *Record) time.Duration {
 	if r.isHarmful(record) {
 		return r.holdTime(record) + holdMemory
@@ -236,11 +245,12 @@
 	return suspicionTime
 }
 
-// entry is a record as a table holds it.
+// entry is a record in a table.
 type entry struct {
 	rules  Rules
 	record Record
-	// endedAt is when the newest end was first heard of by anybody, on the own clock.
+	// endedAt is the time, on this daemon's clock, at which the latest end was first recorded by
+	// any daemon.
 	endedAt time.Duration
 }
 
--- a/internal/core/quarantine/signature.go
+++ b/internal/core/quarantine/signature.go
@@ -6,41 +6,41 @@
 	"encoding/hex"
 )
 
-// hashBytes is the length of each half of a signature. 128 bits of SHA-256 can't be met by
-// design, so that nobody can make a request that is taken for another one's; no key has to
-// be shared among daemons for that.
+// hashBytes is the length of each half of a signature. Crafting a request with the signature of
+// another one is infeasible for 128 bits of SHA-256, so daemons need no shared key.
 const hashBytes = 16
 
 // Hash is one half of a signature.
 type Hash [hashBytes]byte
 
-// Signature tells what a request asks, whatever its id: two tries of one request have the
-// same one on all daemons.
+// Signature identifies the content of a request, independent of its request id: all attempts of a
+// request have the same signature on all daemons.
 type Signature struct {
-	// Head is of method, host, target and caller.
+	// Head is the hash of method, host, target and caller.
 	Head Hash
-	// Body is of the first BodyBytes of the body; zero without a body.
+	// Body is the hash of the first BodyBytes of the body; zero if the body is empty.
 	Body Hash
 }
 
-// BodyBytes is how much of a body counts for its signature, in bytes. It is what daemons
-// keep of a body anyway, so that a longer one is not held up or kept for its signature.
+// BodyBytes is the number of bytes of a body that the signature covers. Daemons buffer this much of
+// a body in any case, so computing the signature adds no delay and no memory.
 const BodyBytes = 64 << 10
 
-// Head is what a request asks, but for its body.
+// Head holds the parts of a request other than its body that identify it.
 type Head struct {
 	Method string
 	Host   string
-	// Target is path and query as they are sent to the back end.
+	// Target is the path and query as sent to the back end.
 	Target string
-	// Caller is the service that asks.
+	// Caller is the service that sends the request.
 	Caller string
 }
 
-// headRoom is the length, in bytes, up to which a head is hashed without an allocation.
+// headRoom is the size, in bytes, up to which a head is hashed without a heap allocation.
 const headRoom = 512
 
-// Sum hashes the head. The parts can't hold the byte that divides them.
+// Sum returns the hash of the head. The parts are terminated by a zero byte, which none of them can
+// contain.
 func (h Head) Sum() Hash {
 	var room [headRoom]byte
 	text := room[:0]
@@ -51,7 +51,7 @@
 	return sum(text)
 }
 
-// SumBody hashes the first bytes of a body; the zero hash stands for none.
+// SumBody returns the hash of the first BodyBytes of a body; the zero hash for an empty body.
 func SumBody(first []byte) Hash {
 	if len(first) == 0 {
 		return Hash{}
@@ -64,15 +64,16 @@
 	return Hash(digest[:hashBytes])
 }
 
-// Key is a short form of the signature for memories and rankings.
+// Key returns a 64-bit form of the signature, for use as a map key and in rankings.
 func (s Signature) Key() uint64 {
 	return binary.BigEndian.Uint64(s.Head[:]) ^ binary.BigEndian.Uint64(s.Body[:])
 }
 
-// textBytes is how much of each half is shown to people, in bytes.
+// textBytes is the number of bytes of each half shown in logs.
 const textBytes = 6
 
-// String is a short form of the signature for logs; it does not tell what the request asks.
+// String returns a short form of the signature for logs. It reveals nothing of the request's
+// content.
 func (s Signature) String() string {
 	head := hex.EncodeToString(s.Head[:textBytes])
 	if s.Body == (Hash{}) {
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -10,18 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tableLimit bounds the requests that are remembered, some 300 bytes each, so that all of
-// them fit into one message between daemons and are judged within a millisecond
-// (BenchmarkView). What is dropped first are requests that are trusted, then suspected ones,
-// then held ones, the oldest of each.
+// tableLimit bounds the number of records, of about 300 bytes each, so that all of them fit into
+// one message between daemons and are classified within a millisecond (BenchmarkView). When the
+// table is full, trusted requests are evicted first, then suspected and then held ones, the oldest
+// first within each group.
 const tableLimit = 256
 
-// Table is what one daemon knows of requests that may be harmful. It is not safe for
-// concurrent use.
+// Table holds one daemon's records of requests that may be harmful. It is not safe for concurrent
+// use.
 type Table struct {
 	rules   Rules
 	entries map[Signature]*entry
-	// witnessed are the requests at work at ends that this daemon has seen itself.
+	// witnessed holds the requests in flight at the ends that this daemon has observed itself.
 	witnessed witnessed
 }
 
@@ -30,14 +30,16 @@
 	return &Table{rules: rules, entries: map[Signature]*entry{}, witnessed: witnessed{requests: map[string][]Companion{}}}
 }
 
-// Ended notes that an instance has ended under a request, in a trial of its own; familiar says
-// that its back end had answered the request well before. It tells whether that is news. All
-// that were at work at an end are noted before any of it is told to others.
+// Ended records that an instance ended while it ran a request, in a new trial. familiar is true if
+// the back end had answered the request successfully before. It reports whether the record has
+// changed. All requests in flight at an end must be recorded before any of these records is sent to
+// peers.
 func (t *Table) RecordEnd(now time.Duration, signature Signature, instance string, familiar bool) bool {
 	return t.RecordEndInTrial(now, signature, instance, familiar, t.lastTrial(now, signature)+1)
 }
 
-// lastTrial is the newest trial of a request that met an end; 0 for one that is cleared.
+// lastTrial returns the number of the latest trial of a request that met an end; 0 if the request
+// is unknown or cleared.
 func (t *Table) lastTrial(now time.Duration, signature Signature) uint32 {
 	known := t.live(now, signature)
 	if known == nil || known.record.Cleared {
@@ -46,8 +48,8 @@
 	return known.record.lastTrial()
 }
 
-// EndedInTrial is Ended for a run that began when the trials before it were known
-// (View.LastTrial).
+// EndedInTrial is like Ended, for an attempt of the given trial: one more than View.LastTrial when
+// the attempt began.
 func (t *Table) RecordEndInTrial(now time.Duration, signature Signature, instance string, familiar bool, trial uint32) bool {
 	known := t.live(now, signature)
 	switch {
@@ -67,11 +69,11 @@
 	return news
 }
 
-// EndedUnknown notes that requests that are not known were at work as an instance ended. It
-// is called before Ended for that instance.
+// EndedUnknown records that unidentified requests were in flight as an instance ended. It must be
+// called before Ended for that instance.
 func (t *Table) RecordUnidentified(instance string) { t.witnessed.add(instance, Companion{}) }
 
-// noteCompany notes which requests were at work at an end together.
+// noteCompany records the requests that were in flight at an end as companions of each other.
 func (t *Table) noteCompany(with *entry, instance string) {
 	own := Companion{Key: with.record.Signature.Key(), Round: with.record.Round}
 	for _, other := range t.entries {
@@ -86,9 +88,10 @@
 	t.witnessed.add(instance, own)
 }
 
-// Cleared notes that a back end has answered a request well, or that an operator releases
-// it. It tells whether that is news. What was found harmful until then still explains its ends:
-// they are of no request that was at work beside it.
+// Cleared records that a back end has answered a request successfully or that an operator has
+// released it. It reports whether the record has changed. If the request was found harmful before,
+// its earlier ends remain attributed to it and do not count against the requests that ran
+// concurrently.
 func (t *Table) Clear(now time.Duration, signature Signature) bool {
 	known := t.live(now, signature)
 	if known == nil || known.record.Cleared {
@@ -101,8 +104,8 @@
 	return true
 }
 
-// Familiar notes that a request was answered well before the first end under it. It tells
-// whether that is news.
+// Familiar records that a request was answered successfully before its first end. It reports
+// whether the record has changed.
 func (t *Table) MarkFamiliar(now time.Duration, signature Signature) bool {
 	known := t.live(now, signature)
 	if known == nil || known.record.Familiar {
@@ -112,7 +115,8 @@
 	return true
 }
 
-// Merge takes a record of a peer. It tells whether that is news, and whether it can be true.
+// Merge merges a record received from a peer. It reports whether the table has changed and whether
+// the record is valid.
 func (t *Table) Merge(now time.Duration, record Record) (news, valid bool) {
 	if !record.valid() {
 		return false, false
@@ -141,7 +145,7 @@
 	return known.merge(given) || news, true
 }
 
-// merge takes another entry of the same round, and tells whether it holds news.
+// merge merges another entry of the same round and reports whether this entry has changed.
 func (e *entry) merge(given *entry) bool {
 	known := len(e.record.Ends)
 	more := e.addEnds(given.record.Ends, given.record.Details)
@@ -155,7 +159,7 @@
 	return more || familiar || cleared
 }
 
-// live is the entry of a request; nil for none that counts still.
+// live returns the entry of a request; nil if there is none or it has expired.
 func (t *Table) live(now time.Duration, signature Signature) *entry {
 	known := t.entries[signature]
 	if known == nil || known.expired(now) {
@@ -164,7 +168,7 @@
 	return known
 }
 
-// put holds an entry; one that is least worth makes room for it.
+// put adds or replaces an entry, and evicts the least important one if the table is full.
 func (t *Table) put(now time.Duration, given *entry) {
 	if t.entries[given.record.Signature] == nil && len(t.entries) >= tableLimit {
 		t.Expire(now)
@@ -193,7 +197,7 @@
 	return cmp.Or(bytes.Compare(a.Head[:], b.Head[:]), bytes.Compare(a.Body[:], b.Body[:]))
 }
 
-// Expire forgets what counts no more, and tells whether there was any.
+// Expire removes expired records and reports whether there were any.
 func (t *Table) Expire(now time.Duration) bool {
 	before := len(t.entries)
 	for signature, one := range t.entries {
@@ -204,7 +208,7 @@
 	return len(t.entries) < before
 }
 
-// Records are all that count, as they are sent now, in order of their signatures.
+// Records returns all valid records with their present ages, in order of their signatures.
 func (t *Table) Records(now time.Duration) []Record {
 	var records []Record
 	for signature := range t.entries {
@@ -216,7 +220,7 @@
 	return records
 }
 
-// Of is the record of a request, as it is sent now.
+// Of returns the record of a request with its present age.
 func (t *Table) Lookup(now time.Duration, signature Signature) (Record, bool) {
 	known := t.live(now, signature)
 	if known == nil {
@@ -229,7 +233,8 @@
 	return sent, true
 }
 
-// Sum is the same for two daemons that know the same, but for ages; 0 for nothing.
+// Sum returns a hash of all valid records except for their ages, for the comparison of two daemons;
+// 0 without records.
 func (t *Table) Sum(now time.Duration) uint64 {
 	sum := uint64(0)
 	for _, one := range t.entries {
@@ -264,7 +269,7 @@
 	return 0
 }
 
-// View is what the path of a request reads.
+// View returns a snapshot of the table for the request path.
 func (t *Table) View(now time.Duration) *View {
 	made := &View{heads: map[Hash]bool{}, known: map[Signature]judgement{}}
 	judged := t.judge(now)
@@ -280,20 +285,20 @@
 	return made
 }
 
-// View is a table as it was at a moment. It is immutable.
+// View is an immutable snapshot of a table.
 type View struct {
 	heads map[Hash]bool
 	known map[Signature]judgement
 }
 
-// Empty tells whether nothing is known of any request, as is usual.
+// Empty reports whether the snapshot has no records, as is usual.
 func (v *View) Empty() bool { return v == nil || len(v.known) == 0 }
 
-// HasHead tells whether something is known of a request with a head. Of others the body
-// need not be looked at.
+// HasHead reports whether there is a record of a request with this head. If there is none, the body
+// need not be hashed.
 func (v *View) HasHead(head Hash) bool { return !v.Empty() && v.heads[head] }
 
-// Has tells whether something is known of a request.
+// Has reports whether there is a record of the request.
 func (v *View) Has(signature Signature) bool {
 	if v.Empty() {
 		return false
@@ -302,7 +307,7 @@
 	return found
 }
 
-// Count is how many requests are suspected and held now.
+// Count returns the number of requests that are suspected and held at the given time.
 func (v *View) Count(now time.Duration) map[State]int {
 	counts := map[State]int{Suspected: 0, Held: 0}
 	if v.Empty() {
@@ -316,7 +321,7 @@
 	return counts
 }
 
-// Belief is what to believe of a request, and for how long it is held.
+// Belief returns the classification of a request, and how long the request is still held.
 func (v *View) State(now time.Duration, signature Signature) (State, time.Duration) {
 	if v.Empty() {
 		return Trusted, 0
@@ -325,8 +330,8 @@
 	return found.belief(now), max(found.heldUntil-now, 0)
 }
 
-// LastTrial is the newest trial of a request that is known to have met the end of a back end; 0
-// for none.
+// LastTrial returns the number of the latest trial of a request that is known to have met an end; 0
+// if there is none.
 func (v *View) LastTrial(signature Signature) uint32 {
 	if v.Empty() {
 		return 0
@@ -334,7 +339,7 @@
 	return v.known[signature].lastTrial
 }
 
-// Isolation is how a request is kept apart if it may run.
+// Isolation returns how a request must be isolated if it may run.
 func (v *View) Isolation(now time.Duration, signature Signature) Isolation {
 	if v.Empty() {
 		return AlongsideTrusted
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -16,7 +16,7 @@
 	return Signature{Head: Head{Method: "GET", Host: "app.example", Target: target, Caller: "app"}.Sum()}
 }
 
-// endUnder has instances end under a request.
+// endUnder records the ends of some instances for one request.
 func endUnder(table *Table, request Signature, instances ...string) {
 	for _, instance := range instances {
 		table.RecordEnd(0, request, instance, false)
@@ -45,7 +45,7 @@
 	check.Equal(SumBody(nil), Hash{})
 	check.True(SumBody([]byte("x")) != SumBody([]byte("y")))
 	long := make([]byte, BodyBytes+1)
-	check.Equal(SumBody(long), SumBody(long[:BodyBytes])) // what is past it does not count
+	check.Equal(SumBody(long), SumBody(long[:BodyBytes])) // bytes beyond the limit are ignored
 }
 
 func TestARequestIsHeldAfterEnoughEnds(t *testing.T) {
@@ -55,7 +55,7 @@
 	check.Equal(beliefIn(table, 0, harmful), Trusted)
 	check.True(table.RecordEnd(0, harmful, "a", false))
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
-	check.True(!table.RecordEnd(0, harmful, "a", false)) // the same end, told again
+	check.True(!table.RecordEnd(0, harmful, "a", false)) // the same end, reported again
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
 	check.True(table.RecordEnd(0, harmful, "b", false))
 	check.Equal(beliefIn(table, 0, harmful), Suspected)
@@ -80,11 +80,11 @@
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request := signatureOf("/harmless")
-	check.True(!table.Clear(0, request)) // nobody suspects it
+	check.True(!table.Clear(0, request)) // there is no record of it
 	table.RecordEnd(0, request, "a", false)
 	check.True(table.Clear(0, request))
 	check.Equal(beliefIn(table, 0, request), Trusted)
-	table.RecordEnd(0, request, "b", false) // a new round: it counts as answered before
+	table.RecordEnd(0, request, "b", false) // starts a new round, in which the request is familiar
 	table.RecordEnd(0, request, "c", false)
 	check.Equal(beliefIn(table, 0, request), Suspected)
 	check.Equal(table.View(0).Count(0), map[State]int{Suspected: 1, Held: 0})
@@ -102,7 +102,7 @@
 	check.Equal(beliefIn(table, firstHold-1, request), Held)
 	now := firstHold
 	for _, held := range []time.Duration{holdTime, 2 * holdTime, 4 * holdTime} {
-		check.Equal(beliefIn(table, now, request), Suspected) // its next try runs apart
+		check.Equal(beliefIn(table, now, request), Suspected) // the next attempt runs separately
 		table.RecordEnd(now, request, fmt.Sprint(held), false)
 		check.Equal(beliefIn(table, now+held-1, request), Held)
 		now += held
@@ -150,7 +150,7 @@
 	table := NewTable(DefaultRules())
 	_, valid := table.Merge(0, Record{Signature: request, Ends: []string{"a", "a"}})
 	check.True(valid)
-	check.Equal(beliefIn(table, 0, request), Suspected) // one end, named twice
+	check.Equal(beliefIn(table, 0, request), Suspected) // one end, listed twice
 	news, valid := table.Merge(0, Record{Signature: signatureOf("/old"), Ends: []string{"a"}, Age: suspicionTime})
 	check.True(!news)
 	check.True(valid)
@@ -169,7 +169,8 @@
 	check.Equal(beliefIn(table, 4*tableLimit, signatureOf(fmt.Sprint(4*tableLimit-1))), Suspected)
 }
 
-// What was at work at three ends explains them; what ran beside it at one of them is trusted.
+// A request that ran at three ends accounts for them. Requests that ran at only one of these ends
+// are trusted.
 func TestARequestExplainsWhatRanBesideIt(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -185,12 +186,12 @@
 	check.Equal(beliefIn(table, 0, harmful), Held)
 	check.Equal(beliefIn(table, 0, beside), Trusted)
 	check.Equal(beliefIn(table, 0, later), Trusted)
-	table.RecordEnd(0, beside, "c", false) // one end that the harmful one was not at
+	table.RecordEnd(0, beside, "c", false) // an end at which the harmful request did not run
 	check.Equal(beliefIn(table, 0, beside), Suspected)
 }
 
-// Two requests that were at work at the same ends can't be told from each other; a good
-// answer or one end more settles it.
+// Two requests that ran at the same ends cannot be told apart until one of them is answered
+// successfully or meets another end.
 func TestWhatIsAtWorkAtTheSameEndsStaysOpen(t *testing.T) {
 	check := is.New(t)
 	settle := map[string]func(*Table, Signature, Signature){
@@ -212,8 +213,8 @@
 	}
 }
 
-// Two harmful requests are both held, and what ran beside one and then beside the other is
-// held for neither.
+// Two harmful requests are both held. A request that ran first beside one and later beside the
+// other is not.
 func TestTwoHarmfulRequestsExplainTheEndsOfBoth(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
@@ -230,8 +231,8 @@
 	check.Equal(beliefIn(table, 0, between), Trusted)
 }
 
-// Daemons that have heard the same news believe the same, in whatever order, how often and
-// through whom it came.
+// Daemons that have received the same records classify requests alike, regardless of the order, the
+// number of repetitions and the route of the records.
 func TestNewsInAnyOrderLeadsToTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
@@ -242,7 +243,7 @@
 		for range rapid.IntRange(1, 30).Draw(t, "events") {
 			request := rapid.SampledFrom(requests).Draw(t, "request")
 			instance := fmt.Sprint(rapid.IntRange(0, 10).Draw(t, "instance"))
-			// Some events are seen by a daemon that has not heard of the others.
+			// Some events are recorded by a daemon that has received no other records.
 			at := source
 			if rapid.Bool().Draw(t, "alone") {
 				at = NewTable(DefaultRules())
@@ -276,7 +277,7 @@
 	})
 }
 
-// An echo of what is known does not make it younger, however often it goes to and fro.
+// Exchanging a record back and forth does not extend its lifetime.
 func TestAnEchoRenewsNothing(t *testing.T) {
 	check := is.New(t)
 	one, other := NewTable(DefaultRules()), NewTable(DefaultRules())
@@ -293,7 +294,7 @@
 	check.Equal(beliefIn(one, suspicionTime, request), Trusted)
 }
 
-// BenchmarkView judges a full table, half of it harmful requests.
+// BenchmarkView measures the classification of a full table, half of which are harmful requests.
 func BenchmarkView(b *testing.B) {
 	table := NewTable(DefaultRules())
 	for index := range tableLimit {
--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -6,73 +6,74 @@
 )
 
 const (
-	// settleTime is how long after a change of stage all daemons have heard of it, those
-	// that only a comparison of records reaches included.
+	// settleTime is the time after a change of stage by which all daemons have received it,
+	// including those that receive it only when they compare records with a peer.
 	settleTime = 1500 * time.Millisecond
-	// drainLimit is how long calls at the stable version are waited for: longer than
-	// any that has still begun there may run, where nothing longer is stated.
+	// drainLimit is the longest wait for calls at the stable version to finish. It exceeds the time
+	// that any call started there may run, unless a longer one is configured.
 	drainLimit = 5 * time.Second
-	// deadlineMargin is how long before its deadline an outcome is to be written: orders
-	// are heard of late by so much.
+	// deadlineMargin is the time before its deadline by which an outcome is to be written. It is as
+	// long as the receipt of an order may be delayed.
 	deadlineMargin = 1500 * time.Millisecond
-	// canaryPart is the least part of an order's duration that is watched before all
-	// traffic moves.
+	// canaryPart is the minimum fraction of an order's duration for which the canary is observed
+	// before all traffic shifts.
 	canaryPart = 0.4
-	// capacityShare is the share of the stable version's slots that the target must have
-	// before all traffic moves: the same work in somewhat fuller slots.
+	// capacityShare is the fraction of the stable version's slots that the target must have before
+	// all traffic shifts. The slots are then used somewhat more fully for the same load.
 	capacityShare = 0.7
-	// recentSpan is the span in which answers are also judged by themselves, so that a
-	// version that turns bad is not excused by its past.
+	// recentSpan is the period whose answers are also evaluated separately, so that a version that
+	// turns bad is detected in spite of earlier good answers.
 	recentSpan = 2500 * time.Millisecond
-	// fewStable is the number of recent answers of the stable version below which all of
-	// them are compared with.
+	// fewStable is the number of recent answers of the stable version below which all of its
+	// answers are used for the comparison.
 	fewStable = 50
 )
 
-// Observation is what a decider sees of a service now.
+// Observation is the input of a decider: the present state of a service.
 type Observation struct {
-	// Stable and Target are what gates have counted since the order was heard of.
+	// Stable and Target hold what gates have counted since the order was received.
 	Stable Evidence
 	Target Evidence
-	// StableRunning are the calls that run or wait at the stable version. StableKnown
-	// says that all its gates have told.
+	// StableRunning is the number of calls running or queued at the stable version. StableKnown is
+	// true if all of its gates have reported theirs.
 	StableRunning int
 	StableKnown   bool
-	// StableSlots and TargetSlots are those of back ends that take work.
+	// StableSlots and TargetSlots count the slots of back ends that accept work.
 	StableSlots int
 	TargetSlots int
 }
 
-// Decision is the stage that an order should have, and why.
+// Decision is the stage that an order should have, and the reason.
 type Decision struct {
 	Stage  Stage
 	Reason string
 }
 
-// Decider follows one order. Every daemon that may decide steps its own, and the store
-// takes the first outcome that is written. It is not safe for concurrent use.
+// Decider decides on one order. Every daemon that may decide runs its own decider, and the store
+// accepts the first outcome that is written. It is not safe for concurrent use.
 type Decider struct {
 	shiftedAt time.Duration
 	shifting  bool
-	// history are the observations of the last recentSpan, oldest first.
+	// history holds the observations of the last recentSpan, oldest first.
 	history []sample
 }
 
-// sample is what was counted at a time.
+// sample holds the counts at one time.
 type sample struct {
 	at     time.Duration
 	stable Evidence
 	target Evidence
 }
 
-// ShiftAt is when all traffic of an order moves, after it was heard of: as late as calls
-// at the stable version leave time to end, for a version may turn bad at any time.
+// ShiftAt returns the time after the receipt of an order at which all traffic shifts to the target.
+// It is as late as the time for calls at the stable version to finish allows, because a version may
+// turn bad at any time.
 func ShiftDelay(duration time.Duration) time.Duration {
 	late := duration - deadlineMargin - settleTime - drainLimit
 	return max(late, time.Duration(float64(duration)*canaryPart))
 }
 
-// Step decides on an order that was heard of elapsed ago.
+// Step returns the decision on an order that was first received the given elapsed time ago.
 func (d *Decider) Step(now time.Duration, record Record, elapsed time.Duration, seen Observation) Decision {
 	d.remember(now, seen)
 	switch record.Stage {
@@ -82,7 +83,7 @@
 	case StageShift:
 		return d.finishShift(now, seen)
 	case StageHalted:
-		return Decision{Stage: StageRolledBack, Reason: "the target version was given up"}
+		return Decision{Stage: StageRolledBack, Reason: "the target version was halted"}
 	}
 	return Decision{Stage: record.Stage}
 }
@@ -98,20 +99,20 @@
 	}
 	switch {
 	case seen.TargetSlots > 0 && seen.StableSlots == 0 && elapsed >= settleTime:
-		return Decision{Stage: StageCompleted, Reason: "no other version is left"}
+		return Decision{Stage: StageCompleted, Reason: "no other version has back ends that accept work"}
 	case due && float64(seen.TargetSlots) >= capacityShare*float64(max(seen.StableSlots, 1)):
-		return Decision{Stage: StageShift, Reason: fmt.Sprintf("no sign against it; %d slots of %d", seen.TargetSlots, seen.StableSlots)}
+		return Decision{Stage: StageShift, Reason: fmt.Sprintf("no significant failures or slowness; the target has %d slots, the stable version %d", seen.TargetSlots, seen.StableSlots)}
 	case elapsed >= record.Duration:
-		return Decision{Stage: StageHalted, Reason: fmt.Sprintf("%d slots at the deadline, %d are needed", seen.TargetSlots, seen.StableSlots)}
+		return Decision{Stage: StageHalted, Reason: fmt.Sprintf("too few target slots at the deadline: the target has %d, the stable version %d", seen.TargetSlots, seen.StableSlots)}
 	}
 	return Decision{Stage: StageCanary}
 }
 
-// watchSuspected goes on watching a version that is due to get all calls, and gives it up
-// when there is no time left to move them.
+// watchSuspected extends the canary stage of a version that is due to receive all traffic, and
+// halts it if no time is left for the shift.
 func watchSuspected(record Record, elapsed time.Duration, finding Finding) Decision {
 	if elapsed >= record.Duration-deadlineMargin-settleTime {
-		return Decision{Stage: StageHalted, Reason: "suspected until the end: " + finding.String()}
+		return Decision{Stage: StageHalted, Reason: "suspected until the deadline: " + finding.String()}
 	}
 	return Decision{Stage: StageCanary}
 }
@@ -128,14 +129,14 @@
 	drained := seen.StableKnown && seen.StableRunning == 0
 	switch {
 	case waited >= settleTime && drained:
-		return Decision{Stage: StageCompleted, Reason: "no call is left at other versions"}
+		return Decision{Stage: StageCompleted, Reason: "all calls at other versions have finished"}
 	case waited >= settleTime+drainLimit:
-		return Decision{Stage: StageCompleted, Reason: "calls at other versions have had their time"}
+		return Decision{Stage: StageCompleted, Reason: "calls at other versions did not finish within the drain limit"}
 	}
 	return Decision{Stage: StageShift}
 }
 
-// judge judges all answers, and the latest by themselves, and returns the stronger finding.
+// judge evaluates all answers and the recent ones separately, and returns the stronger finding.
 func (d *Decider) judge(now time.Duration, seen Observation, base float64) Finding {
 	finding := Evaluate(seen.Target, seen.Stable, base)
 	for _, one := range d.history {
@@ -151,7 +152,7 @@
 	return finding
 }
 
-// remember keeps an observation as long as the latest ones are compared with it.
+// remember adds an observation to the history and removes those older than recentSpan.
 func (d *Decider) remember(now time.Duration, seen Observation) {
 	for len(d.history) > 0 && now-d.history[0].at > recentSpan {
 		d.history = d.history[1:]
--- a/internal/core/rollout/decider_test.go
+++ b/internal/core/rollout/decider_test.go
@@ -10,11 +10,11 @@
 	"github.com/springstack/springstack/internal/core/position"
 )
 
-// trial is one order played in virtual time with a decider, a service whose requests
-// come at a rate, and a target version that may turn bad.
+// trial simulates one order in virtual time with a decider, a service that receives requests at a
+// fixed rate, and a target version that may turn bad.
 type trial struct {
 	target version
-	// badFrom is when the target turns bad.
+	// badFrom is the time at which the target turns bad.
 	badFrom  time.Duration
 	duration time.Duration
 	perStep  int
@@ -22,12 +22,13 @@
 	random   *rand.Rand
 }
 
-// trialResult is what became of an order.
+// trialResult is the result of a simulated order.
 type trialResult struct {
 	outcome Stage
 	at      time.Duration
-	// exposed are the requests that the target got of all; bad those that it answered
-	// badly, and lastAfter how long after the 50th of them it got its last request.
+	// exposed is the number of requests sent to the target, bad the number of those that it
+	// answered badly, and lastAfter the time from its 50th bad answer to the last request sent to
+	// it.
 	exposed   int
 	requests  int
 	bad       int
@@ -36,12 +37,12 @@
 
 const (
 	trialStep = 100 * time.Millisecond
-	// hearing is how late daemons heed a stage.
+	// hearing is the delay until daemons apply a stage.
 	hearing    = 600 * time.Millisecond
 	trialShare = 0.07
 )
 
-// play steps an order until it has an outcome.
+// play steps the order until it has an outcome.
 func (t trial) play() trialResult {
 	decider := &Decider{}
 	record := Record{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}, Duration: t.duration, Stage: StageCanary}
@@ -102,7 +103,7 @@
 	return false
 }
 
-// Good versions are completed in time, with trouble that hits both versions too.
+// Good versions are completed in time, even with failures that affect both versions.
 func TestGoodVersionsAreCompletedInTime(t *testing.T) {
 	check := is.New(t)
 	completed, all := 0, 0
@@ -122,8 +123,8 @@
 	check.True(float64(completed) >= 0.98*float64(all))
 }
 
-// Bad versions are rolled back before they got their share of requests, and get nothing
-// more within 5 s of their 50th bad answer.
+// Bad versions are rolled back before they exceed their share of requests, and receive no request
+// later than 5 s after their 50th bad answer.
 func TestBadVersionsAreRolledBackInTime(t *testing.T) {
 	check := is.New(t)
 	const exposureShare, exposureSlack = 0.1, 50
@@ -165,7 +166,7 @@
 	check.Equal((&Decider{}).Step(0, record, 2*time.Second, alone).Stage, StageCompleted)
 }
 
-// Calls at other versions are waited for, as long as they may run.
+// The completion waits for calls at other versions, for as long as they may run.
 func TestCompletionWaitsForCallsAtOtherVersions(t *testing.T) {
 	check := is.New(t)
 	decider := &Decider{}
@@ -174,15 +175,15 @@
 	idle, unknown := busy, busy
 	idle.StableRunning = 0
 	unknown.StableRunning, unknown.StableKnown = 0, false
-	check.Equal(decider.Step(0, record, 0, idle).Stage, StageShift) // not all have heard
+	check.Equal(decider.Step(0, record, 0, idle).Stage, StageShift) // not all daemons have received the stage
 	check.Equal(decider.Step(2*time.Second, record, 0, busy).Stage, StageShift)
 	check.Equal(decider.Step(3*time.Second, record, 0, unknown).Stage, StageShift)
 	check.Equal(decider.Step(3*time.Second, record, 0, idle).Stage, StageCompleted)
 	check.Equal(decider.Step(7*time.Second, record, 0, busy).Stage, StageCompleted)
 }
 
-// A version of which too much was found to send it all calls, though too little to condemn
-// it, is watched for longer, and given up when no time is left.
+// A version with too much evidence against it to receive all traffic, but too little to be halted,
+// is observed for longer, and halted if no time is left.
 func TestASuspectedVersionIsWatchedForLonger(t *testing.T) {
 	check := is.New(t)
 	const duration = 20 * time.Second
--- a/internal/core/rollout/doc.go
+++ b/internal/core/rollout/doc.go
@@ -1,6 +1,6 @@
-// Package rollout decides how a new software version of a service gets traffic:
-// first a small share at a few back ends, then all of it, or none any more. It holds
-// the records that daemons tell each other, the evidence that gates count, the test
-// that condemns a version, and the decider's state machine. It does no input or output
-// and reads no clock. docs/design/rollouts.md weighs the ways considered.
+// Package rollout decides how a new software version of a service receives traffic: first a small
+// share at a few back ends, then either all of it or none. It contains the records that daemons
+// exchange, the evidence that gates collect, the statistical test that detects a bad version, and
+// the state machine of the decider. It performs no input or output and reads no clock. The
+// alternatives considered are in docs/design/rollouts.md.
 package rollout
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -10,37 +10,39 @@
 )
 
 const (
-	// latencyBuckets is the number of the latencies' classes. Each is half as wide again
-	// as the one before it, or a third: from 1 ms to some 60 s.
+	// latencyBuckets is the number of buckets of the latency histogram, from 1 ms to about 60 s.
+	// The lower bound of each bucket is 1.33 or 1.5 times that of the previous one.
 	latencyBuckets = 32
-	// classLimit bounds the classes of calls that are counted apart.
+	// classLimit bounds the number of call classes that are counted separately.
 	classLimit = 16
 )
 
-// Counts are the answers of one class of calls.
+// Counts holds the answers of one class of calls.
 type Counts struct {
-	// Answers are all that ended at the back end, Failures those that failed.
+	// Answers is the number of calls that ended at the back end, Failures the number of those that
+	// failed.
 	Answers  uint32
 	Failures uint32
-	// Latency counts those that did not fail by how long they took.
+	// Latency is the latency histogram of the calls that did not fail.
 	Latency [latencyBuckets]uint32
 }
 
-// Evidence is what gates have counted of back ends of one version, by class of calls.
+// Evidence holds what gates have counted for the back ends of one version, by class of calls.
 type Evidence map[callclass.Class]Counts
 
-// Add adds what another gate has counted.
+// Add adds the counts of another gate.
 func (e Evidence) Add(other Evidence) {
 	for class, counts := range other {
 		e[class] = e[class].plus(counts, 1)
 	}
 }
 
-// Clone returns the same evidence, which does not change with this one.
+// Clone returns an independent copy.
 func (e Evidence) Clone() Evidence { return maps.Clone(e) }
 
-// Since returns what was counted after an earlier state of the same evidence. Where
-// less is counted now, as after the restart of a gate, the present counts stand.
+// Since returns the counts since an earlier state of the same evidence. If a class has fewer
+// answers now than in the earlier state, as after the restart of a gate, its present counts are
+// returned in full.
 func (e Evidence) Since(earlier Evidence) Evidence {
 	differing := make(Evidence, len(e))
 	for class, counts := range e {
@@ -54,7 +56,7 @@
 	return differing
 }
 
-// Total is the sum over all classes.
+// Total returns the sum over all classes.
 func (e Evidence) Total() (total Counts) {
 	for _, counts := range e {
 		total = total.plus(counts, 1)
@@ -83,7 +85,8 @@
 
 func (c Counts) minus(other Counts) Counts { return c.plus(other, ^uint32(0)) }
 
-// latencyBucket is the class of a latency: two for each doubling of the milliseconds.
+// latencyBucket returns the index of a latency's bucket: there are two buckets per doubling of the
+// milliseconds.
 func latencyBucket(took time.Duration) int {
 	milliseconds := uint64(max(took.Milliseconds(), 1))
 	doublings := bits.Len64(milliseconds) - 1
@@ -94,15 +97,14 @@
 	return min(bucket, latencyBuckets-1)
 }
 
-// Tally counts the answers of the back end beside a gate while a roll-out of its
-// service is under way. It takes no lock but for the first call of a class.
+// Tally counts the answers of the back end beside a gate during a roll-out of its service. It takes
+// no lock. Only the first call of a class needs a compare-and-swap.
 type Tally struct {
 	counting atomic.Bool
 	cells    [classLimit]tallyCell
 }
 
-// tallyCell counts one class of calls. Key is the class and 1, or 0 while the cell is
-// free.
+// tallyCell counts one class of calls. key is the class plus 1, or 0 while the cell is free.
 type tallyCell struct {
 	key      atomic.Uint32
 	answers  atomic.Uint32
@@ -110,17 +112,17 @@
 	latency  [latencyBuckets]atomic.Uint32
 }
 
-// Start begins to count, from nothing; Stop ends it.
+// Start resets the counts and begins to count, unless counting is already in progress.
 func (t *Tally) Start() {
 	if !t.counting.Swap(true) {
 		t.Reset()
 	}
 }
 
-// Stop ends the counting. What was counted stays until the next start.
+// Stop ends the counting. The counts remain available until the next start.
 func (t *Tally) Stop() { t.counting.Store(false) }
 
-// Reset forgets what was counted, as when another instance runs.
+// Reset discards the counts, for example when another instance runs.
 func (t *Tally) Reset() {
 	for index := range t.cells {
 		cell := &t.cells[index]
@@ -132,7 +134,7 @@
 	}
 }
 
-// Note counts an answer. Timed says that how long it took speaks of the version: not
+// Note counts an answer. timed is false if its latency is not representative of the version, as
 // while the back end is cold.
 func (t *Tally) Record(class callclass.Class, failed, timed bool, took time.Duration) {
 	if !t.counting.Load() || (!failed && !timed) {
@@ -150,7 +152,8 @@
 	cell.latency[latencyBucket(took)].Add(1)
 }
 
-// cellOf finds or takes the cell of a class; nil when all are taken by others.
+// cellOf returns the cell of a class and allocates it if necessary; nil if all cells are used by
+// other classes.
 func (t *Tally) cellOf(class callclass.Class) *tallyCell {
 	wanted := uint32(class) + 1
 	for index := range t.cells {
@@ -165,7 +168,7 @@
 	return nil
 }
 
-// Evidence returns what was counted since the start.
+// Evidence returns the counts since the start.
 func (t *Tally) Evidence() Evidence {
 	evidence := Evidence{}
 	for index := range t.cells {
--- a/internal/core/rollout/judge_test.go
+++ b/internal/core/rollout/judge_test.go
@@ -10,10 +10,10 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// version draws answers of one software version.
+// version generates answers of one software version.
 type version struct {
-	// failing and slow are the shares of answers that fail and that take five times as
-	// long; onlyClass is the one class that this holds for, or -1 for all.
+	// failing and slow are the fractions of answers that fail and that take five times as long.
+	// They apply to the class onlyClass, or to all classes if it is -1.
 	failing   float64
 	slow      float64
 	onlyClass int
@@ -21,8 +21,8 @@
 
 var testMeans = []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 780 * time.Millisecond}
 
-// answer draws one answer of a class into evidence. Trouble is a share of answers that
-// fail whatever the version.
+// answer adds one random answer of a class to the evidence. trouble is the fraction of answers that
+// fail regardless of the version.
 func (v version) answer(random *rand.Rand, evidence Evidence, class int, trouble float64) (bad bool) {
 	counts := evidence[callclass.Class(class)]
 	counts.Answers++
@@ -44,8 +44,8 @@
 
 var good = version{onlyClass: -1}
 
-// judged plays answers of both versions until the target is condemned, and returns
-// after how many of the target's; 0 when it never was.
+// judged simulates answers of both versions until the target is condemned, and returns the number
+// of the target's answers by then; 0 if it never is.
 func judged(seed uint64, target version, trouble float64, answers int) int {
 	random := rand.New(rand.NewPCG(seed, 1))
 	ofTarget, ofStable := Evidence{}, Evidence{}
@@ -65,8 +65,8 @@
 	return 0
 }
 
-// A version that fails or is slow is condemned within some hundred answers, also where
-// it is so on one class of calls only.
+// A version that fails or is slow is detected within a few hundred answers, even if only one class
+// of calls is affected.
 func TestBadVersionsAreCondemned(t *testing.T) {
 	check := is.New(t)
 	for seed := range uint64(100) {
@@ -75,12 +75,12 @@
 			{failing: 0.5, onlyClass: 2}, {slow: 0.8, onlyClass: 1},
 		} {
 			check.True(judged(seed, bad, 0, 400) > 0)
-			check.True(judged(seed, bad, 0.06, 600) > 0) // with trouble that hits both
+			check.True(judged(seed, bad, 0.06, 600) > 0) // with failures of both versions
 		}
 	}
 }
 
-// Trouble that hits both versions condemns a good one in fewer than 1 of 100 orders.
+// Failures that affect both versions lead to the halt of a good one in fewer than 1 of 100 orders.
 func TestTroubleOfBothCondemnsNeither(t *testing.T) {
 	check := is.New(t)
 	condemned := 0
@@ -94,8 +94,8 @@
 	check.True(condemned < 9)
 }
 
-// The plain threshold that was weighed against the test: a version is condemned from a
-// share of bad answers on. Trouble of both condemns good versions by it.
+// A fixed threshold for the fraction of bad answers, the alternative to the statistical test, halts
+// good versions if both versions fail.
 func TestAPlainThresholdCondemnsGoodVersionsInTrouble(t *testing.T) {
 	check := is.New(t)
 	condemned := 0
@@ -133,15 +133,15 @@
 	tally.Start()
 	tally.Record(1, false, true, 10*time.Millisecond)
 	tally.Record(1, true, false, 0)
-	tally.Record(2, false, false, time.Second) // cold: says nothing
+	tally.Record(2, false, false, time.Second) // cold: not counted
 	for class := range callclass.Class(3 * classLimit) {
-		tally.Record(class, false, true, time.Millisecond) // more classes than are counted apart
+		tally.Record(class, false, true, time.Millisecond) // more classes than are counted separately
 	}
 	evidence := tally.Evidence()
 	check.Equal(evidence[1].Answers, uint32(3))
 	check.Equal(evidence[1].Failures, uint32(1))
 	check.Equal(len(evidence), classLimit)
-	tally.Start() // again: goes on
+	tally.Start() // has no effect while counting
 	check.Equal(tally.Evidence()[1].Answers, uint32(3))
 	tally.Reset()
 	check.Equal(tally.Evidence().Total().Answers, uint32(0))
@@ -156,8 +156,8 @@
 	check.Equal(restarted.Since(earlier), restarted)
 }
 
-// A version that is slow is found so beside trouble that fails the answers of both: were
-// slow and failed answers counted as one, the trouble would hide it.
+// A slow version is detected despite failures that affect both versions. If slow and failed answers
+// were counted together, the failures would conceal it.
 func TestTroubleOfBothHidesNoSlowVersion(t *testing.T) {
 	check := is.New(t)
 	for seed := range uint64(100) {
--- a/internal/core/rollout/record.go
+++ b/internal/core/rollout/record.go
@@ -9,27 +9,27 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// Stage is how far a roll-out has come. A later stage of one order wins over an
-// earlier one, so that traffic never returns to a version that was given up.
+// Stage is the progress of a roll-out. A later stage of an order replaces an earlier one, so that
+// traffic never returns to a version that was halted.
 type Stage int
 
-// The stages. StageHeld is of no order: a version that has just been seen gets nothing
-// for a moment, since its order may not have been heard of yet.
+// The stages of an order, in ascending order. StageHeld belongs to no order: a version that appears
+// for the first time receives no traffic for a moment, since the order for it may not have arrived
+// yet.
 const (
 	StageHeld Stage = iota
 	// StageCanary sends a small share of the calls to the target version.
 	StageCanary
-	// StageShift sends every new call to the target version, while calls at the others
-	// end.
+	// StageShift sends all new calls to the target version, while calls at other versions finish.
 	StageShift
-	// StageHalted sends nothing to the target version; the outcome is not written yet.
+	// StageHalted sends no calls to the target version. The outcome has not been written yet.
 	StageHalted
-	// StageRolledBack and StageCompleted are outcomes that were written.
+	// StageRolledBack and StageCompleted are the outcomes that can be written.
 	StageRolledBack
 	StageCompleted
 )
 
-// stageNames are the names of the stages in logs and metrics.
+// stageNames holds the names of the stages in logs and metrics.
 var stageNames = map[Stage]string{
 	StageHeld:       "held",
 	StageCanary:     "canary",
@@ -39,36 +39,37 @@
 	StageCompleted:  "completed",
 }
 
-// String names the stage.
+// String returns the name of the stage.
 func (s Stage) String() string { return stageNames[s] }
 
-// Valid tells whether a stage that came from a peer is one of an order.
+// Valid reports whether a stage received from a peer is a stage of an order.
 func (s Stage) Valid() bool { return s >= StageCanary && s <= StageCompleted }
 
-// Spreading tells whether every daemon should hear of the stage within moments: calls go
-// where they must not go any more until it has. Deciders tell all daemons again and again
-// meanwhile, since one that was cut off for a moment told nobody.
+// Spreading reports whether the stage must reach every daemon quickly, because daemons that have
+// not received it keep sending calls to the wrong version. Deciders then broadcast it repeatedly,
+// since a daemon may be unreachable for a moment.
 func (s Stage) IsUrgent() bool { return s == StageShift || s == StageHalted }
 
-// Final tells whether the outcome was written.
+// Final reports whether the outcome has been written.
 func (s Stage) Final() bool { return s == StageRolledBack || s == StageCompleted }
 
-// Record is what daemons tell each other of the newest order of a service.
+// Record is the state of a service's latest order as daemons exchange it.
 type Record struct {
 	Service resource.ServiceRef
-	// Target is the software version that the order asks for.
+	// Target is the software version to roll out.
 	Target string
-	// Generation orders the orders of a service: the store's position at which this one
-	// was written.
+	// Generation defines the sequence of the orders of a service. It is the store's position at
+	// which the order was written.
 	Generation position.Position
-	// Duration is within what time of the order its outcome is due.
+	// Duration is the time after the order by which its outcome is due.
 	Duration time.Duration
 	Stage    Stage
-	// Elapsed is how long ago the order was first heard of, when the record was sent.
+	// Elapsed is the time since the order was first received by any daemon, measured when the
+	// record was sent.
 	Elapsed time.Duration
 }
 
-// newerThan tells whether a record replaces another one of its service.
+// newerThan reports whether a record replaces another one of the same service.
 func (r Record) newerThan(known Record) bool {
 	if r.Generation != known.Generation {
 		return known.Generation.Before(r.Generation)
@@ -76,23 +77,24 @@
 	return r.Stage > known.Stage
 }
 
-// Table holds the newest record of each service. It is not safe for concurrent use.
+// Table holds the latest record of each service. It is not safe for concurrent use.
 type Table struct {
 	entries map[resource.ServiceRef]entry
 }
 
-// entry is a record and when its order was first heard of by anybody.
+// entry is a record, with the time at which its order was first received by any daemon.
 type entry struct {
 	record Record
 	since  time.Duration
-	// changedAt is when the record came here as it is.
+	// changedAt is the time at which this daemon stored the record in its present stage.
 	changedAt time.Duration
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{entries: map[resource.ServiceRef]entry{}} }
 
-// Merge takes a record, and tells whether it is news. One that can't be is left out.
+// Merge merges a record and reports whether it replaces the known one. An invalid record is
+// ignored.
 func (t *Table) Merge(now time.Duration, record Record) bool {
 	if !record.Stage.Valid() || record.Target == "" || record.Elapsed < 0 {
 		return false
@@ -111,7 +113,7 @@
 	return true
 }
 
-// Records returns all records in order of their services, as they are sent now.
+// Records returns all records in order of their services, with their present elapsed times.
 func (t *Table) Records(now time.Duration) []Record {
 	if len(t.entries) == 0 {
 		return nil
@@ -134,12 +136,12 @@
 	return held.record, found
 }
 
-// InStage is how long ago the record of a service came as it is.
+// InStage returns the time since this daemon stored the record of a service in its present stage.
 func (t *Table) TimeInStage(now time.Duration, service resource.ServiceRef) time.Duration {
 	return now - t.entries[service].changedAt
 }
 
-// Elapsed is how long ago the order of a service was first heard of.
+// Elapsed returns the time since the order of a service was first received by any daemon.
 func (t *Table) Elapsed(now time.Duration, service resource.ServiceRef) time.Duration {
 	return now - t.entries[service].since
 }
--- a/internal/core/rollout/record_test.go
+++ b/internal/core/rollout/record_test.go
@@ -15,8 +15,8 @@
 
 var testService = resource.ServiceRef{Partner: "p", Name: "app"}
 
-// Whatever records come in whatever order, daemons that have got the same ones hold the
-// same, and the stage of an order never goes back.
+// Daemons that have received the same records hold the same state, whatever the order of the
+// records, and the stage of an order never goes back.
 func TestRecordsMergeAlikeAndNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
@@ -43,7 +43,7 @@
 	})
 }
 
-// A daemon that hears late takes over when the order began.
+// A daemon that receives an order late takes over the time since the order was first received.
 func TestElapsedTimeIsToldOn(t *testing.T) {
 	check := is.New(t)
 	first, second := NewTable(), NewTable()
@@ -51,7 +51,7 @@
 	check.True(first.Merge(time.Second, record))
 	check.True(second.Merge(time.Minute, first.Records(4 * time.Second)[0]))
 	check.Equal(second.Elapsed(time.Minute, testService), 3*time.Second)
-	check.True(!second.Merge(time.Minute, record)) // no news, and it does not begin anew
+	check.True(!second.Merge(time.Minute, record)) // an old record does not reset the time
 	check.Equal(second.Elapsed(time.Minute, testService), 3*time.Second)
 }
 
--- a/internal/core/warmup/collapse_test.go
+++ b/internal/core/warmup/collapse_test.go
@@ -17,8 +17,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// A small service on virtual time: some back ends that fall over when they get too much while
-// they are cold, with the real gates, limiters and choices of endpoints.
+// A small service in virtual time: back ends that crash if they receive too many calls while they
+// are cold, with the real gates, limiters and endpoint selection.
 const (
 	upstreamCount = 8
 	entryCount    = 4
@@ -27,20 +27,22 @@
 	ratePerSecond = 4.5
 	overage       = 1.5
 	slack         = 8.0
-	// fallsAbove is how many calls in a second a cold back end survives: what the rule allows.
+	// fallsAbove is the number of calls in a second that a cold back end survives. It is the
+	// maximum that the configured rate, overage and slack allow.
 	fallsAbove = 14
 	coldFor    = 3 * time.Second
-	// backAfter is how long a back end that fell over takes to answer again.
+	// backAfter is the time from the crash of a back end to its restart.
 	backAfter = 700 * time.Millisecond
-	// newsAfter is how long entries take to hear of a new state.
+	// newsAfter is the delay until callers receive a new back-end state.
 	newsAfter = 200 * time.Millisecond
 	deadline  = 3 * time.Second
-	// callsPerSecond is two thirds of what the warm back ends can run.
+	// callsPerSecond is two thirds of the capacity of the warm back ends.
 	callsPerSecond = 110
-	// triesLimit is how many gates a call asks at most.
+	// triesLimit is the maximum number of attempts of a call.
 	triesLimit = 5
 	pushAt     = 5 * time.Second
-	// playFor is the play, judgedFor the part of it whose calls have ended by then.
+	// playFor is the duration of a run, judgedFor the part of it whose calls have ended by the end
+	// of the run.
 	playFor   = 30 * time.Second
 	judgedFor = 25 * time.Second
 )
@@ -84,7 +86,8 @@
 	falls     []int
 }
 
-// play runs the service with a push into trouble, and returns it. Bounded is the new way.
+// play simulates the service with a disturbance and returns the final state. Starts at cold back
+// ends are limited only if bounded is true.
 func play(seed uint64, bounded bool, push func(*world)) *world {
 	seconds := int(playFor/time.Second) + 10
 	w := &world{
@@ -129,7 +132,7 @@
 	}
 }
 
-// publish gives all entries the present states.
+// publish passes the present states of all back ends to all callers.
 func (w *world) publish() {
 	self := endpoint.Locality{TrustStates: true}
 	if w.bounded {
@@ -147,7 +150,7 @@
 	}
 }
 
-// arrive is one new call, and the next.
+// arrive creates one call and schedules the next one.
 func (w *world) arrive() {
 	w.asked[w.second()]++
 	w.send(&call{entry: w.random.IntN(entryCount), second: w.second(), deadline: w.now + deadline})
@@ -156,7 +159,7 @@
 
 type call struct {
 	entry int
-	// second is when its client first asked.
+	// second is the second in which the client first sent the call.
 	second   int
 	deadline time.Duration
 	tried    endpoint.Tried
@@ -195,7 +198,7 @@
 
 func (w *waiter) Settle(verdict admission.Decision) { w.settled(verdict) }
 
-// settle is the gate's verdict on an attempt.
+// settle handles the gate's verdict on an attempt.
 func (w *world) settle(c *call, chosen *endpoint.Endpoint, u *upstream, start int, ticket *admission.Ticket, verdict admission.Decision) {
 	if verdict.State == admission.StateRefused {
 		if verdict.Code == result.WarmingUp {
@@ -211,7 +214,7 @@
 	w.after(serviceTime, func() {
 		if u.start != start || !u.up {
 			chosen.End(w.now, endpoint.ServerError)
-			w.comeBack(c) // it ran and failed, and is not sent again here
+			w.comeBack(c) // it was executed and failed, so only the client may repeat it
 			return
 		}
 		u.gate.Done(w.now, ticket, true)
@@ -222,7 +225,7 @@
 	})
 }
 
-// reach is the arrival of a call at the back end itself.
+// reach records the arrival of a call at the back end itself.
 func (w *world) reach(u *upstream, start int) {
 	if u.start != start || !u.up || w.now >= u.coldUntil {
 		return
@@ -237,7 +240,7 @@
 	}
 }
 
-// fall ends a back end, which comes back cold.
+// fall crashes a back end, which restarts cold.
 func (w *world) fall(u *upstream) {
 	u.up = false
 	u.start++
@@ -251,7 +254,7 @@
 	})
 }
 
-// turnCold makes a back end cold, which it says itself.
+// turnCold makes a back end cold, which it reports itself.
 func (w *world) turnCold(u *upstream) {
 	start := u.start
 	u.coldUntil = w.now + coldFor
@@ -266,7 +269,7 @@
 	})
 }
 
-// comeBack has the client ask once more a second later.
+// comeBack has the client repeat the call once, one second later.
 func (w *world) comeBack(c *call) {
 	if !c.again {
 		next := &call{entry: c.entry, second: c.second, deadline: c.deadline + time.Second, again: true}
@@ -283,7 +286,7 @@
 	return nil
 }
 
-// share is how much of what was first asked in some seconds was served.
+// share returns the fraction of the calls first sent in a period that were served.
 func (w *world) share(from, to time.Duration) float64 {
 	asked, served := 0, 0
 	for second := int(from / time.Second); second < int(to/time.Second); second++ {
@@ -300,7 +303,7 @@
 	return total
 }
 
-// pushes are ways into the trouble.
+// pushes holds the simulated disturbances.
 var pushes = map[string]func(*world){
 	"all lose power": func(w *world) {
 		for _, one := range w.upstreams {
@@ -328,11 +331,12 @@
 
 const (
 	seeds = 10
-	// recoverWithin is by when the service must be as before, after the last push.
+	// recoverWithin is the time after a disturbance by which the service must have recovered.
 	recoverWithin = 6 * time.Second
 )
 
-// TestWithoutBoundsAServiceThatLostAllStaysDown shows the failure that feeds itself.
+// Without the limit, a service whose back ends all crash does not recover: cold back ends keep
+// crashing under the load.
 func TestWithoutBoundsAServiceThatLostAllStaysDown(t *testing.T) {
 	check := is.New(t)
 	for seed := range uint64(seeds) {
@@ -344,7 +348,7 @@
 	}
 }
 
-// TestWithBoundsAServiceRecoversWhateverPushedItIn shows the way out of it.
+// With the limit, the service recovers from every disturbance.
 func TestWithBoundsAServiceRecoversWhateverPushedItIn(t *testing.T) {
 	for name, push := range pushes {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -1,6 +1,6 @@
-// Package warmup bounds the calls that start at a cold back end. The gate beside the back
-// end asks it, which sees each call, so that nothing need be agreed between daemons. It does
-// no input or output and reads no clock.
+// Package warmup limits the calls that start at a cold back end. The gate beside the back end
+// applies the limit. It sees all calls to the back end, so daemons need not coordinate. The package
+// performs no input or output and reads no clock.
 package warmup
 
 import (
@@ -12,37 +12,38 @@
 )
 
 const (
-	// arrivalSpread is how much closer than their starts two calls may arrive at the back
-	// end: the time in which a busy machine writes a call that was let through.
+	// arrivalSpread is how much closer together than their starts two calls may arrive at the back
+	// end: the time a busy machine may take to send a call that was allowed to start.
 	arrivalSpread = 100 * time.Millisecond
-	// window is the span in which starts are counted.
+	// window is the period in which starts are counted.
 	window = time.Second + arrivalSpread
-	// paceParts paces the starts: in one of so many parts of a window only so much of them,
-	// rounded up. Without it all starts of a window would come together, and two such
-	// bursts meet where a machine writes the first one late.
+	// paceParts is the number of parts of a window into which its starts are spread: each part may
+	// hold one paceParts-th of the limit, rounded up. Without pacing all starts of a window could
+	// come at once, and two such bursts would coincide if a machine sent the first one late.
 	paceParts = 4
-	// slackPart is how much of the slack is used. The rest is for calls that are written later
-	// than arrivalSpread: up to a quarter of a window, by what the pace leaves over.
+	// slackPart is the fraction of the slack that is used. The rest is a reserve for calls that are
+	// sent later than arrivalSpread, up to a quarter of a window late; pacing bounds their number.
 	slackPart = 0.5
-	// startLimit bounds the starts remembered. A higher rate is bounded by it.
+	// startLimit bounds the number of starts that are kept, and so the highest limit.
 	startLimit = 4096
-	// keptParts is the most of a window that is kept for the calls of each higher class: one
-	// in so many starts, and no more than lately came.
+	// keptParts defines the reserve for each higher class: at most one keptParts-th of a window's
+	// starts, and no more than the number of its calls that arrived recently.
 	keptParts = 4
-	// Classes is how many classes of calls are told apart; a higher one is more urgent.
+	// Classes is the number of priority classes of calls. A higher class is more urgent.
 	ClassCount = 3
 )
 
-// Terms say how far the calls to a cold back end may exceed the stated rate.
+// Terms define by how much the calls to a cold back end may exceed the configured rate.
 type Tolerance struct {
-	// Overage is how many times the rate may arrive in one second; below 1 it counts as 1.
+	// Overage is the factor by which the rate may be exceeded in one second. A value below 1 counts
+	// as 1.
 	Overage float64
-	// Slack is how many calls more may arrive in one second.
+	// Slack is the number of additional calls that may arrive in one second.
 	Slack float64
 }
 
-// Limit is how many calls may start in a window at a back end that bears a number of calls a
-// second; 0 means any number.
+// Limit returns how many calls may start in a window at a back end with the given configured rate
+// in calls per second; 0 means no limit.
 func (t Tolerance) Limit(perSecond float64) int {
 	if !(perSecond > 0) {
 		return 0
@@ -54,30 +55,30 @@
 	return max(int(math.Floor(allowed)), 1)
 }
 
-// Limiter counts the starts at one back end while it is cold. It may be used from several
-// goroutines; while the back end is warm, or nothing is bounded, it takes no lock.
+// Limiter limits the starts at one back end while it is cold. It is safe for concurrent use.
+// Bounds, Wait and Start take no lock while the back end is warm or no limit is set.
 type Limiter struct {
-	// boundUntil is until when starts are bounded, 0 while no rate is stated.
+	// boundUntil is the time until which starts are limited; 0 if no limit is set.
 	boundUntil atomic.Int64
 
 	mutex     sync.Mutex
 	limit     int
 	coldUntil time.Duration
-	// unseenAt is when starts that were not counted may have been made last.
+	// unseenAt is the latest time at which uncounted starts may have happened.
 	unseenAt time.Duration
-	// starts are the newest starts, oldest first.
+	// starts holds the times of the latest starts, oldest first.
 	starts []time.Duration
 	came   [ClassCount]demand
 }
 
-// New returns a limiter that knows nothing: the back end counts as cold until SetCold, and
-// an earlier start of the daemon may just have used the whole window.
+// New returns a limiter without history. The back end counts as cold until SetCold is called, and
+// an earlier process of the daemon may just have used the whole window.
 func New(now time.Duration) *Limiter {
 	return &Limiter{coldUntil: math.MaxInt64, unseenAt: now}
 }
 
-// SetLimit bounds the starts in a window; 0 bounds nothing. Opened says that calls may have
-// started before, which were not counted while nothing was bounded.
+// SetLimit sets the number of starts allowed in a window; 0 means no limit. opened is true if calls
+// may have started uncounted while there was no limit.
 func (l *Limiter) SetLimit(now time.Duration, limit int, opened bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -89,7 +90,7 @@
 	l.bind()
 }
 
-// SetCold says until when the back end is cold.
+// SetCold sets the time until which the back end is cold.
 func (l *Limiter) SetColdUntil(now, until time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -100,7 +101,7 @@
 	l.bind()
 }
 
-// bind puts in force until when starts are bounded; the lock is held.
+// bind updates boundUntil. The lock must be held.
 func (l *Limiter) bind() {
 	bound := l.coldUntil
 	if l.limit == 0 {
@@ -109,10 +110,10 @@
 	l.boundUntil.Store(int64(bound))
 }
 
-// Bounds tells whether starts are bounded now.
+// Bounds reports whether starts are limited now.
 func (l *Limiter) IsLimiting(now time.Duration) bool { return int64(now) < l.boundUntil.Load() }
 
-// Wait is how long a call of a class must wait for a start; 0 means that one is free.
+// Wait returns how long a call of a class must wait until it may start; 0 if it may start now.
 func (l *Limiter) Wait(now time.Duration, class int) time.Duration {
 	if !l.IsLimiting(now) {
 		return 0
@@ -126,7 +127,8 @@
 	return wait
 }
 
-// Start counts a start where one is free, and else tells how long there is none.
+// Start counts a start and returns 0 if the call may start now. Otherwise it returns how long the
+// call must wait.
 func (l *Limiter) TryStart(now time.Duration, class int) (wait time.Duration) {
 	if !l.IsLimiting(now) {
 		return 0
@@ -140,8 +142,8 @@
 	return wait
 }
 
-// record remembers a start; the lock is held. Callers read the clock before they take the
-// lock, so a start may come a little out of order.
+// record adds a start. The lock must be held. Callers read the clock before they take the lock, so
+// starts may arrive slightly out of order.
 func (l *Limiter) record(now time.Duration) {
 	if held := len(l.starts); held > 0 {
 		now = max(now, l.starts[held-1])
@@ -152,7 +154,7 @@
 	l.starts = append(l.starts, now)
 }
 
-// wait is Wait; the lock is held.
+// wait implements Wait. The lock must be held.
 func (l *Limiter) wait(now time.Duration, class int) time.Duration {
 	if l.limit == 0 {
 		return 0
@@ -162,7 +164,7 @@
 	return max(free-now, 0)
 }
 
-// freeAt is when fewer than a number of starts were made within a span.
+// freeAt returns the time from which the latest span contains fewer starts than the given number.
 func (l *Limiter) freeAt(now time.Duration, number int, span time.Duration) time.Duration {
 	if len(l.starts) < number {
 		return now
@@ -170,7 +172,7 @@
 	return l.starts[len(l.starts)-number] + span
 }
 
-// share is how many starts of a window the calls of a class and those below it may use up.
+// share returns how many starts of a window the calls of a class and the classes below it may use.
 func (l *Limiter) share(now time.Duration, class int) int {
 	most := (l.limit + keptParts - 1) / keptParts
 	share := l.limit
@@ -180,16 +182,16 @@
 	return max(share, 1)
 }
 
-// pace is how many starts a part of a window may hold before a call of a class: one more
-// where there is a class below it, whose calls might have used up the others.
+// pace returns how many starts may precede a call of a class within one part of a window. Above the
+// lowest class it is one more, because calls of lower classes may have used up the others.
 func (l *Limiter) pace(class int) int {
 	return (l.limit+paceParts-1)/paceParts + min(ClampClass(class), 1)
 }
 
-// ClassOf is the class of a number: the nearest one where it is none.
+// ClassOf limits a number to the range of the classes.
 func ClampClass(class int) int { return min(max(class, 0), ClassCount-1) }
 
-// demand counts the calls of a class that come, in spans of a window.
+// demand counts the calls of a class that arrive in the present and the previous window.
 type demand struct {
 	began    time.Duration
 	now      int
@@ -209,7 +211,7 @@
 	d.now++
 }
 
-// lately is how many calls came in one of the last two spans.
+// lately returns the higher of the call counts of the latest two windows.
 func (d *demand) lately(now time.Duration) int {
 	switch age := now - d.began; {
 	case age < window:
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -17,7 +17,8 @@
 	low    = 0
 )
 
-// cold returns a limiter of a cold back end whose first window has passed at the time 0.
+// cold returns a limiter for a cold back end with no starts and no uncounted starts in the window
+// before time 0.
 func cold(limit int) *Limiter {
 	limiter := New(-window)
 	limiter.SetLimit(-window, limit, false)
@@ -28,7 +29,7 @@
 func TestNothingStartsInTheFirstWindowOfADaemon(t *testing.T) {
 	check := is.New(t)
 	limiter := New(0)
-	limiter.SetLimit(second/2, 6, false) // its configuration comes later
+	limiter.SetLimit(second/2, 6, false) // the configuration arrives later
 	check.Equal(limiter.TryStart(0, urgent), window)
 	check.Equal(limiter.TryStart(window-1, urgent), time.Duration(1))
 	check.Equal(limiter.TryStart(window, urgent), time.Duration(0))
@@ -69,7 +70,8 @@
 	check.Equal(limiter.TryStart(0, urgent), time.Duration(0))
 }
 
-// startsIn counts the starts of calls of a class that come all the time in a window.
+// startsIn returns the number of starts in a window in which a call of a class arrives every
+// millisecond.
 func startsIn(limiter *Limiter, class int) (starts int) {
 	for now := time.Duration(0); now < window; now += time.Millisecond {
 		if limiter.TryStart(now, class) == 0 {
@@ -89,7 +91,7 @@
 			lows++
 		}
 	}
-	check.Equal(lows, 6) // of 8, one is used and one is kept, as many as came
+	check.Equal(lows, 6) // of 8, one is used and one is reserved, because one urgent call arrived
 	check.Equal(limiter.TryStart(window-1, urgent), time.Duration(0))
 }
 
@@ -114,9 +116,8 @@
 	check.Equal(limiter.TryStart(0, low), window/paceParts)
 }
 
-// TestCallsThatAreWrittenLateExceedNoSecondOfTheRule has a busy machine write each call up to
-// a quarter of a window after its start, on the terms of a site whose slack is as large as its
-// rate with overage.
+// A busy machine may send each call up to a quarter of a window after its start. With a slack as
+// large as the rate with overage, the arrivals in any second stay within the configured maximum.
 func TestCallsThatAreWrittenLateExceedNoSecondOfTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := Tolerance{Overage: 1.5, Slack: 8}
@@ -182,16 +183,16 @@
 	check.Equal(limiter.TryStart(0, urgent), window)
 }
 
-// begun is a start, with the limit in force then.
+// begun is a start and the limit at that time.
 type begun struct {
 	at    time.Duration
 	limit int
 }
 
-// TestNoSecondGetsMoreThanTheLimit draws calls of all classes, restarts of the daemon, changes
-// of the rate, and back ends that turn warm and cold again or are replaced. With each start at
-// a back end that counts as cold, all starts of the second before it are counted, those while
-// it was warm as well.
+// TestNoSecondGetsMoreThanTheLimit draws calls of all classes, restarts of the daemon, changes of
+// the rate, and back ends that turn warm and cold again or are replaced. At each start at a back
+// end that counts as cold it counts all starts in the preceding second, including those while the
+// back end was warm.
 func TestNoSecondGetsMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
@@ -227,7 +228,8 @@
 	})
 }
 
-// lately counts the starts of the second to a time, and the most that any limit in it allowed.
+// lately returns the number of starts in the second before a time, and the highest limit at any of
+// them.
 func lately(starts []begun, now time.Duration) (count, most int) {
 	for _, start := range starts {
 		if start.at > now-second {
