--- a/internal/core/quarantine/company_test.go
+++ b/internal/core/quarantine/companions_test.go
@@ -8,43 +8,43 @@
 	"github.com/matryer/is"
 )
 
-// endOf records the end of an instance for all given requests at once.
-func endOf(table *Table, instance string, requests ...Signature) {
+// recordEnd records the end of an instance for all given requests at once.
+func recordEnd(table *Table, instance string, requests ...Signature) {
 	for _, request := range requests {
 		table.RecordEnd(0, request, instance, false)
 	}
 }
 
-// threeHarmful records ends of one harmless and three harmful requests. Each harmful request has
-// ended one back end, and the harmless one ran at all three ends.
-func threeHarmful(table *Table) (harmless Signature, harmful []Signature) {
+// recordThreeHarmful records ends of one harmless and three harmful requests. Each harmful request
+// has ended one back end, and the harmless one ran at all three ends.
+func recordThreeHarmful(table *Table) (harmless Signature, harmful []Signature) {
 	harmless = signatureOf("/harmless")
 	for number := range 3 {
-		one := signatureOf(fmt.Sprint("/harmful ", number))
-		endOf(table, fmt.Sprint("shared ", number), one, harmless)
-		harmful = append(harmful, one)
+		request := signatureOf(fmt.Sprint("/harmful ", number))
+		recordEnd(table, fmt.Sprint("shared ", number), request, harmless)
+		harmful = append(harmful, request)
 	}
 	return harmless, harmful
 }
 
 // Guards against holding a harmless request that ran concurrently with several harmful ones, before
 // each of them has enough ends to be held itself.
-func TestARequestThatOnlyRanBesideOthersIsNotHeld(t *testing.T) {
-	for more := range 4 {
+func TestACompanionOfHarmfulRequestsIsNotHeld(t *testing.T) {
+	for furtherEnds := range 4 {
 		check := is.New(t)
 		table := NewTable(DefaultRules())
-		harmless, harmful := threeHarmful(table)
-		for number, one := range harmful {
-			for end := range more {
-				endOf(table, fmt.Sprint("alone ", number, end), one)
+		harmless, harmful := recordThreeHarmful(table)
+		for number, request := range harmful {
+			for end := range furtherEnds {
+				recordEnd(table, fmt.Sprint("alone ", number, end), request)
 			}
 		}
-		t.Log("ends more", more)
-		check.True(beliefIn(table, 0, harmless) != Held)
-		if more >= 2 {
-			check.Equal(beliefIn(table, 0, harmless), Trusted)
-			for _, one := range harmful {
-				check.Equal(beliefIn(table, 0, one), Held)
+		t.Log("further ends", furtherEnds)
+		check.True(stateIn(table, 0, harmless) != Held)
+		if furtherEnds >= 2 {
+			check.Equal(stateIn(table, 0, harmless), Trusted)
+			for _, request := range harmful {
+				check.Equal(stateIn(table, 0, request), Held)
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 
 // Guards against holding a harmless request because it ran at ends of a harmful one that exceed the
 // limit of ends in a record.
-func TestEndsPastTheLimitAreExplainedToo(t *testing.T) {
+func TestEndsBeyondTheLimitAreAttributed(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	harmful, harmless := signatureOf("/harmful"), signatureOf("/harmless")
@@ -62,80 +62,80 @@
 		if number >= count-3 {
 			requests = append(requests, harmless)
 		}
-		endOf(table, fmt.Sprintf("%02d", number), requests...)
+		recordEnd(table, fmt.Sprintf("%02d", number), requests...)
 	}
-	check.Equal(beliefIn(table, 0, harmful), Held)
-	check.Equal(beliefIn(table, 0, harmless), Trusted)
+	check.Equal(stateIn(table, 0, harmful), Held)
+	check.Equal(stateIn(table, 0, harmless), Trusted)
 }
 
 // Guards against holding a harmless request as soon as the harmful one that ran at the same ends is
 // released by an operator or answered successfully by a fixed version.
-func TestEndsStayExplainedWhenAHarmfulRequestIsCleared(t *testing.T) {
+func TestEndsStayAttributedWhenAHarmfulRequestIsCleared(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	harmful, harmless := signatureOf("/harmful"), signatureOf("/harmless")
 	for _, instance := range []string{"a", "b", "c"} {
-		endOf(table, instance, harmful, harmless)
+		recordEnd(table, instance, harmful, harmless)
 	}
-	endOf(table, "d", harmful)
-	check.Equal(beliefIn(table, 0, harmful), Held)
+	recordEnd(table, "d", harmful)
+	check.Equal(stateIn(table, 0, harmful), Held)
 	check.True(table.Clear(0, harmful))
-	check.Equal(beliefIn(table, 0, harmful), Trusted)
-	check.Equal(beliefIn(table, 0, harmless), Trusted)
-	told := NewTable(DefaultRules()) // a daemon that receives both records only now
+	check.Equal(stateIn(table, 0, harmful), Trusted)
+	check.Equal(stateIn(table, 0, harmless), Trusted)
+	receiver := NewTable(DefaultRules()) // a daemon that receives both records only now
 	for _, record := range table.Records(0) {
-		told.Merge(0, record)
+		receiver.Merge(0, record)
 	}
-	check.Equal(beliefIn(told, 0, harmless), Trusted)
-	endOf(table, "e", harmful) // starts a new round
-	check.Equal(beliefIn(table, 0, harmful), Suspected)
-	check.Equal(beliefIn(table, 0, harmless), Trusted)
+	check.Equal(stateIn(receiver, 0, harmless), Trusted)
+	recordEnd(table, "e", harmful) // starts a new round
+	check.Equal(stateIn(table, 0, harmful), Suspected)
+	check.Equal(stateIn(table, 0, harmless), Trusted)
 }
 
 // Guards against holding a harmless request for two ends caused by a harmful one and one end with
 // another cause.
-func TestOneEndOfAnotherCauseHoldsNothing(t *testing.T) {
+func TestAnEndWithAnotherCauseDoesNotHoldARequest(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	harmful, harmless := signatureOf("/harmful"), signatureOf("/harmless")
-	endOf(table, "a", harmful, harmless)
-	endOf(table, "b", harmful, harmless)
-	endOf(table, "c", harmless)
-	check.Equal(beliefIn(table, 0, harmless), Suspected)
-	endOf(table, "d", harmful) // the evidence against both is equal
-	check.Equal(beliefIn(table, 0, harmless), Suspected)
-	check.Equal(beliefIn(table, 0, harmful), Suspected)
-	endOf(table, "e", harmful)
-	check.Equal(beliefIn(table, 0, harmful), Held)
-	check.Equal(beliefIn(table, 0, harmless), Suspected) // because of the end without the harmful request
+	recordEnd(table, "a", harmful, harmless)
+	recordEnd(table, "b", harmful, harmless)
+	recordEnd(table, "c", harmless)
+	check.Equal(stateIn(table, 0, harmless), Suspected)
+	recordEnd(table, "d", harmful) // the evidence against both is equal
+	check.Equal(stateIn(table, 0, harmless), Suspected)
+	check.Equal(stateIn(table, 0, harmful), Suspected)
+	recordEnd(table, "e", harmful)
+	check.Equal(stateIn(table, 0, harmful), Held)
+	check.Equal(stateIn(table, 0, harmless), Suspected) // because of the end without the harmful request
 }
 
 // Guards against holding a request as soon as the records of its companions expire.
-func TestARequestIsNotHeldWhenOthersLapse(t *testing.T) {
+func TestARequestIsNotHeldWhenCompanionsExpire(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	harmless := signatureOf("/harmless")
 	for number := range 5 {
-		endOf(table, fmt.Sprint(number), signatureOf(fmt.Sprint("/harmful ", number)), harmless)
+		recordEnd(table, fmt.Sprint(number), signatureOf(fmt.Sprint("/harmful ", number)), harmless)
 	}
-	for now := time.Duration(0); now < holdTime; now += suspicionTime / 2 {
-		check.True(beliefIn(table, now, harmless) != Held)
+	for now := time.Duration(0); now < repeatedHold; now += suspicionTime / 2 {
+		check.True(stateIn(table, now, harmless) != Held)
 		table.Expire(now)
 	}
 }
 
 // A request is not treated as having run alone at an end with unidentified companions.
-func TestAnEndBesideUnknownRequestsIsNotAlone(t *testing.T) {
+func TestAnEndWithUnidentifiedCompanionsIsShared(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request := signatureOf("/request")
 	for _, instance := range []string{"a", "b", "c"} {
 		table.RecordUnidentified(instance)
-		endOf(table, instance, request)
+		recordEnd(table, instance, request)
 	}
-	check.Equal(beliefIn(table, 0, request), Suspected)
-	endOf(table, "d", request)
-	check.Equal(beliefIn(table, 0, request), Held)
+	check.Equal(stateIn(table, 0, request), Suspected)
+	recordEnd(table, "d", request)
+	check.Equal(stateIn(table, 0, request), Held)
 }
 
 // The isolation of a request becomes stricter with each end.
@@ -146,12 +146,12 @@
 	isolation := func() Isolation { return table.View(0).Isolation(0, request) }
 	check.Equal(isolation(), AlongsideTrusted)
 	for end, expected := range []Isolation{AlongsideTrusted, AlonePreferred, AloneRequired} {
-		endOf(table, fmt.Sprint(end), request, signatureOf(fmt.Sprint("/other ", end)))
+		recordEnd(table, fmt.Sprint(end), request, signatureOf(fmt.Sprint("/other ", end)))
 		check.Equal(isolation(), expected)
-		check.Equal(beliefIn(table, 0, request), Suspected)
+		check.Equal(stateIn(table, 0, request), Suspected)
 	}
-	endOf(table, "alone", request)
-	check.Equal(beliefIn(table, 0, request), Held)
+	recordEnd(table, "alone", request)
+	check.Equal(stateIn(table, 0, request), Held)
 	check.Equal(table.View(firstHold).Isolation(firstHold, request), AloneRequired) // a further end may extend the hold
 	table.Clear(0, request)
 	check.Equal(isolation(), AlongsideTrusted)
@@ -159,14 +159,14 @@
 
 // The number of companions per end is bounded. A request recorded beyond the bound is not treated
 // as having run alone.
-func TestCompanyIsBounded(t *testing.T) {
+func TestCompanionsAreBounded(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request := signatureOf("/request")
 	for number := range 2 * companionLimit {
-		endOf(table, "a", signatureOf(fmt.Sprint(number)))
+		recordEnd(table, "a", signatureOf(fmt.Sprint(number)))
 	}
-	endOf(table, "a", request)
+	recordEnd(table, "a", request)
 	record, found := table.Lookup(0, request)
 	check.True(found)
 	check.True(len(record.detail("a").Beside) <= companionLimit)
@@ -175,7 +175,7 @@
 }
 
 // Guards against holding a harmless request after the failure of a rack whose back ends all ran it.
-func TestEndsOfOneMomentAreOneTrial(t *testing.T) {
+func TestSimultaneousEndsAreOneTrial(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request := signatureOf("/request")
@@ -183,17 +183,17 @@
 		table.RecordEndInTrial(0, request, instance, false, 1)
 	}
 	check.Equal(table.View(0).LastTrial(request), uint32(1))
-	check.Equal(beliefIn(table, 0, request), Suspected)
+	check.Equal(stateIn(table, 0, request), Suspected)
 	check.Equal(table.View(0).Isolation(0, request), AloneRequired)
 	table.RecordEndInTrial(0, request, "e", false, 2) // ran alone, after the other ends
-	check.Equal(beliefIn(table, 0, request), Held)
+	check.Equal(stateIn(table, 0, request), Held)
 	_, left := table.View(0).State(0, request)
 	check.Equal(left, firstHold) // four ends of one trial do not extend the hold
 }
 
 // A request is not held either for the failure of a rack and a later end at which another request
 // ran.
-func TestAnEndBesideOthersAfterARackFailedHoldsNothing(t *testing.T) {
+func TestASharedEndAfterARackFailureDoesNotHoldARequest(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request, other := signatureOf("/request"), signatureOf("/other")
@@ -202,14 +202,14 @@
 	}
 	table.RecordEndInTrial(0, request, "c", false, 2)
 	table.RecordEndInTrial(0, other, "c", false, 1)
-	check.Equal(beliefIn(table, 0, request), Suspected)
+	check.Equal(stateIn(table, 0, request), Suspected)
 	table.RecordEndInTrial(0, request, "d", false, 3)
-	check.Equal(beliefIn(table, 0, request), Held)
+	check.Equal(stateIn(table, 0, request), Held)
 }
 
 // A new trial gets a number above all earlier ones, even if the trials of some earlier ends are
 // unknown.
-func TestTrialsAreNumberedPastAllThatAreKnown(t *testing.T) {
+func TestNewTrialsAreNumberedAboveAllEarlierOnes(t *testing.T) {
 	check := is.New(t)
 	request := signatureOf("/request")
 	table := NewTable(DefaultRules())
@@ -218,7 +218,7 @@
 	check.Equal(table.View(0).LastTrial(request), uint32(4))
 	check.True(table.RecordEnd(0, request, "c", false))
 	record, _ := table.Lookup(0, request)
-	check.Equal(record.trials(record.Ends), 3)
+	check.Equal(record.countTrials(record.Ends), 3)
 	absurd := Record{Signature: request, Ends: []string{"a"}, Details: []EndDetail{{Instance: "a", Trial: trialLimit + 1}}}
 	_, valid = table.Merge(0, absurd)
 	check.True(!valid)
--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -7,7 +7,7 @@
 // Suspected requests run separately from each other: callers send all attempts of a suspected
 // request to one gate on which all callers agree, and that gate runs one suspected request at a
 // time. A successful answer clears the request. The ends are attributed to as few requests as
-// possible (see Table.judge). A request with enough ends attributed to it is held: every daemon
+// possible (see Table.classify). A request with enough ends attributed to it is held: every daemon
 // refuses it at once. Requests that only ran concurrently with it are trusted again.
 //
 // A trial is an attempt to run a request after its earlier ends were known. A round is the series
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Belief is the classification of a request by a daemon.
+// State determines how daemons treat a request.
 type State int
 
-// The classifications, in order of severity.
+// The states, in order of severity.
 const (
 	// Trusted requests are sent without restriction.
 	Trusted State = iota
@@ -18,11 +18,11 @@
 	Held
 )
 
-// beliefNames holds the names of the classifications in logs.
-var beliefNames = map[State]string{Trusted: "trusted", Suspected: "suspected", Held: "held"}
+// stateNames holds the names of the states in logs.
+var stateNames = map[State]string{Trusted: "trusted", Suspected: "suspected", Held: "held"}
 
-// String returns the name of the classification in logs.
-func (b State) String() string { return beliefNames[b] }
+// String returns the name of the state in logs.
+func (s State) String() string { return stateNames[s] }
 
 // Rules define how many ends a request needs to be held. All daemons of a mesh must use the same
 // rules.
@@ -69,29 +69,30 @@
 	// short because the request may still be harmless, if its ends had several causes. After the
 	// hold the request is suspected again, and its next attempt, which runs separately, decides.
 	firstHold = time.Minute
-	// holdTime is how long a request is held after one further end. It doubles with each end after
-	// that, up to holdLimit.
-	holdTime  = 10 * time.Minute
-	holdLimit = 2 * time.Hour
-	// holdMemory is how long a request stays suspected after its hold has expired.
-	holdMemory = time.Hour
+	// repeatedHold is how long a request is held after one further end. It doubles with each end
+	// after that, up to holdLimit.
+	repeatedHold = 10 * time.Minute
+	holdLimit    = 2 * time.Hour
+	// suspicionAfterHold is how long a request stays suspected after its hold has expired.
+	suspicionAfterHold = time.Hour
 )
 
-// LongestMemory is the longest time for which any record is kept after its latest end.
-const MaxRecordAge = holdLimit + holdMemory
+// MaxRecordAge is the longest time for which any record is kept after its latest end.
+const MaxRecordAge = holdLimit + suspicionAfterHold
 
 // Isolation defines how a gate separates a request from the other requests on its back end.
 type Isolation int
 
 // The isolation levels, in ascending order.
 const (
-	// Beside allows the request to run concurrently with requests that are not suspected.
+	// AlongsideTrusted allows the request to run concurrently with requests that are not suspected.
 	AlongsideTrusted Isolation = iota
-	// AloneIfPossible runs the request alone, so that the next end can be attributed to it with
+	// AlonePreferred runs the request alone, so that the next end can be attributed to it with
 	// certainty. If other requests keep the back end busy for too long, it runs concurrently with
 	// them.
 	AlonePreferred
-	// AloneOnly refuses the request unless it can run alone: it already has enough ends to be held.
+	// AloneRequired refuses the request unless it can run alone: it already has enough ends to be
+	// held.
 	AloneRequired
 )
 
@@ -159,23 +160,23 @@
 	if slices.ContainsFunc(r.Ends, func(name string) bool { return name == "" || len(name) > nameLimit }) {
 		return false
 	}
-	return len(r.Details) <= len(r.Ends) && !slices.ContainsFunc(r.Details, func(one EndDetail) bool {
-		return len(one.Beside) > companionLimit || one.Trial > trialLimit || !slices.Contains(r.Ends, one.Instance)
+	return len(r.Details) <= len(r.Ends) && !slices.ContainsFunc(r.Details, func(detail EndDetail) bool {
+		return len(detail.Beside) > companionLimit || detail.Trial > trialLimit || !slices.Contains(r.Ends, detail.Instance)
 	})
 }
 
 // detail returns the circumstances of an end.
 func (r Record) detail(end string) EndDetail {
-	for _, one := range r.Details {
-		if one.Instance == end {
-			return one
+	for _, detail := range r.Details {
+		if detail.Instance == end {
+			return detail
 		}
 	}
 	return EndDetail{Instance: end}
 }
 
-// trials returns the number of distinct trials that met the given ends.
-func (r Record) trials(ends []string) int {
+// countTrials returns the number of distinct trials that met the given ends.
+func (r Record) countTrials(ends []string) int {
 	unknown := 0
 	known := map[uint32]bool{}
 	for _, end := range ends {
@@ -192,55 +193,55 @@
 // trial; 0 without ends.
 func (r Record) lastTrial() uint32 {
 	last, unknown := uint32(0), uint32(len(r.Ends))
-	for _, one := range r.Details {
-		if one.Trial > 0 {
-			last = max(last, one.Trial)
+	for _, detail := range r.Details {
+		if detail.Trial > 0 {
+			last = max(last, detail.Trial)
 			unknown--
 		}
 	}
 	return last + unknown
 }
 
-// Beside returns the number of ends at which other requests ran too.
+// CountSharedEnds returns the number of ends at which other requests ran too.
 func (r Record) CountSharedEnds() int {
 	count := 0
-	for _, one := range r.Details {
-		if len(one.Beside) > 0 {
+	for _, detail := range r.Details {
+		if len(detail.Beside) > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// endsNeeded returns the number of ends after which the request is held.
-func (r Rules) endsNeeded(record *Record) int {
+// requiredEnds returns the number of ends after which the request is held.
+func (r Rules) requiredEnds(record *Record) int {
 	if record.Familiar {
 		return r.EndsFamiliar
 	}
 	return r.Ends
 }
 
-// isHarmful reports whether the request has enough ends to be held and was not cleared.
-func (r Rules) isHarmful(record *Record) bool {
-	return !record.Cleared && len(record.Ends) >= r.endsNeeded(record)
+// hasEnoughEnds reports whether the request has enough ends to be held and was not cleared.
+func (r Rules) hasEnoughEnds(record *Record) bool {
+	return !record.Cleared && len(record.Ends) >= r.requiredEnds(record)
 }
 
-// holdTime returns how long the request is held after its latest end; 0 if it has too few ends.
-func (r Rules) holdTime(record *Record) time.Duration {
-	if !r.isHarmful(record) {
+// holdDuration returns how long the request is held after its latest end; 0 if it has too few ends.
+func (r Rules) holdDuration(record *Record) time.Duration {
+	if !r.hasEnoughEnds(record) {
 		return 0
 	}
-	more := record.trials(record.Ends) - r.endsNeeded(record)
-	if more <= 0 {
+	further := record.countTrials(record.Ends) - r.requiredEnds(record)
+	if further <= 0 {
 		return firstHold
 	}
-	return min(holdTime<<(more-1), holdLimit)
+	return min(repeatedHold<<(further-1), holdLimit)
 }
 
-// lifeTime returns how long the record is valid after its latest end.
-func (r Rules) lifeTime(record *Record) time.Duration {
-	if r.isHarmful(record) {
-		return r.holdTime(record) + holdMemory
+// lifetime returns how long the record is valid after its latest end.
+func (r Rules) lifetime(record *Record) time.Duration {
+	if r.hasEnoughEnds(record) {
+		return r.holdDuration(record) + suspicionAfterHold
 	}
 	return suspicionTime
 }
@@ -249,9 +250,11 @@
 type entry struct {
 	rules  Rules
 	record Record
-	// endedAt is the time, on this daemon's clock, at which the latest end was first recorded by
-	// any daemon.
-	endedAt time.Duration
+	// latestEndAt is the time, on this daemon's clock, at which the latest end was first recorded
+	// by any daemon.
+	latestEndAt time.Duration
 }
 
-func (e *entry) expired(now time.Duration) bool { return now >= e.endedAt+e.rules.lifeTime(&e.record) }
+func (e *entry) expired(now time.Duration) bool {
+	return now >= e.latestEndAt+e.rules.lifetime(&e.record)
+}
--- a/internal/core/quarantine/signature.go
+++ b/internal/core/quarantine/signature.go
@@ -6,12 +6,12 @@
 	"encoding/hex"
 )
 
-// hashBytes is the length of each half of a signature. Crafting a request with the signature of
+// hashSize is the length of each half of a signature. Crafting a request with the signature of
 // another one is infeasible for 128 bits of SHA-256, so daemons need no shared key.
-const hashBytes = 16
+const hashSize = 16
 
 // Hash is one half of a signature.
-type Hash [hashBytes]byte
+type Hash [hashSize]byte
 
 // Signature identifies the content of a request, independent of its request id: all attempts of a
 // request have the same signature on all daemons.
@@ -36,13 +36,13 @@
 	Caller string
 }
 
-// headRoom is the size, in bytes, up to which a head is hashed without a heap allocation.
-const headRoom = 512
+// headBufferSize is the size, in bytes, up to which a head is hashed without a heap allocation.
+const headBufferSize = 512
 
 // Sum returns the hash of the head. The parts are terminated by a zero byte, which none of them can
 // contain.
 func (h Head) Sum() Hash {
-	var room [headRoom]byte
+	var room [headBufferSize]byte
 	text := room[:0]
 	for _, part := range [...]string{h.Method, h.Host, h.Target, h.Caller} {
 		text = append(text, part...)
@@ -61,7 +61,7 @@
 
 func sum(bytes []byte) Hash {
 	digest := sha256.Sum256(bytes)
-	return Hash(digest[:hashBytes])
+	return Hash(digest[:hashSize])
 }
 
 // Key returns a 64-bit form of the signature, for use as a map key and in rankings.
@@ -69,15 +69,15 @@
 	return binary.BigEndian.Uint64(s.Head[:]) ^ binary.BigEndian.Uint64(s.Body[:])
 }
 
-// textBytes is the number of bytes of each half shown in logs.
-const textBytes = 6
+// logBytes is the number of bytes of each half shown in logs.
+const logBytes = 6
 
 // String returns a short form of the signature for logs. It reveals nothing of the request's
 // content.
 func (s Signature) String() string {
-	head := hex.EncodeToString(s.Head[:textBytes])
+	head := hex.EncodeToString(s.Head[:logBytes])
 	if s.Body == (Hash{}) {
 		return head
 	}
-	return head + "-" + hex.EncodeToString(s.Body[:textBytes])
+	return head + "-" + hex.EncodeToString(s.Body[:logBytes])
 }
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -21,17 +21,17 @@
 type Table struct {
 	rules   Rules
 	entries map[Signature]*entry
-	// witnessed holds the requests in flight at the ends that this daemon has observed itself.
-	witnessed witnessed
+	// observed holds the requests in flight at the ends that this daemon has observed itself.
+	observed observedEnds
 }
 
 // NewTable returns an empty table.
 func NewTable(rules Rules) *Table {
-	return &Table{rules: rules, entries: map[Signature]*entry{}, witnessed: witnessed{requests: map[string][]Companion{}}}
+	return &Table{rules: rules, entries: map[Signature]*entry{}, observed: observedEnds{requests: map[string][]Companion{}}}
 }
 
-// Ended records that an instance ended while it ran a request, in a new trial. familiar is true if
-// the back end had answered the request successfully before. It reports whether the record has
+// RecordEnd records that an instance ended while it ran a request, in a new trial. familiar is true
+// if the back end had answered the request successfully before. It reports whether the record has
 // changed. All requests in flight at an end must be recorded before any of these records is sent to
 // peers.
 func (t *Table) RecordEnd(now time.Duration, signature Signature, instance string, familiar bool) bool {
@@ -41,156 +41,156 @@
 // lastTrial returns the number of the latest trial of a request that met an end; 0 if the request
 // is unknown or cleared.
 func (t *Table) lastTrial(now time.Duration, signature Signature) uint32 {
-	known := t.live(now, signature)
-	if known == nil || known.record.Cleared {
+	entry := t.liveEntry(now, signature)
+	if entry == nil || entry.record.Cleared {
 		return 0
 	}
-	return known.record.lastTrial()
+	return entry.record.lastTrial()
 }
 
-// EndedInTrial is like Ended, for an attempt of the given trial: one more than View.LastTrial when
-// the attempt began.
+// RecordEndInTrial is like RecordEnd, for an attempt of the given trial: one more than
+// View.LastTrial when the attempt began.
 func (t *Table) RecordEndInTrial(now time.Duration, signature Signature, instance string, familiar bool, trial uint32) bool {
-	known := t.live(now, signature)
+	current := t.liveEntry(now, signature)
 	switch {
-	case known == nil:
-		known = &entry{rules: t.rules, record: Record{Signature: signature, Familiar: familiar}}
-		t.put(now, known)
-	case slices.Contains(known.record.Ends, instance):
+	case current == nil:
+		current = &entry{rules: t.rules, record: Record{Signature: signature, Familiar: familiar}}
+		t.insert(now, current)
+	case slices.Contains(current.record.Ends, instance):
 		return false
-	case known.record.Cleared:
-		known = &entry{rules: t.rules, record: Record{Signature: signature, Round: known.record.Round + 1, Proven: known.record.Proven, Familiar: true}}
-		t.put(now, known)
+	case current.record.Cleared:
+		current = &entry{rules: t.rules, record: Record{Signature: signature, Round: current.record.Round + 1, Proven: current.record.Proven, Familiar: true}}
+		t.insert(now, current)
 	}
-	known.record.Familiar = known.record.Familiar || familiar
-	known.endedAt = now
-	news := known.addEnds([]string{instance}, []EndDetail{{Instance: instance, Trial: trial}})
-	t.noteCompany(known, instance)
-	return news
+	current.record.Familiar = current.record.Familiar || familiar
+	current.latestEndAt = now
+	changed := current.addEnds([]string{instance}, []EndDetail{{Instance: instance, Trial: trial}})
+	t.linkCompanions(current, instance)
+	return changed
 }
 
-// EndedUnknown records that unidentified requests were in flight as an instance ended. It must be
-// called before Ended for that instance.
-func (t *Table) RecordUnidentified(instance string) { t.witnessed.add(instance, Companion{}) }
+// RecordUnidentified records that unidentified requests were in flight as an instance ended. It
+// must be called before RecordEnd for that instance.
+func (t *Table) RecordUnidentified(instance string) { t.observed.add(instance, Companion{}) }
 
-// noteCompany records the requests that were in flight at an end as companions of each other.
-func (t *Table) noteCompany(with *entry, instance string) {
-	own := Companion{Key: with.record.Signature.Key(), Round: with.record.Round}
+// linkCompanions records the requests that were in flight at an end as companions of each other.
+func (t *Table) linkCompanions(added *entry, instance string) {
+	self := Companion{Key: added.record.Signature.Key(), Round: added.record.Round}
 	for _, other := range t.entries {
-		if other != with && slices.Contains(other.record.Ends, instance) {
-			other.addEnds(nil, []EndDetail{{Instance: instance, Beside: []Companion{own}}})
+		if other != added && slices.Contains(other.record.Ends, instance) {
+			other.addEnds(nil, []EndDetail{{Instance: instance, Beside: []Companion{self}}})
 		}
 	}
-	others := slices.DeleteFunc(slices.Clone(t.witnessed.requests[instance]), func(one Companion) bool { return one.Key == own.Key })
+	others := slices.DeleteFunc(slices.Clone(t.observed.requests[instance]), func(companion Companion) bool { return companion.Key == self.Key })
 	if len(others) > 0 {
-		with.addEnds(nil, []EndDetail{{Instance: instance, Beside: others}})
+		added.addEnds(nil, []EndDetail{{Instance: instance, Beside: others}})
 	}
-	t.witnessed.add(instance, own)
+	t.observed.add(instance, self)
 }
 
-// Cleared records that a back end has answered a request successfully or that an operator has
+// Clear records that a back end has answered a request successfully or that an operator has
 // released it. It reports whether the record has changed. If the request was found harmful before,
 // its earlier ends remain attributed to it and do not count against the requests that ran
 // concurrently.
 func (t *Table) Clear(now time.Duration, signature Signature) bool {
-	known := t.live(now, signature)
-	if known == nil || known.record.Cleared {
+	entry := t.liveEntry(now, signature)
+	if entry == nil || entry.record.Cleared {
 		return false
 	}
-	if t.judge(now)[signature].heldUntil > 0 {
-		known.record.Proven = known.record.Round + 1
+	if t.classify(now)[signature].heldUntil > 0 {
+		entry.record.Proven = entry.record.Round + 1
 	}
-	known.record.Cleared = true
+	entry.record.Cleared = true
 	return true
 }
 
-// Familiar records that a request was answered successfully before its first end. It reports
+// MarkFamiliar records that a request was answered successfully before its first end. It reports
 // whether the record has changed.
 func (t *Table) MarkFamiliar(now time.Duration, signature Signature) bool {
-	known := t.live(now, signature)
-	if known == nil || known.record.Familiar {
+	entry := t.liveEntry(now, signature)
+	if entry == nil || entry.record.Familiar {
 		return false
 	}
-	known.record.Familiar = true
+	entry.record.Familiar = true
 	return true
 }
 
 // Merge merges a record received from a peer. It reports whether the table has changed and whether
 // the record is valid.
-func (t *Table) Merge(now time.Duration, record Record) (news, valid bool) {
+func (t *Table) Merge(now time.Duration, record Record) (changed, valid bool) {
 	if !record.valid() {
 		return false, false
 	}
 	record.Ends = slices.Compact(slices.Sorted(slices.Values(record.Ends)))
-	record.Details = uniteDetails(nil, record.Details)
-	given := &entry{rules: t.rules, record: record, endedAt: now - record.Age}
-	if given.expired(now) {
+	record.Details = mergeDetails(nil, record.Details)
+	received := &entry{rules: t.rules, record: record, latestEndAt: now - record.Age}
+	if received.expired(now) {
 		return false, true
 	}
-	known := t.live(now, record.Signature)
-	if known == nil {
-		t.put(now, given)
+	current := t.liveEntry(now, record.Signature)
+	if current == nil {
+		t.insert(now, received)
 		return true, true
 	}
-	proven := max(known.record.Proven, record.Proven)
-	news = proven != known.record.Proven
-	known.record.Proven, given.record.Proven = proven, proven
+	proven := max(current.record.Proven, record.Proven)
+	changed = proven != current.record.Proven
+	current.record.Proven, received.record.Proven = proven, proven
 	switch {
-	case known.record.Round < record.Round:
-		t.put(now, given)
+	case current.record.Round < record.Round:
+		t.insert(now, received)
 		return true, true
-	case known.record.Round > record.Round:
-		return news, true
+	case current.record.Round > record.Round:
+		return changed, true
 	}
-	return known.merge(given) || news, true
+	return current.merge(received) || changed, true
 }
 
 // merge merges another entry of the same round and reports whether this entry has changed.
-func (e *entry) merge(given *entry) bool {
-	known := len(e.record.Ends)
-	more := e.addEnds(given.record.Ends, given.record.Details)
-	if len(e.record.Ends) > known {
-		e.endedAt = max(e.endedAt, given.endedAt)
+func (e *entry) merge(received *entry) bool {
+	previousCount := len(e.record.Ends)
+	added := e.addEnds(received.record.Ends, received.record.Details)
+	if len(e.record.Ends) > previousCount {
+		e.latestEndAt = max(e.latestEndAt, received.latestEndAt)
 	}
-	familiar := given.record.Familiar && !e.record.Familiar
-	cleared := given.record.Cleared && !e.record.Cleared
+	familiar := received.record.Familiar && !e.record.Familiar
+	cleared := received.record.Cleared && !e.record.Cleared
 	e.record.Familiar = e.record.Familiar || familiar
 	e.record.Cleared = e.record.Cleared || cleared
-	return more || familiar || cleared
+	return added || familiar || cleared
 }
 
-// live returns the entry of a request; nil if there is none or it has expired.
-func (t *Table) live(now time.Duration, signature Signature) *entry {
-	known := t.entries[signature]
-	if known == nil || known.expired(now) {
+// liveEntry returns the entry of a request; nil if there is none or it has expired.
+func (t *Table) liveEntry(now time.Duration, signature Signature) *entry {
+	entry := t.entries[signature]
+	if entry == nil || entry.expired(now) {
 		return nil
 	}
-	return known
+	return entry
 }
 
-// put adds or replaces an entry, and evicts the least important one if the table is full.
-func (t *Table) put(now time.Duration, given *entry) {
-	if t.entries[given.record.Signature] == nil && len(t.entries) >= tableLimit {
+// insert adds or replaces an entry, and evicts the least important one if the table is full.
+func (t *Table) insert(now time.Duration, added *entry) {
+	if t.entries[added.record.Signature] == nil && len(t.entries) >= tableLimit {
 		t.Expire(now)
-		t.makeRoom(now)
+		t.evictOne(now)
 	}
-	t.entries[given.record.Signature] = given
+	t.entries[added.record.Signature] = added
 }
 
-func (t *Table) makeRoom(now time.Duration) {
+func (t *Table) evictOne(now time.Duration) {
 	if len(t.entries) < tableLimit {
 		return
 	}
-	judged := t.judge(now)
-	worth := func(one *entry) State { return judged[one.record.Signature].belief(now) }
-	var least *entry
-	for _, one := range t.entries {
-		if least == nil || cmp.Or(cmp.Compare(worth(one), worth(least)), cmp.Compare(one.endedAt, least.endedAt),
-			compareSignatures(one.record.Signature, least.record.Signature)) < 0 {
-			least = one
+	classifications := t.classify(now)
+	stateOf := func(e *entry) State { return classifications[e.record.Signature].state(now) }
+	var lowest *entry
+	for _, e := range t.entries {
+		if lowest == nil || cmp.Or(cmp.Compare(stateOf(e), stateOf(lowest)), cmp.Compare(e.latestEndAt, lowest.latestEndAt),
+			compareSignatures(e.record.Signature, lowest.record.Signature)) < 0 {
+			lowest = e
 		}
 	}
-	delete(t.entries, least.record.Signature)
+	delete(t.entries, lowest.record.Signature)
 }
 
 func compareSignatures(a, b Signature) int {
@@ -200,8 +200,8 @@
 // Expire removes expired records and reports whether there were any.
 func (t *Table) Expire(now time.Duration) bool {
 	before := len(t.entries)
-	for signature, one := range t.entries {
-		if one.expired(now) {
+	for signature, entry := range t.entries {
+		if entry.expired(now) {
 			delete(t.entries, signature)
 		}
 	}
@@ -220,49 +220,49 @@
 	return records
 }
 
-// Of returns the record of a request with its present age.
+// Lookup returns the record of a request with its present age.
 func (t *Table) Lookup(now time.Duration, signature Signature) (Record, bool) {
-	known := t.live(now, signature)
-	if known == nil {
+	entry := t.liveEntry(now, signature)
+	if entry == nil {
 		return Record{}, false
 	}
-	sent := known.record
-	sent.Ends = slices.Clone(sent.Ends)
-	sent.Details = slices.Clone(sent.Details)
-	sent.Age = now - known.endedAt
-	return sent, true
+	record := entry.record
+	record.Ends = slices.Clone(record.Ends)
+	record.Details = slices.Clone(record.Details)
+	record.Age = now - entry.latestEndAt
+	return record, true
 }
 
 // Sum returns a hash of all valid records except for their ages, for the comparison of two daemons;
 // 0 without records.
 func (t *Table) Sum(now time.Duration) uint64 {
 	sum := uint64(0)
-	for _, one := range t.entries {
-		if !one.expired(now) {
-			sum ^= one.record.sum()
+	for _, entry := range t.entries {
+		if !entry.expired(now) {
+			sum ^= entry.record.sum()
 		}
 	}
 	return sum
 }
 
 func (r Record) sum() uint64 {
-	text := append(slices.Clone(r.Signature.Head[:]), r.Signature.Body[:]...)
-	text = binary.BigEndian.AppendUint32(text, r.Round)
-	text = binary.BigEndian.AppendUint32(text, r.Proven)
-	text = append(text, flag(r.Familiar), flag(r.Cleared))
+	encoded := append(slices.Clone(r.Signature.Head[:]), r.Signature.Body[:]...)
+	encoded = binary.BigEndian.AppendUint32(encoded, r.Round)
+	encoded = binary.BigEndian.AppendUint32(encoded, r.Proven)
+	encoded = append(encoded, boolByte(r.Familiar), boolByte(r.Cleared))
 	for _, name := range r.Ends {
-		text = append(append(text, name...), 0)
+		encoded = append(append(encoded, name...), 0)
 		detail := r.detail(name)
-		text = binary.BigEndian.AppendUint32(text, detail.Trial)
-		for _, one := range detail.Beside {
-			text = binary.BigEndian.AppendUint64(text, one.Key)
-			text = binary.BigEndian.AppendUint32(text, one.Round)
+		encoded = binary.BigEndian.AppendUint32(encoded, detail.Trial)
+		for _, companion := range detail.Beside {
+			encoded = binary.BigEndian.AppendUint64(encoded, companion.Key)
+			encoded = binary.BigEndian.AppendUint32(encoded, companion.Round)
 		}
 	}
-	return xxhash.Sum64(text)
+	return xxhash.Sum64(encoded)
 }
 
-func flag(set bool) byte {
+func boolByte(set bool) byte {
 	if set {
 		return 1
 	}
@@ -271,28 +271,28 @@
 
 // View returns a snapshot of the table for the request path.
 func (t *Table) View(now time.Duration) *View {
-	made := &View{heads: map[Hash]bool{}, known: map[Signature]judgement{}}
-	judged := t.judge(now)
-	for signature, one := range t.entries {
-		if one.expired(now) {
+	view := &View{heads: map[Hash]bool{}, classifications: map[Signature]classification{}}
+	classifications := t.classify(now)
+	for signature, entry := range t.entries {
+		if entry.expired(now) {
 			continue
 		}
-		made.heads[signature.Head] = true
-		judgement := judged[signature]
-		judgement.lastTrial = t.lastTrial(now, signature)
-		made.known[signature] = judgement
+		view.heads[signature.Head] = true
+		classified := classifications[signature]
+		classified.lastTrial = t.lastTrial(now, signature)
+		view.classifications[signature] = classified
 	}
-	return made
+	return view
 }
 
 // View is an immutable snapshot of a table.
 type View struct {
-	heads map[Hash]bool
-	known map[Signature]judgement
+	heads           map[Hash]bool
+	classifications map[Signature]classification
 }
 
 // Empty reports whether the snapshot has no records, as is usual.
-func (v *View) Empty() bool { return v == nil || len(v.known) == 0 }
+func (v *View) Empty() bool { return v == nil || len(v.classifications) == 0 }
 
 // HasHead reports whether there is a record of a request with this head. If there is none, the body
 // need not be hashed.
@@ -303,7 +303,7 @@
 	if v.Empty() {
 		return false
 	}
-	_, found := v.known[signature]
+	_, found := v.classifications[signature]
 	return found
 }
 
@@ -313,21 +313,21 @@
 	if v.Empty() {
 		return counts
 	}
-	for _, one := range v.known {
-		if belief := one.belief(now); belief != Trusted {
-			counts[belief]++
+	for _, classified := range v.classifications {
+		if state := classified.state(now); state != Trusted {
+			counts[state]++
 		}
 	}
 	return counts
 }
 
-// Belief returns the classification of a request, and how long the request is still held.
+// State returns the state of a request, and how long the request is still held.
 func (v *View) State(now time.Duration, signature Signature) (State, time.Duration) {
 	if v.Empty() {
 		return Trusted, 0
 	}
-	found := v.known[signature]
-	return found.belief(now), max(found.heldUntil-now, 0)
+	found := v.classifications[signature]
+	return found.state(now), max(found.heldUntil-now, 0)
 }
 
 // LastTrial returns the number of the latest trial of a request that is known to have met an end; 0
@@ -336,7 +336,7 @@
 	if v.Empty() {
 		return 0
 	}
-	return v.known[signature].lastTrial
+	return v.classifications[signature].lastTrial
 }
 
 // Isolation returns how a request must be isolated if it may run.
@@ -344,8 +344,8 @@
 	if v.Empty() {
 		return AlongsideTrusted
 	}
-	found := v.known[signature]
-	if found.belief(now) == Trusted {
+	found := v.classifications[signature]
+	if found.state(now) == Trusted {
 		return AlongsideTrusted
 	}
 	return found.isolation()
