--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -1,8 +1,10 @@
 // Package backend tracks the state of the back end beside a daemon from its heartbeats, health
 // probes and calls: which start of it runs, and whether it may receive work. A start is one run of
-// the back-end process, identified by the name of the instance and the time at which it began.
-// Reports may arrive late, repeatedly, out of order and from a start that has ended. The package
-// performs no input or output and reads no clock.
+// the back-end process, identified by the name of the instance and the time at which it began. A
+// back end announces its end by a heartbeat that says it drains, or by a leave. Both are
+// acknowledged and therefore binding: that start receives no more work. Reports may arrive late,
+// repeatedly, out of order and from a start that has ended. The package performs no input or output
+// and reads no clock.
 package backend
 
 import (
@@ -12,9 +14,9 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// silentBeats is the number of missed heartbeats, without an answered call, after which a start
-// counts as down. A busy machine may lose or delay a few of them.
-const silentBeats = 4
+// maxMissedHeartbeats is the number of missed heartbeats, without an answered call, after which a
+// start counts as down. A busy machine may lose or delay a few of them.
+const maxMissedHeartbeats = 4
 
 // Tracker tracks the state of the back end beside one daemon. It is not safe for concurrent use.
 type Tracker struct {
@@ -25,235 +27,236 @@
 	// unconfirmed is true if the running start has reported but has not answered a probe yet. It
 	// receives no calls until it has.
 	unconfirmed bool
-	// crashed is true if the start that received calls before the running one ended without a drain
-	// or leave, so that none of its calls can still be running.
-	crashed bool
+	// previousCrashed is true if the start that received calls before the running one ended without
+	// a drain or leave, so that none of its calls can still be running.
+	previousCrashed bool
 	// sequence, slots and software are those of the latest report of the running start.
 	sequence uint64
 	slots    int
 	software string
-	warmth   warmth
+	warmUp   coldTimes
 	// draining is true once the running start has reported that it drains or leaves. It is never
 	// reset for the same start.
 	draining bool
 	// down is true if the running start is unconfirmed, has refused a connection, or may not be the
-	// start that runs (see doubtRunning). Its next valid report resets it.
+	// start that runs (see markDownIfOlderRuns). Its next valid report resets it.
 	down bool
-	// heardAt is the time of the running start's latest report or answered call, reportedAt the
-	// time of its latest report.
-	heardAt    time.Duration
-	reportedAt time.Duration
+	// lastActivityAt is the time of the running start's latest report or answered call,
+	// lastReportAt the time of its latest report.
+	lastActivityAt time.Duration
+	lastReportAt   time.Duration
 	// candidates holds the latest reports of unconfirmed starts, one for each instance, oldest
 	// first. The answer to a probe shows which of them runs.
 	candidates []Report
-	// ended holds starts that have left or been replaced, oldest first.
-	ended []endedStart
-	// older tracks a start that appears to be older than a known one.
-	older   persistence
-	outlier outlier
+	// endedStarts holds starts that have left or been replaced, oldest first.
+	endedStarts []endedStart
+	// olderStart tracks a start that appears to be older than a known one.
+	olderStart olderStartTracker
+	outlier    outlierDetector
 }
 
 // NewTracker returns a tracker of a back end that reports once per interval.
 func NewTracker(interval time.Duration) *Tracker { return &Tracker{interval: interval} }
 
-// Reported processes a report. It returns true if the back end must be probed before its start may
-// replace the running one, since the first report of a new start cannot be distinguished from a
+// HandleReport processes a report. It returns true if the back end must be probed before its start
+// may replace the running one, since the first report of a new start cannot be distinguished from a
 // late report of an ended one.
 func (t *Tracker) HandleReport(now time.Duration, report Report) (probe bool) {
 	start := report.Start()
-	if t.hasEnded(start) {
+	if t.isEnded(start) {
 		return false
 	}
 	if start == t.running && !t.unconfirmed {
-		t.takeLater(now, report)
+		t.applyIfNewer(now, report)
 		return false
 	}
-	if start != t.running && t.isOlder(start) && !t.reportedOlder(now, report) {
+	if start != t.running && t.isOlderThanKnown(start) && !t.handleOlderReport(now, report) {
 		return false
 	}
-	return t.reportedAnother(now, report)
+	return t.handleOtherStart(now, report)
 }
 
-// reportedOlder processes a report of a start that appears to be older than a known one. It returns
-// true if that start has reported for long enough to be considered running. The start then replaces
-// the candidate of the same instance.
-func (t *Tracker) reportedOlder(now time.Duration, report Report) bool {
-	beats := t.beatsNeeded(report.Start())
-	if !t.older.persists(now, t.interval, t.reportedAt, beats, report) {
-		t.forget(report)
+// handleOlderReport processes a report of a start that appears to be older than a known one. It
+// returns true if that start has reported for long enough to be considered running. The start then
+// replaces the candidate of the same instance.
+func (t *Tracker) handleOlderReport(now time.Duration, report Report) bool {
+	required := t.requiredHeartbeats(report.Start())
+	if !t.olderStart.recordReport(now, t.interval, t.lastReportAt, required, report) {
+		t.recordDropped(report)
 		if report.Draining {
-			t.doubtRunning(report.Start())
+			t.markDownIfOlderRuns(report.Start())
 		}
-		t.heedWarmUp(now, report)
+		t.assumeColdIfOlderRuns(now, report)
 		return false
 	}
-	t.dropCandidates(func(held Report) bool { return held.Instance == report.Instance })
+	t.dropCandidates(func(candidate Report) bool { return candidate.Instance == report.Instance })
 	return true
 }
 
-// doubtRunning processes the end of a start that appears to be older than the running one of the
-// same instance. If only the older one has been reporting, a clock may have been wrong and calls
-// may in fact reach the older one. The running start is therefore marked down until it reports
-// again.
-func (t *Tracker) doubtRunning(ended protocol.BackendStart) {
-	if ended.Instance == t.running.Instance && t.older.alone(ended, t.reportedAt) {
+// markDownIfOlderRuns processes the end of a start that appears to be older than the running one of
+// the same instance. If only the older one has been reporting, a clock may have been wrong and
+// calls may in fact reach the older one. The running start is therefore marked down until it
+// reports again.
+func (t *Tracker) markDownIfOlderRuns(ended protocol.BackendStart) {
+	if ended.Instance == t.running.Instance && t.olderStart.isOnlyReporter(ended, t.lastReportAt) {
 		t.down = true
 	}
 }
 
-// heedWarmUp processes the warm-up time of a start that appears to be older than the running one of
-// the same instance. If only the older one has been reporting, calls may in fact reach it, so the
-// back end is assumed to be cold. The answer to a probe is more reliable and replaces this
-// assumption.
-func (t *Tracker) heedWarmUp(now time.Duration, report Report) {
-	if report.WarmUp > 0 && report.Instance == t.running.Instance && t.older.alone(report.Start(), t.reportedAt) {
+// assumeColdIfOlderRuns processes the warm-up time of a start that appears to be older than the
+// running one of the same instance. If only the older one has been reporting, calls may in fact
+// reach it, so the back end is assumed to be cold. The answer to a probe is more reliable and
+// replaces this assumption.
+func (t *Tracker) assumeColdIfOlderRuns(now time.Duration, report Report) {
+	if report.WarmUp > 0 && report.Instance == t.running.Instance && t.olderStart.isOnlyReporter(report.Start(), t.lastReportAt) {
 		t.AssumeCold(now, report.WarmUp)
 	}
 }
 
-// takeLater applies a report of the running start unless a later one has been applied already. A
+// applyIfNewer applies a report of the running start unless a later one has been applied already. A
 // drain takes effect in either case, because it has been acknowledged.
-func (t *Tracker) takeLater(now time.Duration, report Report) {
+func (t *Tracker) applyIfNewer(now time.Duration, report Report) {
 	if report.Sequence > t.sequence {
-		t.take(now, report)
+		t.applyReport(now, report)
 	}
 	t.draining = t.draining || report.Draining
 }
 
-// reportedAnother processes a report of a start other than the running one. If the start has the
+// handleOtherStart processes a report of a start other than the running one. If the start has the
 // same instance name as the running one and is newer, the running one must have ended. The new
 // start may be cold, so it receives no calls until it has answered a probe.
-func (t *Tracker) reportedAnother(now time.Duration, report Report) (probe bool) {
+func (t *Tracker) handleOtherStart(now time.Duration, report Report) (probe bool) {
 	start := report.Start()
-	sameName := t.running.Instance == start.Instance
-	if report.Draining && (sameName || t.running.Instance == "") {
+	sameInstance := t.running.Instance == start.Instance
+	if report.Draining && (sameInstance || t.running.Instance == "") {
 		t.HandleLeave(start, 0) // no probe is needed to stop sending calls
 		return false
 	}
-	if sameName {
-		t.reportedAt = now
-		t.begin(start)
+	if sameInstance {
+		t.lastReportAt = now
+		t.setRunning(start)
 	}
 	t.addCandidate(report)
 	return true
 }
 
-// take applies a report of the running start. It never resets a drain, which has been acknowledged.
-func (t *Tracker) take(now time.Duration, report Report) {
+// applyReport applies a report of the running start. It never resets a drain, which has been
+// acknowledged.
+func (t *Tracker) applyReport(now time.Duration, report Report) {
 	t.sequence = report.Sequence
 	t.slots = report.Slots
 	t.software = report.Software
-	t.warmth.reported(now, report.WarmUp)
+	t.warmUp.setByReport(now, report.WarmUp)
 	t.draining = t.draining || report.Draining
 	t.down = false
-	t.heardAt = now
-	t.reportedAt = now
+	t.lastActivityAt = now
+	t.lastReportAt = now
 }
 
-// begin makes a start the running one, unconfirmed and down until it has answered a probe. Of the
-// previous start's state it keeps only the time until which the back end is assumed to be cold, and
-// the count of answered calls.
-func (t *Tracker) begin(start protocol.BackendStart) {
+// setRunning makes a start the running one, unconfirmed and down until it has answered a probe. Of
+// the previous start's state it keeps only the time until which the back end is assumed to be cold,
+// and the count of answered calls.
+func (t *Tracker) setRunning(start protocol.BackendStart) {
 	if start == t.running {
 		return
 	}
 	if t.running.Instance != "" && !t.unconfirmed {
-		t.crashed = !t.draining
+		t.previousCrashed = !t.draining
 	}
-	renamed := t.running.Instance != start.Instance
-	if t.running.Instance != "" && (renamed || t.draining) {
-		t.end(endedStart{start: t.running})
+	otherInstance := t.running.Instance != start.Instance
+	if t.running.Instance != "" && (otherInstance || t.draining) {
+		t.recordEnded(endedStart{start: t.running})
 	}
 	t.running = start
 	t.unconfirmed = true
 	t.sequence = 0
-	t.warmth = warmth{assumed: t.warmth.assumed}
+	t.warmUp = coldTimes{byAssumption: t.warmUp.byAssumption}
 	t.draining = false
 	t.down = true
-	t.outlier = outlier{answered: t.outlier.answered}
+	t.outlier = outlierDetector{succeeded: t.outlier.succeeded}
 }
 
-// Probed processes the answer to a probe. A candidate that answers replaces the running start. The
-// answer names only the instance, not the start, but starts of one instance never run at the same
-// time. The start that answers is therefore the newest one that has reported, or a newer one whose
-// report will replace it.
-func (t *Tracker) HandleProbe(now time.Duration, probe ProbeResult) {
-	at := t.candidateAt(probe.Instance)
-	if at < 0 {
-		t.learnWarmth(now, probe)
+// HandleProbe processes the answer to a probe. A candidate that answers replaces the running start.
+// The answer names only the instance, not the start, but starts of one instance never run at the
+// same time. The start that answers is therefore the newest one that has reported, or a newer one
+// whose report will replace it.
+func (t *Tracker) HandleProbe(now time.Duration, result ProbeResult) {
+	index := t.candidateIndex(result.Instance)
+	if index < 0 {
+		t.updateWarmUp(now, result)
 		return
 	}
-	confirmed := t.candidates[at]
-	if !probe.Healthy && !confirmed.Draining {
+	confirmed := t.candidates[index]
+	if !result.Healthy && !confirmed.Draining {
 		return // it is leaving or failing: its next report triggers another probe
 	}
-	t.begin(confirmed.Start())
+	t.setRunning(confirmed.Start())
 	t.unconfirmed = false
-	t.take(now, confirmed)
-	t.learnWarmth(now, probe)
-	for _, held := range slices.Delete(t.candidates, at, at+1) {
-		t.forget(held)
+	t.applyReport(now, confirmed)
+	t.updateWarmUp(now, result)
+	for _, candidate := range slices.Delete(t.candidates, index, index+1) {
+		t.recordDropped(candidate)
 	}
 	t.candidates = nil
 }
 
-// Left processes a start's notice, sent at a time in Unix milliseconds, that it accepts no more
-// work. If no start is known yet, it becomes the running one, so that peers learn of the leave and
-// can restore it after a restart of this daemon. If the notice does not identify the start, it
+// HandleLeave processes a start's notice, sent at a time in Unix milliseconds, that it accepts no
+// more work. If no start is known yet, it becomes the running one, so that peers learn of the leave
+// and can restore it after a restart of this daemon. If the notice does not identify the start, it
 // applies to the newest known start of the instance, or, if none is known, to any that began before
 // the notice was sent.
-func (t *Tracker) HandleLeave(start protocol.BackendStart, saidAt int64) {
-	known := t.newestOf(start.Instance)
-	unknown := start.Born == 0 && known.Instance == ""
+func (t *Tracker) HandleLeave(start protocol.BackendStart, sentAt int64) {
+	newest := t.newestStart(start.Instance)
+	unknown := start.Born == 0 && newest.Instance == ""
 	switch {
 	case unknown:
-		start.Born = saidAt
+		start.Born = sentAt
 	case start.Born == 0:
-		start = known
+		start = newest
 	}
-	t.leave(endedStart{start: start, orEarlier: unknown})
+	t.stopWork(endedStart{start: start, orEarlier: unknown})
 }
 
-// Remembered processes a leave that a peer has stored: an earlier process of this daemon had
+// RestoreLeave processes a leave that a peer has stored: an earlier process of this daemon had
 // acknowledged it, so it remains binding. If the back end had not reported its start time, the
 // stored time is that of the notice, so an earlier start may be meant.
 func (t *Tracker) RestoreLeave(start protocol.BackendStart) {
-	t.leave(endedStart{start: start, orEarlier: true})
+	t.stopWork(endedStart{start: start, orEarlier: true})
 }
 
-// leave stops sending work to a start and drops the candidates that are the same start or older.
-func (t *Tracker) leave(left endedStart) {
-	start := left.start
+// stopWork stops sending work to a start and drops the candidates that are the same start or older.
+func (t *Tracker) stopWork(ended endedStart) {
+	start := ended.start
 	if t.running.Instance == "" || t.running.Instance == start.Instance && start.Born > t.running.Born {
-		t.begin(start)
+		t.setRunning(start)
 	}
 	if start == t.running {
 		t.draining = true
 	}
-	t.end(left)
-	t.doubtRunning(start)
-	t.dropCandidates(func(held Report) bool {
-		return t.hasEnded(held.Start()) || t.isOlder(held.Start())
+	t.recordEnded(ended)
+	t.markDownIfOlderRuns(start)
+	t.dropCandidates(func(candidate Report) bool {
+		return t.isEnded(candidate.Start()) || t.isOlderThanKnown(candidate.Start())
 	})
 }
 
-// Unreachable marks a start that has refused a connection as down until its next report.
+// MarkUnreachable marks a start that has refused a connection as down until its next report.
 func (t *Tracker) MarkUnreachable(start protocol.BackendStart) {
 	if start == t.running {
 		t.down = true
 	}
 }
 
-// Failed records a failed call of a start, with the total count of successful calls so far. It
-// reports whether the failure ejects the back end. Failures of an earlier start are ignored.
-func (t *Tracker) RecordFailure(now time.Duration, start protocol.BackendStart, answered uint64) bool {
-	return start == t.running && t.outlier.failed(now, answered)
+// RecordFailure records a failed call of a start, with the total count of successful calls so far.
+// It reports whether the failure ejects the back end. Failures of an earlier start are ignored.
+func (t *Tracker) RecordFailure(now time.Duration, start protocol.BackendStart, succeeded uint64) bool {
+	return start == t.running && t.outlier.recordFailure(now, succeeded)
 }
 
-// Answered records that the back end has answered a call.
-func (t *Tracker) RecordAnswer(now time.Duration) { t.heardAt = max(t.heardAt, now) }
+// RecordAnswer records that the back end has answered a call.
+func (t *Tracker) RecordAnswer(now time.Duration) { t.lastActivityAt = max(t.lastActivityAt, now) }
 
-// Leaving reports whether the running start drains or has left.
+// IsDraining reports whether the running start drains or has left.
 func (t *Tracker) IsDraining() bool { return t.draining }
 
 // View is the state of the back end at a given time, for the gate and for the members of the mesh.
@@ -276,9 +279,9 @@
 func (t *Tracker) View(now time.Duration) View {
 	view := View{
 		Start: t.running, Slots: t.slots, Software: t.software,
-		EarlierCrashed: t.crashed && !t.unconfirmed,
+		EarlierCrashed: t.previousCrashed && !t.unconfirmed,
 	}
-	if until := t.warmth.until(); now < until {
+	if until := t.warmUp.coldUntil(); now < until {
 		view.ColdUntil = until
 	}
 	switch {
@@ -286,9 +289,9 @@
 		view.State = protocol.EndpointNone
 	case t.draining:
 		view.State = protocol.EndpointDraining
-	case t.down || now-t.heardAt > silentBeats*t.interval:
+	case t.down || now-t.lastActivityAt > maxMissedHeartbeats*t.interval:
 		view.State = protocol.EndpointDown
-	case t.outlier.ejected(now):
+	case t.outlier.isEjected(now):
 		view.State = protocol.EndpointDegraded
 	case view.ColdUntil > 0:
 		view.State = protocol.EndpointWarming
--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -11,7 +11,7 @@
 
 const interval = time.Second
 
-func started(t *testing.T) *Tracker {
+func newReadyTracker(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := NewTracker(interval)
 	is.New(t).True(tracker.HandleReport(0, Report{Instance: "a", Sequence: 3, Slots: 6}))
@@ -20,7 +20,7 @@
 	return tracker
 }
 
-func TestAnInstanceIsTakenOnlyOnceItHasAnsweredItself(t *testing.T) {
+func TestAnInstanceIsConfirmedOnlyByItsOwnAnswer(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 1, Slots: 6})
@@ -36,9 +36,9 @@
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
-func TestDrainingOutlivesLateReports(t *testing.T) {
+func TestDrainingSurvivesLateReports(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 5, Draining: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4})
@@ -46,9 +46,9 @@
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-func TestALateReportOfAnEndedInstanceIsNotANewOne(t *testing.T) {
+func TestALateReportOfAnEndedInstanceIsIgnored(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	check.True(tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 4}))
 	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0), View{
@@ -59,9 +59,9 @@
 	check.True(!tracker.HasCandidates())
 }
 
-func TestLeavingWithoutDrainingEndsWork(t *testing.T) {
+func TestALeaveWithoutADrainStopsWork(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleLeave(protocol.BackendStart{Instance: "b"}, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	tracker.HandleLeave(protocol.BackendStart{Instance: "a"}, 0)
@@ -70,9 +70,9 @@
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-func TestDownEndsWithTheNextReport(t *testing.T) {
+func TestANewReportEndsTheDownState(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.MarkUnreachable(protocol.BackendStart{Instance: "b"})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	tracker.MarkUnreachable(protocol.BackendStart{Instance: "a"})
@@ -82,24 +82,24 @@
 	check.Equal(tracker.View(2*interval).State, protocol.EndpointReady)
 }
 
-func TestSilenceCountsOnlyWithoutAnsweredCalls(t *testing.T) {
+func TestMissedHeartbeatsCountOnlyWithoutAnsweredCalls(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
-	late := silentBeats*interval + 1
+	tracker := newReadyTracker(t)
+	late := maxMissedHeartbeats*interval + 1
 	check.Equal(tracker.View(late).State, protocol.EndpointDown)
 	tracker.RecordAnswer(interval)
 	check.Equal(tracker.View(late).State, protocol.EndpointReady)
 }
 
-func TestEndedInstancesAreBounded(t *testing.T) {
-	tracker := started(t)
+func TestEndedStartsAreBounded(t *testing.T) {
+	tracker := newReadyTracker(t)
 	for index := range 3 * endedLimit {
 		tracker.HandleLeave(protocol.BackendStart{Instance: string(rune('A' + index))}, 0)
 	}
-	is.New(t).Equal(len(tracker.ended), endedLimit)
+	is.New(t).Equal(len(tracker.endedStarts), endedLimit)
 }
 
-func TestWhatPeersRememberOfALeavingInstanceStands(t *testing.T) {
+func TestARestoredLeaveIsBinding(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(time.Second)
 	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"})
@@ -115,13 +115,13 @@
 
 // A delayed heartbeat of an instance that has crashed arrives after the first one of its successor.
 // The successor replaces it as soon as it answers a probe itself.
-func TestALateReportDoesNotHoldItsSuccessorUp(t *testing.T) {
+func TestALateReportDoesNotDelayTheSuccessor(t *testing.T) {
 	check := is.New(t)
-	for _, before := range []string{"", "a"} { // the daemon may have known the crashed instance or not
+	for _, earlier := range []string{"", "a"} { // the daemon may have known the crashed instance or not
 		tracker := NewTracker(time.Second)
-		if before != "" {
-			tracker.HandleReport(0, Report{Instance: before, Sequence: 1, Slots: 6})
-			tracker.HandleProbe(0, ProbeResult{Instance: before, Healthy: true})
+		if earlier != "" {
+			tracker.HandleReport(0, Report{Instance: earlier, Sequence: 1, Slots: 6})
+			tracker.HandleProbe(0, ProbeResult{Instance: earlier, Healthy: true})
 		}
 		check.True(tracker.HandleReport(time.Second, Report{Instance: "b", Sequence: 1, Slots: 6}))
 		tracker.HandleReport(2*time.Second, Report{Instance: "a", Sequence: 9, Slots: 6})
@@ -136,15 +136,15 @@
 
 // A daemon that has received no heartbeat since it started publishes the leaves it acknowledges.
 // Otherwise they would be lost if it were killed.
-func TestALeaveBeforeTheFirstHeartbeatIsTold(t *testing.T) {
+func TestALeaveBeforeTheFirstHeartbeatIsPublished(t *testing.T) {
 	check := is.New(t)
-	leave := map[string]func(*Tracker){
+	announcements := map[string]func(*Tracker){
 		"leave":              func(tracker *Tracker) { tracker.HandleLeave(protocol.BackendStart{Instance: "a"}, 0) },
 		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(0, Report{Instance: "a", Sequence: 1, Draining: true}) },
 	}
-	for name, say := range leave {
+	for name, announce := range announcements {
 		tracker := NewTracker(time.Second)
-		say(tracker)
+		announce(tracker)
 		t.Log(name)
 		check.Equal(tracker.View(0).Start.Instance, "a")
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
@@ -159,9 +159,9 @@
 
 // Two reports may arrive in reverse order, and both are acknowledged. An instance that is leaving
 // stays in that state.
-func TestADrainThatALaterReportOvertookCounts(t *testing.T) {
+func TestADrainOvertakenByALaterReportIsBinding(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 5, Slots: 6})
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 2, Draining: true})
 	check.Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "a"}, Slots: 6, State: protocol.EndpointDraining})
--- a/internal/core/backend/crashed_test.go
+++ b/internal/core/backend/crashed_test.go
@@ -9,31 +9,31 @@
 // Calls of a start that has left may still run while the next start does.
 func TestAStartThatLeftHasNotCrashed(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(100), 0)
 	tracker.HandleReport(0, reportOf(200, 1))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).Start, startOf(200))
 	check.True(!tracker.View(0).EarlierCrashed)
 }
 
 func TestAStartHasCrashedOnceTheNextOneAnswers(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, reportOf(200, 1))
 	check.True(!tracker.View(0).EarlierCrashed)
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.True(tracker.View(0).EarlierCrashed)
 }
 
 // A start that never received a call does not change whether the one before it left or crashed.
-func TestAnUnconfirmedStartBetweenHidesNoLeave(t *testing.T) {
+func TestAnUnconfirmedStartDoesNotHideAnEarlierLeave(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(100), 0)
 	tracker.HandleReport(0, reportOf(200, 1))
 	tracker.HandleReport(0, reportOf(300, 1))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).Start, startOf(300))
 	check.True(!tracker.View(0).EarlierCrashed)
 }
--- a/internal/core/backend/report.go
+++ b/internal/core/backend/report.go
@@ -31,7 +31,7 @@
 	return protocol.BackendStart{Instance: r.Instance, Born: r.Born}
 }
 
-// Probe is the back end's answer to a health probe.
+// ProbeResult is the back end's answer to a health probe.
 type ProbeResult struct {
 	// Instance is the name of the instance that answered; empty if there was no answer.
 	Instance string
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -17,38 +17,38 @@
 	return Report{Instance: "a", Born: born, Sequence: sequence, Slots: 6}
 }
 
-// answers passes a healthy answer of the instance to the tracker.
-func answers(tracker *Tracker, now time.Duration) {
+// answerProbe passes a healthy answer of the instance to the tracker.
+func answerProbe(tracker *Tracker, now time.Duration) {
 	tracker.HandleProbe(now, ProbeResult{Instance: "a", Healthy: true})
 }
 
-// runningSince returns a tracker whose running start began at the given time.
-func runningSince(t *testing.T, born int64) *Tracker {
+// newTrackerRunning returns a tracker whose running start began at the given time.
+func newTrackerRunning(t *testing.T, born int64) *Tracker {
 	t.Helper()
 	tracker := NewTracker(interval)
 	is.New(t).True(tracker.HandleReport(0, reportOf(born, 7)))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	is.New(t).Equal(tracker.View(0), View{Start: startOf(born), Slots: 6, State: protocol.EndpointReady})
 	return tracker
 }
 
 func TestANewerStartReplacesTheOlderOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	check.True(tracker.HandleReport(interval, reportOf(200, 1))) // the sequence restarts
 	check.Equal(tracker.View(interval).Start, startOf(200))
 	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // no calls before it has answered
-	answers(tracker, interval)
+	answerProbe(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 	check.True(!tracker.HandleReport(interval, reportOf(200, 2)))
 }
 
 func TestANewerStartEndsTheDrainOfTheOlderOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(100), 0)
 	check.True(tracker.HandleReport(interval, reportOf(200, 1)))
-	answers(tracker, interval)
+	answerProbe(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 	tracker.HandleLeave(startOf(100), 0) // repeated and late
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
@@ -56,15 +56,15 @@
 
 func TestANewerStartEndsTheEjectionOfTheOlderOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
-	for range failureCalls {
+	tracker := newTrackerRunning(t, 100)
+	for range minFailureCalls {
 		tracker.RecordFailure(0, startOf(100), 0)
 	}
 	check.Equal(tracker.View(0).State, protocol.EndpointDegraded)
 	tracker.HandleReport(0, reportOf(200, 1))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	for range failureCalls {
+	for range minFailureCalls {
 		check.True(!tracker.RecordFailure(0, startOf(100), 0)) // failed calls of the older start
 	}
 	tracker.MarkUnreachable(startOf(100))
@@ -73,44 +73,44 @@
 
 func TestANewerStartHasItsOwnWarmUp(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	cold := reportOf(100, 8)
 	cold.WarmUp = time.Minute
 	tracker.HandleReport(0, cold)
 	check.Equal(tracker.View(0).State, protocol.EndpointWarming)
 	tracker.HandleReport(0, reportOf(200, 1))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
-func TestAnOlderStartsReportsCountForNothing(t *testing.T) {
+func TestReportsOfAnOlderStartAreIgnored(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 200)
+	tracker := newTrackerRunning(t, 200)
 	check.True(!tracker.HandleReport(0, reportOf(100, 99)))
-	drained := reportOf(100, 100)
-	drained.Draining = true
-	check.True(!tracker.HandleReport(0, drained))
+	draining := reportOf(100, 100)
+	draining.Draining = true
+	check.True(!tracker.HandleReport(0, draining))
 	tracker.HandleLeave(startOf(100), 0)
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointReady})
 	check.True(!tracker.HasCandidates())
 }
 
-func TestANewerStartThatDrainsGetsNothingAtOnce(t *testing.T) {
+func TestANewerStartThatDrainsReceivesNoCalls(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
-	drained := reportOf(200, 1)
-	drained.Draining = true
-	check.True(!tracker.HandleReport(0, drained))
+	tracker := newTrackerRunning(t, 100)
+	draining := reportOf(200, 1)
+	draining.Draining = true
+	check.True(!tracker.HandleReport(0, draining))
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointDraining})
 	check.True(!tracker.HandleReport(0, reportOf(200, 2))) // contradicts the drain
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
 // A leave without a start time applies to the newest known start.
-func TestALeaveWithoutATimeBindsTheNewestStart(t *testing.T) {
+func TestALeaveWithoutAStartTimeAppliesToTheNewestStart(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0), View{Start: startOf(100), Slots: 6, State: protocol.EndpointDraining})
 	check.True(!tracker.HandleReport(0, reportOf(100, 9)))
@@ -119,23 +119,23 @@
 
 // A daemon that knows no start of the instance applies a leave without a start time to all that
 // began before it was sent.
-func TestALeaveWithoutATimeOfAnUnknownStartBindsAllBefore(t *testing.T) {
+func TestALeaveOfAnUnknownStartAppliesToAllEarlierOnes(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	for beat := range uint64(4 * persistentBeats) { // contradicts the leave repeatedly
+	for beat := range uint64(4 * persistentHeartbeats) { // contradicts the leave repeatedly
 		now := time.Duration(beat) * interval
 		check.True(!tracker.HandleReport(now, reportOf(4000, beat)))
-		answers(tracker, now)
+		answerProbe(tracker, now)
 		check.Equal(tracker.View(now).State, protocol.EndpointDraining)
 	}
 	check.True(tracker.HandleReport(0, reportOf(6000, 1)))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
-func TestWhatPeersRememberOfAStartDoesNotBindANewerOne(t *testing.T) {
+func TestARestoredLeaveDoesNotApplyToANewerStart(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.RestoreLeave(startOf(100))
@@ -143,45 +143,45 @@
 	check.True(!tracker.HandleReport(0, reportOf(100, 9)))
 	check.True(!tracker.HandleReport(0, reportOf(50, 9)))
 	check.True(tracker.HandleReport(0, reportOf(200, 1)))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	tracker.RestoreLeave(startOf(100)) // arrives late
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointReady})
 }
 
 // The clock that provides the start times may be set back, or another sender may have reported an
 // absurd time. The start that runs is accepted eventually.
-func TestAnAbsurdTimeLocksNobodyOut(t *testing.T) {
+func TestAnAbsurdStartTimeDoesNotLockOutTheRunningStart(t *testing.T) {
 	for _, absurd := range []int64{300, 1 << 62} {
 		check := is.New(t)
-		tracker := runningSince(t, absurd)
-		taken := 0
-		for beat := 1; beat <= 2*persistentBeats && taken == 0; beat++ {
+		tracker := newTrackerRunning(t, absurd)
+		acceptedAtBeat := 0
+		for beat := 1; beat <= 2*persistentHeartbeats && acceptedAtBeat == 0; beat++ {
 			now := time.Duration(beat) * interval
 			if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
-				answers(tracker, now)
-				taken = beat
+				answerProbe(tracker, now)
+				acceptedAtBeat = beat
 			}
 		}
-		check.Equal(taken, persistentBeats+1)
-		check.Equal(tracker.View((persistentBeats+1)*interval).Start, startOf(200))
+		check.Equal(acceptedAtBeat, persistentHeartbeats+1)
+		check.Equal(tracker.View((persistentHeartbeats+1)*interval).Start, startOf(200))
 		check.True(tracker.HandleReport(0, reportOf(201, 1))) // the next start is accepted as usual
 	}
 }
 
 // Delayed reports that arrive together do not show that the start runs, however many they are.
-func TestABurstOfOldReportsIsNoLife(t *testing.T) {
+func TestABurstOfDelayedReportsDoesNotReplaceTheRunningStart(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 200)
-	for beat := range uint64(4 * persistentBeats) {
+	tracker := newTrackerRunning(t, 200)
+	for beat := range uint64(4 * persistentHeartbeats) {
 		check.True(!tracker.HandleReport(time.Minute, reportOf(100, beat)))
 	}
 }
 
 // While the newer start reports, an older one never replaces it.
-func TestAnOlderStartWaitsForTheSilenceOfTheNewerOne(t *testing.T) {
+func TestAnOlderStartDoesNotReplaceANewerOneThatReports(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 200)
-	for beat := 1; beat <= 4*persistentBeats; beat++ {
+	tracker := newTrackerRunning(t, 200)
+	for beat := 1; beat <= 4*persistentHeartbeats; beat++ {
 		now := time.Duration(beat) * interval
 		tracker.HandleReport(now, reportOf(200, uint64(beat+7)))
 		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat))))
@@ -189,9 +189,9 @@
 }
 
 // An instance that reports no start time is identified by its name alone.
-func TestAnInstanceWithoutATimeNeverComesBack(t *testing.T) {
+func TestAnInstanceWithoutAStartTimeNeverReturns(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 0)
+	tracker := newTrackerRunning(t, 0)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.True(!tracker.HandleReport(0, reportOf(0, 99)))
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
@@ -199,9 +199,9 @@
 
 // The acknowledged drain of an unconfirmed start remains binding although a later report
 // contradicts it.
-func TestACandidateThatDrainsIsTakenAsDraining(t *testing.T) {
+func TestADrainOfACandidateIsBinding(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1, Draining: true})
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 2})
 	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
@@ -212,30 +212,30 @@
 // unconfirmed newer one as the candidate for the probe.
 func TestAPersistentStartReplacesAnUnconfirmedAbsurdOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, reportOf(1<<62, 1)) // its probe failed
-	for beat := 1; beat <= persistentBeats+1; beat++ {
+	for beat := 1; beat <= persistentHeartbeats+1; beat++ {
 		now := time.Duration(beat) * interval
 		if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
-			answers(tracker, now)
+			answerProbe(tracker, now)
 		}
 	}
-	check.Equal(tracker.View((persistentBeats+1)*interval), View{
+	check.Equal(tracker.View((persistentHeartbeats+1)*interval), View{
 		Start: startOf(200), Slots: 6, State: protocol.EndpointReady, EarlierCrashed: true,
 	})
 }
 
 // The acknowledged drain of an unconfirmed start remains binding after a newer start has left.
-func TestALeaveForgetsNoDrainOfAnOlderCandidate(t *testing.T) {
+func TestALeaveKeepsTheDrainOfAnOlderCandidate(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
 	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
-	drained := reportOf(100, 1)
-	drained.Draining = true
-	tracker.HandleReport(0, drained)
+	draining := reportOf(100, 1)
+	draining.Draining = true
+	tracker.HandleReport(0, draining)
 	tracker.HandleLeave(startOf(200), 0)
-	for beat := 1; beat <= 2*persistentBeats; beat++ {
+	for beat := 1; beat <= 2*persistentHeartbeats; beat++ {
 		now := time.Duration(beat) * interval
 		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat+1))))
 	}
@@ -243,20 +243,20 @@
 
 // If only a start that appears to be older than the running one reports, it may be the one that
 // runs. Once its drain is acknowledged, calls to the running one stop as well.
-func TestADrainOfAPersistentOlderStartEndsCalls(t *testing.T) {
-	drained := reportOf(200, 9)
-	drained.Draining = true
-	for name, say := range map[string]func(*Tracker){
+func TestADrainOfAPersistentOlderStartStopsCalls(t *testing.T) {
+	draining := reportOf(200, 9)
+	draining.Draining = true
+	for name, announce := range map[string]func(*Tracker){
 		"leave":              func(tracker *Tracker) { tracker.HandleLeave(startOf(200), 0) },
-		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(3*interval, drained) },
+		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(3*interval, draining) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
-			tracker := runningSince(t, 300)
+			tracker := newTrackerRunning(t, 300)
 			for beat := 1; beat <= 2; beat++ {
 				tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat)))
 			}
-			say(tracker)
+			announce(tracker)
 			tracker.RecordAnswer(3 * interval)
 			check.True(!tracker.View(3 * interval).State.AcceptsCalls())
 			tracker.HandleReport(3*interval, reportOf(300, 8)) // it was only late, and runs
@@ -269,10 +269,10 @@
 // other one.
 func TestAPersistentStartIsProbedUntilItAnswers(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(1<<62), 0) // sent by another process
 	probes := 0
-	for beat := 1; beat <= persistentBeats+3; beat++ {
+	for beat := 1; beat <= persistentHeartbeats+3; beat++ {
 		if tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat))) {
 			probes++ // its probe fails
 		}
@@ -282,7 +282,7 @@
 
 // A leave restored by a peer, or one without a start time, may carry the time of a clock that has
 // been set back since. The next start is delayed but not locked out.
-func TestAClockSetBackAfterALeaveLocksNobodyOut(t *testing.T) {
+func TestAClockSetBackAfterALeaveDoesNotLockOutTheNextStart(t *testing.T) {
 	for name, leave := range map[string]func(*Tracker){
 		"remembered": func(tracker *Tracker) { tracker.RestoreLeave(startOf(5000)) },
 		"left":       func(tracker *Tracker) { tracker.HandleLeave(startOf(0), 5000) },
@@ -292,11 +292,11 @@
 			tracker := NewTracker(interval)
 			leave(tracker)
 			now := time.Duration(0)
-			for beat := range uint64(leavingBeats + 1) {
+			for beat := range uint64(persistentHeartbeatsAfterLeave + 1) {
 				check.True(!tracker.View(now).State.AcceptsCalls())
 				now += interval
 				if tracker.HandleReport(now, reportOf(200, beat+1)) {
-					answers(tracker, now)
+					answerProbe(tracker, now)
 				}
 			}
 			check.Equal(tracker.View(now).Start, startOf(200))
@@ -307,9 +307,9 @@
 }
 
 // An acknowledged drain is binding although a report with a higher sequence arrived before it.
-func TestADrainThatComesLateBinds(t *testing.T) {
-	for name, before := range map[string]func(*Tracker){
-		"running":     func(tracker *Tracker) { answers(tracker, 0) },
+func TestALateDrainIsBinding(t *testing.T) {
+	for name, confirm := range map[string]func(*Tracker){
+		"running":     func(tracker *Tracker) { answerProbe(tracker, 0) },
 		"unconfirmed": func(*Tracker) {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -318,11 +318,11 @@
 			tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
 			tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 			tracker.HandleReport(0, reportOf(200, 9))
-			before(tracker)
-			drained := reportOf(200, 8)
-			drained.Draining = true
-			tracker.HandleReport(0, drained)
-			answers(tracker, 0)
+			confirm(tracker)
+			draining := reportOf(200, 8)
+			draining.Draining = true
+			tracker.HandleReport(0, draining)
+			answerProbe(tracker, 0)
 			check.Equal(tracker.View(0).Start, startOf(200))
 			check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 		})
@@ -332,9 +332,9 @@
 // If only a start that appears to be older than the running one reports, it may be the one that
 // runs. When it reports that it is cold, the back end counts as cold until the running one reports
 // or answers a probe.
-func TestAPersistentOlderStartThatBecomesColdIsHeard(t *testing.T) {
+func TestAPersistentOlderStartMayReportThatItIsCold(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 300)
+	tracker := newTrackerRunning(t, 300)
 	cold := reportOf(200, 3)
 	cold.WarmUp = time.Second
 	tracker.HandleReport(interval, cold) // a single report may have been delayed
--- a/internal/core/backend/warmth.go
+++ b/internal/core/backend/warmth.go
@@ -2,58 +2,60 @@
 
 import "time"
 
-// longestCold bounds the time for which a start counts as cold because of a single report, probe or
+// maxColdTime bounds the time for which a start counts as cold because of a single report, probe or
 // assumption, so that an absurd value does not block calls permanently.
-const longestCold = 10 * time.Minute
+const maxColdTime = 10 * time.Minute
 
-// warmth holds the times until which a start is cold, by source, on the daemon's clock. Health
+// coldTimes holds the times until which a start is cold, by source, on the daemon's clock. Health
 // answers may be wrong and heartbeats may be late, so the latest of these times applies.
-type warmth struct {
+type coldTimes struct {
 	byReport time.Duration
 	byProbe  time.Duration
-	// assumed applies until the back end answers a later probe.
-	assumed time.Duration
+	// byAssumption applies until the back end answers a later probe.
+	byAssumption time.Duration
 }
 
-// until returns the time at which the start is warm according to all sources.
-func (w warmth) until() time.Duration { return max(w.byReport, w.byProbe, w.assumed) }
+// coldUntil returns the time at which the start is warm according to all sources.
+func (c coldTimes) coldUntil() time.Duration { return max(c.byReport, c.byProbe, c.byAssumption) }
 
-// reported records the remaining warm-up time of a heartbeat.
-func (w *warmth) reported(now, left time.Duration) { w.byReport = now + bounded(left) }
+// setByReport records the remaining warm-up time of a heartbeat.
+func (c *coldTimes) setByReport(now, remaining time.Duration) {
+	c.byReport = now + clampWarmUp(remaining)
+}
 
-// probed records the remaining warm-up time of the answer to a probe.
-func (w *warmth) probed(now, left time.Duration) {
-	w.byProbe = now + bounded(left)
-	w.assumed = 0
+// setByProbe records the remaining warm-up time of the answer to a probe.
+func (c *coldTimes) setByProbe(now, remaining time.Duration) {
+	c.byProbe = now + clampWarmUp(remaining)
+	c.byAssumption = 0
 }
 
-// bounded limits a received duration to the range from 0 to longestCold.
-func bounded(left time.Duration) time.Duration { return min(max(left, 0), longestCold) }
+// clampWarmUp limits a received duration to the range from 0 to maxColdTime.
+func clampWarmUp(remaining time.Duration) time.Duration { return min(max(remaining, 0), maxColdTime) }
 
-// learnWarmth records the warm-up time of the running start from the answer to a probe. A failed
+// updateWarmUp records the warm-up time of the running start from the answer to a probe. A failed
 // probe, or an answer of another instance, changes nothing.
-func (t *Tracker) learnWarmth(now time.Duration, probe ProbeResult) {
-	if probe.Instance == t.running.Instance && t.running.Instance != "" && !t.unconfirmed && probe.TellsWarmUp {
-		t.warmth.probed(now, probe.WarmUp)
+func (t *Tracker) updateWarmUp(now time.Duration, result ProbeResult) {
+	if result.Instance == t.running.Instance && t.running.Instance != "" && !t.unconfirmed && result.TellsWarmUp {
+		t.warmUp.setByProbe(now, result.WarmUp)
 	}
 }
 
 // AssumeCold treats the back end as cold for a given time, unless a probe shows otherwise: it may
 // have become cold unnoticed.
 func (t *Tracker) AssumeCold(now, duration time.Duration) {
-	t.warmth.assumed = now + bounded(duration)
+	t.warmUp.byAssumption = now + clampWarmUp(duration)
 }
 
-// AwaitsWarmth reports whether the back end is assumed to be cold and has not answered a probe
+// IsAssumedCold reports whether the back end is assumed to be cold and has not answered a probe
 // since.
 func (t *Tracker) IsAssumedCold(now time.Duration) bool {
-	return t.running.Instance != "" && now < t.warmth.assumed
+	return t.running.Instance != "" && now < t.warmUp.byAssumption
 }
 
-// DoubtsWarmth reports whether the back end must be probed again: either it is assumed to be cold,
-// or its reports say that it is warm while its latest answer to a probe said that it is cold.
+// NeedsWarmthProbe reports whether the back end must be probed again: either it is assumed to be
+// cold, or its reports say that it is warm while its latest answer to a probe said that it is cold.
 // Without the second case a single wrong answer would block calls for as long as it stated.
 func (t *Tracker) NeedsWarmthProbe(now time.Duration) bool {
-	contradicted := t.warmth.byReport <= now && now < t.warmth.byProbe
+	contradicted := t.warmUp.byReport <= now && now < t.warmUp.byProbe
 	return t.IsAssumedCold(now) || contradicted
 }
--- a/internal/core/backend/warmth_test.go
+++ b/internal/core/backend/warmth_test.go
@@ -13,9 +13,9 @@
 // coldUntil returns the time until which the running instance is cold, as seen at the given time.
 func coldUntil(t *Tracker, now time.Duration) time.Duration { return t.View(now).ColdUntil }
 
-func TestAWarmInstanceThatSaysItIsColdAgainIsBelieved(t *testing.T) {
+func TestAWarmInstanceMayReportThatItIsColdAgain(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	check.Equal(coldUntil(tracker, 0), time.Duration(0))
 	tracker.HandleReport(interval, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 3 * interval})
 	check.Equal(coldUntil(tracker, interval), 4*interval)
@@ -23,16 +23,16 @@
 	check.Equal(coldUntil(tracker, 4*interval), time.Duration(0))
 }
 
-func TestAHealthAnswerTellsThatTheInstanceIsCold(t *testing.T) {
+func TestAProbeMayReportThatTheInstanceIsCold(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
 	check.Equal(coldUntil(tracker, 0), 2*interval)
 }
 
-func TestTheLongerWarmUpCountsForEitherMayLie(t *testing.T) {
+func TestTheLongestReportedWarmUpApplies(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 3 * interval})
 	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), 3*interval)
@@ -40,9 +40,9 @@
 	check.Equal(coldUntil(tracker, 0), 5*interval)
 }
 
-func TestAProbeThatFailsTellsNothingOfTheWarmUp(t *testing.T) {
+func TestAFailedProbeDoesNotChangeTheWarmUp(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.AssumeCold(0, 3*interval)
 	tracker.HandleProbe(0, ProbeResult{})
 	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
@@ -51,18 +51,18 @@
 	check.True(tracker.IsAssumedCold(0))
 }
 
-func TestWhatWasAssumedEndsWhenTheInstanceSaysOtherwise(t *testing.T) {
+func TestAnAnsweredProbeEndsAnAssumption(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.AssumeCold(0, 3*interval)
 	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), time.Duration(0))
 	check.True(!tracker.IsAssumedCold(0))
 }
 
-func TestAHeartbeatDoesNotEndWhatWasAssumed(t *testing.T) {
+func TestAHeartbeatDoesNotEndAnAssumption(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.AssumeCold(0, 3*interval)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6}) // it may have been delayed
 	check.Equal(coldUntil(tracker, 0), 3*interval)
@@ -70,20 +70,20 @@
 
 func TestAnotherInstanceHasItsOwnWarmUp(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 9 * interval})
 	tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6, WarmUp: interval})
 	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
 	check.Equal(coldUntil(tracker, 0), 2*interval)
 }
 
-func TestASenselessWarmUpHoldsNothingBackForGood(t *testing.T) {
+func TestAnAbsurdWarmUpIsBounded(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: -interval})
 	check.Equal(coldUntil(tracker, 0), time.Duration(0))
 	tracker.HandleReport(interval, Report{Instance: "a", Sequence: 5, Slots: 6, WarmUp: math.MaxInt64})
-	check.Equal(coldUntil(tracker, interval), interval+longestCold)
+	check.Equal(coldUntil(tracker, interval), interval+maxColdTime)
 	tracker.HandleReport(interval, Report{Instance: "a", Sequence: 6, Slots: 6})
 	check.Equal(coldUntil(tracker, interval), time.Duration(0))
 }
