--- a/internal/core/hang/hang.go
+++ b/internal/core/hang/hang.go
@@ -7,16 +7,16 @@
 import "time"
 
 const (
-	// seenNeeded is the number of answered calls of a class from which its longest service time is
-	// usable. With fewer, one in twenty healthy calls takes longer.
-	seenNeeded = 20
-	// overtakenNeeded is the number of calls sent later that must have been answered. They show
-	// that the back end is answering, so the call is not merely delayed by a pause of the whole
-	// back end.
-	overtakenNeeded = 3
-	// untoldFactor is the multiple of the longest service time that a call must exceed if the back
+	// minAnsweredCalls is the number of answered calls of a class from which its longest service
+	// time is usable. With fewer, one in twenty healthy calls takes longer.
+	minAnsweredCalls = 20
+	// minOvertaken is the number of calls sent later that must have been answered. They show that
+	// the back end is answering, so the call is not merely delayed by a pause of the whole back
+	// end.
+	minOvertaken = 3
+	// ageOnlyFactor is the multiple of the longest service time that a call must exceed if the back
 	// end does not report the calls it holds, so that its age is the only evidence.
-	untoldFactor = 2
+	ageOnlyFactor = 2
 )
 
 // Evidence holds the observations about one call in flight.
@@ -39,15 +39,15 @@
 	Rank int
 }
 
-// Hangs reports whether the call is considered hung. A back end that reports holding all calls is
+// IsHung reports whether the call is considered hung. A back end that reports holding all calls is
 // still running this one, however long it takes. A call is not ended for being hung: the only cost
 // of a wrong result is another attempt, if one is allowed.
 func (e Evidence) IsHung() bool {
-	if e.Seen < seenNeeded || e.Overtaken < overtakenNeeded {
+	if e.Seen < minAnsweredCalls || e.Overtaken < minOvertaken {
 		return false
 	}
 	if !e.Told {
-		return e.Age > untoldFactor*e.Longest
+		return e.Age > ageOnlyFactor*e.Longest
 	}
 	// It is certain here that calls are missing, and likely that these are the overdue ones.
 	// Waiting for certainty would leave no time to run them elsewhere within their latency target.
--- /dev/null
+++ b/internal/core/hang/missing.go
@@ -0,0 +1,69 @@
+package hang
+
+import (
+	"math"
+	"sync"
+	"time"
+)
+
+const (
+	// missingPeriod is the period over which the minimum is taken. A call that was still on its
+	// way, or was answered while the report was on its way, is missing only for a few milliseconds.
+	missingPeriod = 200 * time.Millisecond
+	// minReportsPerPeriod is the number of reports that a period must contain to be valid.
+	minReportsPerPeriod = 3
+	// maxResultAge is the time for which the result of a period remains valid.
+	maxResultAge = 2 * time.Second
+)
+
+// MissingCalls tracks how many of the calls in flight at a back end the back end does not report as
+// held. It is safe for concurrent use, and recording never blocks. The zero value has no data.
+type MissingCalls struct {
+	mutex sync.Mutex
+	// periodStart is the start of the present period, minimum the lowest number of missing calls in
+	// its reports.
+	periodStart time.Duration
+	reports     int
+	minimum     int
+	// lastResult is the result of the latest complete period, which ended at lastResultAt;
+	// lastResultAt is 0 if there is none.
+	lastResult   int
+	lastResultAt time.Duration
+}
+
+// Record records a back end's report of the number of calls it holds, with the number of calls in
+// flight there. A report that arrives while another one is being recorded is dropped, since reports
+// are frequent.
+func (m *MissingCalls) Record(now time.Duration, inFlight, held int) {
+	if !m.mutex.TryLock() {
+		return
+	}
+	defer m.mutex.Unlock()
+	if m.reports == 0 {
+		m.periodStart, m.minimum = now, math.MaxInt
+	}
+	m.minimum = min(m.minimum, max(inFlight-held, 0))
+	m.reports++
+	if now-m.periodStart < missingPeriod || m.reports < minReportsPerPeriod {
+		return
+	}
+	m.lastResult, m.lastResultAt = m.minimum, max(now, 1)
+	m.reports = 0
+}
+
+// Count returns the number of missing calls; false if there is no recent result.
+func (m *MissingCalls) Count(now time.Duration) (int, bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.lastResultAt == 0 || now-m.lastResultAt > maxResultAge {
+		return 0, false
+	}
+	return m.lastResult, true
+}
+
+// Reset discards the reports of an earlier start of the back end.
+func (m *MissingCalls) Reset() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.reports, m.lastResult, m.lastResultAt = 0, 0, 0
+}
