--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -21,19 +21,19 @@
 	// hold one paceParts-th of the limit, rounded up. Without pacing all starts of a window could
 	// come at once, and two such bursts would coincide if a machine sent the first one late.
 	paceParts = 4
-	// slackPart is the fraction of the slack that is used. The rest is a reserve for calls that are
+	// usedSlack is the fraction of the slack that is used. The rest is a reserve for calls that are
 	// sent later than arrivalSpread, up to a quarter of a window late; pacing bounds their number.
-	slackPart = 0.5
+	usedSlack = 0.5
 	// startLimit bounds the number of starts that are kept, and so the highest limit.
 	startLimit = 4096
-	// keptParts defines the reserve for each higher class: at most one keptParts-th of a window's
-	// starts, and no more than the number of its calls that arrived recently.
-	keptParts = 4
-	// Classes is the number of priority classes of calls. A higher class is more urgent.
+	// reservedParts defines the reserve for each higher class: at most one reservedParts-th of a
+	// window's starts, and no more than the number of its calls that arrived recently.
+	reservedParts = 4
+	// ClassCount is the number of priority classes of calls. A higher class is more urgent.
 	ClassCount = 3
 )
 
-// Terms define by how much the calls to a cold back end may exceed the configured rate.
+// Tolerance defines by how much the calls to a cold back end may exceed the configured rate.
 type Tolerance struct {
 	// Overage is the factor by which the rate may be exceeded in one second. A value below 1 counts
 	// as 1.
@@ -48,7 +48,7 @@
 	if !(perSecond > 0) {
 		return 0
 	}
-	allowed := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*slackPart
+	allowed := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*usedSlack
 	if !(allowed < startLimit) {
 		return startLimit
 	}
@@ -56,62 +56,62 @@
 }
 
 // Limiter limits the starts at one back end while it is cold. It is safe for concurrent use.
-// Bounds, Wait and Start take no lock while the back end is warm or no limit is set.
+// IsLimiting, Wait and TryStart take no lock while the back end is warm or no limit is set.
 type Limiter struct {
-	// boundUntil is the time until which starts are limited; 0 if no limit is set.
-	boundUntil atomic.Int64
+	// limitedUntil is the time until which starts are limited; 0 if no limit is set.
+	limitedUntil atomic.Int64
 
 	mutex     sync.Mutex
 	limit     int
 	coldUntil time.Duration
-	// unseenAt is the latest time at which uncounted starts may have happened.
-	unseenAt time.Duration
+	// uncountedAt is the latest time at which uncounted starts may have happened.
+	uncountedAt time.Duration
 	// starts holds the times of the latest starts, oldest first.
-	starts []time.Duration
-	came   [ClassCount]demand
+	starts   []time.Duration
+	arrivals [ClassCount]arrivalCounter
 }
 
-// New returns a limiter without history. The back end counts as cold until SetCold is called, and
-// an earlier process of the daemon may just have used the whole window.
+// New returns a limiter without history. The back end counts as cold until SetColdUntil is called,
+// and an earlier process of the daemon may just have used the whole window.
 func New(now time.Duration) *Limiter {
-	return &Limiter{coldUntil: math.MaxInt64, unseenAt: now}
+	return &Limiter{coldUntil: math.MaxInt64, uncountedAt: now}
 }
 
-// SetLimit sets the number of starts allowed in a window; 0 means no limit. opened is true if calls
-// may have started uncounted while there was no limit.
-func (l *Limiter) SetLimit(now time.Duration, limit int, opened bool) {
+// SetLimit sets the number of starts allowed in a window; 0 means no limit. mayHaveStarted is true
+// if calls may have started uncounted while there was no limit.
+func (l *Limiter) SetLimit(now time.Duration, limit int, mayHaveStarted bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	limit = min(max(limit, 0), startLimit)
-	if opened && l.limit == 0 && limit > 0 {
-		l.unseenAt = max(l.unseenAt, now)
+	if mayHaveStarted && l.limit == 0 && limit > 0 {
+		l.uncountedAt = max(l.uncountedAt, now)
 	}
 	l.limit = limit
-	l.bind()
+	l.updateLimitedUntil()
 }
 
-// SetCold sets the time until which the back end is cold.
+// SetColdUntil sets the time until which the back end is cold.
 func (l *Limiter) SetColdUntil(now, until time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if now >= l.coldUntil {
-		l.unseenAt = max(l.unseenAt, now) // starts at a warm back end are not counted
+		l.uncountedAt = max(l.uncountedAt, now) // starts at a warm back end are not counted
 	}
 	l.coldUntil = until
-	l.bind()
+	l.updateLimitedUntil()
 }
 
-// bind updates boundUntil. The lock must be held.
-func (l *Limiter) bind() {
-	bound := l.coldUntil
+// updateLimitedUntil updates limitedUntil. The lock must be held.
+func (l *Limiter) updateLimitedUntil() {
+	until := l.coldUntil
 	if l.limit == 0 {
-		bound = 0
+		until = 0
 	}
-	l.boundUntil.Store(int64(bound))
+	l.limitedUntil.Store(int64(until))
 }
 
-// Bounds reports whether starts are limited now.
-func (l *Limiter) IsLimiting(now time.Duration) bool { return int64(now) < l.boundUntil.Load() }
+// IsLimiting reports whether starts are limited now.
+func (l *Limiter) IsLimiting(now time.Duration) bool { return int64(now) < l.limitedUntil.Load() }
 
 // Wait returns how long a call of a class must wait until it may start; 0 if it may start now.
 func (l *Limiter) Wait(now time.Duration, class int) time.Duration {
@@ -122,20 +122,20 @@
 	defer l.mutex.Unlock()
 	wait := l.wait(now, class)
 	if wait > 0 {
-		l.came[ClampClass(class)].note(now)
+		l.arrivals[ClampClass(class)].record(now)
 	}
 	return wait
 }
 
-// Start counts a start and returns 0 if the call may start now. Otherwise it returns how long the
-// call must wait.
+// TryStart counts a start and returns 0 if the call may start now. Otherwise it returns how long
+// the call must wait.
 func (l *Limiter) TryStart(now time.Duration, class int) (wait time.Duration) {
 	if !l.IsLimiting(now) {
 		return 0
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.came[ClampClass(class)].note(now)
+	l.arrivals[ClampClass(class)].record(now)
 	if wait = l.wait(now, class); wait == 0 {
 		l.record(now)
 	}
@@ -145,8 +145,8 @@
 // record adds a start. The lock must be held. Callers read the clock before they take the lock, so
 // starts may arrive slightly out of order.
 func (l *Limiter) record(now time.Duration) {
-	if held := len(l.starts); held > 0 {
-		now = max(now, l.starts[held-1])
+	if count := len(l.starts); count > 0 {
+		now = max(now, l.starts[count-1])
 	}
 	if excess := len(l.starts) + 1 - l.limit; excess > 0 {
 		l.starts = slices.Delete(l.starts, 0, excess)
@@ -159,8 +159,8 @@
 	if l.limit == 0 {
 		return 0
 	}
-	free := max(l.unseenAt+window, l.freeAt(now, l.share(now, class), window))
-	free = max(free, l.freeAt(now, l.pace(class), window/paceParts))
+	free := max(l.uncountedAt+window, l.freeAt(now, l.windowShare(now, class), window))
+	free = max(free, l.freeAt(now, l.partLimit(class), window/paceParts))
 	return max(free-now, 0)
 }
 
@@ -172,52 +172,54 @@
 	return l.starts[len(l.starts)-number] + span
 }
 
-// share returns how many starts of a window the calls of a class and the classes below it may use.
-func (l *Limiter) share(now time.Duration, class int) int {
-	most := (l.limit + keptParts - 1) / keptParts
+// windowShare returns how many starts of a window the calls of a class and the classes below it may
+// use.
+func (l *Limiter) windowShare(now time.Duration, class int) int {
+	maxReserve := (l.limit + reservedParts - 1) / reservedParts
 	share := l.limit
-	for above := ClampClass(class) + 1; above < ClassCount; above++ {
-		share -= min(most, l.came[above].lately(now))
+	for higher := ClampClass(class) + 1; higher < ClassCount; higher++ {
+		share -= min(maxReserve, l.arrivals[higher].recent(now))
 	}
 	return max(share, 1)
 }
 
-// pace returns how many starts may precede a call of a class within one part of a window. Above the
-// lowest class it is one more, because calls of lower classes may have used up the others.
-func (l *Limiter) pace(class int) int {
+// partLimit returns how many starts may precede a call of a class within one part of a window.
+// Above the lowest class it is one more, because calls of lower classes may have used up the
+// others.
+func (l *Limiter) partLimit(class int) int {
 	return (l.limit+paceParts-1)/paceParts + min(ClampClass(class), 1)
 }
 
-// ClassOf limits a number to the range of the classes.
+// ClampClass limits a number to the range of the classes.
 func ClampClass(class int) int { return min(max(class, 0), ClassCount-1) }
 
-// demand counts the calls of a class that arrive in the present and the previous window.
-type demand struct {
-	began    time.Duration
-	now      int
-	previous int
+// arrivalCounter counts the calls of a class that arrive in the present and the previous window.
+type arrivalCounter struct {
+	windowStart time.Duration
+	current     int
+	previous    int
 }
 
-// note counts a call.
-func (d *demand) note(now time.Duration) {
-	if age := now - d.began; age >= window {
-		d.previous = d.now
+// record counts a call.
+func (c *arrivalCounter) record(now time.Duration) {
+	if age := now - c.windowStart; age >= window {
+		c.previous = c.current
 		if age >= 2*window {
-			d.previous = 0
+			c.previous = 0
 		}
-		d.now = 0
-		d.began = now
+		c.current = 0
+		c.windowStart = now
 	}
-	d.now++
+	c.current++
 }
 
-// lately returns the higher of the call counts of the latest two windows.
-func (d *demand) lately(now time.Duration) int {
-	switch age := now - d.began; {
+// recent returns the higher of the call counts of the latest two windows.
+func (c *arrivalCounter) recent(now time.Duration) int {
+	switch age := now - c.windowStart; {
 	case age < window:
-		return max(d.now, d.previous)
+		return max(c.current, c.previous)
 	case age < 2*window:
-		return d.now
+		return c.current
 	}
 	return 0
 }
