--- a/internal/core/evacuation/eras_test.go
+++ b/internal/core/evacuation/eras_test.go
@@ -11,7 +11,7 @@
 
 // An order that the store has lost in a change of era remains in force until a later reading drops
 // it. An order that was withdrawn in the new era does not.
-func TestALostOrderBindsUntilItIsGivenUp(t *testing.T) {
+func TestALostOrderRemainsInForceUntilItIsDropped(t *testing.T) {
 	check := is.New(t)
 	table := &Table{}
 	merge := func(now time.Duration, orders Orders) { table.Merge(now, SharedOrders{Orders: orders, Known: true}) }
@@ -23,8 +23,8 @@
 	withdrawn := NewOrders(position.Position{Era: 2, Revision: 881}, nil)
 	merge(2*time.Second, withdrawn.WithLost(table.Orders()))
 	check.Equal(table.Orders().AllZones(), []string{"a"})
-	again := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
-	merge(3*time.Second, again.WithLost(table.Orders()))
+	reissued := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
+	merge(3*time.Second, reissued.WithLost(table.Orders()))
 	check.Equal(table.Orders().Lost, []string{})
 	merge(4*time.Second, withdrawn.WithLost(table.Orders())) // an outdated reading
 	check.Equal(table.Orders().AllZones(), []string{"a"})
@@ -32,13 +32,13 @@
 
 // Of two readings at the same position the later one applies, regardless of the order in which they
 // are received.
-func TestAtOnePositionTheLaterReadingCounts(t *testing.T) {
+func TestAtOnePositionTheLaterReadingApplies(t *testing.T) {
 	check := is.New(t)
 	at := position.Position{Era: 2, Revision: 880}
-	held := Orders{At: at, Lost: []string{"a"}}
+	lost := Orders{At: at, Lost: []string{"a"}}
 	table := &Table{}
-	table.Merge(time.Minute, SharedOrders{Orders: held, Known: true, Age: 3 * time.Second})
+	table.Merge(time.Minute, SharedOrders{Orders: lost, Known: true, Age: 3 * time.Second})
 	check.True(table.Merge(time.Minute, SharedOrders{Orders: Orders{At: at}, Known: true, Age: time.Second}))
-	check.True(!table.Merge(time.Minute, SharedOrders{Orders: held, Known: true, Age: 2 * time.Second}))
+	check.True(!table.Merge(time.Minute, SharedOrders{Orders: lost, Known: true, Age: 2 * time.Second}))
 	check.True(!table.Orders().Evacuates("a"))
 }
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -42,7 +42,7 @@
 	return o
 }
 
-// All returns all zones to evacuate, in ascending order.
+// AllZones returns all zones to evacuate, in ascending order.
 func (o Orders) AllZones() []string {
 	if len(o.Lost) == 0 {
 		return o.Zones
@@ -57,7 +57,7 @@
 	return slices.Contains(o.Zones, zone) || slices.Contains(o.Lost, zone)
 }
 
-// Word is the state of the orders as daemons exchange it.
+// SharedOrders is the state of the orders as daemons exchange it.
 type SharedOrders struct {
 	Orders Orders
 	// Known is false if the sender has neither read nor received the orders yet.
@@ -77,14 +77,14 @@
 // Orders returns the latest known orders; empty before the first reading.
 func (t *Table) Orders() Orders { return t.orders }
 
-// Known reports whether the daemon has read or received the orders.
+// IsKnown reports whether the daemon has read or received the orders.
 func (t *Table) IsKnown() bool { return t.known }
 
-// Age returns the time since the start of the latest reading, or since the start of the daemon if
-// it has none: its clock begins at its start.
+// ReadingAge returns the time since the start of the latest reading, or since the start of the
+// daemon if it has none: its clock begins at its start.
 func (t *Table) ReadingAge(now time.Duration) time.Duration { return now - t.readAt }
 
-// Word returns the state to send to peers.
+// SharedOrders returns the state to send to peers.
 func (t *Table) SharedOrders(now time.Duration) SharedOrders {
 	return SharedOrders{Orders: t.orders, Known: t.known, Age: t.ReadingAge(now)}
 }
@@ -94,17 +94,17 @@
 // a reading either. Orders of a later era are newer regardless of their revision. Of two readings
 // at the same position the later one applies: orders of an earlier era that it no longer contains
 // are dropped.
-func (t *Table) Merge(now time.Duration, word SharedOrders) (news bool) {
-	if !word.Known || (t.known && word.Orders.At.Before(t.orders.At)) {
+func (t *Table) Merge(now time.Duration, received SharedOrders) (changed bool) {
+	if !received.Known || (t.known && received.Orders.At.Before(t.orders.At)) {
 		return false
 	}
-	readAt := now - max(word.Age, 0)
-	if t.known && word.Orders.At == t.orders.At && readAt < t.readAt {
+	readAt := now - max(received.Age, 0)
+	if t.known && received.Orders.At == t.orders.At && readAt < t.readAt {
 		return false
 	}
-	news = !slices.Equal(word.Orders.AllZones(), t.orders.AllZones())
+	changed = !slices.Equal(received.Orders.AllZones(), t.orders.AllZones())
 	t.readAt = max(t.readAt, readAt)
-	t.orders = word.Orders
+	t.orders = received.Orders
 	t.known = true
-	return news
+	return changed
 }
--- a/internal/core/evacuation/evacuation_test.go
+++ b/internal/core/evacuation/evacuation_test.go
@@ -32,15 +32,15 @@
 
 // Daemons that receive readings late, repeatedly, out of order or not at all hold the same orders
 // once each has received the latest one.
-func TestAllDaemonsComeToTheSame(t *testing.T) {
+func TestAllDaemonsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
 		newest := history[len(history)-1]
 		for range 2 {
 			var table Table
-			heard := rapid.SliceOf(rapid.SampledFrom(history)).Draw(t, "heard")
-			heard = append(heard, newest)
-			for index, orders := range rapid.Permutation(heard).Draw(t, "order") {
+			received := rapid.SliceOf(rapid.SampledFrom(history)).Draw(t, "heard")
+			received = append(received, newest)
+			for index, orders := range rapid.Permutation(received).Draw(t, "order") {
 				table.Merge(time.Duration(index), SharedOrders{Orders: orders, Known: true})
 			}
 			if table.Orders().At != newest.At || !slices.Equal(table.Orders().Zones, newest.Zones) {
@@ -52,12 +52,12 @@
 
 // Daemons exchange orders with losses. The orders of a daemon are always those of the store at
 // their position, and its position never decreases.
-func TestWordBetweenDaemonsIsNeverMixed(t *testing.T) {
+func TestExchangedOrdersAreNeverMixed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
-		held := map[position.Position][]string{}
+		stored := map[position.Position][]string{}
 		for _, orders := range history {
-			held[orders.At] = orders.Zones
+			stored[orders.At] = orders.Zones
 		}
 		tables := make([]Table, 4)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -72,14 +72,14 @@
 				tables[to].Merge(now, tables[from].SharedOrders(now))
 			}
 			after := tables[to].Orders()
-			if after.At.Before(before.At) || !slices.Equal(after.Zones, held[after.At]) {
+			if after.At.Before(before.At) || !slices.Equal(after.Zones, stored[after.At]) {
 				t.Fatalf("%v after %v", after, before)
 			}
 		}
 	})
 }
 
-func TestTheBeginningHeardAfterTheEndCountsForNothing(t *testing.T) {
+func TestAnOutdatedOrderIsIgnored(t *testing.T) {
 	check := is.New(t)
 	var table Table
 	check.True(!table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 9}, nil), Known: true}))
@@ -88,7 +88,7 @@
 	check.Equal(table.ReadingAge(time.Second), time.Second) // it does not count as a reading either
 }
 
-func TestADaemonWithoutKnowledgeTellsNothing(t *testing.T) {
+func TestUnknownOrdersAreIgnored(t *testing.T) {
 	check := is.New(t)
 	var table, fresh Table
 	table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 0}, nil), Known: true})
@@ -96,7 +96,7 @@
 	check.Equal(table.ReadingAge(time.Hour), time.Hour)
 }
 
-func TestTwoZonesAreEmptiedAndTakenBackApart(t *testing.T) {
+func TestTwoZonesAreEvacuatedAndRestoredSeparately(t *testing.T) {
 	check := is.New(t)
 	var table Table
 	check.True(table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 5}, []string{"b", "a", "a"}), Known: true}))
@@ -106,7 +106,7 @@
 	check.True(table.Orders().Evacuates("b"))
 }
 
-func TestTheAgeOfAReadingIsPassedOn(t *testing.T) {
+func TestTheAgeOfAReadingIsExchanged(t *testing.T) {
 	check := is.New(t)
 	var reader, other Table
 	reader.Merge(10*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 3}, nil), Known: true})
