--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// settleTime is the time after a change of stage by which all daemons have received it,
+	// propagationTime is the time after a change of stage by which all daemons have received it,
 	// including those that receive it only when they compare records with a peer.
-	settleTime = 1500 * time.Millisecond
+	propagationTime = 1500 * time.Millisecond
 	// drainLimit is the longest wait for calls at the stable version to finish. It exceeds the time
 	// that any call started there may run, unless a longer one is configured.
 	drainLimit = 5 * time.Second
 	// deadlineMargin is the time before its deadline by which an outcome is to be written. It is as
 	// long as the receipt of an order may be delayed.
 	deadlineMargin = 1500 * time.Millisecond
-	// canaryPart is the minimum fraction of an order's duration for which the canary is observed
-	// before all traffic shifts.
-	canaryPart = 0.4
-	// capacityShare is the fraction of the stable version's slots that the target must have before
-	// all traffic shifts. The slots are then used somewhat more fully for the same load.
-	capacityShare = 0.7
-	// recentSpan is the period whose answers are also evaluated separately, so that a version that
-	// turns bad is detected in spite of earlier good answers.
-	recentSpan = 2500 * time.Millisecond
-	// fewStable is the number of recent answers of the stable version below which all of its
+	// minCanaryFraction is the minimum fraction of an order's duration for which the canary is
+	// observed before all traffic shifts.
+	minCanaryFraction = 0.4
+	// minCapacityFraction is the fraction of the stable version's slots that the target must have
+	// before all traffic shifts. The slots are then used somewhat more fully for the same load.
+	minCapacityFraction = 0.7
+	// recentPeriod is the period whose answers are also evaluated separately, so that a version
+	// that turns bad is detected in spite of earlier good answers.
+	recentPeriod = 2500 * time.Millisecond
+	// minRecentAnswers is the number of recent answers of the stable version below which all of its
 	// answers are used for the comparison.
-	fewStable = 50
+	minRecentAnswers = 50
 )
 
 // Observation is the input of a decider: the present state of a service.
@@ -54,7 +54,7 @@
 type Decider struct {
 	shiftedAt time.Duration
 	shifting  bool
-	// history holds the observations of the last recentSpan, oldest first.
+	// history holds the observations of the last recentPeriod, oldest first.
 	history []sample
 }
 
@@ -65,97 +65,97 @@
 	target Evidence
 }
 
-// ShiftAt returns the time after the receipt of an order at which all traffic shifts to the target.
-// It is as late as the time for calls at the stable version to finish allows, because a version may
-// turn bad at any time.
+// ShiftDelay returns the time after the receipt of an order at which all traffic shifts to the
+// target. It is as late as the time for calls at the stable version to finish allows, because a
+// version may turn bad at any time.
 func ShiftDelay(duration time.Duration) time.Duration {
-	late := duration - deadlineMargin - settleTime - drainLimit
-	return max(late, time.Duration(float64(duration)*canaryPart))
+	latest := duration - deadlineMargin - propagationTime - drainLimit
+	return max(latest, time.Duration(float64(duration)*minCanaryFraction))
 }
 
 // Step returns the decision on an order that was first received the given elapsed time ago.
-func (d *Decider) Step(now time.Duration, record Record, elapsed time.Duration, seen Observation) Decision {
-	d.remember(now, seen)
+func (d *Decider) Step(now time.Duration, record Record, elapsed time.Duration, observation Observation) Decision {
+	d.addToHistory(now, observation)
 	switch record.Stage {
 	case StageCanary:
 		d.shifting = false
-		return d.watchCanary(now, record, elapsed, seen)
+		return d.decideCanary(now, record, elapsed, observation)
 	case StageShift:
-		return d.finishShift(now, seen)
+		return d.decideShift(now, observation)
 	case StageHalted:
 		return Decision{Stage: StageRolledBack, Reason: "the target version was halted"}
 	}
 	return Decision{Stage: record.Stage}
 }
 
-func (d *Decider) watchCanary(now time.Duration, record Record, elapsed time.Duration, seen Observation) Decision {
-	finding := d.judge(now, seen, baseShare)
+func (d *Decider) decideCanary(now time.Duration, record Record, elapsed time.Duration, observation Observation) Decision {
+	finding := d.evaluate(now, observation, toleratedFraction)
 	if finding.RequiresHalt() {
 		return Decision{Stage: StageHalted, Reason: finding.String()}
 	}
 	due := elapsed >= ShiftDelay(record.Duration)
 	if due && finding.DelaysShift() {
-		return watchSuspected(record, elapsed, finding)
+		return decideSuspected(record, elapsed, finding)
 	}
 	switch {
-	case seen.TargetSlots > 0 && seen.StableSlots == 0 && elapsed >= settleTime:
+	case observation.TargetSlots > 0 && observation.StableSlots == 0 && elapsed >= propagationTime:
 		return Decision{Stage: StageCompleted, Reason: "no other version has back ends that accept work"}
-	case due && float64(seen.TargetSlots) >= capacityShare*float64(max(seen.StableSlots, 1)):
-		return Decision{Stage: StageShift, Reason: fmt.Sprintf("no significant failures or slowness; the target has %d slots, the stable version %d", seen.TargetSlots, seen.StableSlots)}
+	case due && float64(observation.TargetSlots) >= minCapacityFraction*float64(max(observation.StableSlots, 1)):
+		return Decision{Stage: StageShift, Reason: fmt.Sprintf("no significant failures or slowness; the target has %d slots, the stable version %d", observation.TargetSlots, observation.StableSlots)}
 	case elapsed >= record.Duration:
-		return Decision{Stage: StageHalted, Reason: fmt.Sprintf("too few target slots at the deadline: the target has %d, the stable version %d", seen.TargetSlots, seen.StableSlots)}
+		return Decision{Stage: StageHalted, Reason: fmt.Sprintf("too few target slots at the deadline: the target has %d, the stable version %d", observation.TargetSlots, observation.StableSlots)}
 	}
 	return Decision{Stage: StageCanary}
 }
 
-// watchSuspected extends the canary stage of a version that is due to receive all traffic, and
+// decideSuspected extends the canary stage of a version that is due to receive all traffic, and
 // halts it if no time is left for the shift.
-func watchSuspected(record Record, elapsed time.Duration, finding Finding) Decision {
-	if elapsed >= record.Duration-deadlineMargin-settleTime {
+func decideSuspected(record Record, elapsed time.Duration, finding Finding) Decision {
+	if elapsed >= record.Duration-deadlineMargin-propagationTime {
 		return Decision{Stage: StageHalted, Reason: "suspected until the deadline: " + finding.String()}
 	}
 	return Decision{Stage: StageCanary}
 }
 
-func (d *Decider) finishShift(now time.Duration, seen Observation) Decision {
+func (d *Decider) decideShift(now time.Duration, observation Observation) Decision {
 	if !d.shifting {
 		d.shifting = true
 		d.shiftedAt = now
 	}
-	if finding := d.judge(now, seen, baseAlone); finding.RequiresHalt() {
+	if finding := d.evaluate(now, observation, toleratedFractionAlone); finding.RequiresHalt() {
 		return Decision{Stage: StageHalted, Reason: finding.String()}
 	}
 	waited := now - d.shiftedAt
-	drained := seen.StableKnown && seen.StableRunning == 0
+	drained := observation.StableKnown && observation.StableRunning == 0
 	switch {
-	case waited >= settleTime && drained:
+	case waited >= propagationTime && drained:
 		return Decision{Stage: StageCompleted, Reason: "all calls at other versions have finished"}
-	case waited >= settleTime+drainLimit:
+	case waited >= propagationTime+drainLimit:
 		return Decision{Stage: StageCompleted, Reason: "calls at other versions did not finish within the drain limit"}
 	}
 	return Decision{Stage: StageShift}
 }
 
-// judge evaluates all answers and the recent ones separately, and returns the stronger finding.
-func (d *Decider) judge(now time.Duration, seen Observation, base float64) Finding {
-	finding := Evaluate(seen.Target, seen.Stable, base)
-	for _, one := range d.history {
-		if now-one.at > recentSpan {
+// evaluate evaluates all answers and the recent ones separately, and returns the stronger finding.
+func (d *Decider) evaluate(now time.Duration, observation Observation, tolerated float64) Finding {
+	finding := Evaluate(observation.Target, observation.Stable, tolerated)
+	for _, earlier := range d.history {
+		if now-earlier.at > recentPeriod {
 			continue
 		}
-		recent := seen.Stable.Since(one.stable)
-		if recent.Total().Answers < fewStable {
-			recent = seen.Stable
+		recent := observation.Stable.Since(earlier.stable)
+		if recent.Total().Answers < minRecentAnswers {
+			recent = observation.Stable
 		}
-		return stronger(finding, Evaluate(seen.Target.Since(one.target), recent, base))
+		return stronger(finding, Evaluate(observation.Target.Since(earlier.target), recent, tolerated))
 	}
 	return finding
 }
 
-// remember adds an observation to the history and removes those older than recentSpan.
-func (d *Decider) remember(now time.Duration, seen Observation) {
-	for len(d.history) > 0 && now-d.history[0].at > recentSpan {
+// addToHistory adds an observation to the history and removes those older than recentPeriod.
+func (d *Decider) addToHistory(now time.Duration, observation Observation) {
+	for len(d.history) > 0 && now-d.history[0].at > recentPeriod {
 		d.history = d.history[1:]
 	}
-	d.history = append(d.history, sample{at: now, stable: seen.Stable, target: seen.Target})
+	d.history = append(d.history, sample{at: now, stable: observation.Stable, target: observation.Target})
 }
--- a/internal/core/rollout/decider_test.go
+++ b/internal/core/rollout/decider_test.go
@@ -10,20 +10,20 @@
 	"github.com/springstack/springstack/internal/core/position"
 )
 
-// trial simulates one order in virtual time with a decider, a service that receives requests at a
-// fixed rate, and a target version that may turn bad.
-type trial struct {
+// simulatedOrder simulates one order in virtual time with a decider, a service that receives
+// requests at a fixed rate, and a target version that may turn bad.
+type simulatedOrder struct {
 	target version
 	// badFrom is the time at which the target turns bad.
-	badFrom  time.Duration
-	duration time.Duration
-	perStep  int
-	trouble  float64
-	random   *rand.Rand
+	badFrom        time.Duration
+	duration       time.Duration
+	perStep        int
+	sharedFailures float64
+	random         *rand.Rand
 }
 
-// trialResult is the result of a simulated order.
-type trialResult struct {
+// simulationResult is the result of a simulated order.
+type simulationResult struct {
 	outcome Stage
 	at      time.Duration
 	// exposed is the number of requests sent to the target, bad the number of those that it
@@ -36,56 +36,56 @@
 }
 
 const (
-	trialStep = 100 * time.Millisecond
-	// hearing is the delay until daemons apply a stage.
-	hearing    = 600 * time.Millisecond
-	trialShare = 0.07
+	simulationStep = 100 * time.Millisecond
+	// applyDelay is the delay until daemons apply a stage.
+	applyDelay  = 600 * time.Millisecond
+	canaryShare = 0.07
 )
 
-// play steps the order until it has an outcome.
-func (t trial) play() trialResult {
+// run steps the order until it has an outcome.
+func (o simulatedOrder) run() simulationResult {
 	decider := &Decider{}
-	record := Record{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}, Duration: t.duration, Stage: StageCanary}
-	ofTarget, ofStable := Evidence{}, Evidence{}
-	result := trialResult{}
-	heeded, changedAt := StageCanary, time.Duration(0)
-	fiftieth := time.Duration(0)
-	for now := time.Duration(0); now < 4*t.duration; now += trialStep {
-		if now-changedAt >= hearing {
-			heeded = record.Stage
+	record := Record{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}, Duration: o.duration, Stage: StageCanary}
+	targetEvidence, stableEvidence := Evidence{}, Evidence{}
+	result := simulationResult{}
+	applied, changedAt := StageCanary, time.Duration(0)
+	fiftiethBadAt := time.Duration(0)
+	for now := time.Duration(0); now < 4*o.duration; now += simulationStep {
+		if now-changedAt >= applyDelay {
+			applied = record.Stage
 		}
-		result.requests += t.perStep
-		for range t.perStep {
-			class := t.random.IntN(len(testMeans))
-			if !t.toTarget(heeded) {
-				good.answer(t.random, ofStable, class, t.trouble)
+		result.requests += o.perStep
+		for range o.perStep {
+			class := o.random.IntN(len(meanLatencies))
+			if !o.selectsTarget(applied) {
+				goodVersion.answer(o.random, stableEvidence, class, o.sharedFailures)
 				continue
 			}
 			result.exposed++
-			drawn := good
-			if now >= t.badFrom {
-				drawn = t.target
+			version := goodVersion
+			if now >= o.badFrom {
+				version = o.target
 			}
-			if drawn.answer(t.random, ofTarget, class, t.trouble) {
+			if version.answer(o.random, targetEvidence, class, o.sharedFailures) {
 				result.bad++
 			}
-			if result.bad == 50 && fiftieth == 0 {
-				fiftieth = now
+			if result.bad == 50 && fiftiethBadAt == 0 {
+				fiftiethBadAt = now
 			}
-			if fiftieth > 0 {
-				result.lastAfter = now - fiftieth
+			if fiftiethBadAt > 0 {
+				result.lastAfter = now - fiftiethBadAt
 			}
 		}
-		seen := Observation{Stable: ofStable.Clone(), Target: ofTarget.Clone(), StableSlots: 100, TargetSlots: 100, StableKnown: true}
-		if heeded == StageCanary {
-			seen.StableRunning = 10
+		observation := Observation{Stable: stableEvidence.Clone(), Target: targetEvidence.Clone(), StableSlots: 100, TargetSlots: 100, StableKnown: true}
+		if applied == StageCanary {
+			observation.StableRunning = 10
 		}
-		decision := decider.Step(now, record, now, seen)
+		decision := decider.Step(now, record, now, observation)
 		if decision.Stage != record.Stage {
 			record.Stage = decision.Stage
 			changedAt = now
 		}
-		if record.Stage.Final() && heeded == record.Stage {
+		if record.Stage.Final() && applied == record.Stage {
 			result.outcome, result.at = record.Stage, now
 			return result
 		}
@@ -93,10 +93,10 @@
 	return result
 }
 
-func (t trial) toTarget(stage Stage) bool {
+func (o simulatedOrder) selectsTarget(stage Stage) bool {
 	switch stage {
 	case StageCanary:
-		return t.random.Float64() < trialShare
+		return o.random.Float64() < canaryShare
 	case StageShift, StageCompleted:
 		return true
 	}
@@ -109,12 +109,12 @@
 	completed, all := 0, 0
 	for seed := range uint64(60) {
 		for _, duration := range []time.Duration{12 * time.Second, 20 * time.Second, time.Minute} {
-			for _, trouble := range []float64{0, 0.06, 0.3} {
-				got := trial{
-					target: good, duration: duration, perStep: 60, trouble: trouble, random: rand.New(rand.NewPCG(seed, 3)),
-				}.play()
+			for _, sharedFailures := range []float64{0, 0.06, 0.3} {
+				result := simulatedOrder{
+					target: goodVersion, duration: duration, perStep: 60, sharedFailures: sharedFailures, random: rand.New(rand.NewPCG(seed, 3)),
+				}.run()
 				all++
-				if got.outcome == StageCompleted && got.at <= duration {
+				if result.outcome == StageCompleted && result.at <= duration {
 					completed++
 				}
 			}
@@ -132,38 +132,38 @@
 		for _, bad := range []version{
 			{failing: 0.3, onlyClass: -1}, {slow: 0.6, onlyClass: -1}, {failing: 0.6, onlyClass: 1}, {slow: 0.9, onlyClass: 0},
 		} {
-			for _, from := range []time.Duration{0, 2 * time.Second, 4 * time.Second} {
-				order := trial{
-					target: bad, badFrom: from, duration: 20 * time.Second, perStep: 60, trouble: 0.02,
+			for _, badFrom := range []time.Duration{0, 2 * time.Second, 4 * time.Second} {
+				order := simulatedOrder{
+					target: bad, badFrom: badFrom, duration: 20 * time.Second, perStep: 60, sharedFailures: 0.02,
 					random: rand.New(rand.NewPCG(seed, 4)),
 				}
-				got := order.play()
-				check.Equal(got.outcome, StageRolledBack)
-				check.True(got.lastAfter <= 5*time.Second)
-				requests := float64(order.perStep) * float64(order.duration/trialStep)
-				check.True(float64(got.exposed) <= exposureShare*requests+exposureSlack)
+				result := order.run()
+				check.Equal(result.outcome, StageRolledBack)
+				check.True(result.lastAfter <= 5*time.Second)
+				requests := float64(order.perStep) * float64(order.duration/simulationStep)
+				check.True(float64(result.exposed) <= exposureShare*requests+exposureSlack)
 			}
 		}
 	}
 }
 
-func TestAnOrderWithoutRoomIsGivenUpAtItsDeadline(t *testing.T) {
+func TestAnOrderWithoutCapacityIsHaltedAtItsDeadline(t *testing.T) {
 	check := is.New(t)
 	decider := &Decider{}
 	record := Record{Service: testService, Target: "v2", Duration: 10 * time.Second, Stage: StageCanary}
-	few := Observation{StableSlots: 100, TargetSlots: 10}
-	check.Equal(decider.Step(0, record, 9*time.Second, few).Stage, StageCanary)
-	check.Equal(decider.Step(0, record, 10*time.Second, few).Stage, StageHalted)
+	observation := Observation{StableSlots: 100, TargetSlots: 10}
+	check.Equal(decider.Step(0, record, 9*time.Second, observation).Stage, StageCanary)
+	check.Equal(decider.Step(0, record, 10*time.Second, observation).Stage, StageHalted)
 	record.Stage = StageHalted
-	check.Equal(decider.Step(0, record, 10*time.Second, few).Stage, StageRolledBack)
+	check.Equal(decider.Step(0, record, 10*time.Second, observation).Stage, StageRolledBack)
 }
 
-func TestATargetThatAloneIsLeftIsComplete(t *testing.T) {
+func TestAnOrderIsCompletedIfOnlyTheTargetIsRunning(t *testing.T) {
 	check := is.New(t)
 	record := Record{Service: testService, Target: "v2", Duration: 10 * time.Second, Stage: StageCanary}
-	alone := Observation{TargetSlots: 10}
-	check.Equal((&Decider{}).Step(0, record, time.Second, alone).Stage, StageCanary)
-	check.Equal((&Decider{}).Step(0, record, 2*time.Second, alone).Stage, StageCompleted)
+	observation := Observation{TargetSlots: 10}
+	check.Equal((&Decider{}).Step(0, record, time.Second, observation).Stage, StageCanary)
+	check.Equal((&Decider{}).Step(0, record, 2*time.Second, observation).Stage, StageCompleted)
 }
 
 // The completion waits for calls at other versions, for as long as they may run.
@@ -184,20 +184,20 @@
 
 // A version with too much evidence against it to receive all traffic, but too little to be halted,
 // is observed for longer, and halted if no time is left.
-func TestASuspectedVersionIsWatchedForLonger(t *testing.T) {
+func TestASuspectedVersionIsObservedForLonger(t *testing.T) {
 	check := is.New(t)
 	const duration = 20 * time.Second
 	record := Record{Service: testService, Target: "v2", Duration: duration, Stage: StageCanary}
-	seen := func(failures uint32) Observation {
+	observe := func(failures uint32) Observation {
 		return Observation{
 			Stable: Evidence{1: {Answers: 2000, Failures: 440}}, Target: Evidence{1: {Answers: 100, Failures: failures}},
 			StableSlots: 100, TargetSlots: 100,
 		}
 	}
-	suspected, cleared := seen(36), seen(25)
-	check.Equal((&Decider{}).Step(0, record, ShiftDelay(duration), cleared).Stage, StageShift)
+	suspected, unsuspicious := observe(36), observe(25)
+	check.Equal((&Decider{}).Step(0, record, ShiftDelay(duration), unsuspicious).Stage, StageShift)
 	decider := &Decider{}
 	check.Equal(decider.Step(0, record, ShiftDelay(duration), suspected).Stage, StageCanary)
-	check.Equal(decider.Step(time.Second, record, ShiftDelay(duration)+time.Second, cleared).Stage, StageShift)
-	check.Equal((&Decider{}).Step(0, record, duration-deadlineMargin-settleTime, suspected).Stage, StageHalted)
+	check.Equal(decider.Step(time.Second, record, ShiftDelay(duration)+time.Second, unsuspicious).Stage, StageShift)
+	check.Equal((&Decider{}).Step(0, record, duration-deadlineMargin-propagationTime, suspected).Stage, StageHalted)
 }
--- a/internal/core/rollout/judge_test.go
+++ b/internal/core/rollout/evaluate_test.go
@@ -19,46 +19,46 @@
 	onlyClass int
 }
 
-var testMeans = []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 780 * time.Millisecond}
+var meanLatencies = []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 780 * time.Millisecond}
 
-// answer adds one random answer of a class to the evidence. trouble is the fraction of answers that
-// fail regardless of the version.
-func (v version) answer(random *rand.Rand, evidence Evidence, class int, trouble float64) (bad bool) {
+// answer adds one random answer of a class to the evidence. sharedFailures is the fraction of
+// answers that fail regardless of the version.
+func (v version) answer(random *rand.Rand, evidence Evidence, class int, sharedFailures float64) (bad bool) {
 	counts := evidence[callclass.Class(class)]
 	counts.Answers++
-	touched := v.onlyClass < 0 || v.onlyClass == class
-	took := time.Duration(float64(testMeans[class]) * (0.4 + random.ExpFloat64()*0.6))
-	slow := touched && random.Float64() < v.slow
+	affected := v.onlyClass < 0 || v.onlyClass == class
+	latency := time.Duration(float64(meanLatencies[class]) * (0.4 + random.ExpFloat64()*0.6))
+	slow := affected && random.Float64() < v.slow
 	if slow {
-		took *= 5
+		latency *= 5
 	}
-	if random.Float64() < trouble || (touched && random.Float64() < v.failing) {
+	if random.Float64() < sharedFailures || (affected && random.Float64() < v.failing) {
 		counts.Failures++
 		bad = true
 	} else {
-		counts.Latency[latencyBucket(took)]++
+		counts.Latency[latencyBucket(latency)]++
 	}
 	evidence[callclass.Class(class)] = counts
 	return bad || slow
 }
 
-var good = version{onlyClass: -1}
+var goodVersion = version{onlyClass: -1}
 
-// judged simulates answers of both versions until the target is condemned, and returns the number
-// of the target's answers by then; 0 if it never is.
-func judged(seed uint64, target version, trouble float64, answers int) int {
+// answersUntilHalt simulates answers of both versions until the target is halted, and returns the
+// number of the target's answers by then; 0 if it never is.
+func answersUntilHalt(seed uint64, target version, sharedFailures float64, maxAnswers int) int {
 	random := rand.New(rand.NewPCG(seed, 1))
-	ofTarget, ofStable := Evidence{}, Evidence{}
-	for count := 1; count <= answers; count++ {
-		class := random.IntN(len(testMeans))
-		target.answer(random, ofTarget, class, trouble)
+	targetEvidence, stableEvidence := Evidence{}, Evidence{}
+	for count := 1; count <= maxAnswers; count++ {
+		class := random.IntN(len(meanLatencies))
+		target.answer(random, targetEvidence, class, sharedFailures)
 		for range 10 {
-			good.answer(random, ofStable, random.IntN(len(testMeans)), trouble)
+			goodVersion.answer(random, stableEvidence, random.IntN(len(meanLatencies)), sharedFailures)
 		}
 		if count%20 != 0 {
 			continue
 		}
-		if Evaluate(ofTarget, ofStable, baseShare).RequiresHalt() {
+		if Evaluate(targetEvidence, stableEvidence, toleratedFraction).RequiresHalt() {
 			return count
 		}
 	}
@@ -67,49 +67,49 @@
 
 // A version that fails or is slow is detected within a few hundred answers, even if only one class
 // of calls is affected.
-func TestBadVersionsAreCondemned(t *testing.T) {
+func TestBadVersionsAreHalted(t *testing.T) {
 	check := is.New(t)
 	for seed := range uint64(100) {
 		for _, bad := range []version{
 			{failing: 0.3, onlyClass: -1}, {slow: 0.5, onlyClass: -1},
 			{failing: 0.5, onlyClass: 2}, {slow: 0.8, onlyClass: 1},
 		} {
-			check.True(judged(seed, bad, 0, 400) > 0)
-			check.True(judged(seed, bad, 0.06, 600) > 0) // with failures of both versions
+			check.True(answersUntilHalt(seed, bad, 0, 400) > 0)
+			check.True(answersUntilHalt(seed, bad, 0.06, 600) > 0) // with failures of both versions
 		}
 	}
 }
 
 // Failures that affect both versions lead to the halt of a good one in fewer than 1 of 100 orders.
-func TestTroubleOfBothCondemnsNeither(t *testing.T) {
+func TestSharedFailuresDoNotHaltAGoodVersion(t *testing.T) {
 	check := is.New(t)
-	condemned := 0
+	halted := 0
 	for seed := range uint64(300) {
-		for _, trouble := range []float64{0, 0.06, 0.4} {
-			if judged(seed, good, trouble, 600) > 0 {
-				condemned++
+		for _, sharedFailures := range []float64{0, 0.06, 0.4} {
+			if answersUntilHalt(seed, goodVersion, sharedFailures, 600) > 0 {
+				halted++
 			}
 		}
 	}
-	check.True(condemned < 9)
+	check.True(halted < 9)
 }
 
 // A fixed threshold for the fraction of bad answers, the alternative to the statistical test, halts
 // good versions if both versions fail.
-func TestAPlainThresholdCondemnsGoodVersionsInTrouble(t *testing.T) {
+func TestAFixedThresholdHaltsGoodVersionsUnderSharedFailures(t *testing.T) {
 	check := is.New(t)
-	condemned := 0
+	halted := 0
 	for seed := range uint64(100) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		evidence := Evidence{}
 		for range 200 {
-			good.answer(random, evidence, random.IntN(len(testMeans)), 0.4)
+			goodVersion.answer(random, evidence, random.IntN(len(meanLatencies)), 0.4)
 		}
 		if total := evidence.Total(); float64(total.Failures) > 0.2*float64(total.Answers) {
-			condemned++
+			halted++
 		}
 	}
-	check.Equal(condemned, 100)
+	check.Equal(halted, 100)
 }
 
 func TestLatencyBucketsGrow(t *testing.T) {
@@ -125,7 +125,7 @@
 	check.Equal(latencyBucket(time.Hour), latencyBuckets-1)
 }
 
-func TestATallyCountsWhileItIsTold(t *testing.T) {
+func TestATallyCountsOnlyAfterItsStart(t *testing.T) {
 	check := is.New(t)
 	tally := &Tally{}
 	tally.Record(1, true, true, time.Second)
@@ -158,11 +158,11 @@
 
 // A slow version is detected despite failures that affect both versions. If slow and failed answers
 // were counted together, the failures would conceal it.
-func TestTroubleOfBothHidesNoSlowVersion(t *testing.T) {
+func TestSharedFailuresDoNotConcealASlowVersion(t *testing.T) {
 	check := is.New(t)
 	for seed := range uint64(100) {
 		slow := version{slow: 0.45, onlyClass: -1}
-		found := judged(seed, slow, 0.28, 200)
-		check.True(found > 0)
+		answers := answersUntilHalt(seed, slow, 0.28, 200)
+		check.True(answers > 0)
 	}
 }
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -44,16 +44,16 @@
 // answers now than in the earlier state, as after the restart of a gate, its present counts are
 // returned in full.
 func (e Evidence) Since(earlier Evidence) Evidence {
-	differing := make(Evidence, len(e))
+	difference := make(Evidence, len(e))
 	for class, counts := range e {
-		before := earlier[class]
-		if counts.Answers < before.Answers {
-			differing[class] = counts
+		previous := earlier[class]
+		if counts.Answers < previous.Answers {
+			difference[class] = counts
 			continue
 		}
-		differing[class] = counts.minus(before)
+		difference[class] = counts.minus(previous)
 	}
-	return differing
+	return difference
 }
 
 // Total returns the sum over all classes.
@@ -64,14 +64,14 @@
 	return total
 }
 
-// Note counts one answer.
-func (c *Counts) Record(failed bool, took time.Duration) {
+// Record counts one answer.
+func (c *Counts) Record(failed bool, latency time.Duration) {
 	c.Answers++
 	if failed {
 		c.Failures++
 		return
 	}
-	c.Latency[latencyBucket(took)]++
+	c.Latency[latencyBucket(latency)]++
 }
 
 func (c Counts) plus(other Counts, times uint32) Counts {
@@ -87,8 +87,8 @@
 
 // latencyBucket returns the index of a latency's bucket: there are two buckets per doubling of the
 // milliseconds.
-func latencyBucket(took time.Duration) int {
-	milliseconds := uint64(max(took.Milliseconds(), 1))
+func latencyBucket(latency time.Duration) int {
+	milliseconds := uint64(max(latency.Milliseconds(), 1))
 	doublings := bits.Len64(milliseconds) - 1
 	bucket := 2 * doublings
 	if milliseconds >= 3<<doublings>>1 && doublings > 0 {
@@ -134,13 +134,13 @@
 	}
 }
 
-// Note counts an answer. timed is false if its latency is not representative of the version, as
+// Record counts an answer. timed is false if its latency is not representative of the version, as
 // while the back end is cold.
-func (t *Tally) Record(class callclass.Class, failed, timed bool, took time.Duration) {
+func (t *Tally) Record(class callclass.Class, failed, timed bool, latency time.Duration) {
 	if !t.counting.Load() || (!failed && !timed) {
 		return
 	}
-	cell := t.cellOf(class)
+	cell := t.cellFor(class)
 	if cell == nil {
 		return
 	}
@@ -149,16 +149,16 @@
 		cell.failures.Add(1)
 		return
 	}
-	cell.latency[latencyBucket(took)].Add(1)
+	cell.latency[latencyBucket(latency)].Add(1)
 }
 
-// cellOf returns the cell of a class and allocates it if necessary; nil if all cells are used by
+// cellFor returns the cell of a class and allocates it if necessary; nil if all cells are used by
 // other classes.
-func (t *Tally) cellOf(class callclass.Class) *tallyCell {
+func (t *Tally) cellFor(class callclass.Class) *tallyCell {
 	wanted := uint32(class) + 1
 	for index := range t.cells {
 		cell := &t.cells[index]
-		if held := cell.key.Load(); held == wanted || (held == 0 && cell.key.CompareAndSwap(0, wanted)) {
+		if key := cell.key.Load(); key == wanted || (key == 0 && cell.key.CompareAndSwap(0, wanted)) {
 			return cell
 		}
 		if cell.key.Load() == wanted {
--- a/internal/core/rollout/record.go
+++ b/internal/core/rollout/record.go
@@ -45,9 +45,9 @@
 // Valid reports whether a stage received from a peer is a stage of an order.
 func (s Stage) Valid() bool { return s >= StageCanary && s <= StageCompleted }
 
-// Spreading reports whether the stage must reach every daemon quickly, because daemons that have
-// not received it keep sending calls to the wrong version. Deciders then broadcast it repeatedly,
-// since a daemon may be unreachable for a moment.
+// IsUrgent reports whether the stage must reach every daemon quickly, because daemons that have not
+// received it keep sending calls to the wrong version. Deciders then broadcast it repeatedly, since
+// a daemon may be unreachable for a moment.
 func (s Stage) IsUrgent() bool { return s == StageShift || s == StageHalted }
 
 // Final reports whether the outcome has been written.
@@ -69,12 +69,12 @@
 	Elapsed time.Duration
 }
 
-// newerThan reports whether a record replaces another one of the same service.
-func (r Record) newerThan(known Record) bool {
-	if r.Generation != known.Generation {
-		return known.Generation.Before(r.Generation)
+// isNewerThan reports whether a record replaces another one of the same service.
+func (r Record) isNewerThan(other Record) bool {
+	if r.Generation != other.Generation {
+		return other.Generation.Before(r.Generation)
 	}
-	return r.Stage > known.Stage
+	return r.Stage > other.Stage
 }
 
 // Table holds the latest record of each service. It is not safe for concurrent use.
@@ -84,8 +84,8 @@
 
 // entry is a record, with the time at which its order was first received by any daemon.
 type entry struct {
-	record Record
-	since  time.Duration
+	record          Record
+	orderReceivedAt time.Duration
 	// changedAt is the time at which this daemon stored the record in its present stage.
 	changedAt time.Duration
 }
@@ -99,17 +99,17 @@
 	if !record.Stage.Valid() || record.Target == "" || record.Elapsed < 0 {
 		return false
 	}
-	since := now - record.Elapsed
+	receivedAt := now - record.Elapsed
 	known, found := t.entries[record.Service]
 	if found && known.record.Generation == record.Generation {
-		since = min(since, known.since)
-		known.since = since
+		receivedAt = min(receivedAt, known.orderReceivedAt)
+		known.orderReceivedAt = receivedAt
 		t.entries[record.Service] = known
 	}
-	if found && !record.newerThan(known.record) {
+	if found && !record.isNewerThan(known.record) {
 		return false
 	}
-	t.entries[record.Service] = entry{record: record, since: since, changedAt: now}
+	t.entries[record.Service] = entry{record: record, orderReceivedAt: receivedAt, changedAt: now}
 	return true
 }
 
@@ -119,10 +119,10 @@
 		return nil
 	}
 	records := make([]Record, 0, len(t.entries))
-	for _, one := range t.entries {
-		sent := one.record
-		sent.Elapsed = now - one.since
-		records = append(records, sent)
+	for _, entry := range t.entries {
+		record := entry.record
+		record.Elapsed = now - entry.orderReceivedAt
+		records = append(records, record)
 	}
 	slices.SortFunc(records, func(a, b Record) int {
 		return strings.Compare(a.Service.String(), b.Service.String())
@@ -130,18 +130,19 @@
 	return records
 }
 
-// Of returns the record of a service.
+// Lookup returns the record of a service.
 func (t *Table) Lookup(service resource.ServiceRef) (Record, bool) {
-	held, found := t.entries[service]
-	return held.record, found
+	entry, found := t.entries[service]
+	return entry.record, found
 }
 
-// InStage returns the time since this daemon stored the record of a service in its present stage.
+// TimeInStage returns the time since this daemon stored the record of a service in its present
+// stage.
 func (t *Table) TimeInStage(now time.Duration, service resource.ServiceRef) time.Duration {
 	return now - t.entries[service].changedAt
 }
 
 // Elapsed returns the time since the order of a service was first received by any daemon.
 func (t *Table) Elapsed(now time.Duration, service resource.ServiceRef) time.Duration {
-	return now - t.entries[service].since
+	return now - t.entries[service].orderReceivedAt
 }
--- a/internal/core/rollout/record_test.go
+++ b/internal/core/rollout/record_test.go
@@ -17,7 +17,7 @@
 
 // Daemons that have received the same records hold the same state, whatever the order of the
 // records, and the stage of an order never goes back.
-func TestRecordsMergeAlikeAndNeverGoBack(t *testing.T) {
+func TestRecordsConvergeAndStagesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
 		records := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Record {
@@ -28,23 +28,23 @@
 			}
 		}), 1, 12).Draw(t, "records")
 		shuffled := rapid.Permutation(records).Draw(t, "order")
-		one, other := NewTable(), NewTable()
+		ordered, reordered := NewTable(), NewTable()
 		var last Record
 		for _, record := range records {
-			one.Merge(0, record)
-			held, _ := one.Lookup(testService)
-			check.True(held == last || held.newerThan(last))
-			last = held
+			ordered.Merge(0, record)
+			current, _ := ordered.Lookup(testService)
+			check.True(current == last || current.isNewerThan(last))
+			last = current
 		}
 		for _, record := range shuffled {
-			other.Merge(0, record)
+			reordered.Merge(0, record)
 		}
-		check.Equal(one.Records(0), other.Records(0))
+		check.Equal(ordered.Records(0), reordered.Records(0))
 	})
 }
 
 // A daemon that receives an order late takes over the time since the order was first received.
-func TestElapsedTimeIsToldOn(t *testing.T) {
+func TestElapsedTimeIsExchanged(t *testing.T) {
 	check := is.New(t)
 	first, second := NewTable(), NewTable()
 	record := Record{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}, Stage: StageCanary}
@@ -55,16 +55,16 @@
 	check.Equal(second.Elapsed(time.Minute, testService), 3*time.Second)
 }
 
-func TestRecordsThatCannotBeAreLeftOut(t *testing.T) {
+func TestInvalidRecordsAreIgnored(t *testing.T) {
 	check := is.New(t)
 	table := NewTable()
-	for _, bad := range []Record{
+	for _, invalid := range []Record{
 		{Service: testService, Generation: position.Position{Revision: 1}, Stage: StageCanary},
 		{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}},
 		{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}, Stage: StageCompleted + 1},
 		{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}, Stage: StageCanary, Elapsed: -time.Second},
 	} {
-		check.True(!table.Merge(0, bad))
+		check.True(!table.Merge(0, invalid))
 	}
 	check.Equal(len(table.Records(0)), 0)
 }
