--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -1,4 +1,4 @@
-// Package backend tracks the state of the back end beside a daemon from its heartbeats, health
+// Package backend tracks the state of the back end next to a daemon from its heartbeats, health
 // probes and calls: which start of it runs, and whether it may receive work. A start is one run of
 // the back-end process, identified by the name of the instance and the time at which it began. A
 // back end announces its end by a heartbeat that says it drains, or by a leave. Both are
@@ -18,7 +18,7 @@
 // start counts as down. A busy machine may lose or delay a few of them.
 const maxMissedHeartbeats = 4
 
-// Tracker tracks the state of the back end beside one daemon. It is not safe for concurrent use.
+// Tracker tracks the state of the back end next to one daemon. It is not safe for concurrent use.
 type Tracker struct {
 	interval time.Duration
 
--- a/internal/core/hang/hang.go
+++ b/internal/core/hang/hang.go
@@ -1,7 +1,7 @@
 // Package hang distinguishes calls that their back end will never answer from calls that take long.
-// It uses what the gate beside the back end observes: the age of the call compared with the service
-// times of its class, answers to calls that were sent later, and the back end's own count of the
-// calls it holds. It performs no input or output and reads no clock.
+// It uses what the gate next to the back end observes: the age of the call compared with the
+// service times of its class, answers to calls that were sent later, and the back end's own count
+// of the calls it holds. It performs no input or output and reads no clock.
 package hang
 
 import "time"
--- a/internal/core/quarantine/classify.go
+++ b/internal/core/quarantine/classify.go
@@ -105,7 +105,7 @@
 }
 
 // isExcused reports whether a companion cannot have caused an end: it was answered successfully
-// since then, or it was answered successfully before and the request beside it was not. A companion
+// since then, or it was answered successfully before and the other request was not. A companion
 // without a valid record is never excused.
 func (r companionRecords) isExcused(companion Companion, other *entry) bool {
 	entry := r[companion.Key]
--- a/internal/core/quarantine/signature.go
+++ b/internal/core/quarantine/signature.go
@@ -42,21 +42,21 @@
 // Sum returns the hash of the head. The parts are terminated by a zero byte, which none of them can
 // contain.
 func (h Head) Sum() Hash {
-	var room [headBufferSize]byte
-	text := room[:0]
+	var buffer [headBufferSize]byte
+	encoded := buffer[:0]
 	for _, part := range [...]string{h.Method, h.Host, h.Target, h.Caller} {
-		text = append(text, part...)
-		text = append(text, 0)
+		encoded = append(encoded, part...)
+		encoded = append(encoded, 0)
 	}
-	return sum(text)
+	return sum(encoded)
 }
 
 // SumBody returns the hash of the first BodyBytes of a body; the zero hash for an empty body.
-func SumBody(first []byte) Hash {
-	if len(first) == 0 {
+func SumBody(prefix []byte) Hash {
+	if len(prefix) == 0 {
 		return Hash{}
 	}
-	return sum(first[:min(len(first), BodyBytes)])
+	return sum(prefix[:min(len(prefix), BodyBytes)])
 }
 
 func sum(bytes []byte) Hash {
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -24,8 +24,8 @@
 }
 
 func stateIn(table *Table, now time.Duration, signature Signature) State {
-	belief, _ := table.View(now).State(now, signature)
-	return belief
+	state, _ := table.View(now).State(now, signature)
+	return state
 }
 
 func TestSignatureIdentifiesTheContentOfARequest(t *testing.T) {
@@ -174,20 +174,20 @@
 func TestCompanionsOfAHarmfulRequestAreTrusted(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
-	harmful, beside, later := signatureOf("/harmful"), signatureOf("/beside"), signatureOf("/later")
-	for _, request := range []Signature{harmful, beside} {
+	harmful, companion, laterCompanion := signatureOf("/harmful"), signatureOf("/beside"), signatureOf("/later")
+	for _, request := range []Signature{harmful, companion} {
 		table.RecordEnd(0, request, "a", false)
 	}
-	check.Equal(stateIn(table, 0, beside), Suspected)
-	for _, request := range []Signature{harmful, later} {
+	check.Equal(stateIn(table, 0, companion), Suspected)
+	for _, request := range []Signature{harmful, laterCompanion} {
 		table.RecordEnd(0, request, "b", false)
 	}
 	recordEnds(table, harmful, "d")
 	check.Equal(stateIn(table, 0, harmful), Held)
-	check.Equal(stateIn(table, 0, beside), Trusted)
-	check.Equal(stateIn(table, 0, later), Trusted)
-	table.RecordEnd(0, beside, "c", false) // an end at which the harmful request did not run
-	check.Equal(stateIn(table, 0, beside), Suspected)
+	check.Equal(stateIn(table, 0, companion), Trusted)
+	check.Equal(stateIn(table, 0, laterCompanion), Trusted)
+	table.RecordEnd(0, companion, "c", false) // an end at which the harmful request did not run
+	check.Equal(stateIn(table, 0, companion), Suspected)
 }
 
 // Two requests that ran at the same ends cannot be told apart until one of them is answered
@@ -213,8 +213,8 @@
 	}
 }
 
-// Two harmful requests are both held. A request that ran first beside one and later beside the
-// other is not.
+// Two harmful requests are both held. A request that ran first with one and later with the other is
+// not.
 func TestTwoHarmfulRequestsAccountForTheEndsOfBoth(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -97,8 +97,8 @@
 	return min(bucket, latencyBuckets-1)
 }
 
-// Tally counts the answers of the back end beside a gate during a roll-out of its service. It takes
-// no lock. Only the first call of a class needs a compare-and-swap.
+// Tally counts the answers of the back end next to a gate during a roll-out of its service. It
+// takes no lock. Only the first call of a class needs a compare-and-swap.
 type Tally struct {
 	counting atomic.Bool
 	cells    [classLimit]tallyCell
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -1,4 +1,4 @@
-// Package warmup limits the calls that start at a cold back end. The gate beside the back end
+// Package warmup limits the calls that start at a cold back end. The gate next to the back end
 // applies the limit. It sees all calls to the back end, so daemons need not coordinate. The package
 // performs no input or output and reads no clock.
 package warmup
