--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -11,7 +11,7 @@
 
 const interval = time.Second
 
-func started(t *testing.T) *Tracker {
+func newReadyTracker(t *testing.T) *Tracker {
 	t.Helper()
 	tracker := NewTracker(interval)
 	is.New(t).True(tracker.HandleReport(0, Report{Instance: "a", Sequence: 3, Slots: 6}))
@@ -20,7 +20,7 @@
 	return tracker
 }
 
-func TestAnInstanceIsTakenOnlyOnceItHasAnsweredItself(t *testing.T) {
+func TestAnInstanceIsConfirmedOnlyByItsOwnAnswer(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 1, Slots: 6})
@@ -36,19 +36,19 @@
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
-func TestDrainingOutlivesLateReports(t *testing.T) {
+func TestDrainingSurvivesLateReports(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 5, Draining: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4})
-	tracker.HandleReport(0, Report{Instance: "a", Sequence: 6}) // a daemon that was restarted in between may hear this
+	tracker.HandleReport(0, Report{Instance: "a", Sequence: 6}) // may arrive if the daemon was restarted in between
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-func TestALateReportOfAnEndedInstanceIsNotANewOne(t *testing.T) {
+func TestALateReportOfAnEndedInstanceIsIgnored(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	check.True(tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 4}))
 	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0), View{
@@ -59,9 +59,9 @@
 	check.True(!tracker.HasCandidates())
 }
 
-func TestLeavingWithoutDrainingEndsWork(t *testing.T) {
+func TestALeaveWithoutADrainStopsWork(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleLeave(protocol.BackendStart{Instance: "b"}, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	tracker.HandleLeave(protocol.BackendStart{Instance: "a"}, 0)
@@ -70,9 +70,9 @@
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-func TestDownEndsWithTheNextReport(t *testing.T) {
+func TestANewReportEndsTheDownState(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.MarkUnreachable(protocol.BackendStart{Instance: "b"})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	tracker.MarkUnreachable(protocol.BackendStart{Instance: "a"})
@@ -82,85 +82,86 @@
 	check.Equal(tracker.View(2*interval).State, protocol.EndpointReady)
 }
 
-func TestSilenceCountsOnlyWithoutAnsweredCalls(t *testing.T) {
+func TestMissedHeartbeatsCountOnlyWithoutAnsweredCalls(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
-	late := silentBeats*interval + 1
+	tracker := newReadyTracker(t)
+	late := maxMissedHeartbeats*interval + 1
 	check.Equal(tracker.View(late).State, protocol.EndpointDown)
 	tracker.RecordAnswer(interval)
 	check.Equal(tracker.View(late).State, protocol.EndpointReady)
 }
 
-func TestEndedInstancesAreBounded(t *testing.T) {
-	tracker := started(t)
+func TestEndedStartsAreBounded(t *testing.T) {
+	tracker := newReadyTracker(t)
 	for index := range 3 * endedLimit {
 		tracker.HandleLeave(protocol.BackendStart{Instance: string(rune('A' + index))}, 0)
 	}
-	is.New(t).Equal(len(tracker.ended), endedLimit)
+	is.New(t).Equal(len(tracker.endedStarts), endedLimit)
 }
 
-func TestWhatPeersRememberOfALeavingInstanceStands(t *testing.T) {
+func TestARestoredLeaveIsBinding(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(time.Second)
 	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	check.True(!tracker.HandleReport(0, Report{Instance: "one", Sequence: 9, Slots: 6})) // it denies that, in vain
+	check.True(!tracker.HandleReport(0, Report{Instance: "one", Sequence: 9, Slots: 6})) // contradicts the leave, without effect
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 	check.True(tracker.HandleReport(0, Report{Instance: "two", Sequence: 1, Slots: 6}))
 	tracker.HandleProbe(0, ProbeResult{Instance: "two", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"}) // told late: the newer instance works on
+	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"}) // arrives late: the newer instance keeps running
 	check.Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "two"}, Slots: 6, State: protocol.EndpointReady})
 }
 
-// A heartbeat that was held up comes from an instance that has crashed, after the first one of
-// its successor: the successor is taken as soon as it answers itself.
-func TestALateReportDoesNotHoldItsSuccessorUp(t *testing.T) {
+// A delayed heartbeat of an instance that has crashed arrives after the first one of its successor.
+// The successor replaces it as soon as it answers a probe itself.
+func TestALateReportDoesNotDelayTheSuccessor(t *testing.T) {
 	check := is.New(t)
-	for _, before := range []string{"", "a"} { // the daemon may have known the crashed one, or not
+	for _, earlier := range []string{"", "a"} { // the daemon may have known the crashed instance or not
 		tracker := NewTracker(time.Second)
-		if before != "" {
-			tracker.HandleReport(0, Report{Instance: before, Sequence: 1, Slots: 6})
-			tracker.HandleProbe(0, ProbeResult{Instance: before, Healthy: true})
+		if earlier != "" {
+			tracker.HandleReport(0, Report{Instance: earlier, Sequence: 1, Slots: 6})
+			tracker.HandleProbe(0, ProbeResult{Instance: earlier, Healthy: true})
 		}
 		check.True(tracker.HandleReport(time.Second, Report{Instance: "b", Sequence: 1, Slots: 6}))
 		tracker.HandleReport(2*time.Second, Report{Instance: "a", Sequence: 9, Slots: 6})
 		tracker.HandleProbe(2*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(2*time.Second).Start.Instance, "b")
 		check.Equal(tracker.View(2*time.Second).State, protocol.EndpointReady)
-		tracker.HandleReport(3*time.Second, Report{Instance: "a", Sequence: 10, Slots: 6}) // later still
+		tracker.HandleReport(3*time.Second, Report{Instance: "a", Sequence: 10, Slots: 6}) // even later
 		tracker.HandleProbe(3*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(3*time.Second).Start.Instance, "b")
 	}
 }
 
-// A daemon that has had no heartbeat since its start tells of what it acknowledges: were it
-// killed then, nobody else would know.
-func TestALeaveBeforeTheFirstHeartbeatIsTold(t *testing.T) {
+// A daemon that has received no heartbeat since it started publishes the leaves it acknowledges.
+// Otherwise they would be lost if it were killed.
+func TestALeaveBeforeTheFirstHeartbeatIsPublished(t *testing.T) {
 	check := is.New(t)
-	leave := map[string]func(*Tracker){
+	announcements := map[string]func(*Tracker){
 		"leave":              func(tracker *Tracker) { tracker.HandleLeave(protocol.BackendStart{Instance: "a"}, 0) },
 		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(0, Report{Instance: "a", Sequence: 1, Draining: true}) },
 	}
-	for name, say := range leave {
+	for name, announce := range announcements {
 		tracker := NewTracker(time.Second)
-		say(tracker)
+		announce(tracker)
 		t.Log(name)
 		check.Equal(tracker.View(0).Start.Instance, "a")
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-		tracker.HandleReport(0, Report{Instance: "a", Sequence: 9, Slots: 6}) // it denies that
+		tracker.HandleReport(0, Report{Instance: "a", Sequence: 9, Slots: 6}) // contradicts the leave
 		tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-		tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6}) // its successor
+		tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6}) // the successor
 		tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	}
 }
 
-// Two reports may cross, and both are acknowledged: an instance that is leaving stays so.
-func TestADrainThatALaterReportOvertookCounts(t *testing.T) {
+// Two reports may arrive in reverse order, and both are acknowledged. An instance that is leaving
+// stays in that state.
+func TestADrainOvertakenByALaterReportIsBinding(t *testing.T) {
 	check := is.New(t)
-	tracker := started(t)
+	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 5, Slots: 6})
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 2, Draining: true})
 	check.Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "a"}, Slots: 6, State: protocol.EndpointDraining})
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -17,55 +17,55 @@
 	return Report{Instance: "a", Born: born, Sequence: sequence, Slots: 6}
 }
 
-// answers has the back end answer a probe under its name.
-func answers(tracker *Tracker, now time.Duration) {
+// answerProbe passes a healthy answer of the instance to the tracker.
+func answerProbe(tracker *Tracker, now time.Duration) {
 	tracker.HandleProbe(now, ProbeResult{Instance: "a", Healthy: true})
 }
 
-// runningSince returns a tracker of a back end that runs since a time.
-func runningSince(t *testing.T, born int64) *Tracker {
+// newTrackerRunning returns a tracker whose running start began at the given time.
+func newTrackerRunning(t *testing.T, born int64) *Tracker {
 	t.Helper()
 	tracker := NewTracker(interval)
 	is.New(t).True(tracker.HandleReport(0, reportOf(born, 7)))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	is.New(t).Equal(tracker.View(0), View{Start: startOf(born), Slots: 6, State: protocol.EndpointReady})
 	return tracker
 }
 
 func TestANewerStartReplacesTheOlderOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
-	check.True(tracker.HandleReport(interval, reportOf(200, 1))) // its counts begin anew
+	tracker := newTrackerRunning(t, 100)
+	check.True(tracker.HandleReport(interval, reportOf(200, 1))) // the sequence restarts
 	check.Equal(tracker.View(interval).Start, startOf(200))
-	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // nothing before it has answered
-	answers(tracker, interval)
+	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // no calls before it has answered
+	answerProbe(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 	check.True(!tracker.HandleReport(interval, reportOf(200, 2)))
 }
 
 func TestANewerStartEndsTheDrainOfTheOlderOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(100), 0)
 	check.True(tracker.HandleReport(interval, reportOf(200, 1)))
-	answers(tracker, interval)
+	answerProbe(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
-	tracker.HandleLeave(startOf(100), 0) // told twice, late
+	tracker.HandleLeave(startOf(100), 0) // repeated and late
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 }
 
 func TestANewerStartEndsTheEjectionOfTheOlderOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
-	for range failureCalls {
+	tracker := newTrackerRunning(t, 100)
+	for range minFailureCalls {
 		tracker.RecordFailure(0, startOf(100), 0)
 	}
 	check.Equal(tracker.View(0).State, protocol.EndpointDegraded)
 	tracker.HandleReport(0, reportOf(200, 1))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	for range failureCalls {
-		check.True(!tracker.RecordFailure(0, startOf(100), 0)) // calls lost with the older one
+	for range minFailureCalls {
+		check.True(!tracker.RecordFailure(0, startOf(100), 0)) // failed calls of the older start
 	}
 	tracker.MarkUnreachable(startOf(100))
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
@@ -73,68 +73,69 @@
 
 func TestANewerStartHasItsOwnWarmUp(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	cold := reportOf(100, 8)
 	cold.WarmUp = time.Minute
 	tracker.HandleReport(0, cold)
 	check.Equal(tracker.View(0).State, protocol.EndpointWarming)
 	tracker.HandleReport(0, reportOf(200, 1))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
-func TestAnOlderStartsReportsCountForNothing(t *testing.T) {
+func TestReportsOfAnOlderStartAreIgnored(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 200)
+	tracker := newTrackerRunning(t, 200)
 	check.True(!tracker.HandleReport(0, reportOf(100, 99)))
-	drained := reportOf(100, 100)
-	drained.Draining = true
-	check.True(!tracker.HandleReport(0, drained))
+	draining := reportOf(100, 100)
+	draining.Draining = true
+	check.True(!tracker.HandleReport(0, draining))
 	tracker.HandleLeave(startOf(100), 0)
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointReady})
 	check.True(!tracker.HasCandidates())
 }
 
-func TestANewerStartThatDrainsGetsNothingAtOnce(t *testing.T) {
+func TestANewerStartThatDrainsReceivesNoCalls(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
-	drained := reportOf(200, 1)
-	drained.Draining = true
-	check.True(!tracker.HandleReport(0, drained))
+	tracker := newTrackerRunning(t, 100)
+	draining := reportOf(200, 1)
+	draining.Draining = true
+	check.True(!tracker.HandleReport(0, draining))
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointDraining})
-	check.True(!tracker.HandleReport(0, reportOf(200, 2))) // it denies that
-	answers(tracker, 0)
+	check.True(!tracker.HandleReport(0, reportOf(200, 2))) // contradicts the drain
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-// A leave call need not say when the start began: it is that of the newest one heard of.
-func TestALeaveWithoutATimeBindsTheNewestStart(t *testing.T) {
+// A leave without a start time applies to the newest known start.
+func TestALeaveWithoutAStartTimeAppliesToTheNewestStart(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0), View{Start: startOf(100), Slots: 6, State: protocol.EndpointDraining})
 	check.True(!tracker.HandleReport(0, reportOf(100, 9)))
 	check.True(tracker.HandleReport(0, reportOf(200, 1)))
 }
 
-// A daemon that knows nothing yet can't tell which start leaves: whichever had begun by then.
-func TestALeaveWithoutATimeOfAnUnknownStartBindsAllBefore(t *testing.T) {
+// A daemon that knows no start of the instance applies a leave without a start time to all that
+// began before it was sent.
+func TestALeaveOfAnUnknownStartAppliesToAllEarlierOnes(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	for beat := range uint64(4 * persistentBeats) { // it denies that, for long
+	for beat := range uint64(4 * persistentHeartbeats) { // contradicts the leave repeatedly
 		now := time.Duration(beat) * interval
 		check.True(!tracker.HandleReport(now, reportOf(4000, beat)))
-		answers(tracker, now)
+		answerProbe(tracker, now)
 		check.Equal(tracker.View(now).State, protocol.EndpointDraining)
 	}
 	check.True(tracker.HandleReport(0, reportOf(6000, 1)))
-	answers(tracker, 0)
+	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
-func TestWhatPeersRememberOfAStartDoesNotBindANewerOne(t *testing.T) {
+func TestARestoredLeaveDoesNotApplyToANewerStart(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.RestoreLeave(startOf(100))
@@ -142,144 +143,146 @@
 	check.True(!tracker.HandleReport(0, reportOf(100, 9)))
 	check.True(!tracker.HandleReport(0, reportOf(50, 9)))
 	check.True(tracker.HandleReport(0, reportOf(200, 1)))
-	answers(tracker, 0)
-	tracker.RestoreLeave(startOf(100)) // told late
+	answerProbe(tracker, 0)
+	tracker.RestoreLeave(startOf(100)) // arrives late
 	check.Equal(tracker.View(0), View{Start: startOf(200), Slots: 6, State: protocol.EndpointReady})
 }
 
-// The clock by which starts tell their time may be set back, or another writer may have told
-// a time that never comes: the start that lives is taken in the end.
-func TestAnAbsurdTimeLocksNobodyOut(t *testing.T) {
+// The clock that provides the start times may be set back, or another sender may have reported an
+// absurd time. The start that runs is accepted eventually.
+func TestAnAbsurdStartTimeDoesNotLockOutTheRunningStart(t *testing.T) {
 	for _, absurd := range []int64{300, 1 << 62} {
 		check := is.New(t)
-		tracker := runningSince(t, absurd)
-		taken := 0
-		for beat := 1; beat <= 2*persistentBeats && taken == 0; beat++ {
+		tracker := newTrackerRunning(t, absurd)
+		acceptedAtBeat := 0
+		for beat := 1; beat <= 2*persistentHeartbeats && acceptedAtBeat == 0; beat++ {
 			now := time.Duration(beat) * interval
 			if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
-				answers(tracker, now)
-				taken = beat
+				answerProbe(tracker, now)
+				acceptedAtBeat = beat
 			}
 		}
-		check.Equal(taken, persistentBeats+1)
-		check.Equal(tracker.View((persistentBeats+1)*interval).Start, startOf(200))
-		check.True(tracker.HandleReport(0, reportOf(201, 1))) // the next one as ever
+		check.Equal(acceptedAtBeat, persistentHeartbeats+1)
+		check.Equal(tracker.View((persistentHeartbeats+1)*interval).Start, startOf(200))
+		check.True(tracker.HandleReport(0, reportOf(201, 1))) // the next start is accepted as usual
 	}
 }
 
-// Reports that were held up come together, however many they are.
-func TestABurstOfOldReportsIsNoLife(t *testing.T) {
+// Delayed reports that arrive together do not show that the start runs, however many they are.
+func TestABurstOfDelayedReportsDoesNotReplaceTheRunningStart(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 200)
-	for beat := range uint64(4 * persistentBeats) {
+	tracker := newTrackerRunning(t, 200)
+	for beat := range uint64(4 * persistentHeartbeats) {
 		check.True(!tracker.HandleReport(time.Minute, reportOf(100, beat)))
 	}
 }
 
-// While the newer start reports, an older one is never taken.
-func TestAnOlderStartWaitsForTheSilenceOfTheNewerOne(t *testing.T) {
+// While the newer start reports, an older one never replaces it.
+func TestAnOlderStartDoesNotReplaceANewerOneThatReports(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 200)
-	for beat := 1; beat <= 4*persistentBeats; beat++ {
+	tracker := newTrackerRunning(t, 200)
+	for beat := 1; beat <= 4*persistentHeartbeats; beat++ {
 		now := time.Duration(beat) * interval
 		tracker.HandleReport(now, reportOf(200, uint64(beat+7)))
 		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat))))
 	}
 }
 
-// An instance that does not tell when it started is told apart by its name alone.
-func TestAnInstanceWithoutATimeNeverComesBack(t *testing.T) {
+// An instance that reports no start time is identified by its name alone.
+func TestAnInstanceWithoutAStartTimeNeverReturns(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 0)
+	tracker := newTrackerRunning(t, 0)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.True(!tracker.HandleReport(0, reportOf(0, 99)))
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-// What an unconfirmed start has had acknowledged binds although a later report denies it.
-func TestACandidateThatDrainsIsTakenAsDraining(t *testing.T) {
+// The acknowledged drain of an unconfirmed start remains binding although a later report
+// contradicts it.
+func TestADrainOfACandidateIsBinding(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
+	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1, Draining: true})
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 2})
 	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
-// A start that is taken after all, since a clock was wrong, is the one that the probe confirms.
+// If a start that appears to be older is accepted because a clock was wrong, it replaces the
+// unconfirmed newer one as the candidate for the probe.
 func TestAPersistentStartReplacesAnUnconfirmedAbsurdOne(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
-	tracker.HandleReport(0, reportOf(1<<62, 1)) // its health was bad then
-	for beat := 1; beat <= persistentBeats+1; beat++ {
+	tracker := newTrackerRunning(t, 100)
+	tracker.HandleReport(0, reportOf(1<<62, 1)) // its probe failed
+	for beat := 1; beat <= persistentHeartbeats+1; beat++ {
 		now := time.Duration(beat) * interval
 		if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
-			answers(tracker, now)
+			answerProbe(tracker, now)
 		}
 	}
-	check.Equal(tracker.View((persistentBeats+1)*interval), View{
+	check.Equal(tracker.View((persistentHeartbeats+1)*interval), View{
 		Start: startOf(200), Slots: 6, State: protocol.EndpointReady, EarlierCrashed: true,
 	})
 }
 
-// A drain that an unconfirmed start has had acknowledged binds also after a newer start left.
-func TestALeaveForgetsNoDrainOfAnOlderCandidate(t *testing.T) {
+// The acknowledged drain of an unconfirmed start remains binding after a newer start has left.
+func TestALeaveKeepsTheDrainOfAnOlderCandidate(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
 	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
-	drained := reportOf(100, 1)
-	drained.Draining = true
-	tracker.HandleReport(0, drained)
+	draining := reportOf(100, 1)
+	draining.Draining = true
+	tracker.HandleReport(0, draining)
 	tracker.HandleLeave(startOf(200), 0)
-	for beat := 1; beat <= 2*persistentBeats; beat++ {
+	for beat := 1; beat <= 2*persistentHeartbeats; beat++ {
 		now := time.Duration(beat) * interval
 		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat+1))))
 	}
 }
 
-// A start that seems older than the one in force but alone reports may be the one that runs:
-// once its drain is acknowledged nothing is sent there under the name of the other one.
-func TestADrainOfAPersistentOlderStartEndsCalls(t *testing.T) {
-	drained := reportOf(200, 9)
-	drained.Draining = true
-	for name, say := range map[string]func(*Tracker){
+// If only a start that appears to be older than the running one reports, it may be the one that
+// runs. Once its drain is acknowledged, calls to the running one stop as well.
+func TestADrainOfAPersistentOlderStartStopsCalls(t *testing.T) {
+	draining := reportOf(200, 9)
+	draining.Draining = true
+	for name, announce := range map[string]func(*Tracker){
 		"leave":              func(tracker *Tracker) { tracker.HandleLeave(startOf(200), 0) },
-		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(3*interval, drained) },
+		"draining heartbeat": func(tracker *Tracker) { tracker.HandleReport(3*interval, draining) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
-			tracker := runningSince(t, 300)
+			tracker := newTrackerRunning(t, 300)
 			for beat := 1; beat <= 2; beat++ {
 				tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat)))
 			}
-			say(tracker)
+			announce(tracker)
 			tracker.RecordAnswer(3 * interval)
 			check.True(!tracker.View(3 * interval).State.AcceptsCalls())
-			tracker.HandleReport(3*interval, reportOf(300, 8)) // it was late only, and runs
+			tracker.HandleReport(3*interval, reportOf(300, 8)) // it was only late, and runs
 			check.Equal(tracker.View(3*interval).State, protocol.EndpointReady)
 		})
 	}
 }
 
-// A living start that is taken in spite of an absurd time is probed with each report, as any
+// A start that is accepted in spite of an absurd start time is probed after each report, like any
 // other one.
 func TestAPersistentStartIsProbedUntilItAnswers(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 100)
-	tracker.HandleLeave(startOf(1<<62), 0) // another writer's word
+	tracker := newTrackerRunning(t, 100)
+	tracker.HandleLeave(startOf(1<<62), 0) // sent by another process
 	probes := 0
-	for beat := 1; beat <= persistentBeats+3; beat++ {
+	for beat := 1; beat <= persistentHeartbeats+3; beat++ {
 		if tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat))) {
-			probes++ // its health is bad
+			probes++ // its probe fails
 		}
 	}
 	check.Equal(probes, 3)
 }
 
-// A peer's memory of a drain, or a leave without a time, may tell a time by a clock that was
-// set back since: the next start is late, but not locked out.
-func TestAClockSetBackAfterALeaveLocksNobodyOut(t *testing.T) {
+// A leave restored by a peer, or one without a start time, may carry the time of a clock that has
+// been set back since. The next start is delayed but not locked out.
+func TestAClockSetBackAfterALeaveDoesNotLockOutTheNextStart(t *testing.T) {
 	for name, leave := range map[string]func(*Tracker){
 		"remembered": func(tracker *Tracker) { tracker.RestoreLeave(startOf(5000)) },
 		"left":       func(tracker *Tracker) { tracker.HandleLeave(startOf(0), 5000) },
@@ -289,24 +292,24 @@
 			tracker := NewTracker(interval)
 			leave(tracker)
 			now := time.Duration(0)
-			for beat := range uint64(leavingBeats + 1) {
+			for beat := range uint64(persistentHeartbeatsAfterLeave + 1) {
 				check.True(!tracker.View(now).State.AcceptsCalls())
 				now += interval
 				if tracker.HandleReport(now, reportOf(200, beat+1)) {
-					answers(tracker, now)
+					answerProbe(tracker, now)
 				}
 			}
 			check.Equal(tracker.View(now).Start, startOf(200))
 			check.Equal(tracker.View(now).State, protocol.EndpointReady)
-			check.True(!tracker.HandleReport(now, reportOf(5000, 1))) // the one that left stays away
+			check.True(!tracker.HandleReport(now, reportOf(5000, 1))) // the start that left stays ended
 		})
 	}
 }
 
-// A drain that was acknowledged binds although a report with a higher sequence came before it.
-func TestADrainThatComesLateBinds(t *testing.T) {
-	for name, before := range map[string]func(*Tracker){
-		"running":     func(tracker *Tracker) { answers(tracker, 0) },
+// An acknowledged drain is binding although a report with a higher sequence arrived before it.
+func TestALateDrainIsBinding(t *testing.T) {
+	for name, confirm := range map[string]func(*Tracker){
+		"running":     func(tracker *Tracker) { answerProbe(tracker, 0) },
 		"unconfirmed": func(*Tracker) {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -315,30 +318,31 @@
 			tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
 			tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
 			tracker.HandleReport(0, reportOf(200, 9))
-			before(tracker)
-			drained := reportOf(200, 8)
-			drained.Draining = true
-			tracker.HandleReport(0, drained)
-			answers(tracker, 0)
+			confirm(tracker)
+			draining := reportOf(200, 8)
+			draining.Draining = true
+			tracker.HandleReport(0, draining)
+			answerProbe(tracker, 0)
 			check.Equal(tracker.View(0).Start, startOf(200))
 			check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 		})
 	}
 }
 
-// A start that seems older than the one in force but alone reports may be the one that runs: the back
-// end counts as cold once it tells that it has become so, until the running one reports or answers.
-func TestAPersistentOlderStartThatBecomesColdIsHeard(t *testing.T) {
+// If only a start that appears to be older than the running one reports, it may be the one that
+// runs. When it reports that it is cold, the back end counts as cold until the running one reports
+// or answers a probe.
+func TestAPersistentOlderStartMayReportThatItIsCold(t *testing.T) {
 	check := is.New(t)
-	tracker := runningSince(t, 300)
+	tracker := newTrackerRunning(t, 300)
 	cold := reportOf(200, 3)
 	cold.WarmUp = time.Second
-	tracker.HandleReport(interval, cold) // a single one may have been held up
+	tracker.HandleReport(interval, cold) // a single report may have been delayed
 	check.Equal(tracker.View(interval).ColdUntil, time.Duration(0))
 	cold.Sequence++
 	tracker.HandleReport(2*interval, cold)
 	check.Equal(tracker.View(2*interval).ColdUntil, 2*interval+time.Second)
-	check.True(tracker.NeedsWarmthProbe(2 * interval)) // so it is probed
+	check.True(tracker.NeedsWarmthProbe(2 * interval)) // so a probe is due
 	tracker.HandleProbe(2*interval, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(tracker.View(2*interval).ColdUntil, time.Duration(0))
 }
--- a/internal/core/evacuation/eras_test.go
+++ b/internal/core/evacuation/eras_test.go
@@ -9,9 +9,9 @@
 	"github.com/springstack/springstack/internal/core/position"
 )
 
-// An order that the store has lost with an era binds until a later reading gives it up; one that
-// was withdrawn in the new era does not.
-func TestALostOrderBindsUntilItIsGivenUp(t *testing.T) {
+// An order that the store has lost in a change of era remains in force until a later reading drops
+// it. An order that was withdrawn in the new era does not.
+func TestALostOrderRemainsInForceUntilItIsDropped(t *testing.T) {
 	check := is.New(t)
 	table := &Table{}
 	merge := func(now time.Duration, orders Orders) { table.Merge(now, SharedOrders{Orders: orders, Known: true}) }
@@ -23,21 +23,22 @@
 	withdrawn := NewOrders(position.Position{Era: 2, Revision: 881}, nil)
 	merge(2*time.Second, withdrawn.WithLost(table.Orders()))
 	check.Equal(table.Orders().AllZones(), []string{"a"})
-	again := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
-	merge(3*time.Second, again.WithLost(table.Orders()))
+	reissued := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
+	merge(3*time.Second, reissued.WithLost(table.Orders()))
 	check.Equal(table.Orders().Lost, []string{})
-	merge(4*time.Second, withdrawn.WithLost(table.Orders())) // a reading that was overtaken
+	merge(4*time.Second, withdrawn.WithLost(table.Orders())) // an outdated reading
 	check.Equal(table.Orders().AllZones(), []string{"a"})
 }
 
-// Of two readings at one position the later one counts, in whatever order they are heard.
-func TestAtOnePositionTheLaterReadingCounts(t *testing.T) {
+// Of two readings at the same position the later one applies, regardless of the order in which they
+// are received.
+func TestAtOnePositionTheLaterReadingApplies(t *testing.T) {
 	check := is.New(t)
 	at := position.Position{Era: 2, Revision: 880}
-	held := Orders{At: at, Lost: []string{"a"}}
+	lost := Orders{At: at, Lost: []string{"a"}}
 	table := &Table{}
-	table.Merge(time.Minute, SharedOrders{Orders: held, Known: true, Age: 3 * time.Second})
+	table.Merge(time.Minute, SharedOrders{Orders: lost, Known: true, Age: 3 * time.Second})
 	check.True(table.Merge(time.Minute, SharedOrders{Orders: Orders{At: at}, Known: true, Age: time.Second}))
-	check.True(!table.Merge(time.Minute, SharedOrders{Orders: held, Known: true, Age: 2 * time.Second}))
+	check.True(!table.Merge(time.Minute, SharedOrders{Orders: lost, Known: true, Age: 2 * time.Second}))
 	check.True(!table.Orders().Evacuates("a"))
 }
--- a/internal/core/evacuation/evacuation_test.go
+++ b/internal/core/evacuation/evacuation_test.go
@@ -12,8 +12,8 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// drawHistory draws what the store holds at some positions of it: orders that are made,
-// withdrawn and made again, and positions at which only other objects have changed.
+// drawHistory draws the contents of the store at several positions: orders that are issued,
+// withdrawn and issued again, and positions at which only other objects changed.
 func drawHistory(t *rapid.T) []Orders {
 	history := []Orders{{}}
 	for range rapid.IntRange(1, 12).Draw(t, "changes") {
@@ -30,17 +30,17 @@
 	return history
 }
 
-// Daemons that hear of readings late, twice, crossed, or miss some, know the same once each
-// has heard of the newest one.
-func TestAllDaemonsComeToTheSame(t *testing.T) {
+// Daemons that receive readings late, repeatedly, out of order or not at all hold the same orders
+// once each has received the latest one.
+func TestAllDaemonsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
 		newest := history[len(history)-1]
 		for range 2 {
 			var table Table
-			heard := rapid.SliceOf(rapid.SampledFrom(history)).Draw(t, "heard")
-			heard = append(heard, newest)
-			for index, orders := range rapid.Permutation(heard).Draw(t, "order") {
+			received := rapid.SliceOf(rapid.SampledFrom(history)).Draw(t, "heard")
+			received = append(received, newest)
+			for index, orders := range rapid.Permutation(received).Draw(t, "order") {
 				table.Merge(time.Duration(index), SharedOrders{Orders: orders, Known: true})
 			}
 			if table.Orders().At != newest.At || !slices.Equal(table.Orders().Zones, newest.Zones) {
@@ -50,14 +50,14 @@
 	})
 }
 
-// Word passes from daemon to daemon, some of it lost: nobody ever knows of a position
-// anything but what the store held there, nor goes back.
-func TestWordBetweenDaemonsIsNeverMixed(t *testing.T) {
+// Daemons exchange orders with losses. The orders of a daemon are always those of the store at
+// their position, and its position never decreases.
+func TestExchangedOrdersAreNeverMixed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := drawHistory(t)
-		held := map[position.Position][]string{}
+		stored := map[position.Position][]string{}
 		for _, orders := range history {
-			held[orders.At] = orders.Zones
+			stored[orders.At] = orders.Zones
 		}
 		tables := make([]Table, 4)
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -72,23 +72,23 @@
 				tables[to].Merge(now, tables[from].SharedOrders(now))
 			}
 			after := tables[to].Orders()
-			if after.At.Before(before.At) || !slices.Equal(after.Zones, held[after.At]) {
+			if after.At.Before(before.At) || !slices.Equal(after.Zones, stored[after.At]) {
 				t.Fatalf("%v after %v", after, before)
 			}
 		}
 	})
 }
 
-func TestTheBeginningHeardAfterTheEndCountsForNothing(t *testing.T) {
+func TestAnOutdatedOrderIsIgnored(t *testing.T) {
 	check := is.New(t)
 	var table Table
 	check.True(!table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 9}, nil), Known: true}))
 	check.True(!table.Merge(time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 7}, []string{"a"}), Known: true}))
 	check.True(!table.Orders().Evacuates("a"))
-	check.Equal(table.ReadingAge(time.Second), time.Second) // it is no reading either
+	check.Equal(table.ReadingAge(time.Second), time.Second) // it does not count as a reading either
 }
 
-func TestADaemonWithoutKnowledgeTellsNothing(t *testing.T) {
+func TestUnknownOrdersAreIgnored(t *testing.T) {
 	check := is.New(t)
 	var table, fresh Table
 	table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 0}, nil), Known: true})
@@ -96,7 +96,7 @@
 	check.Equal(table.ReadingAge(time.Hour), time.Hour)
 }
 
-func TestTwoZonesAreEmptiedAndTakenBackApart(t *testing.T) {
+func TestTwoZonesAreEvacuatedAndRestoredSeparately(t *testing.T) {
 	check := is.New(t)
 	var table Table
 	check.True(table.Merge(0, SharedOrders{Orders: NewOrders(position.Position{Revision: 5}, []string{"b", "a", "a"}), Known: true}))
@@ -106,12 +106,12 @@
 	check.True(table.Orders().Evacuates("b"))
 }
 
-func TestTheAgeOfAReadingIsPassedOn(t *testing.T) {
+func TestTheAgeOfAReadingIsExchanged(t *testing.T) {
 	check := is.New(t)
 	var reader, other Table
 	reader.Merge(10*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 3}, nil), Known: true})
 	other.Merge(40*time.Second, reader.SharedOrders(11*time.Second))
 	check.Equal(other.ReadingAge(40*time.Second), time.Second)
-	reader.Merge(12*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 4}, nil), Known: true, Age: -time.Hour}) // of a broken peer
+	reader.Merge(12*time.Second, SharedOrders{Orders: NewOrders(position.Position{Revision: 4}, nil), Known: true, Age: -time.Hour}) // from a faulty peer
 	check.Equal(reader.ReadingAge(12*time.Second), time.Duration(0))
 }
