--- a/cmd/springstack/validate.go
+++ b/cmd/springstack/validate.go
@@ -70,7 +70,7 @@
 }
 
 func missing(files []*resource.File) []message.Problem {
-	return lo.Map(resource.MissingReferences(files), func(reference resource.MissingReference, _ int) message.Problem {
+	return lo.Map(resource.MissingReferences(files), func(reference resource.Reference, _ int) message.Problem {
 		problem := result.Error{
 			Code: result.FileBadReference, File: reference.File.Name, Detail: reference.String(),
 			Mend: "Add the missing piece or correct the reference.",
--- a/internal/core/admission/target.go
+++ b/internal/core/admission/target.go
@@ -69,5 +69,5 @@
 	if ticket.Target <= 0 || ticket.Patient || float64(service) < shortCallShare*float64(g.MeanServiceTime()) {
 		return 0
 	}
-	return max(start+g.LongServiceTime(&ticket.Call)-ticket.Target, 0)
+	return max(start+g.CautiousServiceTime(&ticket.Call)-ticket.Target, 0)
 }
--- a/internal/core/admission/target_test.go
+++ b/internal/core/admission/target_test.go
@@ -18,7 +18,7 @@
 }
 
 func classOfTarget(span time.Duration) callclass.Class {
-	return callclass.Of(&resource.Route{Target: span})
+	return callclass.OfRoute(&resource.Route{Target: span})
 }
 
 // runCallWithTarget runs one call with the given target span and service time.
--- a/internal/core/callclass/callclass.go
+++ b/internal/core/callclass/callclass.go
@@ -23,7 +23,7 @@
 // Of returns the class of a route, a hash of its partner, target, timeout, priority
 // and repeatability. A route that is added or renamed thus shares the statistics of
 // the routes with the same settings.
-func Of(route *resource.Route) Class {
+func OfRoute(route *resource.Route) Class {
 	var fields [26]byte
 	binary.LittleEndian.PutUint64(fields[0:], uint64(route.Target))
 	binary.LittleEndian.PutUint64(fields[8:], uint64(route.Timeout))
--- a/internal/core/callclass/callclass_test.go
+++ b/internal/core/callclass/callclass_test.go
@@ -28,8 +28,8 @@
 	}
 	classes := map[Class]bool{}
 	for _, candidate := range routes {
-		check.True(Of(candidate) < Count)
-		classes[Of(candidate)] = true
+		check.True(OfRoute(candidate) < Count)
+		classes[OfRoute(candidate)] = true
 	}
 	check.Equal(len(classes), len(routes))
 }
@@ -41,7 +41,7 @@
 	second := route(time.Second, 2*time.Second, true)
 	second.Name = "another"
 	second.Match.Host = "elsewhere.example"
-	check.Equal(Of(first), Of(second))
+	check.Equal(OfRoute(first), OfRoute(second))
 }
 
 func TestNumbersOutOfRangeAreInvalid(t *testing.T) {
--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -83,10 +83,10 @@
 }
 
 // OwnZone returns the other daemons of the own zone, ranked.
-func (d *Directory) OwnZone() []Peer { return d.zones[d.zone] }
+func (d *Directory) PeersInOwnZone() []Peer { return d.zones[d.zone] }
 
 // OtherZones returns the daemons of all other zones in ascending order of ID.
-func (d *Directory) OtherZones() []Peer { return d.otherZones }
+func (d *Directory) PeersInOtherZones() []Peer { return d.otherZones }
 
 // Zones returns the names of all zones that contain another daemon, in ascending order.
 func (d *Directory) Zones() []string {
@@ -99,7 +99,7 @@
 }
 
 // InZone returns the other daemons of a zone, ranked.
-func (d *Directory) InZone(zone string) []Peer { return d.zones[zone] }
+func (d *Directory) PeersInZone(zone string) []Peer { return d.zones[zone] }
 
 // Relays returns the other daemons of a zone that may be its relay, best first, without
 // the unreachable ones.
--- a/internal/core/dissemination/dissemination_test.go
+++ b/internal/core/dissemination/dissemination_test.go
@@ -60,7 +60,7 @@
 		peers := meshOf(size.daemons, size.zones)
 		received := map[protocol.NodeID]int{}
 		maxBranches := 0
-		targets := directoryOf(peers, 0).OwnZone()
+		targets := directoryOf(peers, 0).PeersInOwnZone()
 		steps := broadcast(targets, received, &maxBranches)
 		check.Equal(len(received), len(targets))
 		for _, count := range received {
@@ -115,8 +115,8 @@
 	check := is.New(t)
 	directory := directoryOf(meshOf(13, 4), 2)
 	check.Equal(len(directory.All()), 12)
-	check.Equal(len(directory.OwnZone())+len(directory.OtherZones()), 12)
-	check.True(directory.OtherZones()[0].Zone != "z2")
+	check.Equal(len(directory.PeersInOwnZone())+len(directory.PeersInOtherZones()), 12)
+	check.True(directory.PeersInOtherZones()[0].Zone != "z2")
 	check.Equal(directory.Zones(), []string{"z0", "z1", "z2", "z3"})
 	found, known := directory.Find("d0005")
 	check.True(known)
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -45,7 +45,7 @@
 // Index maps a back end to the member record of its daemon's latest incarnation. It
 // is built once for the sets of all services and points into the records that it was
 // built from.
-type Index map[backendKey]*protocol.Member
+type MemberIndex map[backendKey]*protocol.Member
 
 // backendKey identifies a back end.
 type backendKey struct {
@@ -55,8 +55,8 @@
 
 // NewIndex builds the index of the member records. If two records name the same back end,
 // for example after it restarted on another machine, the one with the later start is used.
-func NewIndex(members []protocol.Member) Index {
-	index := make(Index, len(members))
+func NewMemberIndex(members []protocol.Member) MemberIndex {
+	index := make(MemberIndex, len(members))
 	for position := range members {
 		member := &members[position]
 		if member.Backend == "" {
@@ -81,13 +81,13 @@
 // Build builds the set of a service from the configuration and the member records. See
 // BuildIndexed.
 func Build(previous *Set, self Locality, backends []resource.Backend, members []protocol.Member, now time.Duration) *Set {
-	return BuildIndexed(previous, self, backends, NewIndex(members), now)
+	return BuildIndexed(previous, self, backends, NewMemberIndex(members), now)
 }
 
 // BuildIndexed builds the set of a service from the configuration and the index of the
 // member records. Endpoints keep their statistics from the previous set, which may be nil,
 // unless the back end or, without Locality.TrustStates, its daemon has restarted.
-func BuildIndexed(previous *Set, self Locality, backends []resource.Backend, index Index, now time.Duration) *Set {
+func BuildIndexed(previous *Set, self Locality, backends []resource.Backend, index MemberIndex, now time.Duration) *Set {
 	set := &Set{spill: cmp.Or(self.Spill, DefaultSpillover())}
 	set.All = make([]*Endpoint, 0, len(backends))
 	known := previous.byName()
@@ -126,7 +126,7 @@
 // reports whether it may receive new calls. State, address and location of the record
 // take precedence over the configuration. Without a record the endpoint is usable but
 // doubted, because the record may still arrive.
-func describe(backend resource.Backend, index Index) (Endpoint, bool) {
+func describe(backend resource.Backend, index MemberIndex) (Endpoint, bool) {
 	described := Endpoint{
 		Service: backend.ServiceRef(),
 		Backend: backend.Name,
@@ -243,7 +243,7 @@
 }
 
 // InRegions returns the set of those endpoints that are in allowed regions; see Filter.
-func (s *Set) InRegions(allowed region.Allowed) *Set {
+func (s *Set) InRegions(allowed region.Set) *Set {
 	return s.Filter(func(endpoint *Endpoint) bool { return allowed.Has(endpoint.Region) })
 }
 
--- a/internal/core/floor/keeper.go
+++ b/internal/core/floor/keeper.go
@@ -45,7 +45,7 @@
 func (k *Keeper) Stored() protocol.Version { return k.stored }
 
 // Set returns the newest keeper set of the region that the keeper knows.
-func (k *Keeper) Set() protocol.KeeperSet { return k.keeperSet }
+func (k *Keeper) KeeperSet() protocol.KeeperSet { return k.keeperSet }
 
 // HandleStoreRequest stores a version and the keeper set in the head at that
 // version. A keeper that is not valid stores them too, but its reply does not
--- a/internal/core/floor/model_test.go
+++ b/internal/core/floor/model_test.go
@@ -231,7 +231,7 @@
 		lacksVersion := func(id protocol.NodeID) bool {
 			for _, d := range m.daemons {
 				if d.member.ID == id {
-					return d.keeper.IsValid() && d.keeper.Stored() < m.released && d.keeper.Set().Revision <= set.Revision
+					return d.keeper.IsValid() && d.keeper.Stored() < m.released && d.keeper.KeeperSet().Revision <= set.Revision
 				}
 			}
 			return false
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -138,7 +138,7 @@
 // resolvingFile returns a held file outside the group that resolves a missing
 // reference: one that declares the target or, if the reference is in an
 // accepted file outside the group, the held replacement of that file.
-func (d *draft) resolvingFile(missing resource.MissingReference, group []resource.FileKey) (resource.FileKey, bool) {
+func (d *draft) resolvingFile(missing resource.Reference, group []resource.FileKey) (resource.FileKey, bool) {
 	candidates := lo.Without(d.heldFiles(), group...)
 	declaringFile, found := lo.Find(candidates, func(key resource.FileKey) bool {
 		entry, _ := d.head.File(key)
@@ -154,7 +154,7 @@
 // files, with the held revisions of triedFiles in place of their accepted ones.
 // There were none before the change, so only the differences since then are
 // checked.
-func (d *draft) missingReferences(triedFiles []resource.FileKey) []resource.MissingReference {
+func (d *draft) missingReferences(triedFiles []resource.FileKey) []resource.Reference {
 	files := make([]*resource.File, 0, len(d.head.Files))
 	for _, entry := range d.head.Files {
 		digest := acceptedDigest(entry)
@@ -240,7 +240,7 @@
 	if !found || entry.Held == nil || entry.Accepted == nil {
 		return nil
 	}
-	otherReferences := lo.Filter(d.missingReferences([]resource.FileKey{key}), func(missing resource.MissingReference, _ int) bool {
+	otherReferences := lo.Filter(d.missingReferences([]resource.FileKey{key}), func(missing resource.Reference, _ int) bool {
 		return missing.File != key
 	})
 	if len(otherReferences) == 0 {
@@ -251,8 +251,8 @@
 
 // newStillNeededRefusal refuses the change with one error for each resource that
 // needs something that the change would remove.
-func (d *draft) newStillNeededRefusal(references []resource.MissingReference) *protocol.SubmitReply {
-	errors := lo.Map(references[:min(len(references), MaxWaitsFor)], func(missing resource.MissingReference, _ int) result.Error {
+func (d *draft) newStillNeededRefusal(references []resource.Reference) *protocol.SubmitReply {
+	errors := lo.Map(references[:min(len(references), MaxWaitsFor)], func(missing resource.Reference, _ int) result.Error {
 		problem := result.New(result.StillNeeded, "%s of file %s needs %s", missing.From, missing.File, missing.To)
 		problem.File = d.change.Request.File
 		problem.Mend = fmt.Sprintf("Change %s first.", missing.From)
@@ -265,7 +265,7 @@
 func (d *draft) updateWaitsFor() {
 	for _, key := range d.heldFiles() {
 		entry, _ := d.head.File(key)
-		lines := lo.Map(d.missingReferences([]resource.FileKey{key}), func(missing resource.MissingReference, _ int) string {
+		lines := lo.Map(d.missingReferences([]resource.FileKey{key}), func(missing resource.Reference, _ int) string {
 			return missing.String()
 		})
 		held := *entry.Held
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -138,7 +138,7 @@
 func (r *Roster) StructureRevision() uint64 { return r.structureRevision }
 
 // Sums returns the sum of the record hashes for each bucket.
-func (r *Roster) Sums() BucketSums { return r.sums }
+func (r *Roster) BucketSums() BucketSums { return r.sums }
 
 // InDifferingBuckets returns the records in the buckets whose sums differ from the given
 // ones.
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -211,7 +211,7 @@
 		request.Self.Root = false
 	}
 	if up.memberCursor == 0 {
-		sums := n.roster.Sums()
+		sums := n.roster.BucketSums()
 		request.RosterSums = sums[:]
 	}
 }
--- a/internal/core/position/position.go
+++ b/internal/core/position/position.go
@@ -27,7 +27,7 @@
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
 // IsStart reports whether the position precedes all changes of its era, which need not be the first.
-func (p Position) IsStart() bool { return p.Revision == 0 }
+func (p Position) IsEraStart() bool { return p.Revision == 0 }
 
 // Max returns the later of two positions.
 func Max(a, b Position) Position {
--- a/internal/core/position/position_test.go
+++ b/internal/core/position/position_test.go
@@ -15,6 +15,6 @@
 	check.Equal(Max(beforeRestore, afterRestore), afterRestore)
 	check.True(Position{Era: 2, Revision: 7}.Before(afterRestore))
 	check.True(!afterRestore.Before(afterRestore))
-	check.True(Position{Era: 3}.IsStart())
+	check.True(Position{Era: 3}.IsEraStart())
 	check.Equal(afterRestore.String(), "2:880")
 }
--- a/internal/core/resource/references.go
+++ b/internal/core/resource/references.go
@@ -11,7 +11,7 @@
 )
 
 // MissingReference is a reference that is not satisfied within a set of files.
-type MissingReference struct {
+type Reference struct {
 	// File is the file that declares the resource From, which refers to To.
 	File FileKey
 	From Key
@@ -21,7 +21,7 @@
 }
 
 // String returns a description in one line.
-func (m MissingReference) String() string {
+func (m Reference) String() string {
 	if m.NotExported {
 		return fmt.Sprintf("%s needs %s, which is not exported to %s", m.From, m.To, m.From.Partner)
 	}
@@ -32,7 +32,7 @@
 // same files, in the order of the files. All services and secrets that are referred to
 // must exist. A route may refer to services of its own partner and to those exported to
 // it; back ends and the secrets of routes refer to resources of their own partner.
-func MissingReferences(files []*File) []MissingReference {
+func MissingReferences(files []*File) []Reference {
 	return MissingReferencesAfter(files, files, nil)
 }
 
@@ -41,11 +41,11 @@
 // removed files are not. It checks only the references of added files and the
 // references of other files to resources that removed files declared, so apart from
 // one pass over all resources its cost depends on the size of the change.
-func MissingReferencesAfter(files, added, removed []*File) []MissingReference {
+func MissingReferencesAfter(files, added, removed []*File) []Reference {
 	present := newTargetIndex(files, affectedTargets(added, removed))
 	changed := present.changedTargets(removed)
 	addedSet := lo.Keyify(added)
-	var missing []MissingReference
+	var missing []Reference
 	for _, file := range files {
 		_, isAdded := addedSet[file]
 		if !isAdded && len(changed) == 0 {
@@ -65,17 +65,17 @@
 
 // references yields all references of the file as MissingReference values that have
 // not been checked yet.
-func (f *File) references() iter.Seq[MissingReference] {
-	return func(yield func(MissingReference) bool) {
+func (f *File) references() iter.Seq[Reference] {
+	return func(yield func(Reference) bool) {
 		for i := range f.Backends {
 			backend := &f.Backends[i]
-			if !yield(MissingReference{File: f.Key(), From: backend.Key(), To: backend.ServiceRef().Key()}) {
+			if !yield(Reference{File: f.Key(), From: backend.Key(), To: backend.ServiceRef().Key()}) {
 				return
 			}
 		}
 		for i := range f.Routes {
 			for _, target := range f.Routes[i].referencedKeys() {
-				if !yield(MissingReference{File: f.Key(), From: f.Routes[i].Key(), To: target}) {
+				if !yield(Reference{File: f.Key(), From: f.Routes[i].Key(), To: target}) {
 					return
 				}
 			}
@@ -157,7 +157,7 @@
 
 // check returns the reference with NotExported filled in, and reports whether it
 // is unsatisfied.
-func (x targetIndex) check(reference MissingReference) (MissingReference, bool) {
+func (x targetIndex) check(reference Reference) (Reference, bool) {
 	if reference.To.Kind == KindSecret {
 		return reference, !x.secrets[reference.To]
 	}
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -136,7 +136,7 @@
 	}
 	check.True(!budget.Withdraw(time.Second, 0, 1, true))
 	failed := Outcome{Kind: Broken, Replayable: true, Others: true}
-	check.Equal(trials[0].Next(2*time.Second, failed).Action, Send) // charged in advance
+	check.Equal(trials[0].NextStep(2*time.Second, failed).Action, Send) // charged in advance
 	for _, trial := range trials {
 		trial.ReleaseTrialRetry()
 		trial.ReleaseTrialRetry() // no second refund
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -143,12 +143,12 @@
 }
 
 // First returns the step for the first attempt.
-func (c *Call) First() Step {
+func (c *Call) FirstStep() Step {
 	return Step{Action: Send, Mark: c.policy.NoRetry}
 }
 
 // Next decides what follows an attempt.
-func (c *Call) Next(now time.Duration, outcome Outcome) Step {
+func (c *Call) NextStep(now time.Duration, outcome Outcome) Step {
 	c.attempts++
 	c.deposit(now, outcome)
 	if outcome.Kind == Answered && c.withdrawForAnswer(now, outcome) {
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -49,7 +49,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			is.New(t).Equal(newCall(Policy{}).Next(0, testCase.outcome), testCase.want)
+			is.New(t).Equal(newCall(Policy{}).NextStep(0, testCase.outcome), testCase.want)
 		})
 	}
 }
@@ -57,18 +57,18 @@
 func TestDeadlineCodeStatesWhetherTheCallRan(t *testing.T) {
 	check := is.New(t)
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Deadline: 1}).Next(2, refusal).Code, result.DeadlineBeforeStart)
-	check.Equal(newCall(Policy{Deadline: 1}).Next(2, Outcome{Kind: Broken}).Code, result.DeadlineInFlight)
+	check.Equal(newCall(Policy{Deadline: 1}).NextStep(2, refusal).Code, result.DeadlineBeforeStart)
+	check.Equal(newCall(Policy{Deadline: 1}).NextStep(2, Outcome{Kind: Broken}).Code, result.DeadlineInFlight)
 }
 
 func TestRefusalDoesNotHideAnEarlierUncertainAttempt(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true})
-	check.Equal(call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
-	step := call.Next(0, Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true})
+	check.Equal(call.NextStep(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
+	step := call.NextStep(0, Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true})
 	check.Equal(step, Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown})
 	late := Outcome{Kind: Refused, Code: result.DeadlineInFlight, Ran: result.RanUnknown, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Repeatable: true}).Next(0, late).Code, result.DeadlineInFlight) // no time for another attempt
+	check.Equal(newCall(Policy{Repeatable: true}).NextStep(0, late).Code, result.DeadlineInFlight) // no time for another attempt
 }
 
 // The late outcome of an attempt that may have run applies to that attempt only.
@@ -80,8 +80,8 @@
 	draining := Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true}
 
 	call := newCall(Policy{Repeatable: true})
-	check.Equal(call.Next(0, broken).Action, Send)
-	refusalStep := call.Next(0, draining)
+	check.Equal(call.NextStep(0, broken).Action, Send)
+	refusalStep := call.NextStep(0, draining)
 	check.True(!call.ResolveUncertainAttempt(broken))
 	check.True(!call.ResolveUncertainAttempt(unknown))
 	check.Equal(call.FinalStep(refusalStep), refusalStep) // no proof
@@ -90,9 +90,9 @@
 	check.True(!call.ResolveUncertainAttempt(refusal)) // no uncertain attempt is left
 
 	callBrokenTwice := newCall(Policy{Repeatable: true})
-	check.Equal(callBrokenTwice.Next(0, broken).Action, Send)
-	check.Equal(callBrokenTwice.Next(0, broken).Action, Send)
-	refusalStep = callBrokenTwice.Next(0, draining)
+	check.Equal(callBrokenTwice.NextStep(0, broken).Action, Send)
+	check.Equal(callBrokenTwice.NextStep(0, broken).Action, Send)
+	refusalStep = callBrokenTwice.NextStep(0, draining)
 	check.True(callBrokenTwice.ResolveUncertainAttempt(refusal))
 	check.Equal(callBrokenTwice.FinalStep(refusalStep), refusalStep) // the other attempt may have run
 }
@@ -100,10 +100,10 @@
 func TestNoRetryMarkStopsRetriesButNotRelocation(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true, NoRetry: true})
-	check.True(call.First().Mark)
+	check.True(call.FirstStep().Mark)
 	draining := Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true, Others: true}
-	check.Equal(call.Next(0, draining).Action, Send)
-	check.Equal(call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Refuse)
+	check.Equal(call.NextStep(0, draining).Action, Send)
+	check.Equal(call.NextStep(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Refuse)
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
@@ -112,7 +112,7 @@
 	retries := 0
 	for range 1000 {
 		call := NewCall(Policy{Repeatable: true, Attempts: 3, Deadline: time.Minute}, budget)
-		for call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action == Send {
+		for call.NextStep(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action == Send {
 			retries++
 		}
 	}
@@ -150,7 +150,7 @@
 			certainlyNotRun := outcome.Kind == NotSent || outcome.Kind == NoEndpoint ||
 				(outcome.Kind == Refused && outcome.Ran == result.RanNo)
 			mayHaveRun = mayHaveRun || !certainlyNotRun
-			step := call.Next(0, outcome)
+			step := call.NextStep(0, outcome)
 			if step.Action == Send && mayHaveRun && !policy.Repeatable {
 				t.Fatal("a call that may have run was sent again")
 			}
@@ -191,25 +191,25 @@
 	check := is.New(t)
 	policy := Policy{Repeatable: true, RetryFailures: true, Deadline: 100, Margin: 10}
 	failed := Outcome{Kind: Answered, Failed: true, Replayable: true, Others: true}
-	check.Equal(newCall(policy).Next(89, failed).Action, Send)
-	check.Equal(newCall(policy).Next(90, failed).Action, Deliver)
+	check.Equal(newCall(policy).NextStep(89, failed).Action, Send)
+	check.Equal(newCall(policy).NextStep(90, failed).Action, Deliver)
 	broken := Outcome{Kind: Broken, Replayable: true, Others: true}
-	check.Equal(newCall(policy).Next(89, broken).Action, Send)
-	check.Equal(newCall(policy).Next(90, broken).Action, Refuse)
+	check.Equal(newCall(policy).NextStep(89, broken).Action, Send)
+	check.Equal(newCall(policy).NextStep(90, broken).Action, Refuse)
 }
 
 func TestAnsweredFailureIsRetriedOnlyIfPolicyAllows(t *testing.T) {
 	check := is.New(t)
 	failed := Outcome{Kind: Answered, Failed: true, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Repeatable: true}).Next(0, failed).Action, Deliver) // without RetryFailures
-	check.Equal(newCall(Policy{RetryFailures: true}).Next(0, failed).Action, Deliver)
-	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, NoRetry: true}).Next(0, failed).Action, Deliver)
-	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, Attempts: 1}).Next(0, failed).Action, Deliver)
+	check.Equal(newCall(Policy{Repeatable: true}).NextStep(0, failed).Action, Deliver) // without RetryFailures
+	check.Equal(newCall(Policy{RetryFailures: true}).NextStep(0, failed).Action, Deliver)
+	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, NoRetry: true}).NextStep(0, failed).Action, Deliver)
+	check.Equal(newCall(Policy{Repeatable: true, RetryFailures: true, Attempts: 1}).NextStep(0, failed).Action, Deliver)
 	call := newCall(Policy{Repeatable: true, RetryFailures: true})
-	check.Equal(call.Next(0, failed).Action, Send)
+	check.Equal(call.NextStep(0, failed).Action, Send)
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true}
-	check.Equal(call.Next(0, refusal).Action, Send)
-	check.Equal(call.Next(0, refusal).Ran, result.RanUnknown) // the first attempt ran
+	check.Equal(call.NextStep(0, refusal).Action, Send)
+	check.Equal(call.NextStep(0, refusal).Ran, result.RanUnknown) // the first attempt ran
 }
 
 func TestGateRefusalCostsBudgetOnlyIfItReachedTheBackEnd(t *testing.T) {
@@ -217,10 +217,10 @@
 	budget := NewBudgetWithLimits(Limits{Ratio: 0, Part: 1})
 	policy := Policy{RetryFailures: true, Attempts: 3, Deadline: 100}
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true, Others: true}
-	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send)
+	check.Equal(NewCall(policy, budget).NextStep(0, refusal).Action, Send)
 	refusal.Code, refusal.Arrived = result.BackendRefused, true
-	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Send) // allowed by Limits.Part
-	check.Equal(NewCall(policy, budget).Next(0, refusal).Action, Refuse)
+	check.Equal(NewCall(policy, budget).NextStep(0, refusal).Action, Send) // allowed by Limits.Part
+	check.Equal(NewCall(policy, budget).NextStep(0, refusal).Action, Refuse)
 }
 
 func TestSetMinimumRetriesLeavesEarnedRetries(t *testing.T) {
@@ -243,8 +243,8 @@
 	check.True(first.ReserveRetry(0, broken))
 	check.True(first.ReserveRetry(0, broken)) // charged only once
 	check.True(!second.ReserveRetry(0, broken))
-	check.Equal(first.Next(1, broken).Action, Send)
-	check.Equal(first.Next(2, broken).Action, Refuse) // the charged retry is used
+	check.Equal(first.NextStep(1, broken).Action, Send)
+	check.Equal(first.NextStep(2, broken).Action, Refuse) // the charged retry is used
 
 	largeLimits := Limits{Part: 100}
 	notRepeatable := policy
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -63,7 +63,7 @@
 			service.repetitions[s.tick]++
 		}
 		outcome := s.run(level, call, repetition)
-		if state.Next(s.now, outcome).Action != Send {
+		if state.NextStep(s.now, outcome).Action != Send {
 			return
 		}
 	}
--- a/internal/core/retry/cold_test.go
+++ b/internal/core/retry/cold_test.go
@@ -21,7 +21,7 @@
 	remaining := budget.Remaining(0, 0)
 	for _, policy := range []Policy{{}, {NoRetry: true}, {Repeatable: true}} {
 		policy.Attempts, policy.Deadline = 1, time.Minute
-		check.Equal(NewCall(policy, budget).Next(0, coldRefusal).Action, Send)
+		check.Equal(NewCall(policy, budget).NextStep(0, coldRefusal).Action, Send)
 	}
 	check.Equal(budget.Remaining(0, 0), remaining)
 }
@@ -30,9 +30,9 @@
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true, Attempts: 9})
 	for range relocationLimit {
-		check.Equal(call.Next(0, coldRefusal).Action, Send)
+		check.Equal(call.NextStep(0, coldRefusal).Action, Send)
 	}
-	step := call.Next(0, coldRefusal)
+	step := call.NextStep(0, coldRefusal)
 	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: coldRefusal.RetryAfter})
 }
 
@@ -40,15 +40,15 @@
 	check := is.New(t)
 	withoutOthers := coldRefusal
 	withoutOthers.Others = false
-	step := newCall(Policy{Repeatable: true}).Next(0, withoutOthers)
+	step := newCall(Policy{Repeatable: true}).NextStep(0, withoutOthers)
 	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: coldRefusal.RetryAfter})
 }
 
 func TestColdRefusalDoesNotHideAnUncertainAttempt(t *testing.T) {
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true})
-	check.Equal(call.Next(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
+	check.Equal(call.NextStep(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
 	withoutOthers := coldRefusal
 	withoutOthers.Others = false
-	check.Equal(call.Next(0, withoutOthers), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: coldRefusal.RetryAfter})
+	check.Equal(call.NextStep(0, withoutOthers), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: coldRefusal.RetryAfter})
 }
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -39,7 +39,7 @@
 }
 
 // Target is one weighted destination of a compiled route.
-type Target struct {
+type Destination struct {
 	Service resource.ServiceRef
 	// cumulativeWeight is the sum of the weights up to and including this target.
 	cumulativeWeight uint64
@@ -51,13 +51,13 @@
 	// Class is the class of the route's calls, for statistics.
 	Class callclass.Class
 	// Targets lists the destinations in the order of Resource.Split.
-	Targets []Target
+	Targets []Destination
 	// Timeout is the time limit of the whole call; never 0.
 	Timeout time.Duration
 	// Attempts is the maximum number of attempts of a call; at least 1.
 	Attempts int
 	// Regions is the set of regions in which calls may run.
-	Regions region.Allowed
+	Regions region.Set
 	// SecretHeader and SecretText are set on the request; empty for none.
 	SecretHeader string
 	SecretText   resource.SecretValue
@@ -102,7 +102,7 @@
 	routeCount          int
 	// restrictions holds the distinct region restrictions of the routes to each
 	// service.
-	restrictions map[resource.ServiceRef][]region.Allowed
+	restrictions map[resource.ServiceRef][]region.Set
 }
 
 // Compile builds the routing table of a snapshot. Routes without a destination
@@ -126,7 +126,7 @@
 func compileRoute(route resource.Route, snap *snapshot.Snapshot) *Route {
 	compiled := &Route{
 		Resource: route,
-		Class:    callclass.Of(&route),
+		Class:    callclass.OfRoute(&route),
 		Timeout:  TimeoutOf(&route),
 		Attempts: cmp.Or(route.RetryAttempts, DefaultAttempts),
 		Regions:  region.NewAllowed(route.AllowedRegions),
@@ -134,7 +134,7 @@
 	}
 	for _, destination := range route.Split {
 		compiled.totalWeight += uint64(max(destination.Weight, 1))
-		target := Target{Service: destination.Service, cumulativeWeight: compiled.totalWeight}
+		target := Destination{Service: destination.Service, cumulativeWeight: compiled.totalWeight}
 		compiled.Targets = append(compiled.Targets, target)
 	}
 	if len(compiled.Targets) == 0 {
@@ -168,7 +168,7 @@
 		return
 	}
 	if t.restrictions == nil {
-		t.restrictions = map[resource.ServiceRef][]region.Allowed{}
+		t.restrictions = map[resource.ServiceRef][]region.Set{}
 	}
 	for _, target := range route.Targets {
 		known := t.restrictions[target.Service]
@@ -185,7 +185,7 @@
 
 // RestrictionsOf returns the distinct region restrictions of the routes to a service. It is
 // empty if none of these routes is restricted.
-func (t *Table) RestrictionsOf(service resource.ServiceRef) []region.Allowed {
+func (t *Table) RestrictionsOf(service resource.ServiceRef) []region.Set {
 	return t.restrictions[service]
 }
 
--- a/internal/core/snapshot/decoded.go
+++ b/internal/core/snapshot/decoded.go
@@ -11,7 +11,7 @@
 // decoded, for example by an external configuration authority. Like Build, it fails
 // if a route refers to a service that is not among them (I2). The result has no back ends or
 // secrets, and no Digest or Encoded.
-func FromResources(version protocol.Version, services []resource.Service, routes []resource.Route) (*Snapshot, error) {
+func FromDecoded(version protocol.Version, services []resource.Service, routes []resource.Route) (*Snapshot, error) {
 	built := &Snapshot{
 		Version:  version,
 		Services: make(map[resource.ServiceRef]resource.Service, len(services)),
--- a/internal/daemon/wiring.go
+++ b/internal/daemon/wiring.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, err
 	}
-	server := proxy.NewServer(path.GateHandler(), d.pathLimits()).Secure(secure.Control)
+	server := proxy.NewServer(path.GateHandler(), d.pathLimits()).SetTLS(secure.Control)
 	return &gateServer{ServePath(opened.gate, server, d.closeBound)}, nil
 }
 
--- a/internal/hosted/broadcasting.go
+++ b/internal/hosted/broadcasting.go
@@ -151,7 +151,7 @@
 		}
 	}
 	if len(records) > 0 {
-		m.sendBranches(m.peers().OwnZone(), m.pushRequest(records))
+		m.sendBranches(m.peers().PeersInOwnZone(), m.pushRequest(records))
 	}
 }
 
--- a/internal/hosted/comparing.go
+++ b/internal/hosted/comparing.go
@@ -31,7 +31,7 @@
 func (m *mesh) nextTargets(round int) []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near, far := m.peers().OwnZone(), m.peers().OtherZones()
+	near, far := m.peers().PeersInOwnZone(), m.peers().PeersInOtherZones()
 	var targets []dissemination.Peer
 	if len(near) > 0 {
 		targets = append(targets, near[m.turn%len(near)])
@@ -61,7 +61,7 @@
 	}
 	m.mutex.Lock()
 	request = m.request()
-	sums := m.roster.Sums()
+	sums := m.roster.BucketSums()
 	request.Sums = sums[:]
 	request.Members = m.roster.InDifferingBuckets(membership.BucketSums(reply.Sums))
 	m.mutex.Unlock()
@@ -88,7 +88,7 @@
 func (m *mesh) noteJoined(from dissemination.Peer) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if from.Zone == m.self.Zone || len(m.peers().OwnZone()) == 0 {
+	if from.Zone == m.self.Zone || len(m.peers().PeersInOwnZone()) == 0 {
 		m.join()
 	}
 }
@@ -97,7 +97,7 @@
 func (m *mesh) request() *protocol.ExchangeRequest {
 	return &protocol.ExchangeRequest{
 		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.known(),
-		Total: m.roster.Sums().Total(), Rollouts: m.rollouts.records(m.clock()), HarmfulSum: m.harmful.HarmfulSum(),
+		Total: m.roster.BucketSums().Total(), Rollouts: m.rollouts.records(m.clock()), HarmfulSum: m.harmful.HarmfulSum(),
 		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
 }
--- a/internal/hosted/configuration.go
+++ b/internal/hosted/configuration.go
@@ -293,7 +293,7 @@
 	decoded, err := c.source.Decode(document)
 	if err == nil {
 		var built *snapshot.Snapshot
-		if built, err = snapshot.FromResources(decoded.Version, decoded.Services, decoded.Routes); err == nil {
+		if built, err = snapshot.FromDecoded(decoded.Version, decoded.Services, decoded.Routes); err == nil {
 			c.limit(decoded.Limits)
 			c.swap(built)
 			c.built.Store(built)
--- a/internal/hosted/evacuationreader.go
+++ b/internal/hosted/evacuationreader.go
@@ -149,7 +149,7 @@
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.evacuations.IsKnown() && m.evacuations.Orders().At.IsStart() && m.evacuations.ReadingAge(m.clock()) < r.timing.Within/2
+	return m.evacuations.IsKnown() && m.evacuations.Orders().At.IsEraStart() && m.evacuations.ReadingAge(m.clock()) < r.timing.Within/2
 }
 
 // read reads all orders, puts them in force and tells all daemons. It returns the position
--- a/internal/hosted/evacuations_test.go
+++ b/internal/hosted/evacuations_test.go
@@ -266,7 +266,7 @@
 	for range 3 {
 		at, err := held.reader.follower.list()
 		check.NoErr(err)
-		check.True(at.IsStart())
+		check.True(at.IsEraStart())
 	}
 	check.Equal(held.port.listed, 1)
 	held.now = testWithin
--- a/internal/hosted/harmful.go
+++ b/internal/hosted/harmful.go
@@ -54,7 +54,7 @@
 	request.Harmful = records
 	directory := m.peers()
 	for _, zone := range directory.Zones() {
-		m.sendBranches(directory.InZone(zone), request)
+		m.sendBranches(directory.PeersInZone(zone), request)
 	}
 }
 
--- a/internal/hosted/hosted_test.go
+++ b/internal/hosted/hosted_test.go
@@ -204,7 +204,7 @@
 	check := is.New(t)
 	held := newTestMesh("z1", member("a", "z1"), member("b", "z2"))
 	held.heardOf = func(protocol.NodeID, protocol.Version) {}
-	same := held.answerExchange(&protocol.ExchangeRequest{From: "x", Total: held.roster.Sums().Total()})
+	same := held.answerExchange(&protocol.ExchangeRequest{From: "x", Total: held.roster.BucketSums().Total()})
 	check.Equal(len(same.Sums)+len(same.Members), 0)
 	differs := held.answerExchange(&protocol.ExchangeRequest{From: "x", Total: 1})
 	check.Equal(len(differs.Sums), membership.BucketCount)
--- a/internal/hosted/orderfollower.go
+++ b/internal/hosted/orderfollower.go
@@ -70,14 +70,14 @@
 			continue
 		}
 		at, err := f.list()
-		for err == nil && !at.IsStart() && f.follows() {
+		for err == nil && !at.IsEraStart() && f.follows() {
 			at, err = f.watch(at)
 		}
 		switch {
 		case err != nil:
 			failures++
 			pause.For(f.mesh.context, registryBackoff.Delay(failures, randomNumber()))
-		case at.IsStart(): // the store knows no orders at all, so there is nothing to watch
+		case at.IsEraStart(): // the store knows no orders at all, so there is nothing to watch
 			pause.For(f.mesh.context, orderRelist)
 		default:
 			failures = 0
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -62,7 +62,7 @@
 		Version: m.version(), Era: m.eras.known(), Rollouts: m.rollouts.records(m.clock()), Harmful: m.harmfulFor(request.HarmfulSum),
 		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
-	sums := m.roster.Sums()
+	sums := m.roster.BucketSums()
 	switch {
 	case request.Push:
 	case len(request.Sums) == len(sums):
--- a/internal/hosted/poll.go
+++ b/internal/hosted/poll.go
@@ -115,7 +115,7 @@
 func (m *mesh) substitutes() []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near := lo.Reject(m.peers().OwnZone(), func(one dissemination.Peer, _ int) bool { return m.isLost(one.ID) })
+	near := lo.Reject(m.peers().PeersInOwnZone(), func(one dissemination.Peer, _ int) bool { return m.isLost(one.ID) })
 	slices.SortFunc(near, func(a, b dissemination.Peer) int { return cmp.Compare(a.ID, b.ID) })
 	next, _ := slices.BinarySearchFunc(near, m.self.ID, func(one dissemination.Peer, own protocol.NodeID) int {
 		return cmp.Compare(one.ID, own)
@@ -156,13 +156,13 @@
 	defer m.mutex.Unlock()
 	directory := m.peers()
 	before := 0
-	for _, one := range directory.OwnZone() {
+	for _, one := range directory.PeersInOwnZone() {
 		if one.ID < m.self.ID && !m.isLost(one.ID) {
 			before++
 		}
 	}
 	zones := len(directory.Zones())
-	if len(directory.OwnZone()) == 0 {
+	if len(directory.PeersInOwnZone()) == 0 {
 		zones++ // the own one
 	}
 	period := pollPeriod * time.Duration(max(zones, pollersWanted)) / pollersWanted
@@ -191,12 +191,12 @@
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
 		directory := m.peers()
-		near := directory.OwnZone()
+		near := directory.PeersInOwnZone()
 		targets := drawn(near, announceTargets)
 		if polled || randomNumber()%uint64(len(near)+1) == 0 {
 			for _, zone := range directory.Zones() {
 				if zone != m.self.Zone {
-					targets = append(targets, drawn(directory.InZone(zone), 1)...)
+					targets = append(targets, drawn(directory.PeersInZone(zone), 1)...)
 				}
 			}
 		}
--- a/internal/hosted/registering.go
+++ b/internal/hosted/registering.go
@@ -209,7 +209,7 @@
 func (m *mesh) startPeers() []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near, far := m.peers().OwnZone(), m.peers().OtherZones()
+	near, far := m.peers().PeersInOwnZone(), m.peers().PeersInOtherZones()
 	targets := slices.Clone(near[:min(startPeerCount, len(near))])
 	return append(targets, drawn(far, 1)...)
 }
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -41,15 +41,15 @@
 // divide says how the back ends of services are divided among versions; the lock is
 // held. A version that has just been seen is held back until its order is known, if there
 // is one.
-func (m *mesh) divide(members []protocol.Member) proxy.Splits {
+func (m *mesh) divide(members []protocol.Member) proxy.VersionSplits {
 	if m.rollouts.exposure == 0 {
 		return nil
 	}
 	now := m.clock()
-	splits := proxy.Splits{}
+	splits := proxy.VersionSplits{}
 	m.rollouts.versions.note(now, members)
 	for service, software := range m.rollouts.versions.held(now) {
-		splits[service] = proxy.Split{Target: software, Stage: rollout.StageHeld}
+		splits[service] = proxy.VersionSplit{Target: software, Stage: rollout.StageHeld}
 	}
 	if len(splits) > 0 {
 		m.confirmOrders()
@@ -59,7 +59,7 @@
 			delete(splits, record.Service)
 			continue
 		}
-		splits[record.Service] = proxy.Split{
+		splits[record.Service] = proxy.VersionSplit{
 			Target: record.Target, Stage: record.Stage, CanaryShare: m.rollouts.exposure * canaryOfExposure,
 		}
 	}
@@ -109,7 +109,7 @@
 	request := m.pushRequest(nil)
 	directory := m.peers()
 	for _, zone := range directory.Zones() {
-		m.sendBranches(directory.InZone(zone), request)
+		m.sendBranches(directory.PeersInZone(zone), request)
 	}
 }
 
--- a/internal/hosted/wiring.go
+++ b/internal/hosted/wiring.go
@@ -112,8 +112,8 @@
 	made := d.unlinkedMesh(path)
 	d.linkConnections(path, made)
 	d.configuration = d.newConfiguration(path, made)
-	made.counted = path.Answers
-	made.countAnswers = path.CountAnswers
+	made.counted = path.AnswerEvidence
+	made.countAnswers = path.SetAnswerCounting
 	made.version = d.configuration.version
 	made.document = d.configuration.packedDocument
 	made.heardOf = d.configuration.heardOf
@@ -244,9 +244,9 @@
 		events:   d.events,
 		clock:    d.clock,
 		gate:     path.ReportBackend,
-		cold:     path.SetCold,
-		probes:   path.BackendProbe,
-		holds:    path.BackendHolds,
+		cold:     path.SetColdUntil,
+		probes:   path.BeginBackendProbe,
+		holds:    path.SetReportedCalls,
 		announce: m.announce,
 		context:  d.context,
 		tracker:  backend.NewTracker(d.settings.Backend.HeartbeatInterval()),
--- a/internal/pipeline/ahead.go
+++ b/internal/pipeline/ahead.go
@@ -7,7 +7,7 @@
 )
 
 // chunkBytes is how much is read ahead at a time.
-const chunkBytes = 4 << 10
+const readAheadBytes = 4 << 10
 
 // readAhead reads on until the connection fails or the read deadline passes. It
 // returns no bytes: they are kept for when the server reads the next request.
@@ -19,12 +19,12 @@
 			return 0, err
 		}
 		count, err := c.Conn.Read(into)
-		c.keep(into[:count], err)
+		c.storeRead(into[:count], err)
 		if err != nil {
 			return 0, err
 		}
-		if len(into) < chunkBytes {
-			into = make([]byte, chunkBytes)
+		if len(into) < readAheadBytes {
+			into = make([]byte, readAheadBytes)
 		}
 	}
 }
@@ -33,28 +33,28 @@
 func (c *Conn) awaitRoom() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for len(c.unread) >= c.config.InputBytes && !c.interrupted && c.failure == nil {
+	for len(c.unread) >= c.config.InputBytes && !c.deadlinePassed && c.readErr == nil {
 		c.changed.Wait()
 	}
-	if c.failure != nil {
-		return c.failure
+	if c.readErr != nil {
+		return c.readErr
 	}
-	if c.interrupted {
+	if c.deadlinePassed {
 		return os.ErrDeadlineExceeded
 	}
 	return nil
 }
 
 // keep keeps what was read ahead, or that the client has left.
-func (c *Conn) keep(text []byte, err error) {
+func (c *Conn) storeRead(text []byte, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(text) > 0 {
 		c.unread = append(c.unread, text...)
-		c.readAt = time.Now()
+		c.unreadAt = time.Now()
 	}
 	if err != nil && !isTimeout(err) {
-		c.fail(err)
+		c.failRead(err)
 	}
 }
 
@@ -64,16 +64,16 @@
 }
 
 // fail drops all that runs ahead; the lock is held.
-func (c *Conn) fail(err error) {
-	if c.failure == nil {
-		c.failure = err
+func (c *Conn) failRead(err error) {
+	if c.readErr == nil {
+		c.readErr = err
 	}
 	for _, call := range append(c.queue, c.current, c.serving) {
 		if call != nil {
 			call.drop()
 		}
 	}
-	c.queue, c.queued, c.unread = nil, 0, nil
+	c.queue, c.queuedBytes, c.unread = nil, 0, nil
 	c.changed.Broadcast()
 }
 
@@ -81,19 +81,19 @@
 func (c *Conn) startCalls() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for c.failure == nil && !c.barred && len(c.queue) < c.config.Calls {
-		text := c.unread[c.queued:]
-		size := headEnd(text)
+	for c.readErr == nil && !c.blocked && len(c.queue) < c.config.Calls {
+		text := c.unread[c.queuedBytes:]
+		size := headLength(text)
 		if size < 0 {
 			return
 		}
 		call := c.newCall(text[:size])
 		if call == nil {
-			c.barred = true
+			c.blocked = true
 			return
 		}
 		c.queue = append(c.queue, call)
-		c.queued += size
+		c.queuedBytes += size
 		if c.config.OnStart != nil {
 			c.config.OnStart(len(c.queue))
 		}
@@ -103,7 +103,7 @@
 
 // newCall returns the call of a request, or nil when it must wait for its turn.
 func (c *Conn) newCall(head []byte) *Call {
-	if form := readFraming(head); !form.known || form.body > 0 {
+	if form := readFraming(head); !form.known || form.bodyLength > 0 {
 		return nil
 	}
 	request, err := parseHead(head)
@@ -111,5 +111,5 @@
 		return nil
 	}
 	request.RemoteAddr = c.RemoteAddr().String()
-	return newCall(c.base, request, len(head), c.config)
+	return newCall(c.baseContext, request, len(head), c.config)
 }
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -22,8 +22,8 @@
 // answer is the answer of a call: held until its turn, and passed on from then.
 // It is the http.ResponseWriter of the handler.
 type answer struct {
-	limit int
-	held  *Held
+	maxBytes int
+	budget   *ByteBudget
 	// header is the handler's own.
 	header http.Header
 
@@ -35,14 +35,14 @@
 	head   http.Header
 	body   []byte
 	// writer is the server's; nil before the answer's turn.
-	writer  http.ResponseWriter
-	ended   bool
-	whole   bool
-	dropped bool
+	writer          http.ResponseWriter
+	handlerReturned bool
+	complete        bool
+	dropped         bool
 }
 
-func newAnswer(limit int, held *Held) *answer {
-	made := &answer{limit: limit, held: held, header: http.Header{}}
+func newAnswer(limit int, held *ByteBudget) *answer {
+	made := &answer{maxBytes: limit, budget: held, header: http.Header{}}
 	made.changed.L = &made.mutex
 	return made
 }
@@ -76,7 +76,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.writeHead(http.StatusOK)
-	for a.writer == nil && !a.dropped && !a.hold(text) {
+	for a.writer == nil && !a.dropped && !a.tryBuffer(text) {
 		a.changed.Wait()
 	}
 	if a.dropped {
@@ -92,8 +92,8 @@
 }
 
 // hold keeps bytes if they are within the bounds.
-func (a *answer) hold(text []byte) bool {
-	if len(a.body)+len(text) > a.limit || !a.held.take(len(text)) {
+func (a *answer) tryBuffer(text []byte) bool {
+	if len(a.body)+len(text) > a.maxBytes || !a.budget.tryReserve(len(text)) {
 		return false
 	}
 	a.body = append(a.body, text...)
@@ -123,14 +123,14 @@
 }
 
 // end notes that the handler has returned; whole is false when it broke off.
-func (a *answer) end(whole bool) {
+func (a *answer) finish(whole bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if whole {
 		a.writeHead(http.StatusOK)
 	}
-	a.ended = true
-	a.whole = whole
+	a.handlerReturned = true
+	a.complete = whole
 	a.changed.Broadcast()
 }
 
@@ -139,13 +139,13 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.dropped = true
-	a.release()
+	a.releaseBuffer()
 	a.changed.Broadcast()
 }
 
 // release gives back what is held.
-func (a *answer) release() {
-	a.held.giveBack(len(a.body))
+func (a *answer) releaseBuffer() {
+	a.budget.release(len(a.body))
 	a.body = nil
 }
 
@@ -156,15 +156,15 @@
 	if !a.awaitHead() {
 		return false
 	}
-	a.passHead(writer)
-	for body := a.takeHeld(writer); len(body) > 0; body = a.takeHeld(writer) {
+	a.replayHead(writer)
+	for body := a.takeBuffered(writer); len(body) > 0; body = a.takeBuffered(writer) {
 		// A failed write is found by the server, which then closes the connection.
 		_, _ = writer.Write(body)
 	}
 	if !a.awaitEnd() {
 		return false
 	}
-	a.passTrailers(writer.Header())
+	a.replayTrailers(writer.Header())
 	return true
 }
 
@@ -172,7 +172,7 @@
 func (a *answer) awaitHead() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for a.status == 0 && !a.ended && !a.dropped {
+	for a.status == 0 && !a.handlerReturned && !a.dropped {
 		a.changed.Wait()
 	}
 	return a.status != 0 && !a.dropped
@@ -182,16 +182,16 @@
 func (a *answer) awaitEnd() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	for !a.ended && !a.dropped {
+	for !a.handlerReturned && !a.dropped {
 		a.changed.Wait()
 	}
-	return a.whole && !a.dropped
+	return a.complete && !a.dropped
 }
 
 // passHead writes interim answers and the head, which does not change any
 // more. Whether the connection is kept is for the writer to say, not for the
 // handler that ran ahead.
-func (a *answer) passHead(writer http.ResponseWriter) {
+func (a *answer) replayHead(writer http.ResponseWriter) {
 	header := writer.Header()
 	connection, stated := header["Connection"]
 	for _, one := range a.interim {
@@ -209,11 +209,11 @@
 
 // takeHeld takes what is held. When nothing is, the handler writes to the
 // writer from then on.
-func (a *answer) takeHeld(writer http.ResponseWriter) []byte {
+func (a *answer) takeBuffered(writer http.ResponseWriter) []byte {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	body := a.body
-	a.release()
+	a.releaseBuffer()
 	if len(body) == 0 {
 		a.writer = writer
 	}
@@ -222,7 +222,7 @@
 }
 
 // passTrailers passes on what the handler has set behind the body.
-func (a *answer) passTrailers(header http.Header) {
+func (a *answer) replayTrailers(header http.Header) {
 	for name, values := range a.header {
 		if strings.HasPrefix(name, http.TrailerPrefix) {
 			header[name] = values
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -13,25 +13,25 @@
 type Call struct {
 	request *http.Request
 	// size is the length of its head, in bytes.
-	size    int
-	arrived time.Time
-	cancel  context.CancelFunc
-	answer  *answer
+	headSize  int
+	arrivedAt time.Time
+	cancel    context.CancelFunc
+	answer    *answer
 }
 
 func newCall(base context.Context, request *http.Request, size int, config *Config) *Call {
 	ctx, cancel := context.WithCancel(base)
 	return &Call{
-		request: request.WithContext(ctx),
-		size:    size,
-		arrived: time.Now(),
-		cancel:  cancel,
-		answer:  newAnswer(config.AnswerBytes, config.Held),
+		request:   request.WithContext(ctx),
+		headSize:  size,
+		arrivedAt: time.Now(),
+		cancel:    cancel,
+		answer:    newAnswer(config.AnswerBytes, config.Held),
 	}
 }
 
 // runs tells whether a request that the server has parsed is the one that runs.
-func (c *Call) runs(request *http.Request) bool {
+func (c *Call) matches(request *http.Request) bool {
 	return request.Method == c.request.Method &&
 		request.RequestURI == c.request.RequestURI &&
 		request.Host == c.request.Host &&
@@ -47,7 +47,7 @@
 		if !whole {
 			_ = recover()
 		}
-		c.answer.end(whole)
+		c.answer.finish(whole)
 	}()
 	handler.ServeHTTP(c.answer, c.request)
 	whole = true
@@ -60,7 +60,7 @@
 }
 
 // Await waits until the answer has a head, or is known to have none.
-func (c *Call) Await() { c.answer.awaitHead() }
+func (c *Call) AwaitHead() { c.answer.awaitHead() }
 
 // Replay gives the answer to the server's writer, as far as it is held, and the
 // rest as it comes. It panics with http.ErrAbortHandler when the answer breaks.
@@ -71,23 +71,23 @@
 }
 
 // Held bounds the bytes that are held by all connections together.
-type Held struct {
+type ByteBudget struct {
 	limit int64
-	bytes atomic.Int64
+	used  atomic.Int64
 }
 
 // NewHeld returns a bound, in bytes.
-func NewHeld(limit int64) *Held { return &Held{limit: limit} }
+func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
 // Bytes is what is held now.
-func (h *Held) Bytes() int64 { return h.bytes.Load() }
+func (h *ByteBudget) Used() int64 { return h.used.Load() }
 
-func (h *Held) take(count int) bool {
-	if h.bytes.Add(int64(count)) <= h.limit {
+func (h *ByteBudget) tryReserve(count int) bool {
+	if h.used.Add(int64(count)) <= h.limit {
 		return true
 	}
-	h.bytes.Add(-int64(count))
+	h.used.Add(-int64(count))
 	return false
 }
 
-func (h *Held) giveBack(count int) { h.bytes.Add(-int64(count)) }
+func (h *ByteBudget) release(count int) { h.used.Add(-int64(count)) }
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -19,7 +19,7 @@
 	// waits for its turn.
 	AnswerBytes int
 	// Held counts and bounds the held bytes of all connections.
-	Held *Held
+	Held *ByteBudget
 	// Handler runs requests ahead of their turn.
 	Handler http.Handler
 	// MayRunAhead tells whether a request may be repeated and run now. It must not
@@ -39,9 +39,9 @@
 	// inBody: the server has yet to read a part of a body of stated length.
 	inBody
 	// served: the server holds a whole request.
-	served
+	requestComplete
 	// unknown: where requests end is the server's own knowledge, from here on.
-	unknown
+	notFramed
 )
 
 // Conn is a connection whose waiting requests are run ahead of their turn. The
@@ -54,39 +54,39 @@
 	// changed is signalled when a reader that waits must look again.
 	changed sync.Cond
 	// base is the context of the requests that run ahead.
-	base context.Context
-	at   position
+	baseContext context.Context
+	position    position
 	// ended is set when the handler of the current request has returned.
-	ended bool
+	handlerReturned bool
 	// partial holds the current head until it is complete.
-	partial []byte
+	partialHead []byte
 	// bodyLeft is what the server has yet to read of the current body.
-	bodyLeft int
+	bodyRemaining int
 	// unread was taken from the socket and not yet read by the server. Its first bytes
 	// are the heads of queue; read is how much of the first one the server has.
-	unread []byte
-	queue  []*Call
-	queued int
-	read   int
+	unread        []byte
+	queue         []*Call
+	queuedBytes   int
+	firstHeadRead int
 	// barred is set when the request behind the queue must wait for its turn.
-	barred bool
+	blocked bool
 	// readAt is when the last bytes of unread came; arrived is when those of the
 	// current request did, and zero if the server itself waited for them.
-	readAt  time.Time
-	arrived time.Time
+	unreadAt  time.Time
+	arrivedAt time.Time
 	// current is the call of the request that the server has read, serving that of
 	// the request whose handler runs; nil for those that did not run ahead.
 	current *Call
 	serving *Call
 	// interrupted is set while the read deadline has passed.
-	interrupted bool
-	failure     error
+	deadlinePassed bool
+	readErr        error
 }
 
 // Wrap returns a connection of a server. Bind must be called before the server
 // reads it.
 func Wrap(conn net.Conn, config *Config) *Conn {
-	made := &Conn{Conn: conn, config: config, base: context.Background()}
+	made := &Conn{Conn: conn, config: config, baseContext: context.Background()}
 	made.changed.L = &made.mutex
 	return made
 }
@@ -95,22 +95,22 @@
 func (c *Conn) Bind(ctx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.base = ctx
+	c.baseContext = ctx
 }
 
 // Begin is called when the handler of a request starts. It returns the call that
 // has run the request ahead, or nil, and how long the request has waited for
 // its turn.
-func (c *Conn) Begin(request *http.Request) (*Call, time.Duration) {
+func (c *Conn) BeginRequest(request *http.Request) (*Call, time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	call := c.current
 	c.current = nil
 	var waited time.Duration
-	if !c.arrived.IsZero() {
-		waited = time.Since(c.arrived)
+	if !c.arrivedAt.IsZero() {
+		waited = time.Since(c.arrivedAt)
 	}
-	if call != nil && !call.runs(request) {
+	if call != nil && !call.matches(request) {
 		call.drop()
 		call = nil
 	}
@@ -119,19 +119,19 @@
 }
 
 // End is called when the handler of a request has returned.
-func (c *Conn) End() {
+func (c *Conn) EndRequest() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.ended = true
+	c.handlerReturned = true
 	c.serving = nil
-	if c.at == served {
-		c.at = inHead
+	if c.position == requestComplete {
+		c.position = inHead
 	}
 }
 
 // Pending tells whether requests behind the current one run or have run ahead,
 // so that their answers are owed.
-func (c *Conn) Pending() bool {
+func (c *Conn) HasPendingAnswers() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.queue) > 0 || c.current != nil
@@ -139,22 +139,22 @@
 
 // Read reads for the server.
 func (c *Conn) Read(into []byte) (int, error) {
-	if c.watches(into) {
+	if c.isDisconnectProbe(into) {
 		return c.readAhead(into)
 	}
-	return c.readNext(into)
+	return c.readRequest(into)
 }
 
 // watches tells whether the server reads only to see the client leave. It does
 // so, one byte at a time, while a handler runs.
-func (c *Conn) watches(into []byte) bool {
+func (c *Conn) isDisconnectProbe(into []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.at != served {
+	if c.position != requestComplete {
 		return false
 	}
 	if len(into) > 1 {
-		c.at = inHead // the request was answered without a handler
+		c.position = inHead // the request was answered without a handler
 		return false
 	}
 	return true
@@ -162,8 +162,8 @@
 
 // readNext reads a part of the next request: never beyond its end, as far as
 // that is known.
-func (c *Conn) readNext(into []byte) (int, error) {
-	if count, found, err := c.readKept(into); found {
+func (c *Conn) readRequest(into []byte) (int, error) {
+	if count, found, err := c.readUnread(into); found {
 		return count, err
 	}
 	count, err := c.Conn.Read(into)
@@ -172,11 +172,11 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.arrived = time.Time{}
+	c.arrivedAt = time.Time{}
 	used := c.advance(into[:count])
 	if used < count {
 		c.unread = append(c.unread, into[used:count]...)
-		c.readAt = time.Now()
+		c.unreadAt = time.Now()
 		err = nil // the next reading finds it again
 	}
 	return used, err
@@ -184,17 +184,17 @@
 
 // readKept reads from what was taken from the socket before; found is false when
 // there is nothing.
-func (c *Conn) readKept(into []byte) (count int, found bool, err error) {
+func (c *Conn) readUnread(into []byte) (count int, found bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.failure != nil {
-		return 0, true, c.failure
+	if c.readErr != nil {
+		return 0, true, c.readErr
 	}
 	if len(c.unread) == 0 {
 		c.unread = nil
 		return 0, false, nil
 	}
-	c.arrived = c.readAt
+	c.arrivedAt = c.unreadAt
 	text := c.unread[:min(len(into), len(c.unread))]
 	used := c.advance(text)
 	copy(into, text[:used])
@@ -207,13 +207,13 @@
 // them it may have. The lock is held.
 func (c *Conn) advance(text []byte) int {
 	switch {
-	case c.at == unknown:
+	case c.position == notFramed:
 		return len(text)
-	case c.at == inBody:
-		used := min(len(text), c.bodyLeft)
-		c.bodyLeft -= used
-		if c.bodyLeft == 0 {
-			c.completed()
+	case c.position == inBody:
+		used := min(len(text), c.bodyRemaining)
+		c.bodyRemaining -= used
+		if c.bodyRemaining == 0 {
+			c.markComplete()
 		}
 		return used
 	case len(c.queue) > 0:
@@ -225,16 +225,16 @@
 // advanceQueued moves over the head of the first call of the queue.
 func (c *Conn) advanceQueued(text []byte) int {
 	first := c.queue[0]
-	used := min(len(text), first.size-c.read)
-	c.read += used
-	c.queued -= used
-	if c.read == first.size {
-		c.read = 0
+	used := min(len(text), first.headSize-c.firstHeadRead)
+	c.firstHeadRead += used
+	c.queuedBytes -= used
+	if c.firstHeadRead == first.headSize {
+		c.firstHeadRead = 0
 		c.current = first
 		c.queue = c.queue[1:]
-		c.arrived = first.arrived
-		c.ended = false
-		c.completed()
+		c.arrivedAt = first.arrivedAt
+		c.handlerReturned = false
+		c.markComplete()
 	}
 	return used
 }
@@ -243,55 +243,55 @@
 // length, over what has come of it.
 func (c *Conn) advanceHead(text []byte) int {
 	head := text
-	if len(c.partial) > 0 {
-		head = append(c.partial, text...)
+	if len(c.partialHead) > 0 {
+		head = append(c.partialHead, text...)
 	}
-	size := headEnd(head)
+	size := headLength(head)
 	if size < 0 {
 		if len(head) > c.config.InputBytes {
-			c.leaveToServer()
+			c.stopFraming()
 			return len(text)
 		}
-		c.partial = append(c.partial, text...)
+		c.partialHead = append(c.partialHead, text...)
 		return len(text)
 	}
-	used := size - len(c.partial)
+	used := size - len(c.partialHead)
 	form := readFraming(head[:size])
 	if !form.known {
-		c.leaveToServer()
+		c.stopFraming()
 		return len(text)
 	}
-	c.partial = nil
-	c.barred = false
-	c.ended = false
-	if form.body == 0 {
-		c.completed()
+	c.partialHead = nil
+	c.blocked = false
+	c.handlerReturned = false
+	if form.bodyLength == 0 {
+		c.markComplete()
 		return used
 	}
-	c.at = inBody
-	c.bodyLeft = form.body
+	c.position = inBody
+	c.bodyRemaining = form.bodyLength
 	return used + c.advance(text[used:])
 }
 
 // completed notes that the server has a whole request.
-func (c *Conn) completed() {
-	c.at = served
-	if c.ended {
-		c.at = inHead // its handler did not wait for the rest of the body
+func (c *Conn) markComplete() {
+	c.position = requestComplete
+	if c.handlerReturned {
+		c.position = inHead // its handler did not wait for the rest of the body
 	}
 }
 
 // leaveToServer gives up following where requests end, for good.
-func (c *Conn) leaveToServer() {
-	c.at = unknown
-	c.partial = nil
+func (c *Conn) stopFraming() {
+	c.position = notFramed
+	c.partialHead = nil
 }
 
 // SetReadDeadline sets the deadline of reading. One in the past wakes the reader.
 func (c *Conn) SetReadDeadline(deadline time.Time) error {
 	passed := !deadline.IsZero() && time.Until(deadline) <= 0
 	c.mutex.Lock()
-	c.interrupted = passed
+	c.deadlinePassed = passed
 	if passed {
 		c.changed.Broadcast()
 	}
@@ -302,7 +302,7 @@
 // CloseWrite ends the sending side, which the server does when no further answer
 // will be given.
 func (c *Conn) CloseWrite() error {
-	c.Abandon()
+	c.DropCalls()
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
@@ -311,13 +311,13 @@
 
 // Close closes the connection and drops all that runs ahead.
 func (c *Conn) Close() error {
-	c.Abandon()
+	c.DropCalls()
 	return c.Conn.Close()
 }
 
 // Abandon drops all that runs ahead: no answer will be given any more.
-func (c *Conn) Abandon() {
+func (c *Conn) DropCalls() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.fail(net.ErrClosed)
+	c.failRead(net.ErrClosed)
 }
--- a/internal/pipeline/framing.go
+++ b/internal/pipeline/framing.go
@@ -13,13 +13,13 @@
 	// whether another one may follow.
 	known bool
 	// body is the length of the body that follows the head, in bytes.
-	body int
+	bodyLength int
 }
 
 // headEnd returns the length of the head at the start of text, its empty line
 // included, or -1 when the head is not complete. Lines may end without a
 // carriage return, as the server allows.
-func headEnd(text []byte) int {
+func headLength(text []byte) int {
 	for from := 0; ; {
 		newline := bytes.IndexByte(text[from:], '\n')
 		if newline < 0 {
@@ -40,7 +40,7 @@
 // left to the server.
 func readFraming(head []byte) framing {
 	first, rest, _ := bytes.Cut(head, []byte("\n"))
-	if !plainRequestLine(first) {
+	if !isPlainRequestLine(first) {
 		return framing{}
 	}
 	made := framing{known: true}
@@ -56,18 +56,18 @@
 		switch {
 		case line[0] == ' ' || line[0] == '\t':
 			return framing{} // the rest of the line before
-		case equalName(name, "Content-Length"):
+		case equalFold(name, "Content-Length"):
 			length, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil || stated {
 				return framing{}
 			}
-			made.body = int(length)
+			made.bodyLength = int(length)
 			stated = true
-		case equalName(name, "Connection"):
-			if !equalName(value, "keep-alive") {
+		case equalFold(name, "Connection"):
+			if !equalFold(value, "keep-alive") {
 				return framing{}
 			}
-		case equalName(name, "Transfer-Encoding"), equalName(name, "Expect"), equalName(name, "Upgrade"):
+		case equalFold(name, "Transfer-Encoding"), equalFold(name, "Expect"), equalFold(name, "Upgrade"):
 			return framing{}
 		}
 	}
@@ -76,7 +76,7 @@
 
 // plainRequestLine tells whether a request line names a path and HTTP/1.1.
 // Requests for other targets may be answered without a handler.
-func plainRequestLine(line []byte) bool {
+func isPlainRequestLine(line []byte) bool {
 	method, rest, found := bytes.Cut(line, []byte(" "))
 	if !found || len(method) == 0 || method[0] < 'A' || method[0] > 'Z' {
 		return false
@@ -84,7 +84,7 @@
 	return bytes.HasPrefix(rest, []byte("/")) && bytes.HasSuffix(bytes.TrimRight(rest, "\r"), []byte(" HTTP/1.1"))
 }
 
-func equalName(text []byte, name string) bool {
+func equalFold(text []byte, name string) bool {
 	return len(text) == len(name) && bytes.EqualFold(text, []byte(name))
 }
 
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -25,7 +25,7 @@
 // echo answers with what it was asked: a status, a length, after some yielding,
 // and with trailers or an interim answer if wanted.
 func echo(writer http.ResponseWriter, request *http.Request) {
-	for range number(request, "yield") {
+	for range queryInt(request, "yield") {
 		runtime.Gosched()
 	}
 	body, err := io.ReadAll(request.Body)
@@ -34,18 +34,18 @@
 	}
 	header := writer.Header()
 	header["Date"] = nil
-	if number(request, "hint") > 0 {
+	if queryInt(request, "hint") > 0 {
 		header.Set("Link", "early")
 		writer.WriteHeader(http.StatusEarlyHints)
 		header.Del("Link")
 	}
 	header.Set("Asked", request.Method+" "+request.URL.Path)
 	header.Set("Content-Type", "text/plain")
-	length := number(request, "length")
-	if number(request, "chunked") == 0 {
+	length := queryInt(request, "length")
+	if queryInt(request, "chunked") == 0 {
 		header.Set("Content-Length", strconv.Itoa(length+len(body)))
 	}
-	status := number(request, "status")
+	status := queryInt(request, "status")
 	writer.WriteHeader(max(status, http.StatusOK))
 	_, _ = writer.Write(body)
 	text := bytes.Repeat([]byte("abcdefghij"), length/10+1)[:length]
@@ -56,10 +56,10 @@
 		}
 		text = text[part:]
 	}
-	if number(request, "break") > 0 {
+	if queryInt(request, "break") > 0 {
 		panic(http.ErrAbortHandler)
 	}
-	if number(request, "chunked") > 0 {
+	if queryInt(request, "chunked") > 0 {
 		header.Set(http.TrailerPrefix+"Sum", request.URL.Path)
 	}
 }
@@ -106,7 +106,7 @@
 }
 
 // cut draws how bytes are cut into writes.
-func cut(t *rapid.T, text []byte) [][]byte {
+func drawPieces(t *rapid.T, text []byte) [][]byte {
 	var pieces [][]byte
 	for len(text) > 0 {
 		size := min(len(text), rapid.SampledFrom([]int{1, 7, 40, 200, 5000}).Draw(t, "piece"))
@@ -119,31 +119,31 @@
 // TestAnswersAreThoseOfASerialServer compares all bytes that come back with those
 // of the library alone.
 func TestAnswersAreThoseOfASerialServer(t *testing.T) {
-	serial, ahead := newRig(t, true, echo), newRig(t, false, echo)
+	serial, ahead := newTestServer(t, true, echo), newTestServer(t, false, echo)
 	rapid.Check(t, func(t *rapid.T) {
 		var text []byte
 		for index := range rapid.IntRange(1, 12).Draw(t, "requests") {
 			text = append(text, drawRequest(t, index)...)
 		}
 		text = append(text, "GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"...)
-		pieces := cut(t, text)
+		pieces := drawPieces(t, text)
 		wanted, got := serial.exchange(pieces), ahead.exchange(pieces)
 		if !sameAnswers(wanted, got) {
-			t.Fatalf("sent %q in pieces %d\nserial %q\nahead  %q", text, sizes(pieces), shorten(wanted), shorten(got))
+			t.Fatalf("sent %q in pieces %d\nserial %q\nahead  %q", text, pieceSizes(pieces), abbreviate(wanted), abbreviate(got))
 		}
 	})
 	check := is.New(t)
-	check.True(ahead.started.Load() > 0)
-	check.Equal(ahead.held.Bytes(), int64(0))
+	check.True(ahead.aheadCount.Load() > 0)
+	check.Equal(ahead.budget.Used(), int64(0))
 }
 
 // sizes are the lengths of pieces.
-func sizes(pieces [][]byte) []int {
+func pieceSizes(pieces [][]byte) []int {
 	return lo.Map(pieces, func(piece []byte, _ int) int { return len(piece) })
 }
 
 // shorten leaves most of the bodies out.
-func shorten(text []byte) []byte {
+func abbreviate(text []byte) []byte {
 	return bytes.ReplaceAll(text, bytes.Repeat([]byte("abcdefghij"), 10), []byte("~"))
 }
 
@@ -170,10 +170,10 @@
 }
 
 // get is a request that may be repeated.
-func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
+func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
 // read reads one answer and returns its body.
-func read(t testing.TB, reader *bufio.Reader) string {
+func readAnswerBody(t testing.TB, reader *bufio.Reader) string {
 	t.Helper()
 	answer, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -187,96 +187,96 @@
 }
 
 // gated is a handler whose requests wait until the test lets them go on.
-type gated struct {
-	mutex sync.Mutex
-	gates map[string]chan struct{}
-	began chan string
-	gone  chan string
+type blockingHandler struct {
+	mutex     sync.Mutex
+	releases  map[string]chan struct{}
+	started   chan string
+	cancelled chan string
 }
 
-func newGated() *gated {
-	return &gated{gates: map[string]chan struct{}{}, began: make(chan string, 64), gone: make(chan string, 64)}
+func newBlockingHandler() *blockingHandler {
+	return &blockingHandler{releases: map[string]chan struct{}{}, started: make(chan string, 64), cancelled: make(chan string, 64)}
 }
 
-func (g *gated) gate(path string) chan struct{} {
+func (g *blockingHandler) release(path string) chan struct{} {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.gates[path] == nil {
-		g.gates[path] = make(chan struct{})
+	if g.releases[path] == nil {
+		g.releases[path] = make(chan struct{})
 	}
-	return g.gates[path]
+	return g.releases[path]
 }
 
-func (g *gated) serve(writer http.ResponseWriter, request *http.Request) {
+func (g *blockingHandler) serve(writer http.ResponseWriter, request *http.Request) {
 	path := request.URL.Path
 	_, _ = io.Copy(io.Discard, request.Body)
-	g.began <- path
+	g.started <- path
 	select {
-	case <-g.gate(path):
+	case <-g.release(path):
 		_, _ = io.WriteString(writer, path)
 	case <-request.Context().Done():
-		g.gone <- path
+		g.cancelled <- path
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func TestRequestsRunSideBySideAndAreAnsweredInOrder(t *testing.T) {
+func TestRequestsRunConcurrentlyAndAreAnsweredInOrder(t *testing.T) {
 	check := is.New(t)
-	handler := newGated()
-	conn := newRig(t, false, handler.serve).dial()
+	handler := newBlockingHandler()
+	conn := newTestServer(t, false, handler.serve).dial()
 	defer conn.Close()
-	_, err := io.WriteString(conn, get("/a")+get("/b")+get("/c"))
+	_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b")+getRequest("/c"))
 	check.NoErr(err)
-	begun := map[string]bool{<-handler.began: true, <-handler.began: true, <-handler.began: true}
+	begun := map[string]bool{<-handler.started: true, <-handler.started: true, <-handler.started: true}
 	check.Equal(begun, map[string]bool{"/a": true, "/b": true, "/c": true})
-	close(handler.gate("/c"))
-	close(handler.gate("/b"))
-	close(handler.gate("/a"))
+	close(handler.release("/c"))
+	close(handler.release("/b"))
+	close(handler.release("/a"))
 	reader := bufio.NewReader(conn)
-	check.Equal(read(t, reader), "/a")
-	check.Equal(read(t, reader), "/b")
-	check.Equal(read(t, reader), "/c")
+	check.Equal(readAnswerBody(t, reader), "/a")
+	check.Equal(readAnswerBody(t, reader), "/b")
+	check.Equal(readAnswerBody(t, reader), "/c")
 }
 
 // TestUnsafeWaitsForEveryAnswerAhead: a request that may not be repeated is not
 // run while an answer ahead of it could still close the connection, whether it has a
 // body or not.
-func TestUnsafeWaitsForEveryAnswerAhead(t *testing.T) {
+func TestUnsafeRequestWaitsForEarlierAnswers(t *testing.T) {
 	for name, body := range map[string]string{"body": "hi", "none": ""} {
-		t.Run(name, func(t *testing.T) { unsafeWaits(t, body) })
+		t.Run(name, func(t *testing.T) { testUnsafeWaits(t, body) })
 	}
 }
 
-func unsafeWaits(t *testing.T, body string) {
+func testUnsafeWaits(t *testing.T, body string) {
 	check := is.New(t)
-	handler := newGated()
-	conn := newRig(t, false, handler.serve).dial()
+	handler := newBlockingHandler()
+	conn := newTestServer(t, false, handler.serve).dial()
 	defer conn.Close()
 	post := fmt.Sprintf("POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	_, err := io.WriteString(conn, get("/a")+get("/b")+post+get("/c"))
+	_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b")+post+getRequest("/c"))
 	check.NoErr(err)
-	<-handler.began
-	<-handler.began
-	close(handler.gate("/b"))
-	close(handler.gate("/a"))
+	<-handler.started
+	<-handler.started
+	close(handler.release("/b"))
+	close(handler.release("/a"))
 	reader := bufio.NewReader(conn)
-	check.Equal(read(t, reader), "/a")
-	check.Equal(len(handler.began), 0) // the answer of /b has not gone yet
-	check.Equal(read(t, reader), "/b")
-	begun := map[string]bool{<-handler.began: true, <-handler.began: true}
+	check.Equal(readAnswerBody(t, reader), "/a")
+	check.Equal(len(handler.started), 0) // the answer of /b has not gone yet
+	check.Equal(readAnswerBody(t, reader), "/b")
+	begun := map[string]bool{<-handler.started: true, <-handler.started: true}
 	check.Equal(begun, map[string]bool{"/pay": true, "/c": true}) // side by side
-	close(handler.gate("/pay"))
-	check.Equal(read(t, reader), "/pay")
-	close(handler.gate("/c"))
-	check.Equal(read(t, reader), "/c")
+	close(handler.release("/pay"))
+	check.Equal(readAnswerBody(t, reader), "/pay")
+	close(handler.release("/c"))
+	check.Equal(readAnswerBody(t, reader), "/c")
 }
 
 // TestAClosingAnswerDropsWhatIsBehindIt: nothing behind it is answered, and what
 // runs is cancelled.
-func TestAClosingAnswerDropsWhatIsBehindIt(t *testing.T) {
+func TestClosingAnswerCancelsLaterRequests(t *testing.T) {
 	check := is.New(t)
-	handler := newGated()
-	rig := newRig(t, false, func(writer http.ResponseWriter, request *http.Request) {
+	handler := newBlockingHandler()
+	rig := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/last" {
 			writer.Header().Set("Connection", "close")
 		}
@@ -284,60 +284,60 @@
 	})
 	conn := rig.dial()
 	defer conn.Close()
-	_, err := io.WriteString(conn, get("/last")+get("/b")+get("/c"))
+	_, err := io.WriteString(conn, getRequest("/last")+getRequest("/b")+getRequest("/c"))
 	check.NoErr(err)
 	for range 3 {
-		<-handler.began
+		<-handler.started
 	}
-	close(handler.gate("/last"))
+	close(handler.release("/last"))
 	answered, err := io.ReadAll(conn)
 	check.NoErr(err)
 	check.Equal(strings.Count(string(answered), "HTTP/1.1"), 1)
-	gone := []string{<-handler.gone, <-handler.gone}
+	gone := []string{<-handler.cancelled, <-handler.cancelled}
 	check.True(gone[0] != gone[1])
 }
 
 // TestNoMoreAnswersMeansNoMoreCalls: when the server ends its sending side, what runs
 // ahead is cancelled at once, though the connection is closed later.
-func TestNoMoreAnswersMeansNoMoreCalls(t *testing.T) {
+func TestCloseWriteCancelsPendingCalls(t *testing.T) {
 	check := is.New(t)
-	handler := newGated()
-	rig := newRig(t, false, handler.serve)
+	handler := newBlockingHandler()
+	rig := newTestServer(t, false, handler.serve)
 	conn := rig.dial()
 	defer conn.Close()
-	_, err := io.WriteString(conn, get("/a")+get("/b"))
+	_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b"))
 	check.NoErr(err)
-	<-handler.began
-	<-handler.began
-	wrapped := <-rig.wrapped
-	check.True(wrapped.Pending())
+	<-handler.started
+	<-handler.started
+	wrapped := <-rig.conns
+	check.True(wrapped.HasPendingAnswers())
 	check.NoErr(wrapped.CloseWrite())
-	check.Equal(<-handler.gone, "/b")
-	check.True(!wrapped.Pending())
+	check.Equal(<-handler.cancelled, "/b")
+	check.True(!wrapped.HasPendingAnswers())
 }
 
 // TestALeavingClientIsSeenWhileRequestsWait: also behind a request that must
 // wait for its turn, and with more requests than may run.
-func TestALeavingClientIsSeenWhileRequestsWait(t *testing.T) {
+func TestDisconnectIsDetectedWhileRequestsWait(t *testing.T) {
 	for name, behind := range map[string]string{
 		"none":    "",
-		"safe":    get("/b"),
+		"safe":    getRequest("/b"),
 		"unsafe":  "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi",
 		"partial": "GET /half HTTP",
-		"many":    strings.Repeat(get("/b"), 8),
+		"many":    strings.Repeat(getRequest("/b"), 8),
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
-			handler := newGated()
-			conn := newRig(t, false, handler.serve).dial()
-			_, err := io.WriteString(conn, get("/a")+behind)
+			handler := newBlockingHandler()
+			conn := newTestServer(t, false, handler.serve).dial()
+			_, err := io.WriteString(conn, getRequest("/a")+behind)
 			check.NoErr(err)
 			check.NoErr(conn.Close())
-			for path := <-handler.gone; path != "/a"; path = <-handler.gone {
+			for path := <-handler.cancelled; path != "/a"; path = <-handler.cancelled {
 				check.Equal(path, "/b")
 			}
-			for len(handler.began) > 0 {
-				check.True(<-handler.began != "/pay")
+			for len(handler.started) > 0 {
+				check.True(<-handler.started != "/pay")
 			}
 		})
 	}
@@ -345,11 +345,11 @@
 
 // TestWhatIsHeldIsBounded: a handler whose answer is longer than may be held
 // waits for its turn, and the connection is read no further than its bound.
-func TestWhatIsHeldIsBounded(t *testing.T) {
+func TestBufferedAnswersAreBounded(t *testing.T) {
 	check := is.New(t)
 	open := make(chan struct{})
 	var written atomic.Int64
-	rig := newRig(t, false, func(writer http.ResponseWriter, request *http.Request) {
+	rig := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/a" {
 			<-open
 			return
@@ -365,60 +365,60 @@
 	defer conn.Close()
 	sent := make(chan error, 1)
 	go func() {
-		_, err := io.WriteString(conn, get("/a")+get("/b")+get("/c")+strings.Repeat("x", 64<<10))
+		_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b")+getRequest("/c")+strings.Repeat("x", 64<<10))
 		sent <- err
 	}()
 	for written.Load() < 2*int64(rig.config.AnswerBytes) {
 		runtime.Gosched()
 	}
-	check.Equal(rig.held.Bytes(), written.Load())
+	check.Equal(rig.budget.Used(), written.Load())
 	check.Equal(len(sent), 0) // not all of it was read
 	close(open)
 	reader := bufio.NewReader(conn)
-	check.Equal(len(read(t, reader)), 0)
-	check.Equal(len(read(t, reader)), 64<<10)
-	check.Equal(len(read(t, reader)), 64<<10)
-	check.Equal(rig.held.Bytes(), int64(0))
+	check.Equal(len(readAnswerBody(t, reader)), 0)
+	check.Equal(len(readAnswerBody(t, reader)), 64<<10)
+	check.Equal(len(readAnswerBody(t, reader)), 64<<10)
+	check.Equal(rig.budget.Used(), int64(0))
 }
 
 // TestTimeBehindOthersIsKnown: the time of a request counts from its arrival,
 // whether it runs ahead or waits for its turn.
-func TestTimeBehindOthersIsKnown(t *testing.T) {
+func TestTurnWaitCountsFromArrival(t *testing.T) {
 	check := is.New(t)
-	handler := newGated()
-	rig := newRig(t, false, handler.serve)
+	handler := newBlockingHandler()
+	rig := newTestServer(t, false, handler.serve)
 	conn := rig.dial()
 	defer conn.Close()
-	_, err := io.WriteString(conn, get("/a"))
+	_, err := io.WriteString(conn, getRequest("/a"))
 	check.NoErr(err)
-	check.Equal(<-handler.began, "/a")
-	wrapped := <-rig.wrapped
-	check.True(!wrapped.Pending())
+	check.Equal(<-handler.started, "/a")
+	wrapped := <-rig.conns
+	check.True(!wrapped.HasPendingAnswers())
 	_, err = io.WriteString(conn, "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi")
 	check.NoErr(err)
 	came := time.Now()
-	close(handler.gate("/a"))
+	close(handler.release("/a"))
 	reader := bufio.NewReader(conn)
-	check.Equal(read(t, reader), "/a")
-	check.Equal(<-handler.began, "/pay")
-	check.True(<-rig.waits == 0)
-	waited := <-rig.waits
+	check.Equal(readAnswerBody(t, reader), "/a")
+	check.Equal(<-handler.started, "/pay")
+	check.True(<-rig.turnWaits == 0)
+	waited := <-rig.turnWaits
 	check.True(waited > 0 && waited <= time.Since(came)+time.Second)
-	close(handler.gate("/pay"))
-	check.Equal(read(t, reader), "/pay")
+	close(handler.release("/pay"))
+	check.Equal(readAnswerBody(t, reader), "/pay")
 }
 
 // FuzzHead holds the looking for a head's end and its framing to the library: what
 // is said to be a whole request without a body is one.
 func FuzzHead(f *testing.F) {
-	f.Add([]byte(get("/a")))
+	f.Add([]byte(getRequest("/a")))
 	f.Add([]byte("GET / HTTP/1.1\nHost: a\n\n"))
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\nContent-Length : 3\r\n\r\nabc"))
 	f.Add([]byte("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		size := headEnd(text)
+		size := headLength(text)
 		if size < 0 {
 			return
 		}
@@ -432,9 +432,9 @@
 		if len(text) <= 4096 && consumed != size {
 			t.Fatalf("the head of %q ends at %d, not at %d", text, consumed, size)
 		}
-		if request.ContentLength != int64(form.body) || len(request.TransferEncoding) > 0 || request.Close {
+		if request.ContentLength != int64(form.bodyLength) || len(request.TransferEncoding) > 0 || request.Close {
 			t.Fatalf("%q: body %d, encoded %v, close %v; said to have %d",
-				text, request.ContentLength, request.TransferEncoding, request.Close, form.body)
+				text, request.ContentLength, request.TransferEncoding, request.Close, form.bodyLength)
 		}
 	})
 }
--- a/internal/pipeline/rig_test.go
+++ b/internal/pipeline/rig_test.go
@@ -13,17 +13,17 @@
 )
 
 // pipes is a listener of connections in memory.
-type pipes struct {
+type pipeListener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
 }
 
-func newPipes() *pipes {
-	return &pipes{accepted: make(chan net.Conn), closed: make(chan struct{})}
+func newPipeListener() *pipeListener {
+	return &pipeListener{accepted: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-p.accepted:
 		return conn, nil
@@ -32,51 +32,51 @@
 	}
 }
 
-func (p *pipes) Close() error {
+func (p *pipeListener) Close() error {
 	p.once.Do(func() { close(p.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
+func (p *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
 // rig is a server whose connections run ahead, or do not.
-type rig struct {
-	listener *pipes
+type testServer struct {
+	listener *pipeListener
 	server   *http.Server
 	config   *Config
-	held     *Held
+	budget   *ByteBudget
 	// wrapped receives each connection that runs ahead.
-	wrapped chan *Conn
+	conns chan *Conn
 	// waits receives how long each request has waited for its turn.
-	waits chan time.Duration
+	turnWaits chan time.Duration
 	// started counts the requests that ran ahead.
-	started atomic.Int64
+	aheadCount atomic.Int64
 }
 
 type connKey struct{}
 
 // safe tells whether a request may be repeated.
-func safe(request *http.Request) bool {
+func isRepeatable(request *http.Request) bool {
 	return request.Method == http.MethodGet || request.Method == http.MethodHead
 }
 
 // newRig serves a handler; with serial set the library alone does.
-func newRig(t testing.TB, serial bool, handler http.HandlerFunc) *rig {
-	made := &rig{listener: newPipes(), held: NewHeld(64 << 10), wrapped: make(chan *Conn, 1), waits: make(chan time.Duration, 16)}
+func newTestServer(t testing.TB, serial bool, handler http.HandlerFunc) *testServer {
+	made := &testServer{listener: newPipeListener(), budget: NewByteBudget(64 << 10), conns: make(chan *Conn, 1), turnWaits: make(chan time.Duration, 16)}
 	made.config = &Config{
-		Calls: 4, InputBytes: 4 << 10, AnswerBytes: 2 << 10, Held: made.held,
-		Handler: handler, MayRunAhead: safe, OnStart: func(int) { made.started.Add(1) },
+		Calls: 4, InputBytes: 4 << 10, AnswerBytes: 2 << 10, Held: made.budget,
+		Handler: handler, MayRunAhead: isRepeatable, OnStart: func(int) { made.aheadCount.Add(1) },
 	}
 	made.server = &http.Server{Handler: handler, ErrorLog: nil}
 	if !serial {
 		made.server.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			conn := request.Context().Value(connKey{}).(*Conn)
-			call, waited := conn.Begin(request)
+			call, waited := conn.BeginRequest(request)
 			select {
-			case made.waits <- waited:
+			case made.turnWaits <- waited:
 			default:
 			}
-			defer conn.End()
+			defer conn.EndRequest()
 			if call != nil {
 				call.Replay(writer)
 				return
@@ -91,7 +91,7 @@
 	}
 	var listener net.Listener = made.listener
 	if !serial {
-		listener = &wrapping{Listener: made.listener, rig: made}
+		listener = &wrappingListener{Listener: made.listener, server: made}
 	}
 	go func() { _ = made.server.Serve(listener) }()
 	t.Cleanup(func() { _ = made.server.Close() })
@@ -99,32 +99,32 @@
 }
 
 // wrapping wraps the connections of a listener.
-type wrapping struct {
+type wrappingListener struct {
 	net.Listener
-	rig *rig
+	server *testServer
 }
 
-func (w *wrapping) Accept() (net.Conn, error) {
+func (w *wrappingListener) Accept() (net.Conn, error) {
 	conn, err := w.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	made := Wrap(conn, w.rig.config)
+	made := Wrap(conn, w.server.config)
 	select {
-	case w.rig.wrapped <- made:
+	case w.server.conns <- made:
 	default:
 	}
 	return made, nil
 }
 
-func (r *rig) dial() net.Conn {
+func (r *testServer) dial() net.Conn {
 	client, server := net.Pipe()
 	r.listener.accepted <- server
 	return client
 }
 
 // exchange sends pieces on one connection and returns all that came back.
-func (r *rig) exchange(pieces [][]byte) []byte {
+func (r *testServer) exchange(pieces [][]byte) []byte {
 	conn := r.dial()
 	defer conn.Close()
 	go func() {
@@ -139,7 +139,7 @@
 }
 
 // number reads one of the numbers of a test's query.
-func number(request *http.Request, name string) int {
+func queryInt(request *http.Request, name string) int {
 	value, err := strconv.Atoi(request.URL.Query().Get(name))
 	if err != nil {
 		return 0
--- a/internal/proxy/abandon.go
+++ b/internal/proxy/abandon.go
@@ -18,28 +18,28 @@
 	// AbandonedAtDrainBound: the hard bound of this daemon's drain has passed.
 	AbandonedAtDrainBound
 	// AbandonedForAnswer: another attempt of the call was answered.
-	AbandonedForAnswer
+	AbandonedForOtherAnswer
 	// AbandonedForRefusal: the call was refused while the attempt was under way.
-	AbandonedForRefusal
-	abandonReasons
+	AbandonedForCallRefusal
+	abandonReasonCount
 )
 
-var abandonNames = [abandonReasons]string{
-	AbandonedByCaller:     "caller_gone",
-	AbandonedAtDeadline:   "deadline",
-	AbandonedAtDrainBound: "drain_bound",
-	AbandonedForAnswer:    "answered_elsewhere",
-	AbandonedForRefusal:   "refused",
+var abandonReasonNames = [abandonReasonCount]string{
+	AbandonedByCaller:       "caller_gone",
+	AbandonedAtDeadline:     "deadline",
+	AbandonedAtDrainBound:   "drain_bound",
+	AbandonedForOtherAnswer: "answered_elsewhere",
+	AbandonedForCallRefusal: "refused",
 }
 
 // String is the reason as logs and metrics name it.
-func (r AbandonReason) String() string { return abandonNames[r] }
+func (r AbandonReason) String() string { return abandonReasonNames[r] }
 
 // abandonTally counts abandoned attempts by reason.
-type abandonTally [abandonReasons]atomic.Uint64
+type abandonedCounts [abandonReasonCount]atomic.Uint64
 
 // snapshot is a copy of the counts that are not 0.
-func (t *abandonTally) snapshot() map[AbandonReason]uint64 {
+func (t *abandonedCounts) snapshot() map[AbandonReason]uint64 {
 	counts := map[AbandonReason]uint64{}
 	for reason := range t {
 		if count := t[reason].Load(); count > 0 {
@@ -64,16 +64,16 @@
 
 // noteAbandoned counts an attempt that this daemon has ended, and logs what was known of
 // its endpoint.
-func (c *callerCall) noteAbandoned(tried *attempt, reason AbandonReason) {
+func (c *callerCall) recordAbandoned(tried *attempt, reason AbandonReason) {
 	p := c.proxy
-	p.tally.abandoned[reason].Add(1)
-	p.traced("attempt_abandoned", func() []EventField {
+	p.counters.abandoned[reason].Add(1)
+	p.trace("attempt_abandoned", func() []EventField {
 		now := p.config.Clock()
-		fields := append(c.identity(),
+		fields := append(c.identityFields(),
 			textField("reason", reason.String()),
-			textField("ran_ms", millis(now-tried.sentAt)),
-			textField("left_ms", millis(c.deadline-now)),
+			textField("ran_ms", formatMillis(now-tried.sentAt)),
+			textField("left_ms", formatMillis(c.deadline-now)),
 			p.drainField())
-		return append(fields, endpointFields(tried.chosen, now)...)
+		return append(fields, endpointFields(tried.endpoint, now)...)
 	})
 }
--- a/internal/proxy/ahead.go
+++ b/internal/proxy/ahead.go
@@ -11,7 +11,7 @@
 
 // aheadConfig says how requests that callers send one behind another on a
 // connection run side by side; nil means that they do not.
-func (p *Proxy) aheadConfig() *pipeline.Config {
+func (p *Proxy) pipelineConfig() *pipeline.Config {
 	if p.limits.AheadCalls < 0 {
 		return nil
 	}
@@ -19,10 +19,10 @@
 		Calls:       p.limits.AheadCalls,
 		InputBytes:  p.limits.AheadInputBytes,
 		AnswerBytes: p.limits.AheadAnswerBytes,
-		Held:        p.held,
+		Held:        p.heldAnswers,
 		Handler:     http.HandlerFunc(p.serveCaller),
 		MayRunAhead: p.mayRunAhead,
-		OnStart:     p.startedAhead,
+		OnStart:     p.recordRunAhead,
 	}
 }
 
@@ -38,16 +38,16 @@
 	if current.snapshot == nil || !fine {
 		return false
 	}
-	route := current.find(request, located)
+	route := current.findRoute(request, located)
 	return route != nil && route.Repeatable(request.Method)
 }
 
 // startedAhead counts a request that runs ahead.
-func (p *Proxy) startedAhead(depth int) {
-	p.tally.ahead.Add(1)
+func (p *Proxy) recordRunAhead(depth int) {
+	p.counters.ranAhead.Add(1)
 	for {
-		deepest := p.tally.aheadDepth.Load()
-		if int64(depth) <= deepest || p.tally.aheadDepth.CompareAndSwap(deepest, int64(depth)) {
+		deepest := p.counters.aheadDepth.Load()
+		if int64(depth) <= deepest || p.counters.aheadDepth.CompareAndSwap(deepest, int64(depth)) {
 			return
 		}
 	}
@@ -55,12 +55,12 @@
 
 // replay answers a request that has run ahead, in its turn. It counts as running
 // until then, so that a drain waits for it.
-func (s *side) replay(writer http.ResponseWriter, request *http.Request, call *pipeline.Call) {
+func (s *sideHandler) replayAnswer(writer http.ResponseWriter, request *http.Request, call *pipeline.Call) {
 	p := s.proxy
-	p.callersRunning.Add(1)
-	defer p.leave(&p.callersRunning)
-	call.Await()
-	if p.closesAfter(request) {
+	p.runningCallerCalls.Add(1)
+	defer p.endCall(&p.runningCallerCalls)
+	call.AwaitHead()
+	if p.closesAfterAnswer(request) {
 		writer.Header().Set("Connection", "close")
 	}
 	// Without a deadline a caller that does not read could hold the call.
@@ -69,23 +69,23 @@
 }
 
 // longWait is a wait for a request's turn that is always logged.
-const longWait = time.Second
+const alwaysLoggedWait = time.Second
 
 // waited notes how long a request has waited behind others of its connection.
-func (s *side) waited(request *http.Request, waited time.Duration, ahead bool) {
+func (s *sideHandler) recordTurnWait(request *http.Request, waited time.Duration, ahead bool) {
 	if waited <= 0 {
 		return
 	}
 	p := s.proxy
-	observe(p.config.Timings.Turn, waited)
+	observeDuration(p.config.Timings.Turn, waited)
 	id := p.requestID(request.Header)
-	if waited < longWait && !sampled(id) {
+	if waited < alwaysLoggedWait && !isSampled(id) {
 		return
 	}
-	p.traced("request_turn", func() []EventField {
+	p.trace("request_turn", func() []EventField {
 		return []EventField{
 			textField("request", id),
-			textField("waited_ms", millis(waited)),
+			textField("waited_ms", formatMillis(waited)),
 			textField("ahead", strconv.FormatBool(ahead)),
 		}
 	})
@@ -93,29 +93,29 @@
 
 // closesAfter tells whether a connection is closed after the answer to its
 // current request: when the daemon drains, and no request behind it has run ahead.
-func (p *Proxy) closesAfter(request *http.Request) bool {
+func (p *Proxy) closesAfterAnswer(request *http.Request) bool {
 	if !p.drain.started.Load() {
 		return false
 	}
 	conn, counted := request.Context().Value(connKey{}).(*countedConn)
-	return !counted || !conn.owes()
+	return !counted || !conn.hasPendingAnswers()
 }
 
 // waitKey is the key, in a request's context, of the time for which it has waited
 // for its turn.
-type waitKey struct{}
+type turnWaitKey struct{}
 
 // withWait notes how long a request has waited for its turn.
-func withWait(request *http.Request, waited time.Duration) *http.Request {
+func withTurnWait(request *http.Request, waited time.Duration) *http.Request {
 	if waited <= 0 {
 		return request
 	}
-	return request.WithContext(context.WithValue(request.Context(), waitKey{}, waited))
+	return request.WithContext(context.WithValue(request.Context(), turnWaitKey{}, waited))
 }
 
 // waitOf is how long a request has waited for its turn behind others of its
 // connection. Its time counts from its arrival.
-func waitOf(request *http.Request) time.Duration {
-	waited, _ := request.Context().Value(waitKey{}).(time.Duration)
+func turnWait(request *http.Request) time.Duration {
+	waited, _ := request.Context().Value(turnWaitKey{}).(time.Duration)
 	return waited
 }
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -11,33 +11,33 @@
 )
 
 // copyBytes is the size of the buffer through which an answer streams.
-const copyBytes = 32 << 10
+const copyBufferBytes = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any {
-	buffer := make([]byte, copyBytes)
+	buffer := make([]byte, copyBufferBytes)
 	return &buffer
 }}
 
 // informer passes interim answers (1xx) on until the final one has come.
-type informer struct {
+type interimRelay struct {
 	// mutex is this call's own; the library calls from another goroutine.
-	mutex  sync.Mutex
-	writer http.ResponseWriter
-	ended  bool
+	mutex   sync.Mutex
+	writer  http.ResponseWriter
+	stopped bool
 	// hangs is called when a gate tells that the call hangs; nil where nobody asked for that.
-	hangs func()
+	onHang func()
 }
 
-func (i *informer) inform(code int, header http.Header) error {
+func (i *interimRelay) forward(code int, header http.Header) error {
 	if header.Get(headerHangs) != "" {
-		if i.hangs != nil {
-			i.hangs()
+		if i.onHang != nil {
+			i.onHang()
 		}
 		return nil
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.ended || code == http.StatusContinue || code == http.StatusSwitchingProtocols {
+	if i.stopped || code == http.StatusContinue || code == http.StatusSwitchingProtocols {
 		return nil
 	}
 	own := i.writer.Header()
@@ -56,16 +56,16 @@
 }
 
 // tellHang tells the sender of a call that it hangs, unless its answer has come.
-func (i *informer) tellHang() {
+func (i *interimRelay) reportHang() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.ended {
+	if i.stopped {
 		return
 	}
 	own := i.writer.Header()
 	ending, closes := own["Connection"]
 	delete(own, "Connection")
-	own[headerHangs] = confirmed
+	own[headerHangs] = trueHeaderValue
 	i.writer.WriteHeader(http.StatusProcessing)
 	delete(own, headerHangs)
 	if closes {
@@ -73,25 +73,25 @@
 	}
 }
 
-func (i *informer) end() {
+func (i *interimRelay) stop() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.ended = true
+	i.stopped = true
 }
 
 // delivery passes one answer on.
 type delivery struct {
-	writer  http.ResponseWriter
-	control *http.ResponseController
-	answer  *http.Response
-	upload  *upload
-	stall   time.Duration
+	writer       http.ResponseWriter
+	control      *http.ResponseController
+	answer       *http.Response
+	upload       *upload
+	stallTimeout time.Duration
 	// extra is added to the headers, after springstack's own were stripped.
-	extra func(http.Header)
+	addHeaders func(http.Header)
 }
 
 // head writes the status and headers.
-func (d *delivery) head() {
+func (d *delivery) writeHead() {
 	header := d.writer.Header()
 	for name, values := range d.answer.Header {
 		header[name] = values
@@ -104,18 +104,18 @@
 	if len(d.answer.Trailer) > 0 {
 		header.Set("Trailer", strings.Join(trailerNames(d.answer.Trailer), ", "))
 	}
-	if d.extra != nil {
-		d.extra(header)
+	if d.addHeaders != nil {
+		d.addHeaders(header)
 	}
-	if d.answer.ContentLength >= 0 && !hasLength(header) && d.answer.StatusCode != http.StatusNoContent {
+	if d.answer.ContentLength >= 0 && !hasContentLength(header) && d.answer.StatusCode != http.StatusNoContent {
 		header["Content-Length"] = []string{strconv.FormatInt(d.answer.ContentLength, 10)}
 	}
-	d.upload.beforeAnswer(header)
-	d.allowWrite()
+	d.upload.announceClose(header)
+	d.extendWriteDeadline()
 	d.writer.WriteHeader(d.answer.StatusCode)
 }
 
-func hasLength(header http.Header) bool {
+func hasContentLength(header http.Header) bool {
 	_, found := header["Content-Length"]
 	return found
 }
@@ -131,13 +131,13 @@
 
 // allowWrite bounds the next write. A failure means that the connection is
 // gone, which the write then finds.
-func (d *delivery) allowWrite() {
-	_ = d.control.SetWriteDeadline(time.Now().Add(d.stall))
+func (d *delivery) extendWriteDeadline() {
+	_ = d.control.SetWriteDeadline(time.Now().Add(d.stallTimeout))
 }
 
 // body streams the body and then the trailers. On an error the answer is cut
 // short: the connection of the caller must be broken, never ended cleanly.
-func (d *delivery) body() error {
+func (d *delivery) streamBody() error {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
 	left := d.answer.ContentLength
@@ -156,14 +156,14 @@
 			return readErr
 		}
 	}
-	d.trailers()
+	d.writeTrailers()
 	return nil
 }
 
 // write passes bytes on. While more is to come they are flushed, so that a
 // stream is never held back.
 func (d *delivery) write(bytes []byte, more bool) error {
-	d.allowWrite()
+	d.extendWriteDeadline()
 	if _, err := d.writer.Write(bytes); err != nil {
 		return err
 	}
@@ -173,7 +173,7 @@
 	return d.control.Flush()
 }
 
-func (d *delivery) trailers() {
+func (d *delivery) writeTrailers() {
 	if len(d.answer.Trailer) == 0 {
 		return
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -13,11 +13,11 @@
 
 // attempt is one sending of a call to one endpoint.
 type attempt struct {
-	chosen   *endpoint.Endpoint
-	exchange *exchange
-	outcome  retry.Outcome
-	evidence endpoint.Outcome
-	ended    bool
+	endpoint        *endpoint.Endpoint
+	exchange        *exchange
+	outcome         retry.Outcome
+	endpointOutcome endpoint.Outcome
+	ended           bool
 	// sentAt is when it was sent, on the clock.
 	sentAt time.Duration
 	// suspected says that the call may end the back end that runs it.
@@ -28,7 +28,7 @@
 
 // end closes the exchange and gives the endpoint its evidence, once.
 func (a *attempt) end(p *Proxy) {
-	if a.ended || a.chosen == nil {
+	if a.ended || a.endpoint == nil {
 		return
 	}
 	a.ended = true
@@ -36,57 +36,57 @@
 	if a.cancel != nil {
 		a.cancel()
 	}
-	a.chosen.End(p.config.Clock(), a.evidence)
+	a.endpoint.End(p.config.Clock(), a.endpointOutcome)
 }
 
 // withdraw ends an attempt whose exchange has another owner; it says nothing of its
 // endpoint.
-func (a *attempt) withdraw(p *Proxy) {
-	a.exchange = hedgedExchange()
-	a.evidence = endpoint.Cancelled
+func (a *attempt) endAsCancelled(p *Proxy) {
+	a.exchange = newPlaceholderExchange()
+	a.endpointOutcome = endpoint.Cancelled
 	a.end(p)
 }
 
 // attempt sends the call to the endpoint chosen now.
-func (c *callerCall) attempt(mark bool) *attempt {
+func (c *callerCall) makeAttempt(mark bool) *attempt {
 	p := c.proxy
 	now := p.config.Clock()
-	belief, outcome, barred := c.barred(now)
+	belief, outcome, barred := c.checkBlocked(now)
 	if barred {
-		return c.without(outcome)
+		return c.unsentAttempt(outcome)
 	}
 	current := p.view.Load()
 	shared := current.services[c.service]
 	if shared == nil {
-		return c.without(retry.Outcome{Kind: retry.NoEndpoint})
+		return c.unsentAttempt(retry.Outcome{Kind: retry.NoEndpoint})
 	}
-	c.bind(current)
-	among := shared.poolOf(c.regions)
-	chosen := c.choose(among, belief, now)
+	c.applyRegions(current)
+	among := shared.poolFor(c.regions)
+	chosen := c.chooseEndpoint(among, belief, now)
 	if chosen == nil {
-		return c.without(c.nothingChosen(among.set, now))
+		return c.unsentAttempt(c.noEndpointOutcome(among.set, now))
 	}
-	if c.runsAt(chosen) {
-		return c.without(retry.Outcome{Kind: retry.NoEndpoint})
+	if c.isHedgedAt(chosen) {
+		return c.unsentAttempt(retry.Outcome{Kind: retry.NoEndpoint})
 	}
 	path := current.upstreams[chosen.Address]
 	if path == nil {
-		return c.without(retry.Outcome{Kind: retry.NoEndpoint})
+		return c.unsentAttempt(retry.Outcome{Kind: retry.NoEndpoint})
 	}
-	p.tally.attempts.Add(1)
+	p.counters.attempts.Add(1)
 	chosen.Begin()
-	made := &attempt{chosen: chosen, sentAt: now, suspected: belief == quarantine.Suspected}
-	c.tried = append(c.tried, chosen)
-	ended := c.send(made, path, among.set, mark, now)
+	made := &attempt{endpoint: chosen, sentAt: now, suspected: belief == quarantine.Suspected}
+	c.triedEndpoints = append(c.triedEndpoints, chosen)
+	ended := c.sendAttempt(made, path, among.set, mark, now)
 	if ended == made {
-		c.judge(made, among.set)
+		c.classifyAttempt(made, among.set)
 	}
 	return ended
 }
 
 // barred tells whether the call may not be sent at all now, and the outcome of its attempt
 // then; else what is believed of its request.
-func (c *callerCall) barred(now time.Duration) (quarantine.State, retry.Outcome, bool) {
+func (c *callerCall) checkBlocked(now time.Duration) (quarantine.State, retry.Outcome, bool) {
 	if !c.proxy.mayServe() {
 		// The lease has run out since the call came. What was sent before stands;
 		// nothing more is sent.
@@ -95,7 +95,7 @@
 	if now >= c.deadline || c.context.Err() != nil {
 		return 0, retry.Outcome{Kind: retry.NotSent}, true
 	}
-	belief, held := c.belief()
+	belief, held := c.quarantineState()
 	if belief == quarantine.Held {
 		return belief, retry.Outcome{Kind: retry.Refused, Code: held.Code, Ran: result.RanNo, RetryAfter: held.RetryAfter}, true
 	}
@@ -107,21 +107,21 @@
 // hangs, and another one is paid for. An answer of an attempt that was hedged before is taken
 // when it comes first; if it is one of failure, this attempt goes on. It returns the attempt
 // that has ended, which is judged already unless it is made.
-func (c *callerCall) send(made *attempt, path *upstream, set *endpoint.Set, mark bool, now time.Duration) *attempt {
-	relay := &informer{writer: c.writer}
-	defer c.proxy.watch(path, made.chosen, silenceOf(c.route.Resource.Target))()
+func (c *callerCall) sendAttempt(made *attempt, path *upstream, set *endpoint.Set, mark bool, now time.Duration) *attempt {
+	relay := &interimRelay{writer: c.writer}
+	defer c.proxy.watchSilence(path, made.endpoint, silenceLimit(c.route.Resource.Target))()
 	ctx, cancel := context.WithCancel(c.context)
 	made.cancel = cancel
-	outgoing := c.outgoing(made.chosen, mark, c.deadline-now)
-	silent := c.holdSilent(made, path, set)
+	outgoing := c.newGateRequest(made.endpoint, mark, c.deadline-now)
+	silent := c.hedgeTrigger(made, path, set)
 	if silent != nil {
-		outgoing.Header[headerMayHedge] = confirmed
-		relay.hangs = func() { path.silence.giveUpOn(made) }
+		outgoing.Header[headerMayHedge] = trueHeaderValue
+		relay.onHang = func() { path.silence.hedge(made) }
 	}
-	defer path.silence.release(made)
-	if silent == nil && c.hedged == nil {
+	defer path.silence.removeHedgeable(made)
+	if silent == nil && c.hedgedAttempt == nil {
 		made.exchange = path.send(ctx, outgoing, relay, nil)
-		c.noteHeard(made, path)
+		c.recordIfAnswered(made, path)
 		return made
 	}
 	send := func() *exchange { return path.send(ctx, outgoing, relay, nil) }
@@ -130,49 +130,49 @@
 		select {
 		case <-under.done:
 			made.exchange = under.take()
-			c.noteHeard(made, path)
+			c.recordIfAnswered(made, path)
 			return made
 		case <-silent:
-			relay.end()
-			c.hedge(made, set, under)
+			relay.stop()
+			c.detachAsHedged(made, set, under)
 			return made
-		case <-c.answered():
-			late := c.takeAnswered()
+		case <-c.hedgedDone():
+			late := c.takeDeliverableAnswer()
 			if late == nil {
 				continue
 			}
-			relay.end()
+			relay.stop()
 			under.drop()
-			c.noteAbandoned(made, AbandonedForAnswer)
-			made.withdraw(c.proxy)
+			c.recordAbandoned(made, AbandonedForOtherAnswer)
+			made.endAsCancelled(c.proxy)
 			return late
 		}
 	}
 }
 
 // hedge ends an attempt here while its exchange runs on, at most until the call's context ends.
-func (c *callerCall) hedge(made *attempt, set *endpoint.Set, under *pendingExchange) {
-	c.hedged = &hedged{chosen: made.chosen, sentAt: made.sentAt, set: set, pending: under}
+func (c *callerCall) detachAsHedged(made *attempt, set *endpoint.Set, under *pendingExchange) {
+	c.hedgedAttempt = &hedgedAttempt{chosen: made.endpoint, sentAt: made.sentAt, set: set, pending: under}
 	made.cancel = nil
-	made.exchange = hedgedExchange()
+	made.exchange = newPlaceholderExchange()
 }
 
 // takeAnswered returns the hedged attempt, which has ended, if its answer is to be delivered,
 // and else nil. An answer of failure is kept in case no better one comes.
-func (c *callerCall) takeAnswered() *attempt {
-	late := c.takeHedged()
+func (c *callerCall) takeDeliverableAnswer() *attempt {
+	late := c.takeHedgedAnswer()
 	if late == nil || !late.outcome.Failed {
 		return late
 	}
 	late.end(c.proxy)
-	c.keep(late)
+	c.keepFailureAnswer(late)
 	return nil
 }
 
 // noteHeard notes that a gate has answered an attempt, if it has.
-func (c *callerCall) noteHeard(made *attempt, path *upstream) {
+func (c *callerCall) recordIfAnswered(made *attempt, path *upstream) {
 	if made.exchange.answer != nil {
-		c.proxy.heard(path)
+		c.proxy.recordGateAnswer(path)
 	}
 }
 
@@ -180,16 +180,16 @@
 // the gate tells that the attempt hangs, and another attempt is paid for. It returns nil for a
 // call that waits for its gate: one that may not be repeated, may end its back ends, or has a
 // hedged attempt already.
-func (c *callerCall) holdSilent(made *attempt, path *upstream, set *endpoint.Set) <-chan struct{} {
-	if !c.policy.Repeatable || made.suspected || c.proxy.config.OnSilent == nil || c.hedged != nil {
+func (c *callerCall) hedgeTrigger(made *attempt, path *upstream, set *endpoint.Set) <-chan struct{} {
+	if !c.policy.Repeatable || made.suspected || c.proxy.config.OnSilent == nil || c.hedgedAttempt != nil {
 		return nil
 	}
 	silent := make(chan struct{})
 	var once sync.Once
-	replayable := c.body.replayable()
-	path.silence.hold(made, func() {
+	replayable := c.body.isReplayable()
+	path.silence.addHedgeable(made, func() {
 		now := c.proxy.config.Clock()
-		lost := retry.Outcome{Kind: retry.Broken, Replayable: replayable, Others: set.HasUntried(now, c.tried)}
+		lost := retry.Outcome{Kind: retry.Broken, Replayable: replayable, Others: set.HasUntried(now, c.triedEndpoints)}
 		if c.retries.ReserveRetry(now, lost) {
 			once.Do(func() { close(silent) })
 		}
@@ -198,6 +198,6 @@
 }
 
 // without is an attempt that went to no endpoint.
-func (c *callerCall) without(outcome retry.Outcome) *attempt {
+func (c *callerCall) unsentAttempt(outcome retry.Outcome) *attempt {
 	return &attempt{outcome: outcome}
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -32,8 +32,8 @@
 		for loop.Next() {
 			call, _, _ := proxy.acceptCall(request)
 			shared := proxy.view.Load().services[call.service]
-			chosen := call.choose(shared.poolOf(call.regions), quarantine.Trusted, testClock())
-			call.outgoing(chosen, false, call.timeout)
+			chosen := call.chooseEndpoint(shared.poolFor(call.regions), quarantine.Trusted, testClock())
+			call.newGateRequest(chosen, false, call.timeout)
 		}
 	})
 }
@@ -51,12 +51,12 @@
 }
 
 // answerOK is the least that a back end or gate answers.
-func answerOK(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("ok")) }
+func handleOK(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("ok")) }
 
 // BenchmarkEntry is a call through the callers' side alone: a stand-in over loopback
 // takes the place of the gate, and no client is measured.
 func BenchmarkEntry(b *testing.B) {
-	gate := httptest.NewServer(http.HandlerFunc(answerOK))
+	gate := httptest.NewServer(http.HandlerFunc(handleOK))
 	b.Cleanup(gate.Close)
 	backends := []resource.Backend{{
 		Partner: "k", Name: "a", Service: "plans", Address: gate.Listener.Addr().String(), Region: "r", Zone: "z", Slots: 6,
@@ -78,7 +78,7 @@
 
 // BenchmarkGate is a call through the gate alone, with a back end over loopback.
 func BenchmarkGate(b *testing.B) {
-	mesh := startMesh(b, meshOptions{slots: 1 << 10}, backendSpec{handler: answerOK})
+	mesh := startMesh(b, meshOptions{slots: 1 << 10}, backendSpec{handler: handleOK})
 	handler := mesh.gates[0].GateHandler()
 	b.ReportAllocs()
 	calls := 0
@@ -101,7 +101,7 @@
 // BenchmarkMesh is a whole call over loopback: client, callers' side, gate,
 // back end and back again, with a client for each core.
 func BenchmarkMesh(b *testing.B) {
-	mesh := startMesh(b, meshOptions{slots: 1 << 10}, backendSpec{handler: answerOK})
+	mesh := startMesh(b, meshOptions{slots: 1 << 10}, backendSpec{handler: handleOK})
 	b.ReportAllocs()
 	b.RunParallel(func(loop *testing.PB) {
 		for loop.Next() {
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -20,29 +20,29 @@
 // refusal, which may say "did not run", comes before the callers' side gives
 // up and can say only "unknown".
 const (
-	hopMarginShare = 20
-	hopMarginLimit = 10 * time.Millisecond
+	hopMarginDivisor = 20
+	maxHopMargin     = 10 * time.Millisecond
 
-	retryMarginShare = 8
-	retryMarginLimit = 50 * time.Millisecond
+	retryMarginDivisor = 8
+	maxRetryMargin     = 50 * time.Millisecond
 )
 
 // CallerHandler takes callers' requests.
 func (p *Proxy) CallerHandler() http.Handler {
-	return &side{proxy: p, serve: p.serveCaller, callers: true}
+	return &sideHandler{proxy: p, serve: p.serveCaller, isCallerSide: true}
 }
 
 func (p *Proxy) serveCaller(writer http.ResponseWriter, request *http.Request) {
-	p.tally.callerCalls.Add(1)
-	p.callersRunning.Add(1)
-	defer p.leave(&p.callersRunning)
+	p.counters.callerCalls.Add(1)
+	p.runningCallerCalls.Add(1)
+	defer p.endCall(&p.runningCallerCalls)
 	began := p.config.Clock()
-	defer func() { observe(p.config.Timings.Caller, p.config.Clock()-began) }()
-	control, body := p.begin(writer, request)
+	defer func() { observeDuration(p.config.Timings.Caller, p.config.Clock()-began) }()
+	control, body := p.prepareExchange(writer, request)
 	defer body.finish()
 	call, refusal, accepted := p.acceptWhenStarted(request, body)
 	if !accepted {
-		p.traceTurnedAway(request, refusal)
+		p.traceEarlyRefusal(request, refusal)
 		p.refuse(writer, body, refusal)
 		return
 	}
@@ -53,8 +53,8 @@
 	call.control = control
 	call.body = body
 	if err := body.preload(ctx, nil); err != nil {
-		refusal := unsentRefusal(ctx, err)
-		p.traceTurnedAway(request, refusal)
+		refusal := bodyRefusal(ctx, err)
+		p.traceEarlyRefusal(request, refusal)
 		p.refuse(writer, body, refusal)
 		return
 	}
@@ -64,8 +64,8 @@
 // begin prepares what both sides need of an exchange: the control of its
 // connection, which is closed after the answer while the daemon drains, and the
 // body of its request.
-func (p *Proxy) begin(writer http.ResponseWriter, request *http.Request) (*http.ResponseController, *upload) {
-	if p.closesAfter(request) {
+func (p *Proxy) prepareExchange(writer http.ResponseWriter, request *http.Request) (*http.ResponseController, *upload) {
+	if p.closesAfterAnswer(request) {
 		writer.Header().Set("Connection", "close")
 	}
 	control := http.NewResponseController(writer)
@@ -75,10 +75,10 @@
 }
 
 // unsentRefusal is for a call whose body did not arrive, before any attempt.
-func unsentRefusal(ctx context.Context, err error) Refusal {
-	refusal := Refusal{Code: result.RequestMalformed, Ran: result.RanNo, Detail: describeBody(err)}
+func bodyRefusal(ctx context.Context, err error) Refusal {
+	refusal := Refusal{Code: result.RequestMalformed, Ran: result.RanNo, Detail: describeBodyFailure(err)}
 	switch {
-	case stalled(err):
+	case isStallError(err):
 		refusal.Code = result.SlowPeer
 	case context.Cause(ctx) == errDrainBound:
 		refusal.Code = result.Draining
@@ -95,11 +95,11 @@
 	service resource.ServiceRef
 	// table is that of the newest version that binds the call, regions where it may run by
 	// all versions and gates that it has met.
-	table   *routing.Table
-	regions region.Allowed
+	routingTable *routing.Table
+	regions      region.Set
 	// serviceName is the service as text.
 	serviceName string
-	place       place
+	hostPath    hostPath
 	request     *http.Request
 	writer      http.ResponseWriter
 	control     *http.ResponseController
@@ -110,23 +110,23 @@
 	timeout  time.Duration
 	deadline time.Duration
 	// target is until when an answer is of full use; 0 when none is stated.
-	target  time.Duration
-	policy  retry.Policy
-	retries *retry.Call
+	targetTime time.Duration
+	policy     retry.Policy
+	retries    *retry.Call
 	// key is the value of the route's request key header, keyHash its hash; the
 	// hash is the same on all daemons.
-	key     string
-	keyHash uint64
-	tried   endpoint.Tried
+	requestKey     string
+	requestKeyHash uint64
+	triedEndpoints endpoint.Tried
 	// hedged is the attempt that another one has followed; nil for none.
-	hedged *hedged
+	hedgedAttempt *hedgedAttempt
 	// failure is an answer of failure to deliver if nothing better comes; nil for none.
-	failure *attempt
+	failureAnswer *attempt
 	// answering is set once an answer is being passed on.
-	answering bool
-	suspicion suspicion
+	answerStarted bool
+	suspicion     suspicion
 	// detail explains the last attempt for people.
-	detail string
+	attemptDetail string
 }
 
 // acceptCall checks a request and finds its route, or refuses it. Nothing has
@@ -139,26 +139,26 @@
 	case current.snapshot == nil || !p.mayServe():
 		return nil, Refusal{Code: result.NotServing}, false
 	}
-	if refusal, fine := p.checkForm(request); !fine {
+	if refusal, fine := p.checkRequest(request); !fine {
 		return nil, refusal, false
 	}
 	located, refusal, fine := p.locate(request)
 	if !fine {
 		return nil, refusal, false
 	}
-	route := current.find(request, located)
+	route := current.findRoute(request, located)
 	if route == nil {
 		return nil, Refusal{Code: result.NoRoute}, false
 	}
 	call := &callerCall{
-		proxy: p, route: route, place: located, request: request, service: route.Pick(p.random()),
-		table: current.table, regions: route.Regions,
+		proxy: p, route: route, hostPath: located, request: request, service: route.Pick(p.random()),
+		routingTable: current.routes, regions: route.Regions,
 	}
 	shared := current.services[call.service]
 	if shared == nil {
 		return nil, Refusal{Code: result.NoEndpoint}, false
 	}
-	if call.regions.Restricted() && shared.poolOf(call.regions).set.UsableCount() == 0 {
+	if call.regions.Restricted() && shared.poolFor(call.regions).set.UsableCount() == 0 {
 		return nil, Refusal{Code: result.RegionNotAllowed}, false
 	}
 	call.serviceName = shared.name
@@ -172,14 +172,14 @@
 func (c *callerCall) prepare(shared *service) {
 	header := c.request.Header
 	c.timeout = c.route.Timeout
-	if stated, found := c.proxy.statedTime(header); found {
+	if stated, found := c.proxy.requestedTimeout(header); found {
 		c.timeout = min(c.timeout, stated)
 	}
-	waited := waitOf(c.request)
+	waited := turnWait(c.request)
 	now := c.proxy.config.Clock()
-	c.timeout = c.proxy.timeUntilCut(max(c.timeout-waited, 0))
+	c.timeout = c.proxy.limitTimeoutByDrain(max(c.timeout-waited, 0))
 	c.deadline = now + c.timeout
-	c.target = now - waited + c.route.Resource.Target
+	c.targetTime = now - waited + c.route.Resource.Target
 	c.policy = retry.Policy{
 		Repeatable: c.route.Repeatable(c.request.Method),
 		Attempts:   c.route.Attempts,
@@ -193,10 +193,10 @@
 		RetryFailures: c.proxy.config.Edge != nil,
 		Margin:        c.proxy.retryMargin(c.timeout),
 	}
-	c.retries = retry.NewCall(c.policy, shared.budget)
+	c.retries = retry.NewCall(c.policy, shared.retryBudget)
 	if name := c.route.Resource.RequestKeyHeader; name != "" {
-		c.key = header.Get(name)
-		c.keyHash = xxhash.Sum64String(c.key)
+		c.requestKey = header.Get(name)
+		c.requestKeyHash = xxhash.Sum64String(c.requestKey)
 	}
 }
 
@@ -206,33 +206,33 @@
 	if p.config.Edge == nil {
 		return 0
 	}
-	return min(timeout/retryMarginShare, retryMarginLimit)
+	return min(timeout/retryMarginDivisor, maxRetryMargin)
 }
 
 // run makes attempts until there is an answer or a final refusal.
 func (c *callerCall) run() {
-	defer c.dropHedged()
+	defer c.abandonHedged()
 	defer c.retries.ReleaseTrialRetry()
-	step := c.retries.First()
+	step := c.retries.FirstStep()
 	for {
 		pause.For(c.context, step.Wait)
-		tried := c.attempt(step.Mark)
-		step = c.retries.Next(c.proxy.config.Clock(), tried.outcome)
+		tried := c.makeAttempt(step.Mark)
+		step = c.retries.NextStep(c.proxy.config.Clock(), tried.outcome)
 		c.traceAttempt(tried, step)
 		switch step.Action {
 		case retry.Send:
-			c.proxy.tally.retries.Add(1)
+			c.proxy.counters.retries.Add(1)
 			tried.end(c.proxy)
-			c.keep(tried)
+			c.keepFailureAnswer(tried)
 		case retry.Deliver:
 			if tried.outcome.Failed {
-				tried = c.betterAnswer(tried)
+				tried = c.preferHedgedAnswer(tried)
 			}
 			c.deliver(tried)
 			return
 		default:
 			tried.end(c.proxy)
-			if last := c.lastAnswer(); last != nil {
+			if last := c.fallbackAnswer(); last != nil {
 				c.deliver(last)
 				return
 			}
@@ -244,18 +244,18 @@
 
 // refuse gives the final refusal. A caller that has hung up gets none.
 func (c *callerCall) refuse(step retry.Step) {
-	refusal := Refusal{Code: step.Code, Ran: step.Ran, RetryAfter: step.RetryAfter, Detail: c.detail}
+	refusal := Refusal{Code: step.Code, Ran: step.Ran, RetryAfter: step.RetryAfter, Detail: c.attemptDetail}
 	switch {
 	case context.Cause(c.context) == errDrainBound:
 		refusal.Code = result.DrainBound
 	case c.context.Err() == context.DeadlineExceeded && step.Ran == result.RanUnknown:
 		refusal.Code = result.DeadlineInFlight // it was waited for until then
 	}
-	if stalled(c.body.problem()) && step.Ran == result.RanUnknown {
+	if isStallError(c.body.readFailure()) && step.Ran == result.RanUnknown {
 		refusal.Code = result.SlowPeer
 	}
 	if refusal.execution() == result.RanUnknown && c.proxy.config.Trace == nil {
-		c.proxy.event("call_unknown", codeField(refusal.Code),
+		c.proxy.logEvent("call_unknown", codeField(refusal.Code),
 			EventField{Key: "route", Value: c.route.Resource.Key().String()},
 			EventField{Key: "service", Value: c.serviceName})
 	}
@@ -265,30 +265,30 @@
 
 // deliver passes the answer on whole, or breaks the caller's connection.
 func (c *callerCall) deliver(tried *attempt) {
-	c.answering = true
+	c.answerStarted = true
 	passing := delivery{
-		writer: c.writer, control: c.control, stall: c.proxy.limits.StallTimeout,
-		answer: tried.exchange.answer, upload: c.body, extra: c.answerHeaders,
+		writer: c.writer, control: c.control, stallTimeout: c.proxy.limits.StallTimeout,
+		answer: tried.exchange.answer, upload: c.body, addHeaders: c.addCloseHeader,
 	}
-	passing.head()
-	err := passing.body()
+	passing.writeHead()
+	err := passing.streamBody()
 	if err != nil {
-		tried.evidence = endpoint.Broken
+		tried.endpointOutcome = endpoint.Broken
 		if c.request.Context().Err() != nil {
-			tried.evidence = endpoint.Cancelled
+			tried.endpointOutcome = endpoint.Cancelled
 		}
 	}
 	c.traceAnswer(tried, err)
 	tried.end(c.proxy)
 	if err != nil {
-		c.proxy.tally.aborted.Add(1)
+		c.proxy.counters.aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // answerHeaders asks callers to go elsewhere while the daemon is leaving.
-func (c *callerCall) answerHeaders(header http.Header) {
-	if c.proxy.closesAfter(c.request) {
+func (c *callerCall) addCloseHeader(header http.Header) {
+	if c.proxy.closesAfterAnswer(c.request) {
 		header.Set("Connection", "close")
 	}
 }
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -13,7 +13,7 @@
 // checkForm refuses requests that this proxy can't carry whole and unchanged.
 // Ambiguous framing can't come through: the library has parsed the one form,
 // and a new one is written for the next hop. What it can't parse it refuses.
-func (p *Proxy) checkForm(request *http.Request) (Refusal, bool) {
+func (p *Proxy) checkRequest(request *http.Request) (Refusal, bool) {
 	limits := p.RequestLimits()
 	switch {
 	case request.Method == http.MethodConnect, request.Header.Get("Upgrade") != "":
@@ -59,40 +59,40 @@
 }
 
 // headerOverhead is what a header line has besides its name and value.
-const headerOverhead = len(": \r\n")
+const headerLineOverhead = len(": \r\n")
 
 // headerBytes is about how many bytes the request line and headers had.
 func headerBytes(request *http.Request) int {
 	total := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
 		for _, value := range values {
-			total += len(name) + len(value) + headerOverhead
+			total += len(name) + len(value) + headerLineOverhead
 		}
 	}
 	return total
 }
 
 // place is the canonical host and path of a request.
-type place struct {
+type hostPath struct {
 	host string
 	path string
 }
 
 // locate finds the canonical host and path, or refuses the request.
-func locate(request *http.Request) (place, Refusal, bool) {
+func canonicalHostPath(request *http.Request) (hostPath, Refusal, bool) {
 	host, err := resource.CanonicalHost(request.Host)
 	if err != nil {
-		return place{}, Refusal{Code: result.RequestMalformed, Detail: "host: " + err.Error()}, false
+		return hostPath{}, Refusal{Code: result.RequestMalformed, Detail: "host: " + err.Error()}, false
 	}
 	path, err := resource.CanonicalPath(request.URL.EscapedPath())
 	if err != nil {
-		return place{}, Refusal{Code: result.RequestMalformed, Detail: "path: " + err.Error()}, false
+		return hostPath{}, Refusal{Code: result.RequestMalformed, Detail: "path: " + err.Error()}, false
 	}
-	return place{host: host, path: path}, Refusal{}, true
+	return hostPath{host: host, path: path}, Refusal{}, true
 }
 
 // statedTimeout reads headerTimeout; false means that none is stated.
-func statedTimeout(header http.Header) (time.Duration, bool) {
+func parseTimeout(header http.Header) (time.Duration, bool) {
 	text := header.Get(headerTimeout)
 	if text == "" {
 		return 0, false
--- a/internal/proxy/class_test.go
+++ b/internal/proxy/class_test.go
@@ -9,7 +9,7 @@
 )
 
 // A class that is malformed or out of range counts as none.
-func TestABadClassCountsAsNone(t *testing.T) {
+func TestInvalidClassIsParsedAsZero(t *testing.T) {
 	check := is.New(t)
 	check.Equal(parseClass("511"), callclass.Class(511))
 	for _, text := range []string{"", " ", "x", "-1", "512", "99999999999999999999"} {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -81,7 +81,7 @@
 	// Log takes one event; it must not block. Nil means no log.
 	Log func(Event)
 	// Trace takes the decisions that touch requests; nil for none.
-	Trace Trace
+	Trace Tracer
 	// Freshness tells, for the log of a refusal by the version in force, how that came and how
 	// fresh it is. Nil tells nothing.
 	Freshness func() []EventField
@@ -235,7 +235,7 @@
 	}
 }
 
-func orDefault[T comparable](value *T, fallback T) {
+func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
 		*value = fallback
@@ -245,34 +245,34 @@
 // withDefaults fills the zero fields.
 func (l Limits) withDefaults() Limits {
 	fallback := DefaultLimits()
-	orDefault(&l.HeaderBytes, fallback.HeaderBytes)
-	orDefault(&l.BodyBytes, fallback.BodyBytes)
-	orDefault(&l.Connections, fallback.Connections)
-	orDefault(&l.HeaderTimeout, fallback.HeaderTimeout)
-	orDefault(&l.IdleTimeout, fallback.IdleTimeout)
-	orDefault(&l.StallTimeout, fallback.StallTimeout)
-	orDefault(&l.DialTimeout, fallback.DialTimeout)
+	setDefault(&l.HeaderBytes, fallback.HeaderBytes)
+	setDefault(&l.BodyBytes, fallback.BodyBytes)
+	setDefault(&l.Connections, fallback.Connections)
+	setDefault(&l.HeaderTimeout, fallback.HeaderTimeout)
+	setDefault(&l.IdleTimeout, fallback.IdleTimeout)
+	setDefault(&l.StallTimeout, fallback.StallTimeout)
+	setDefault(&l.DialTimeout, fallback.DialTimeout)
 	l.DialLimit = max(l.DialLimit, l.DialTimeout)
-	orDefault(&l.UpstreamConnections, fallback.UpstreamConnections)
-	orDefault(&l.UpstreamIdle, fallback.UpstreamIdle)
-	orDefault(&l.BackendIdle, fallback.BackendIdle)
-	orDefault(&l.Prewarm, fallback.Prewarm)
-	orDefault(&l.AheadCalls, fallback.AheadCalls)
-	orDefault(&l.AheadInputBytes, fallback.AheadInputBytes)
-	orDefault(&l.AheadAnswerBytes, fallback.AheadAnswerBytes)
-	orDefault(&l.AheadHeldBytes, fallback.AheadHeldBytes)
-	orDefault(&l.ReplayBytes, fallback.ReplayBytes)
-	orDefault(&l.QueueLength, fallback.QueueLength)
-	orDefault(&l.QueueWait, fallback.QueueWait)
-	orDefault(&l.KeyWindow, fallback.KeyWindow)
-	orDefault(&l.KeyCount, fallback.KeyCount)
-	orDefault(&l.RequestWindow, fallback.RequestWindow)
-	orDefault(&l.RequestCount, fallback.RequestCount)
-	orDefault(&l.CancelWait, fallback.CancelWait)
-	orDefault(&l.HungWait, fallback.HungWait)
-	orDefault(&l.DrainLinger, fallback.DrainLinger)
-	orDefault(&l.DrainBound, fallback.DrainBound)
-	orDefault(&l.ProbePeriod, fallback.ProbePeriod)
-	orDefault(&l.ProbeTimeout, fallback.ProbeTimeout)
+	setDefault(&l.UpstreamConnections, fallback.UpstreamConnections)
+	setDefault(&l.UpstreamIdle, fallback.UpstreamIdle)
+	setDefault(&l.BackendIdle, fallback.BackendIdle)
+	setDefault(&l.Prewarm, fallback.Prewarm)
+	setDefault(&l.AheadCalls, fallback.AheadCalls)
+	setDefault(&l.AheadInputBytes, fallback.AheadInputBytes)
+	setDefault(&l.AheadAnswerBytes, fallback.AheadAnswerBytes)
+	setDefault(&l.AheadHeldBytes, fallback.AheadHeldBytes)
+	setDefault(&l.ReplayBytes, fallback.ReplayBytes)
+	setDefault(&l.QueueLength, fallback.QueueLength)
+	setDefault(&l.QueueWait, fallback.QueueWait)
+	setDefault(&l.KeyWindow, fallback.KeyWindow)
+	setDefault(&l.KeyCount, fallback.KeyCount)
+	setDefault(&l.RequestWindow, fallback.RequestWindow)
+	setDefault(&l.RequestCount, fallback.RequestCount)
+	setDefault(&l.CancelWait, fallback.CancelWait)
+	setDefault(&l.HungWait, fallback.HungWait)
+	setDefault(&l.DrainLinger, fallback.DrainLinger)
+	setDefault(&l.DrainBound, fallback.DrainBound)
+	setDefault(&l.ProbePeriod, fallback.ProbePeriod)
+	setDefault(&l.ProbeTimeout, fallback.ProbeTimeout)
 	return l
 }
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -52,10 +52,10 @@
 }
 
 // codeLimit bounds the codes that are counted one by one.
-const codeLimit = int(result.Internal) + 1
+const codeCount = int(result.Internal) + 1
 
 // tally is the counting behind Counters.
-type tally struct {
+type counterSet struct {
 	callerCalls atomic.Uint64
 	gateCalls   atomic.Uint64
 	attempts    atomic.Uint64
@@ -64,23 +64,23 @@
 	startWaits  atomic.Uint64
 	// ahead are the calls that ran ahead of their turn, aheadDepth the most that
 	// did on one connection at a time.
-	ahead      atomic.Uint64
+	ranAhead   atomic.Uint64
 	aheadDepth atomic.Int64
 	// answered are the calls that the back end answered well.
-	answered atomic.Uint64
-	refusals [codeLimit]atomic.Uint64
+	succeeded atomic.Uint64
+	refusals  [codeCount]atomic.Uint64
 	// backendEnds are the ends of the back end under calls.
 	backendEnds atomic.Uint64
 	// isolated are the calls that ran alone since their request was suspected.
-	isolated atomic.Uint64
+	isolatedCalls atomic.Uint64
 	// hungCalls are the calls that the back end was found never to answer.
 	hungCalls atomic.Uint64
 	// abandoned are the attempts that were ended before their answer.
-	abandoned abandonTally
+	abandoned abandonedCounts
 }
 
-func (t *tally) refused(code result.Code) {
-	if code >= 0 && int(code) < codeLimit {
+func (t *counterSet) recordRefusal(code result.Code) {
+	if code >= 0 && int(code) < codeCount {
 		t.refusals[code].Add(1)
 	}
 }
@@ -88,22 +88,22 @@
 // Counters returns the present counts.
 func (p *Proxy) Counters() Counters {
 	counters := Counters{
-		CallerCalls:   p.tally.callerCalls.Load(),
-		GateCalls:     p.tally.gateCalls.Load(),
-		Attempts:      p.tally.attempts.Load(),
-		Retries:       p.tally.retries.Load(),
-		Aborted:       p.tally.aborted.Load(),
-		StartWaits:    p.tally.startWaits.Load(),
-		Ahead:         p.tally.ahead.Load(),
-		AheadDepth:    int(p.tally.aheadDepth.Load()),
-		AheadBytes:    p.held.Bytes(),
-		CallerRunning: int(p.callersRunning.Load()),
+		CallerCalls:   p.counters.callerCalls.Load(),
+		GateCalls:     p.counters.gateCalls.Load(),
+		Attempts:      p.counters.attempts.Load(),
+		Retries:       p.counters.retries.Load(),
+		Aborted:       p.counters.aborted.Load(),
+		StartWaits:    p.counters.startWaits.Load(),
+		Ahead:         p.counters.ranAhead.Load(),
+		AheadDepth:    int(p.counters.aheadDepth.Load()),
+		AheadBytes:    p.heldAnswers.Used(),
+		CallerRunning: int(p.runningCallerCalls.Load()),
 		Refusals:      map[result.Code]uint64{},
-		Abandoned:     p.tally.abandoned.snapshot(),
+		Abandoned:     p.counters.abandoned.snapshot(),
 
-		BackendEnds:     p.tally.backendEnds.Load(),
-		IsolatedCalls:   p.tally.isolated.Load(),
-		HungCalls:       p.tally.hungCalls.Load(),
+		BackendEnds:     p.counters.backendEnds.Load(),
+		IsolatedCalls:   p.counters.isolatedCalls.Load(),
+		HungCalls:       p.counters.hungCalls.Load(),
 		HarmfulRequests: p.harmful.view.Load().Count(p.config.Clock()),
 	}
 	if p.gate != nil {
@@ -113,10 +113,10 @@
 		counters.GateQueued = load.Queued
 		counters.BodiesWaiting = int(p.transfers.waiting.Load())
 		counters.GateService = p.gate.MeanServiceTime()
-		counters.BackendOpen = p.backend.open.count()
+		counters.BackendOpen = p.backend.openConns.count()
 	}
-	for code := range p.tally.refusals {
-		if count := p.tally.refusals[code].Load(); count > 0 {
+	for code := range p.counters.refusals {
+		if count := p.counters.refusals[code].Load(); count > 0 {
 			counters.Refusals[result.Code(code)] = count
 		}
 	}
--- a/internal/proxy/dial_test.go
+++ b/internal/proxy/dial_test.go
@@ -8,7 +8,7 @@
 )
 
 // Connecting may take as long as answers of peers do lately, within bounds.
-func TestTheTimeToConnectFollowsRoundTrips(t *testing.T) {
+func TestDialTimeoutFollowsRoundTrip(t *testing.T) {
 	check := is.New(t)
 	roundTrip := time.Duration(0)
 	made := newUpstream("127.0.0.1:1", Limits{DialTimeout: 150 * time.Millisecond, DialLimit: 600 * time.Millisecond}, time.Second)
--- a/internal/proxy/division.go
+++ b/internal/proxy/division.go
@@ -11,7 +11,7 @@
 
 // Split says how the back ends of one service are divided: those of the target version
 // get what the stage allows.
-type Split struct {
+type VersionSplit struct {
 	Target string
 	Stage  rollout.Stage
 	// CanaryShare is the share of calls that canaries get.
@@ -19,11 +19,11 @@
 }
 
 // Splits are the divisions of services; those not named are not divided.
-type Splits map[resource.ServiceRef]Split
+type VersionSplits map[resource.ServiceRef]VersionSplit
 
 // sampledPart divides the calls of canaries: one part goes to any back end of the
 // target version, so that each is seen to work, the others to a few at full load.
-const sampledPart = 4
+const allCanariesDivisor = 4
 
 // canary is the share of calls that a target version gets, and where. The zero value
 // is none.
@@ -31,8 +31,8 @@
 	share float64
 	// few are as many back ends as the share loads like the stable ones; every one is
 	// all of the target version.
-	few   *endpoint.Set
-	every *endpoint.Set
+	fullLoad   *endpoint.Set
+	allTargets *endpoint.Set
 }
 
 // pool is where calls go in general, and the canaries that a share of them goes to instead.
@@ -43,13 +43,13 @@
 }
 
 // divide sets which endpoints calls go to by the stage of a roll-out.
-func (s *service) divide(split Split) {
-	s.set = s.all
+func (s *service) applySplit(split VersionSplit) {
+	s.set = s.allEndpoints
 	if split.Target == "" {
 		return
 	}
-	target := s.all.Filter(func(one *endpoint.Endpoint) bool { return one.Software == split.Target })
-	stable := s.all.Filter(func(one *endpoint.Endpoint) bool { return one.Software != split.Target })
+	target := s.allEndpoints.Filter(func(one *endpoint.Endpoint) bool { return one.Software == split.Target })
+	stable := s.allEndpoints.Filter(func(one *endpoint.Endpoint) bool { return one.Software != split.Target })
 	switch split.Stage {
 	case rollout.StageHeld:
 		if stable.UsableCount() > 0 {
@@ -77,42 +77,42 @@
 	count := max(1, int(share*float64(stable)))
 	chosen := ranked[:min(count, len(ranked))]
 	return canary{
-		share: share,
-		few:   target.Filter(func(one *endpoint.Endpoint) bool { return slices.Contains(chosen, one) }),
-		every: target,
+		share:      share,
+		fullLoad:   target.Filter(func(one *endpoint.Endpoint) bool { return slices.Contains(chosen, one) }),
+		allTargets: target,
 	}
 }
 
 // choose picks a canary for a share of the calls, and nil for the others. Both numbers
 // are uniform random ones.
 func (c canary) choose(now time.Duration, draw, random uint64) *endpoint.Endpoint {
-	if c.few == nil || c.few.UsableCount() == 0 {
+	if c.fullLoad == nil || c.fullLoad.UsableCount() == 0 {
 		return nil
 	}
 	point := float64(draw>>11) / (1 << 53) // 53 bits are a float64's fraction
 	if point >= c.share {
 		return nil
 	}
-	if point*sampledPart < c.share {
-		return c.every.Choose(now, random, nil)
+	if point*allCanariesDivisor < c.share {
+		return c.allTargets.Choose(now, random, nil)
 	}
-	return c.few.Choose(now, random, nil)
+	return c.fullLoad.Choose(now, random, nil)
 }
 
 // CountAnswers has the gate count the answers of its back end, or ends that.
-func (p *Proxy) CountAnswers(count bool) {
+func (p *Proxy) SetAnswerCounting(count bool) {
 	if count {
-		p.answers.Start()
+		p.rolloutAnswers.Start()
 		return
 	}
-	p.answers.Stop()
+	p.rolloutAnswers.Stop()
 }
 
 // Answers is what the gate has counted, and the calls that run or wait there.
-func (p *Proxy) Answers() (evidence rollout.Evidence, outstanding int) {
+func (p *Proxy) AnswerEvidence() (evidence rollout.Evidence, outstanding int) {
 	if p.gate == nil {
 		return nil, 0
 	}
 	load := p.gate.Load()
-	return p.answers.Evidence(), load.Running + load.Queued
+	return p.rolloutAnswers.Evidence(), load.Running + load.Queued
 }
--- a/internal/proxy/division_test.go
+++ b/internal/proxy/division_test.go
@@ -14,12 +14,12 @@
 )
 
 // versionedSet is a set of back ends of the old and the new version.
-func versionedSet(old, target int) *endpoint.Set {
-	return versionedSetIn(endpoint.Locality{}, old, target)
+func newVersionedSet(old, target int) *endpoint.Set {
+	return newVersionedSetFor(endpoint.Locality{}, old, target)
 }
 
 // versionedSetIn is the same for a chooser somewhere; the versions have a zone each.
-func versionedSetIn(self endpoint.Locality, old, target int) *endpoint.Set {
+func newVersionedSetFor(self endpoint.Locality, old, target int) *endpoint.Set {
 	var members []protocol.Member
 	var backends []resource.Backend
 	for index := range old + target {
@@ -38,7 +38,7 @@
 }
 
 // sentTo counts where calls go by version, and at how many back ends of the new one.
-func sentTo(divided *service, calls int) (byVersion map[string]int, targets map[string]int) {
+func countByVersion(divided *service, calls int) (byVersion map[string]int, targets map[string]int) {
 	random := rand.New(rand.NewPCG(1, 2))
 	byVersion, targets = map[string]int{}, map[string]int{}
 	for range calls {
@@ -58,9 +58,9 @@
 	return byVersion, targets
 }
 
-func divided(old, target int, stage rollout.Stage) *service {
-	made := &service{all: versionedSet(old, target)}
-	made.divide(Split{Target: "v2", Stage: stage, CanaryShare: 0.07})
+func newSplitService(old, target int, stage rollout.Stage) *service {
+	made := &service{allEndpoints: newVersionedSet(old, target)}
+	made.applySplit(VersionSplit{Target: "v2", Stage: stage, CanaryShare: 0.07})
 	return made
 }
 
@@ -69,7 +69,7 @@
 func TestCanariesGetTheirShare(t *testing.T) {
 	check := is.New(t)
 	const calls = 20000
-	byVersion, targets := sentTo(divided(40, 40, rollout.StageCanary), calls)
+	byVersion, targets := countByVersion(newSplitService(40, 40, rollout.StageCanary), calls)
 	check.True(byVersion["v2"] > calls*6/100)
 	check.True(byVersion["v2"] < calls*8/100)
 	check.Equal(len(targets), 40)
@@ -82,7 +82,7 @@
 	check.Equal(many, 2) // 0.07 of 40
 }
 
-func TestEachStageSendsCallsWhereItSays(t *testing.T) {
+func TestRolloutStageSelectsVersion(t *testing.T) {
 	check := is.New(t)
 	for _, given := range []struct {
 		stage       rollout.Stage
@@ -96,17 +96,17 @@
 		{rollout.StageRolledBack, 4, 4, "v1"}, {rollout.StageRolledBack, 0, 4, "none"},
 		{rollout.StageCompleted, 4, 4, "v2"}, {rollout.StageCompleted, 4, 0, "v1"},
 	} {
-		byVersion, _ := sentTo(divided(given.old, given.target, given.stage), 100)
+		byVersion, _ := countByVersion(newSplitService(given.old, given.target, given.stage), 100)
 		check.Equal(byVersion, map[string]int{given.wanted: 100}) // stage by stage
 	}
 }
 
 // A service without an order is not divided.
-func TestAServiceWithoutOrderIsNotDivided(t *testing.T) {
+func TestServiceWithoutTargetVersionIsNotSplit(t *testing.T) {
 	check := is.New(t)
-	made := &service{all: versionedSet(3, 3)}
-	made.divide(Split{})
-	check.True(made.set == made.all)
-	byVersion, _ := sentTo(made, 600)
+	made := &service{allEndpoints: newVersionedSet(3, 3)}
+	made.applySplit(VersionSplit{})
+	check.True(made.set == made.allEndpoints)
+	byVersion, _ := countByVersion(made, 600)
 	check.True(byVersion["v2"] > 200)
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -44,7 +44,7 @@
 	if !p.limits.GateLingers {
 		p.closeGate()
 	}
-	go p.awaitDrained()
+	go p.runDrain()
 }
 
 func (p *Proxy) closeGate() {
@@ -59,23 +59,23 @@
 
 // timeUntilCut bounds the time of a call that comes while the daemon drains: gates are
 // told no more than that, and refuse at once what can't end by then.
-func (p *Proxy) timeUntilCut(timeout time.Duration) time.Duration {
+func (p *Proxy) limitTimeoutByDrain(timeout time.Duration) time.Duration {
 	now := p.config.Clock()
-	return max(0, p.untilCut(now+timeout)-now)
+	return max(0, p.limitDeadlineByDrain(now+timeout)-now)
 }
 
 // untilCut is the earlier of a time and the drain's hard bound, both on the clock. The gate
 // admits calls by it while the daemon drains, so that one which can't end by then goes
 // elsewhere rather than wait here. It does not end the call: what is cut at the bound is
 // repeated elsewhere if it may be, and its back end is not blamed.
-func (p *Proxy) untilCut(deadline time.Duration) time.Duration {
+func (p *Proxy) limitDeadlineByDrain(deadline time.Duration) time.Duration {
 	if !p.drain.started.Load() {
 		return deadline
 	}
 	return min(deadline, time.Duration(p.drain.cutAt.Load()))
 }
 
-func (p *Proxy) awaitDrained() {
+func (p *Proxy) runDrain() {
 	linger := time.NewTimer(p.limits.DrainLinger)
 	defer linger.Stop()
 	bound := time.NewTimer(p.limits.DrainBound)
@@ -88,14 +88,14 @@
 		return
 	}
 	p.drain.refusing.Store(true)
-	p.starting.publish() // what waits for the start is refused now
+	p.starting.wakeAll() // what waits for the start is refused now
 	p.closeGate()
-	for p.running() > 0 {
+	for p.runningCalls() > 0 {
 		select {
 		case <-p.drain.idle:
 		case <-bound.C:
-			p.event("drain_bound")
-			p.connections.cut(errDrainBound)
+			p.logEvent("drain_bound")
+			p.connections.cancelAll(errDrainBound)
 			return
 		case <-p.closed:
 			return
@@ -103,14 +103,14 @@
 	}
 }
 
-func (p *Proxy) running() int64 {
-	return p.callersRunning.Load() + p.gateRunning.Load()
+func (p *Proxy) runningCalls() int64 {
+	return p.runningCallerCalls.Load() + p.runningGateCalls.Load()
 }
 
 // leave counts the end of a call.
-func (p *Proxy) leave(counter *atomic.Int64) {
+func (p *Proxy) endCall(counter *atomic.Int64) {
 	counter.Add(-1)
-	if p.drain.started.Load() && p.running() == 0 {
+	if p.drain.started.Load() && p.runningCalls() == 0 {
 		select {
 		case p.drain.idle <- struct{}{}:
 		default:
@@ -120,27 +120,27 @@
 
 // connections are the open connections of both listeners. They are entered and
 // left once a connection, not once a call.
-type connections struct {
+type connectionContexts struct {
 	cancels sync.Map // of net.Conn to context.CancelCauseFunc
 }
 
 // open returns the context of a connection, which cut cancels.
-func (c *connections) open(ctx context.Context, conn net.Conn) context.Context {
+func (c *connectionContexts) addConn(ctx context.Context, conn net.Conn) context.Context {
 	bounded, cancel := context.WithCancelCause(ctx)
 	c.cancels.Store(conn, cancel)
 	bound := context.WithValue(bounded, connKey{}, conn)
-	if counted, known := conn.(*countedConn); known && counted.ahead != nil {
-		counted.ahead.Bind(bound)
+	if counted, known := conn.(*countedConn); known && counted.pipelined != nil {
+		counted.pipelined.Bind(bound)
 	}
 	return bound
 }
 
 // change follows the state of a connection.
-func (c *connections) change(conn net.Conn, state http.ConnState) {
+func (c *connectionContexts) onStateChange(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateIdle:
 		if counted, known := conn.(*countedConn); known {
-			counted.finished()
+			counted.endCall()
 		}
 	case http.StateClosed, http.StateHijacked:
 		if cancel, found := c.cancels.LoadAndDelete(conn); found {
@@ -150,7 +150,7 @@
 }
 
 // cut cancels the calls on all connections.
-func (c *connections) cut(cause error) {
+func (c *connectionContexts) cancelAll(cause error) {
 	c.cancels.Range(func(_, cancel any) bool {
 		cancel.(context.CancelCauseFunc)(cause)
 		return true
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -21,12 +21,12 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-func TestDrainOfAGateLosesNothing(t *testing.T) {
+func TestGateDrainLosesNoCall(t *testing.T) {
 	check := is.New(t)
-	backend := newBlocking()
+	backend := newBlockingBackend()
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{limits: Limits{DrainLinger: time.Millisecond}}, backend.spec(), counting(&runs))
-	running := make(chan answered)
+	mesh := startMesh(t, meshOptions{limits: Limits{DrainLinger: time.Millisecond}}, backend.spec(), countingBackend(&runs))
+	running := make(chan callResult)
 	started := 0
 	for entered := false; !entered; started++ {
 		go func() { running <- mesh.call(t, "POST", "/", "x") }()
@@ -52,12 +52,12 @@
 	<-mesh.gates[0].Drained()
 }
 
-func TestDrainBoundCutsWithItsCode(t *testing.T) {
+func TestCallCutAtDrainBoundGetsDrainBoundCode(t *testing.T) {
 	check := is.New(t)
-	backend := newBlocking()
+	backend := newBlockingBackend()
 	limits := Limits{DrainLinger: time.Millisecond, DrainBound: 20 * time.Millisecond}
 	mesh := startMesh(t, meshOptions{limits: limits}, backend.spec())
-	running := make(chan answered)
+	running := make(chan callResult)
 	go func() { running <- mesh.call(t, "POST", "/", "x") }()
 	<-backend.entered
 	mesh.gates[0].StartDrain()
@@ -68,15 +68,15 @@
 	expectRefusal(check, mesh.call(t, "POST", "/", "x"), result.Draining, result.RanNo)
 }
 
-func TestBackEndsOwnDrainSignal(t *testing.T) {
+func TestBackendDrainSignalStopsCalls(t *testing.T) {
 	check := is.New(t)
 	var draining atomic.Bool
 	var runs atomic.Int64
 	states := make(chan protocol.EndpointState, 16)
 	options := meshOptions{
-		limits: Limits{ProbePeriod: time.Millisecond},
-		spec:   resource.Service{HealthPath: "/-/health", LoadPath: "/-/load"},
-		state:  func(state protocol.EndpointState) { states <- state },
+		limits:         Limits{ProbePeriod: time.Millisecond},
+		service:        resource.Service{HealthPath: "/-/health", LoadPath: "/-/load"},
+		onBackendState: func(state protocol.EndpointState) { states <- state },
 	}
 	mesh := startMesh(t, options, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		switch request.URL.Path {
@@ -95,7 +95,7 @@
 	draining.Store(true)
 	check.Equal(<-states, protocol.EndpointDraining)
 	expectRefusal(check, mesh.call(t, "POST", "/", "x"), result.Draining, result.RanNo)
-	own, _ := mesh.gates[0].health.ownLoad()
+	own, _ := mesh.gates[0].health.backendLoad()
 	check.Equal(own, 2.5)
 	draining.Store(false)
 	check.Equal(<-states, protocol.EndpointReady)
@@ -107,11 +107,11 @@
 
 // TestIdleConnectionIsRetiredTruly: a server that stops announces the close on
 // idle connections, and runs nothing that was still sent on them.
-func TestIdleConnectionIsRetiredTruly(t *testing.T) {
+func TestShutdownRunsNothingOnIdleConnection(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
-	listener := listen(t)
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
+	listener := listenLoopback(t)
 	server := NewServer(mesh.caller.CallerHandler(), Limits{})
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
@@ -142,12 +142,12 @@
 
 // TestStopUnderLoadLeavesNoDoubt stops servers under calls that may not be
 // repeated. Each is answered, or refused as not run: none is in doubt.
-func TestStopUnderLoadLeavesNoDoubt(t *testing.T) {
+func TestShutdownUnderLoadLeavesNoCallUnknown(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	for range 10 {
-		listener := listen(t)
+		listener := listenLoopback(t)
 		server := NewServer(mesh.caller.CallerHandler(), Limits{})
 		go func() { _ = server.Serve(listener) }()
 		var answered, doubtful atomic.Int64
@@ -187,10 +187,10 @@
 
 // TestADrainingGateAdmitsByItsBound: a call that would wait at a gate beyond the bound
 // of its drain is refused there as not run, though it has time left, and goes elsewhere.
-func TestADrainingGateAdmitsByItsBound(t *testing.T) {
+func TestDrainingGateLimitsAdmissionDeadline(t *testing.T) {
 	check := is.New(t)
 	const bound = 2 * time.Second
-	backend := newBlocking()
+	backend := newBlockingBackend()
 	limits := Limits{GateLingers: true, DrainLinger: time.Second, DrainBound: bound}
 	mesh := startMesh(t, meshOptions{slots: 1, limits: limits}, backend.spec())
 	gate := mesh.gates[0]
@@ -206,7 +206,7 @@
 
 // drainedUnder has a call run at a gate that drains, and returns what the caller gets when
 // the gate's bound has passed. Failed counts what the back ends are blamed for.
-func drainedUnder(t *testing.T, failed *atomic.Int64) answered {
+func callCutByDrain(t *testing.T, failed *atomic.Int64) callResult {
 	t.Helper()
 	limits := Limits{GateLingers: true, DrainLinger: 200 * time.Millisecond, DrainBound: 300 * time.Millisecond}
 	began := make(chan struct{}, 9)
@@ -215,13 +215,13 @@
 		<-request.Context().Done()
 	}}
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{limits: limits}, slow, counting(&runs))
+	mesh := startMesh(t, meshOptions{limits: limits}, slow, countingBackend(&runs))
 	for _, gate := range mesh.gates {
 		gate.config.OnBackendFailed = func(protocol.BackendStart, uint64) { failed.Add(1) }
 	}
 	mesh.gates[0].StartDrain()
 	for {
-		got := make(chan answered, 1)
+		got := make(chan callResult, 1)
 		go func() { got <- mesh.call(t, "GET", "/", "") }()
 		select {
 		case one := <-got:
@@ -236,16 +236,16 @@
 
 // What a draining gate cuts at its bound, though the call has time left, may be repeated:
 // it is no deadline of the call's.
-func TestWhatADrainingGateCutsIsSentElsewhere(t *testing.T) {
+func TestCallCutByDrainingGateIsRetried(t *testing.T) {
 	var failed atomic.Int64
-	got := drainedUnder(t, &failed)
+	got := callCutByDrain(t, &failed)
 	t.Log(got.status, got.code(), got.ran(), got.body)
 	is.New(t).Equal(got.status, http.StatusOK)
 }
 
 // A back end is not blamed for what the gate's own drain has cut.
-func TestABackEndIsNotBlamedForADrain(t *testing.T) {
+func TestDrainCutIsNotABackendFailure(t *testing.T) {
 	var failed atomic.Int64
-	_ = drainedUnder(t, &failed)
+	_ = callCutByDrain(t, &failed)
 	is.New(t).Equal(failed.Load(), int64(0))
 }
--- a/internal/proxy/edge.go
+++ b/internal/proxy/edge.go
@@ -40,12 +40,12 @@
 
 // Reasons for which an answer of a back end is not taken.
 const (
-	errForeignAnswer  = errors.ConstError("the answer names another request")
-	errUnsignedAnswer = errors.ConstError("the answer of success is not signed")
+	errAnswerIDMismatch = errors.ConstError("the answer names another request")
+	errUnsignedAnswer   = errors.ConstError("the answer of success is not signed")
 )
 
 // statedDeadline reads what a caller says is left of its time.
-func (e *Edge) statedDeadline(header http.Header) (time.Duration, bool) {
+func (e *Edge) parseTimeLeft(header http.Header) (time.Duration, bool) {
 	milliseconds, err := strconv.ParseInt(header.Get(e.Deadline), 10, 32)
 	if err != nil || milliseconds < 0 {
 		return 0, false
@@ -58,14 +58,14 @@
 	wanted := sent.Get(e.RequestID)
 	echoed := answer.Header.Get(e.RequestID)
 	switch {
-	case e.notExecuted(answer):
+	case e.isNotExecuted(answer):
 		if echoed != "" && echoed != wanted {
-			return errForeignAnswer
+			return errAnswerIDMismatch
 		}
 		return nil
 	case wanted != "" && echoed != wanted:
-		return errForeignAnswer
-	case success(answer.StatusCode) && answer.Header.Get(e.Signature) == "":
+		return errAnswerIDMismatch
+	case isSuccess(answer.StatusCode) && answer.Header.Get(e.Signature) == "":
 		return errUnsignedAnswer
 	}
 	return nil
@@ -73,15 +73,17 @@
 
 // notExecuted tells whether an answer is the back end's word that it did not
 // run the request.
-func (e *Edge) notExecuted(answer *http.Response) bool {
+func (e *Edge) isNotExecuted(answer *http.Response) bool {
 	return answer.Header.Get(e.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 }
 
-func success(status int) bool { return status >= http.StatusOK && status < http.StatusMultipleChoices }
+func isSuccess(status int) bool {
+	return status >= http.StatusOK && status < http.StatusMultipleChoices
+}
 
 // HeldCalls reads how many calls a back end says to hold, of the header Load; false when it
 // does not tell.
-func HeldCalls(text string) (int, bool) {
+func ParseHeldCalls(text string) (int, bool) {
 	const fields = 3
 	parts := strings.Split(text, ",")
 	if len(parts) != fields {
@@ -100,7 +102,7 @@
 
 // status is the HTTP status of a refusal towards callers of the platform, to
 // whom 503 promises that the request has not run and never will.
-func (e *Edge) status(refusal Refusal) int {
+func (e *Edge) refusalStatus(refusal Refusal) int {
 	if refusal.Status != 0 {
 		return refusal.Status
 	}
@@ -138,7 +140,7 @@
 
 // verbatimHost is the host that routes are matched by: in lower case and
 // without a port.
-func verbatimHost(host string) string {
+func routingHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
 	}
--- a/internal/proxy/ended.go
+++ b/internal/proxy/ended.go
@@ -28,7 +28,7 @@
 	// endGather is how long calls are gathered that were at work on a back end as it ended.
 	// Their connections break in the same moment; it allows for the scheduling of the
 	// goroutines that read them.
-	endGather = 5 * time.Millisecond
+	endGatherTime = 5 * time.Millisecond
 )
 
 // backendEnds finds out whether the back end has ended when connections to it break under
@@ -39,7 +39,7 @@
 	newest *backendEnd
 	// answeredBefore is how many calls were answered well before the software version came
 	// that runs now.
-	answeredBefore atomic.Uint64
+	succeededBeforeVersion atomic.Uint64
 }
 
 // backendEnd is one moment at which connections to an instance broke.
@@ -47,46 +47,46 @@
 	// start is the start of the instance, which may start again under its name.
 	start protocol.BackendStart
 	// settled is closed when ended is known and all calls have been gathered.
-	settled chan struct{}
-	ended   bool
+	resolved chan struct{}
+	ended    bool
 	// atWork are the calls whose connections broke; guarded by the mutex until settled.
-	atWork []*gateCall
+	interruptedCalls []*gateCall
 	// suspected are the requests that the end is put down to.
-	suspected map[quarantine.Signature]bool
+	suspectedRequests map[quarantine.Signature]bool
 }
 
 // awaitEnd waits, after the connection of the call broke before an answer, until it is known
 // whether the instance has ended: some 5 ms, endDialTimeout where nothing answers. It
 // returns the start if it has and this call is suspected of it, and else nothing.
-func (c *gateCall) awaitEnd() string {
-	end := c.proxy.gatherEnd(c)
-	<-end.settled
+func (c *gateCall) awaitSuspectedEnd() string {
+	end := c.proxy.addInterruptedCall(c)
+	<-end.resolved
 	signature, signed := c.signature()
-	if !end.ended || !signed || !end.suspected[signature] {
+	if !end.ended || !signed || !end.suspectedRequests[signature] {
 		return ""
 	}
 	return end.start.String()
 }
 
 // gatherEnd adds a call to the moment at which its connection broke.
-func (p *Proxy) gatherEnd(call *gateCall) *backendEnd {
-	p.ends.mutex.Lock()
-	end := p.ends.newest
+func (p *Proxy) addInterruptedCall(call *gateCall) *backendEnd {
+	p.backendEnds.mutex.Lock()
+	end := p.backendEnds.newest
 	if end == nil || end.start != call.start {
-		end = &backendEnd{start: call.start, settled: make(chan struct{})}
-		p.ends.newest = end
-		go p.settleEnd(end)
+		end = &backendEnd{start: call.start, resolved: make(chan struct{})}
+		p.backendEnds.newest = end
+		go p.resolveEnd(end)
 	}
-	if !end.isSettled() {
-		end.atWork = append(end.atWork, call)
+	if !end.isResolved() {
+		end.interruptedCalls = append(end.interruptedCalls, call)
 	}
-	p.ends.mutex.Unlock()
+	p.backendEnds.mutex.Unlock()
 	return end
 }
 
-func (e *backendEnd) isSettled() bool {
+func (e *backendEnd) isResolved() bool {
 	select {
-	case <-e.settled:
+	case <-e.resolved:
 		return true
 	default:
 		return false
@@ -94,54 +94,54 @@
 }
 
 // settleEnd finds out whether an instance has ended.
-func (p *Proxy) settleEnd(end *backendEnd) {
+func (p *Proxy) resolveEnd(end *backendEnd) {
 	ended := p.gate.RefusalCode() != result.Draining && refusesConnections(p.connectToBackend)
 	if ended {
-		time.Sleep(endGather)
+		time.Sleep(endGatherTime)
 	}
-	p.ends.mutex.Lock()
-	defer p.ends.mutex.Unlock()
+	p.backendEnds.mutex.Lock()
+	defer p.backendEnds.mutex.Unlock()
 	end.ended = ended
 	if ended {
-		p.tally.backendEnds.Add(1)
-		p.suspectOf(end)
+		p.counters.backendEnds.Add(1)
+		p.attributeEnd(end)
 		p.logEnd(end)
 	} else {
-		p.ends.newest = nil // the next broken call asks anew
+		p.backendEnds.newest = nil // the next broken call asks anew
 	}
-	end.atWork = nil // their requests and bodies are not kept for it
-	close(end.settled)
+	end.interruptedCalls = nil // their requests and bodies are not kept for it
+	close(end.resolved)
 }
 
 // suspectOf puts an end down to the requests that were at work; which of them did it follows
 // from all ends that they were at work at (quarantine.Table). A software version that has
 // never answered anything here may be unable to, whatever it runs: its ends speak of no
 // request.
-func (p *Proxy) suspectOf(end *backendEnd) {
-	end.suspected = map[quarantine.Signature]bool{}
-	if !p.softwareHasAnswered() {
+func (p *Proxy) attributeEnd(end *backendEnd) {
+	end.suspectedRequests = map[quarantine.Signature]bool{}
+	if !p.hasVersionAnswered() {
 		return
 	}
 	unknown := false
 	trials := map[quarantine.Signature]uint32{}
-	for _, call := range end.atWork {
+	for _, call := range end.interruptedCalls {
 		signature, signed := call.signature()
 		if signed {
-			end.suspected[signature] = true
+			end.suspectedRequests[signature] = true
 			trials[signature] = max(trials[signature], call.trial)
 		}
 		unknown = unknown || !signed
 	}
 	if unknown {
-		p.harmful.noteUnknownAtEnd(end.start.String())
+		p.harmful.recordUnidentified(end.start.String())
 	}
-	p.harmful.noteEndedIn(trials, end.start.String(), lo.Keys(end.suspected)...)
+	p.harmful.recordEndInTrials(trials, end.start.String(), lo.Keys(end.suspectedRequests)...)
 }
 
 // softwareHasAnswered tells whether the software version that runs, or ran last, has answered
 // a call well at this gate.
-func (p *Proxy) softwareHasAnswered() bool {
-	return p.tally.answered.Load() > p.ends.answeredBefore.Load()
+func (p *Proxy) hasVersionAnswered() bool {
+	return p.counters.succeeded.Load() > p.backendEnds.succeededBeforeVersion.Load()
 }
 
 // refusesConnections tells whether nothing listens where a connection is opened and closed. A
@@ -179,15 +179,15 @@
 
 // logEnd writes that an instance has ended, and a line for each call that was at work there.
 func (p *Proxy) logEnd(end *backendEnd) {
-	p.event("backend_ended", textField("backend", end.start.Instance), bornField(end.start), textField("at_work", number(len(end.atWork))))
-	for _, call := range end.atWork {
+	p.logEvent("backend_ended", textField("backend", end.start.Instance), bornField(end.start), textField("at_work", formatInt(len(end.interruptedCalls))))
+	for _, call := range end.interruptedCalls {
 		signature, _ := call.signature()
-		p.event("call_at_end", textField("backend", end.start.Instance), bornField(end.start),
+		p.logEvent("call_at_end", textField("backend", end.start.Instance), bornField(end.start),
 			textField("request", p.requestID(call.request.Header)),
 			textField("signature", signature.String()),
-			textField("suspected", strconv.FormatBool(end.suspected[signature])),
-			textField("trial", number(int(call.trial))),
+			textField("suspected", strconv.FormatBool(end.suspectedRequests[signature])),
+			textField("trial", formatInt(int(call.trial))),
 			textField("method", call.request.Method),
-			textField("caller", call.caller()))
+			textField("caller", call.callerService()))
 	}
 }
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -19,15 +19,15 @@
 )
 
 // atWorkOn is the end of an instance beside a proxy under calls of some targets.
-func atWorkOn(proxy *Proxy, instance string, targets ...string) *backendEnd {
-	end := &backendEnd{start: protocol.BackendStart{Instance: instance}, settled: make(chan struct{})}
+func newBackendEnd(proxy *Proxy, instance string, targets ...string) *backendEnd {
+	end := &backendEnd{start: protocol.BackendStart{Instance: instance}, resolved: make(chan struct{})}
 	for _, target := range targets {
-		end.atWork = append(end.atWork, &gateCall{proxy: proxy, request: gateRequest(target)})
+		end.interruptedCalls = append(end.interruptedCalls, &gateCall{proxy: proxy, request: newGetRequest(target)})
 	}
 	return end
 }
 
-func gateRequest(target string) *http.Request {
+func newGetRequest(target string) *http.Request {
 	request, err := http.NewRequest(http.MethodGet, "http://app.example"+target, nil)
 	if err != nil {
 		panic(err) // targets are the tests' own
@@ -36,51 +36,51 @@
 	return request
 }
 
-func signatureAt(proxy *Proxy, target string) quarantine.Signature {
-	signature, _ := (&gateCall{proxy: proxy, request: gateRequest(target)}).signature()
+func signatureOf(proxy *Proxy, target string) quarantine.Signature {
+	signature, _ := (&gateCall{proxy: proxy, request: newGetRequest(target)}).signature()
 	return signature
 }
 
 // beliefsAfter are the beliefs of some targets after an end.
-func beliefsAfter(proxy *Proxy, end *backendEnd, targets ...string) string {
-	proxy.suspectOf(end)
+func statesAfterEnd(proxy *Proxy, end *backendEnd, targets ...string) string {
+	proxy.attributeEnd(end)
 	beliefs := lo.Map(targets, func(target string, _ int) string {
-		return proxy.HarmfulBelief(signatureAt(proxy, target)).String()
+		return proxy.HarmfulBelief(signatureOf(proxy, target)).String()
 	})
 	return strings.Join(beliefs, " ")
 }
 
-func newEndsProxy(t *testing.T) *Proxy {
+func newProxyWithAnswers(t *testing.T) *Proxy {
 	t.Helper()
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
 	t.Cleanup(proxy.Close)
-	proxy.tally.answered.Store(1)
+	proxy.counters.succeeded.Store(1)
 	return proxy
 }
 
 // An end may be of any request that was at work; once one explains enough of them, the
 // others are trusted again.
-func TestAnEndIsPutDownToWhatMayHaveDoneIt(t *testing.T) {
+func TestEndIsAttributedToInterruptedRequests(t *testing.T) {
 	check := is.New(t)
-	proxy := newEndsProxy(t)
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "1", "/a", "/b", "/a"), "/a", "/b"), "suspected suspected")
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "2", "/a", "/c"), "/a", "/b", "/c"), "suspected suspected suspected")
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "3", "/a"), "/a", "/b", "/c"), "held trusted trusted")
+	proxy := newProxyWithAnswers(t)
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a", "/b", "/a"), "/a", "/b"), "suspected suspected")
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a", "/c"), "/a", "/b", "/c"), "suspected suspected suspected")
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "3", "/a"), "/a", "/b", "/c"), "held trusted trusted")
 }
 
 // A software version that has answered nothing may be unable to, so that its ends speak of
 // no request, until it has.
-func TestEndsOfAVersionThatAnswersNothingBlameNoRequest(t *testing.T) {
+func TestEndsOfVersionWithoutAnswersSuspectNoRequest(t *testing.T) {
 	check := is.New(t)
-	proxy := newEndsProxy(t)
-	proxy.ends.answeredBefore.Store(proxy.tally.answered.Load())
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "1", "/a"), "/a"), "trusted")
-	proxy.tally.answered.Add(1)
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "2", "/a"), "/a"), "suspected")
+	proxy := newProxyWithAnswers(t)
+	proxy.backendEnds.succeededBeforeVersion.Store(proxy.counters.succeeded.Load())
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a"), "/a"), "trusted")
+	proxy.counters.succeeded.Add(1)
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a"), "/a"), "suspected")
 }
 
 // A back end that takes connections, or says nothing, has not ended.
-func TestOnlyARefusedConnectionIsAnEnd(t *testing.T) {
+func TestRefusesConnectionsOnlyWithoutListener(t *testing.T) {
 	check := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	check.NoErr(err)
@@ -90,14 +90,14 @@
 }
 
 // What others know of a request in addition reaches those who have heard of its first end.
-func TestADaemonTellsThatItsBackEndHasAnsweredARequest(t *testing.T) {
+func TestFamiliarRequestIsReportedToPeers(t *testing.T) {
 	check := is.New(t)
 	told := make(chan bool, 8)
-	one := newEndsProxy(t)
+	one := newProxyWithAnswers(t)
 	other := New(Config{Clock: testClock, NodeID: "other", OnHarmful: func(urgent bool) { told <- urgent }})
 	t.Cleanup(other.Close)
-	other.harmful.noteAnswered(signatureAt(other, "/often"))
-	one.suspectOf(atWorkOn(one, "i", "/often"))
+	other.harmful.recordAnswered(signatureOf(other, "/often"))
+	one.attributeEnd(newBackendEnd(one, "i", "/often"))
 	check.Equal(other.MergeHarmful(one.UntoldHarmful(), false), 0)
 	check.Equal(<-told, false)
 	records := other.UntoldHarmful()
@@ -106,10 +106,10 @@
 	check.Equal(len(other.UntoldHarmful()), 0) // told once
 	one.MergeHarmful(records, false)
 	check.Equal(one.HarmfulSum(), other.HarmfulSum())
-	other.harmful.noteAnswered(signatureAt(other, "/often"))
+	other.harmful.recordAnswered(signatureOf(other, "/often"))
 	check.Equal(<-told, true)
 	one.MergeHarmful(other.UntoldHarmful(), false)
-	check.Equal(one.HarmfulBelief(signatureAt(one, "/often")), quarantine.Trusted)
+	check.Equal(one.HarmfulBelief(signatureOf(one, "/often")), quarantine.Trusted)
 }
 
 // BenchmarkUnsuspected is what a call pays at its entry and its gate while nothing is known
@@ -117,19 +117,19 @@
 func BenchmarkUnsuspected(b *testing.B) {
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
 	b.Cleanup(proxy.Close)
-	call := &gateCall{proxy: proxy, request: gateRequest("/orders/17?full=1")}
+	call := &gateCall{proxy: proxy, request: newGetRequest("/orders/17?full=1")}
 	entry := &callerCall{proxy: proxy, request: call.request}
 	b.Run("entry", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			entry.belief()
+			entry.quarantineState()
 		}
 	})
 	b.Run("gate", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			_, _ = call.awaitTurn()
-			call.noteAnswered(http.StatusOK)
+			_, _ = call.awaitSuspectTurn()
+			call.recordSuccess(http.StatusOK)
 		}
 	})
 }
@@ -137,15 +137,15 @@
 // Two harmful requests that wait for their turn at one gate run one after the other.
 func TestSuspectedCallsRunOneAtATime(t *testing.T) {
 	check := is.New(t)
-	proxy := newEndsProxy(t)
-	proxy.suspectOf(atWorkOn(proxy, "1", "/a", "/b"))
-	first := &gateCall{proxy: proxy, request: gateRequest("/a"), context: t.Context()}
-	second := &gateCall{proxy: proxy, request: gateRequest("/b"), context: t.Context()}
-	_, passed := first.awaitTurn()
+	proxy := newProxyWithAnswers(t)
+	proxy.attributeEnd(newBackendEnd(proxy, "1", "/a", "/b"))
+	first := &gateCall{proxy: proxy, request: newGetRequest("/a"), context: t.Context()}
+	second := &gateCall{proxy: proxy, request: newGetRequest("/b"), context: t.Context()}
+	_, passed := first.awaitSuspectTurn()
 	check.True(passed)
 	started := make(chan bool)
 	go func() {
-		_, passed := second.awaitTurn()
+		_, passed := second.awaitSuspectTurn()
 		started <- passed
 	}()
 	select {
@@ -154,13 +154,13 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	for _, instance := range []string{"2", "3"} {
-		proxy.harmful.noteEnded(instance, signatureAt(proxy, "/b")) // it is held meanwhile
+		proxy.harmful.recordEnd(instance, signatureOf(proxy, "/b")) // it is held meanwhile
 	}
-	first.endTurn()
+	first.releaseSuspectTurn()
 	check.True(!<-started)
 }
 
-func TestABackEndHasEndedOnlyWhereNothingListens(t *testing.T) {
+func TestRefusesConnectionsByDialResult(t *testing.T) {
 	late := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
@@ -188,16 +188,16 @@
 }
 
 // newSlotsProxy is a proxy whose gate has some slots.
-func newSlotsProxy(t *testing.T) *Proxy {
+func newProxyWithSlots(t *testing.T) *Proxy {
 	t.Helper()
-	proxy := newEndsProxy(t)
+	proxy := newProxyWithAnswers(t)
 	proxy.gate = admission.New(testClock(), admission.Config{Slots: 3, KeyWindow: time.Minute, KeyCount: 16})
 	proxy.gate.SetColdLimit(testClock(), 0, false)
 	return proxy
 }
 
 // slotOf has a call hold a slot of its gate.
-func slotOf(t *testing.T, call *gateCall) *gateCall {
+func admitToSlot(t *testing.T, call *gateCall) *gateCall {
 	t.Helper()
 	call.deadline = call.proxy.config.Clock() + time.Minute
 	call.ticket = admission.NewTicket(admission.Call{Deadline: call.deadline}, nil)
@@ -207,16 +207,16 @@
 
 // A request that may be held at its next end runs alone, so that this end costs no other call
 // and speaks against no other request.
-func TestACallThatMayBeHeldAtTheNextEndRunsAlone(t *testing.T) {
+func TestCallOneEndFromQuarantineRunsAlone(t *testing.T) {
 	check := is.New(t)
-	proxy := newSlotsProxy(t)
-	other := slotOf(t, &gateCall{proxy: proxy, request: gateRequest("/other"), context: t.Context()})
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "1", "/a", "/b"), "/a"), "suspected")
-	suspected := slotOf(t, &gateCall{proxy: proxy, request: gateRequest("/a"), context: t.Context()})
+	proxy := newProxyWithSlots(t)
+	other := admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/other"), context: t.Context()})
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a", "/b"), "/a"), "suspected")
+	suspected := admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/a"), context: t.Context()})
 	_, passed := suspected.isolate()
 	check.True(passed) // one end may be of any other request
-	check.Equal(proxy.tally.isolated.Load(), uint64(0))
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "2", "/a", "/c"), "/a"), "suspected")
+	check.Equal(proxy.counters.isolatedCalls.Load(), uint64(0))
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a", "/c"), "/a"), "suspected")
 	started := make(chan bool)
 	go func() {
 		_, passed := suspected.isolate()
@@ -229,7 +229,7 @@
 	}
 	proxy.gate.Done(proxy.config.Clock(), other.ticket, true)
 	check.True(<-started)
-	check.Equal(proxy.tally.isolated.Load(), uint64(1))
+	check.Equal(proxy.counters.isolatedCalls.Load(), uint64(1))
 	check.True(!proxy.gate.HasFreeSlot())
 	suspected.endIsolation() // it has its answer, or is given up while the back end hangs
 	check.True(proxy.gate.HasFreeSlot())
@@ -237,20 +237,20 @@
 
 // A request that is at enough ends to be held, but was never at work alone, is refused where a
 // back end is kept busy by others, and one that was found harmful as it waited is not sent.
-func TestACallThatMustRunAloneIsNotSentBesideOthers(t *testing.T) {
+func TestCallThatMustRunAloneIsRefusedWhenGateIsBusy(t *testing.T) {
 	check := is.New(t)
-	proxy := newSlotsProxy(t)
+	proxy := newProxyWithSlots(t)
 	for instance, beside := range map[string]string{"1": "/b", "2": "/c", "3": "/d"} {
-		check.Equal(beliefsAfter(proxy, atWorkOn(proxy, instance, "/a", beside), "/a"), "suspected")
+		check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, instance, "/a", beside), "/a"), "suspected")
 	}
-	slotOf(t, &gateCall{proxy: proxy, request: gateRequest("/other"), context: t.Context()})
-	suspected := slotOf(t, &gateCall{proxy: proxy, request: gateRequest("/a"), context: t.Context()})
+	admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/other"), context: t.Context()})
+	suspected := admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/a"), context: t.Context()})
 	suspected.deadline = proxy.config.Clock() + 20*time.Millisecond
 	refusal, passed := suspected.isolate()
 	check.True(!passed)
 	check.Equal(refusal.Code, result.QueueFull)
 	check.True(refusal.RetryAfter > 0)
-	check.Equal(beliefsAfter(proxy, atWorkOn(proxy, "4", "/a"), "/a"), "held")
+	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "4", "/a"), "/a"), "held")
 	refusal, passed = suspected.isolate()
 	check.True(!passed)
 	check.Equal(refusal.Code, result.Quarantined)
--- a/internal/proxy/evacuation_test.go
+++ b/internal/proxy/evacuation_test.go
@@ -23,10 +23,10 @@
 
 // The gate is the second line: an entry that has not heard of the order is refused there and
 // sends its call elsewhere.
-func TestAnEvacuatedGateSendsCallsElsewhere(t *testing.T) {
+func TestCallsRefusedByEvacuatedGateAreRetried(t *testing.T) {
 	check := is.New(t)
 	var emptied, others atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&emptied), counting(&others))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&emptied), countingBackend(&others))
 	mesh.gates[0].gate.Evacuate()
 	for range 20 {
 		check.Equal(mesh.call(t, "POST", "/", "x").status, http.StatusOK)
@@ -35,39 +35,39 @@
 	check.Equal(others.Load(), int64(20))
 }
 
-func TestTheOnlyGateInAnEvacuatedZoneRefusesAtOnce(t *testing.T) {
+func TestOnlyGateInEvacuatedZoneRefuses(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	mesh.gates[0].gate.Evacuate()
 	expectRefusal(check, mesh.call(t, "POST", "/", "x"), result.ZoneEvacuated, result.RanNo)
 	check.Equal(runs.Load(), int64(0))
 }
 
 // Without a back end elsewhere a call is refused before anything is sent.
-func TestCallsWithoutAnotherZoneAreRefusedAtOnce(t *testing.T) {
+func TestCallsWithOnlyEvacuatedZonesAreRefusedUnsent(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs), counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs), countingBackend(&runs))
 	mesh.caller.PublishState(MeshState{Members: mesh.members, Evacuations: evacuation.NewOrders(position.Position{Revision: 1}, []string{"z"})})
 	got := mesh.call(t, "POST", "/", "x")
 	expectRefusal(check, got, result.ZoneEvacuated, result.RanNo)
 	check.Equal(got.header.Get("Retry-After"), "1")
-	check.Equal(mesh.caller.tally.attempts.Load(), uint64(0))
+	check.Equal(mesh.caller.counters.attempts.Load(), uint64(0))
 	mesh.caller.PublishState(MeshState{Members: mesh.members})
 	check.Equal(mesh.call(t, "POST", "/", "x").status, http.StatusOK)
 }
 
 // The weights of a route hold while the zones of one part are empty: its calls are refused, not
 // moved to the other part.
-func TestThePartOfARouteWhoseZonesAreEmptyIsRefused(t *testing.T) {
+func TestRoutePartWithEvacuatedZonesIsRefused(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	emptied := resource.ServiceRef{Partner: "k", Name: "emptied"}
-	mesh := startMesh(t, meshOptions{route: func(route *resource.Route) {
+	mesh := startMesh(t, meshOptions{changeRoute: func(route *resource.Route) {
 		route.Split = append(route.Split, resource.Destination{Service: emptied, Weight: 1})
-	}}, counting(&runs))
-	held := *mesh.held
+	}}, countingBackend(&runs))
+	held := *mesh.snapshot
 	held.Services, held.Backends = maps.Clone(held.Services), maps.Clone(held.Backends)
 	held.Services[emptied] = resource.Service{Partner: emptied.Partner, Name: emptied.Name}
 	held.Backends[emptied] = []resource.Backend{{Partner: "k", Name: "b", Service: emptied.Name, Zone: "other", Slots: 6}}
@@ -90,11 +90,11 @@
 }
 
 // A call that runs when the zone is emptied ends in peace, one that waits runs elsewhere.
-func TestACallThatRunsIsNotCutAndOneThatWaitsMovesOn(t *testing.T) {
+func TestEvacuationKeepsRunningAndRefusesQueuedCalls(t *testing.T) {
 	check := is.New(t)
-	backend := newBlocking()
+	backend := newBlockingBackend()
 	mesh := startMesh(t, meshOptions{slots: 1}, backend.spec())
-	running, waiting := make(chan answered), make(chan answered)
+	running, waiting := make(chan callResult), make(chan callResult)
 	go func() { running <- mesh.call(t, "POST", "/", "x") }()
 	<-backend.entered
 	go func() { waiting <- mesh.call(t, "POST", "/", "x") }()
@@ -108,20 +108,20 @@
 }
 
 // A body that the gate is taking in when the zone is emptied reaches no back end there.
-func TestABodyOnItsWayIsRefusedAsNotRun(t *testing.T) {
+func TestEvacuationRefusesCallDuringBodyTransfer(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	gate := mesh.gates[0]
-	body := &pausingReader{parts: []string{strings.Repeat("x", largeBody), strings.Repeat("y", largeBody)}, pause: func() {
-		for len(gate.transfers.tokens) == 0 {
+	body := &pausingReader{parts: []string{strings.Repeat("x", largeBodyBytes), strings.Repeat("y", largeBodyBytes)}, pause: func() {
+		for len(gate.transfers.turns) == 0 {
 			runtime.Gosched() // the gate has yet to begin
 		}
 		gate.gate.Evacuate()
 	}}
 	request, err := http.NewRequest(http.MethodPost, "http://"+mesh.members[0].DataAddress+"/", body)
 	check.NoErr(err)
-	request.ContentLength = 2 * largeBody
+	request.ContentLength = 2 * largeBodyBytes
 	for header, value := range map[string]string{
 		headerHop: hopGate, headerService: testService.String(), headerBackend: "a", headerIncarnation: "7", headerRequest: "r1",
 	} {
@@ -154,14 +154,14 @@
 }
 
 // Canaries in a zone that is to be empty get nothing; the calls go to the other version.
-func TestCanariesOfAnEvacuatedZoneGetNothing(t *testing.T) {
+func TestCanariesInEvacuatedZoneGetNoCalls(t *testing.T) {
 	check := is.New(t)
-	made := &service{all: versionedSet(10, 10)}
-	made.divide(Split{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
-	before, _ := sentTo(made, 1000)
+	made := &service{allEndpoints: newVersionedSet(10, 10)}
+	made.applySplit(VersionSplit{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
+	before, _ := countByVersion(made, 1000)
 	check.True(before["v2"] > 0)
-	emptied := &service{all: versionedSetIn(endpoint.Locality{Evacuations: evacuation.NewOrders(position.Position{Revision: 1}, []string{"new"})}, 10, 10)}
-	emptied.divide(Split{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
-	after, _ := sentTo(emptied, 1000)
+	emptied := &service{allEndpoints: newVersionedSetFor(endpoint.Locality{Evacuations: evacuation.NewOrders(position.Position{Revision: 1}, []string{"new"})}, 10, 10)}
+	emptied.applySplit(VersionSplit{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
+	after, _ := countByVersion(emptied, 1000)
 	check.Equal(after, map[string]int{"v1": 1000})
 }
--- a/internal/proxy/excess_test.go
+++ b/internal/proxy/excess_test.go
@@ -41,7 +41,7 @@
 // excessive is a back end that sends an answer in excess in the place of the second one
 // due, 50 ms after that run began, and ends the run 100 ms later unless it is cut by then.
 // From then on it turns all requests away, as one that is full does.
-func excessive(cut *atomic.Bool) backendSpec {
+func excessAnswerBackend(cut *atomic.Bool) backendSpec {
 	return backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		for number := 0; ; number++ {
 			request, fine := readRequest(reader)
@@ -71,12 +71,12 @@
 // An answer in excess may arrive late, in the place where the next one is due; the id
 // tells them apart. The run whose place it takes is at work all the same: it is not cut,
 // and its own answer is delivered.
-func TestAnExcessAnswerDoesNotEndTheRunWhosePlaceItTakes(t *testing.T) {
+func TestExcessAnswerDoesNotCancelNextCall(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
 			check := is.New(t)
 			var cut atomic.Bool
-			mesh := startMesh(t, meshOptions{slots: 1}, excessive(&cut))
+			mesh := startMesh(t, meshOptions{slots: 1}, excessAnswerBackend(&cut))
 			mesh.useEdge()
 			check.Equal(mesh.call(t, method, "/", "", "Id", "first").body, "first")
 			mesh.caller.StartDrain() // as around a stop
@@ -90,12 +90,12 @@
 }
 
 // pieces reads text in pieces of drawn sizes.
-type pieces struct {
+type pieceReader struct {
 	text []byte
 	draw func() int
 }
 
-func (p *pieces) Read(into []byte) (int, error) {
+func (p *pieceReader) Read(into []byte) (int, error) {
 	if len(p.text) == 0 {
 		return 0, io.EOF
 	}
@@ -111,7 +111,7 @@
 
 // Whatever answers of other requests come first, however the bytes are cut, what is passed
 // on begins with the own answer and is unchanged from there.
-func TestTheSurplusFilterPassesTheOwnAnswerOn(t *testing.T) {
+func TestSurplusFilterPassesOwnAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
 		foreign := ""
@@ -127,14 +127,14 @@
 		if rapid.IntRange(0, 4).Draw(t, "interim") == 0 {
 			own = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + own
 		}
-		source := &pieces{text: []byte(foreign + own), draw: func() int {
+		source := &pieceReader{text: []byte(foreign + own), draw: func() int {
 			return rapid.SampledFrom([]int{1, 30, 500, 4096}).Draw(t, "piece")
 		}}
 		filter := &surplusFilter{source: source}
 		for number := range 3 {
-			filter.begin(fmt.Sprint("other-", number))
+			filter.recordRequest(fmt.Sprint("other-", number))
 		}
-		filter.begin("mine")
+		filter.recordRequest("mine")
 		attempt := &attemptGuard{answerID: "mine", answerHeader: "Id"}
 		var passed bytes.Buffer
 		buffer := make([]byte, rapid.SampledFrom([]int{100, 4096}).Draw(t, "buffer"))
@@ -151,17 +151,17 @@
 
 // An answer that names no request of its connection, and one that only its connection ends,
 // are left to whoever checks answers.
-func TestTheSurplusFilterLeavesWhatItCannotTell(t *testing.T) {
+func TestSurplusFilterPassesUnidentifiedAnswers(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n",
 		signedAnswer("unheard of", "x"),
 		"HTTP/1.1 200 OK\r\nId: other\r\n\r\nuntil the end",
 		"no answer at all\r\n\r\n",
-		strings.Repeat("x", 2*headLimit),
+		strings.Repeat("x", 2*answerHeadLimit),
 	} {
 		check := is.New(t)
 		filter := &surplusFilter{source: strings.NewReader(text)}
-		filter.begin("other")
+		filter.recordRequest("other")
 		attempt := &attemptGuard{answerID: "mine", answerHeader: "Id"}
 		buffer := make([]byte, 4096)
 		count, err := filter.read(buffer, func() *attemptGuard { return attempt })
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -12,10 +12,10 @@
 )
 
 // errNoLength refuses an answer whose end can't be told from its being cut.
-const errNoLength = errors.ConstError("the answer states no length, so that its end can't be told from a break")
+const errNoContentLength = errors.ConstError("the answer states no length, so that its end can't be told from a break")
 
 // errUpgraded refuses an answer that leaves HTTP.
-const errUpgraded = errors.ConstError("the answer switches protocols")
+const errProtocolSwitch = errors.ConstError("the answer switches protocols")
 
 // exchange is one request sent to one address and what came of it.
 type exchange struct {
@@ -28,7 +28,7 @@
 	// collected is set once the answer was read as far as it is held; whole when that is
 	// all of it.
 	collected bool
-	whole     bool
+	complete  bool
 	guard     *attemptGuard
 	cancel    context.CancelFunc
 }
@@ -37,7 +37,7 @@
 // at most. The caller must call close.
 // An answer that edge, if given, does not take for that of the request fails
 // the exchange.
-func (u *upstream) send(ctx context.Context, outgoing *http.Request, relay *informer, edge *Edge) *exchange {
+func (u *upstream) send(ctx context.Context, outgoing *http.Request, relay *interimRelay, edge *Edge) *exchange {
 	attempt, cancel := context.WithCancel(ctx)
 	guard := &attemptGuard{cancel: cancel}
 	guard.deadline, _ = ctx.Deadline()
@@ -47,16 +47,16 @@
 	trace := &httptrace.ClientTrace{GotConn: guard.gotConn}
 	if relay != nil {
 		trace.Got1xxResponse = func(code int, header textproto.MIMEHeader) error {
-			return relay.inform(code, http.Header(header))
+			return relay.forward(code, http.Header(header))
 		}
 	}
 	outgoing.GetBody = nil
 	answer, err := u.transport.RoundTrip(outgoing.WithContext(httptrace.WithClientTrace(attempt, trace)))
 	if relay != nil {
-		relay.end()
+		relay.stop()
 	}
 	if err == nil {
-		err = checkAnswer(answer, u.takesUnframed)
+		err = checkAnswer(answer, u.acceptsUnframed)
 	}
 	if err == nil && edge != nil {
 		err = edge.checkAnswer(outgoing.Header, answer)
@@ -74,11 +74,11 @@
 // checkAnswer refuses answers that can't be passed on whole.
 func checkAnswer(answer *http.Response, takesUnframed bool) error {
 	if answer.StatusCode == http.StatusSwitchingProtocols {
-		return errUpgraded
+		return errProtocolSwitch
 	}
 	untilClose := answer.ContentLength < 0 && len(answer.TransferEncoding) == 0
 	if untilClose && !takesUnframed && answer.Request.Method != http.MethodHead {
-		return errNoLength
+		return errNoContentLength
 	}
 	return nil
 }
@@ -103,14 +103,14 @@
 	}
 	if head.Len() > limit {
 		rest := io.MultiReader(&head, e.answer.Body)
-		e.answer.Body = joinedBody{Reader: rest, Closer: e.answer.Body}
+		e.answer.Body = collectedBody{Reader: rest, Closer: e.answer.Body}
 		return
 	}
 	if !e.hasNoBody() {
 		e.answer.ContentLength = int64(head.Len())
 	}
-	e.answer.Body = joinedBody{Reader: &head, Closer: e.answer.Body}
-	e.whole = true
+	e.answer.Body = collectedBody{Reader: &head, Closer: e.answer.Body}
+	e.complete = true
 }
 
 // hasNoBody tells whether the length of the answer speaks of a body that is
@@ -121,7 +121,7 @@
 }
 
 // joinedBody reads what was collected and closes what it came from.
-type joinedBody struct {
+type collectedBody struct {
 	io.Reader
 	io.Closer
 }
@@ -143,7 +143,7 @@
 
 // running is closed when the other side has ended the exchange, after close;
 // nil means that it had ended by then.
-func (e *exchange) running() <-chan struct{} { return e.guard.running() }
+func (e *exchange) peerDone() <-chan struct{} { return e.guard.peerDone() }
 
 // watchedBody tells the guard when an answer was read to its end.
 type watchedBody struct {
@@ -155,7 +155,7 @@
 func (b *watchedBody) Read(bytes []byte) (int, error) {
 	count, err := b.ReadCloser.Read(bytes)
 	if err == io.EOF {
-		b.guard.finish()
+		b.guard.markAnswerRead()
 	}
 	return count, err
 }
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -14,19 +14,19 @@
 
 // GateHandler takes calls from other daemons to the back end beside this one.
 func (p *Proxy) GateHandler() http.Handler {
-	return &side{proxy: p, serve: p.serveGate}
+	return &sideHandler{proxy: p, serve: p.serveGate}
 }
 
 // serveGate takes one call to the back end, and returns when it is answered.
 func (p *Proxy) serveGate(writer http.ResponseWriter, request *http.Request) {
-	p.tally.gateCalls.Add(1)
-	p.gateRunning.Add(1)
-	defer p.leave(&p.gateRunning)
-	control, body := p.begin(writer, request)
+	p.counters.gateCalls.Add(1)
+	p.runningGateCalls.Add(1)
+	defer p.endCall(&p.runningGateCalls)
+	control, body := p.prepareExchange(writer, request)
 	defer body.finish()
 	call, refusal, accepted := p.acceptGateCall(request, body)
 	if !accepted {
-		p.traceTurnedAway(request, refusal)
+		p.traceEarlyRefusal(request, refusal)
 		p.refuse(writer, body, refusal)
 		return
 	}
@@ -47,10 +47,10 @@
 	body    *upload
 	context context.Context
 	// timeout is what is left of the call's time; deadline is on the clock.
-	timeout  time.Duration
-	deadline time.Duration
-	ticket   *admission.Ticket
-	verdicts verdictChannel
+	timeout   time.Duration
+	deadline  time.Duration
+	ticket    *admission.Ticket
+	decisions decisionChannel
 	// backend is the instance that the call is for.
 	backend string
 	// start is the start of the instance that the call was last sent to.
@@ -58,105 +58,105 @@
 	// table is that of the version by which the call may run here.
 	table *routing.Table
 	// hasTurn says that it is suspected to be harmful and runs while no other one does.
-	hasTurn bool
+	holdsSuspectTurn bool
 	// alone says that it runs while no other call does.
-	alone bool
+	runsAlone bool
 	// trial is which trial of its request the run is, by the ends that were known as it began;
 	// 0 for not known.
 	trial uint32
 	// relay is what interim answers pass.
-	relay *informer
+	relay *interimRelay
 	// sendings are those to the back end, sent of them so far.
-	sendings [gateTries]sending
-	sent     int
+	dispatches    [maxGateSends]dispatch
+	dispatchCount int
 }
 
 // verdictChannel is a waiter of the gate; it holds the one verdict.
-type verdictChannel chan admission.Decision
+type decisionChannel chan admission.Decision
 
 // Settle keeps the verdict; it never blocks, for there is only one.
-func (v verdictChannel) Settle(verdict admission.Decision) { v <- verdict }
+func (v decisionChannel) Settle(verdict admission.Decision) { v <- verdict }
 
 // run admits the call, sends it to the back end and passes the answer on.
 func (c *gateCall) run() {
 	came := c.proxy.config.Clock()
-	if refusal, refused := c.refusedAtOnce(came); refused {
-		c.refuseUnsent(refusal, 0)
+	if refusal, refused := c.refuseEarly(came); refused {
+		c.refuseBeforeSend(refusal, 0)
 		return
 	}
-	if refusal, received := c.receive(); !received {
-		c.refuseUnsent(refusal, c.proxy.config.Clock()-came)
+	if refusal, received := c.receiveBody(); !received {
+		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-came)
 		return
 	}
-	defer c.endTurn()
-	if refusal, passed := c.awaitTurn(); !passed {
-		c.refuseUnsent(refusal, c.proxy.config.Clock()-came)
+	defer c.releaseSuspectTurn()
+	if refusal, passed := c.awaitSuspectTurn(); !passed {
+		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-came)
 		return
 	}
 	verdict := c.admit()
 	waited := c.proxy.config.Clock() - came
 	if verdict.State != admission.StateStarted {
-		c.refuseUnsent(refusalBy(verdict), waited)
+		c.refuseBeforeSend(refusalFor(verdict), waited)
 		return
 	}
-	observe(c.proxy.config.Timings.Queue, waited)
-	if refusal, allowed := c.checkRegionAgain(); !allowed {
+	observeDuration(c.proxy.config.Timings.Queue, waited)
+	if refusal, allowed := c.recheckRegion(); !allowed {
 		c.proxy.gate.Done(c.proxy.config.Clock(), c.ticket, false)
-		c.refuseUnsent(refusal, waited)
+		c.refuseBeforeSend(refusal, waited)
 		return
 	}
 	if refusal, passed := c.isolate(); !passed {
 		c.proxy.gate.Done(c.proxy.config.Clock(), c.ticket, false)
-		c.refuseUnsent(refusal, c.proxy.config.Clock()-came)
+		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-came)
 		return
 	}
-	c.runStarted(came, waited)
+	c.runAdmitted(came, waited)
 }
 
 // refusedAtOnce tells whether a call is refused before its body is taken in: told so early, it
 // costs its sender nothing, and while the back end is cold most bodies would come for nothing.
-func (c *gateCall) refusedAtOnce(now time.Duration) (Refusal, bool) {
+func (c *gateCall) refuseEarly(now time.Duration) (Refusal, bool) {
 	if code := c.proxy.gate.RefusalCode(); code != result.OK {
 		return Refusal{Code: code}, true
 	}
 	verdict, refused := c.proxy.gate.RefuseIfCold(now, c.ticket)
-	return refusalBy(verdict), refused
+	return refusalFor(verdict), refused
 }
 
 // refusalBy is the refusal that a verdict makes.
-func refusalBy(verdict admission.Decision) Refusal {
+func refusalFor(verdict admission.Decision) Refusal {
 	return Refusal{Code: verdict.Code, RetryAfter: verdict.RetryAfter}
 }
 
 // refuseUnsent refuses a call that has waited for a time and was not sent to the back end.
-func (c *gateCall) refuseUnsent(refusal Refusal, waited time.Duration) {
+func (c *gateCall) refuseBeforeSend(refusal Refusal, waited time.Duration) {
 	c.traceGate("gate_refused", refusal.Code, 0, waited, 0)
 	c.refuse(refusal)
 }
 
 // runStarted sends a call that has a slot to the back end and passes the answer on.
-func (c *gateCall) runStarted(came, waited time.Duration) {
+func (c *gateCall) runAdmitted(came, waited time.Duration) {
 	sent := c.send()
-	refusal, refused := c.judge(sent)
+	refusal, refused := c.classifyOutcome(sent)
 	ran := c.proxy.config.Clock() - came - waited
 	if refusal.Code == result.BrokenInFlight {
-		refusal.Ended = c.awaitEnd()
+		refusal.Ended = c.awaitSuspectedEnd()
 	}
 	c.endIsolation()
-	c.noteBackend(sent, refusal, refused, ran)
-	observe(c.proxy.config.Timings.Backend, ran)
+	c.recordBackendResult(sent, refusal, refused, ran)
+	observeDuration(c.proxy.config.Timings.Backend, ran)
 	// The slot is given back once, whatever happens below.
-	defer c.end(sent, !refused || refusal.execution() != result.RanNo)
+	defer c.releaseSlot(sent, !refused || refusal.execution() != result.RanNo)
 	if refused {
-		c.ticket.Unmeasured = refusal.Code == result.BrokenInFlight || c.foundToHang()
+		c.ticket.Unmeasured = refusal.Code == result.BrokenInFlight || c.isHung()
 		c.traceGate("gate_failed", refusal.Code, 0, waited, ran)
 		c.refuse(refusal)
 		return
 	}
 	c.traceGate("gate_answered", result.OK, sent.answer.StatusCode, waited, ran)
-	c.proxy.health.answered()
-	c.noteAnswered(sent.answer.StatusCode)
-	c.noteHeld(sent.answer, ran)
+	c.proxy.health.recordAnswer()
+	c.recordSuccess(sent.answer.StatusCode)
+	c.recordHangEvidence(sent.answer, ran)
 	c.ticket.Unmeasured = sent.answer.StatusCode >= http.StatusInternalServerError
 	c.deliver(sent)
 }
@@ -165,17 +165,17 @@
 // which its sender does not wait. A call may run until its deadline; CancelWait later one that
 // has not been ended was never taken up. One that hangs keeps its slot until HungWait after its
 // deadline, or until another start runs: a back end that hangs is to get fewer calls.
-func (c *gateCall) end(sent *exchange, ran bool) {
+func (c *gateCall) releaseSlot(sent *exchange, ran bool) {
 	sent.close()
 	done := func() { c.proxy.gate.Done(c.proxy.config.Clock(), c.ticket, ran) }
-	running := sent.running()
+	running := sent.peerDone()
 	if running == nil {
 		done()
 		return
 	}
 	wait := c.proxy.limits.CancelWait
-	if sent.answer == nil && c.foundToHang() {
-		running, wait = c.proxy.startReplaced(c.start), c.proxy.limits.HungWait
+	if sent.answer == nil && c.isHung() {
+		running, wait = c.proxy.replacedChannel(c.start), c.proxy.limits.HungWait
 	}
 	left := max(c.deadline-c.proxy.config.Clock(), 0)
 	go func() {
@@ -200,7 +200,7 @@
 	latest := time.NewTimer(gate.LatestStart(c.ticket) - c.proxy.config.Clock())
 	defer latest.Stop()
 	select {
-	case verdict = <-c.verdicts:
+	case verdict = <-c.decisions:
 		return verdict
 	case <-latest.C:
 	case <-c.context.Done():
@@ -208,13 +208,13 @@
 	if !gate.Cancel(c.ticket) {
 		// It was settled at the same moment; if it was started it holds a slot,
 		// and sending it finds the context done before a byte is written.
-		return <-c.verdicts
+		return <-c.decisions
 	}
-	return admission.Decision{State: admission.StateRefused, Code: c.endCode()}
+	return admission.Decision{State: admission.StateRefused, Code: c.cancellationCode()}
 }
 
 // endCode is the code of a call that ended while it waited.
-func (c *gateCall) endCode() result.Code {
+func (c *gateCall) cancellationCode() result.Code {
 	switch {
 	case context.Cause(c.context) == errDrainBound:
 		return result.Draining
@@ -226,37 +226,37 @@
 
 // refuse answers with a refusal and the load, from which senders learn.
 func (c *gateCall) refuse(refusal Refusal) {
-	refusal.Load = c.proxy.loadText()
+	refusal.Load = c.proxy.loadHeaderValue()
 	c.proxy.refuse(c.writer, c.body, refusal)
 }
 
 // deliver passes the answer on whole, or breaks the sender's connection.
 func (c *gateCall) deliver(sent *exchange) {
 	passing := delivery{
-		writer: c.writer, control: c.control, stall: c.proxy.limits.StallTimeout,
-		answer: sent.answer, upload: c.body, extra: c.answerHeaders,
+		writer: c.writer, control: c.control, stallTimeout: c.proxy.limits.StallTimeout,
+		answer: sent.answer, upload: c.body, addHeaders: c.answerHeaders,
 	}
-	passing.head()
-	if err := passing.body(); err != nil {
-		c.proxy.tally.aborted.Add(1)
+	passing.writeHead()
+	if err := passing.streamBody(); err != nil {
+		c.proxy.counters.aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
 // answerHeaders adds to an answer what its sender learns from and needs to know.
 func (c *gateCall) answerHeaders(header http.Header) {
-	header[headerLoad] = []string{c.proxy.loadText()}
-	if c.proxy.closesAfter(c.request) {
+	header[headerLoad] = []string{c.proxy.loadHeaderValue()}
+	if c.proxy.closesAfterAnswer(c.request) {
 		header.Set("Connection", "close")
 	}
 }
 
 // loadText is the load header's value now.
-func (p *Proxy) loadText() string {
+func (p *Proxy) loadHeaderValue() string {
 	load := p.gate.Load()
 	service := p.gate.MeanServiceTime()
-	queued := load.Queued + p.transfers.asQueued(p.config.Clock(), load.Slots, service)
+	queued := load.Queued + p.transfers.equivalentQueueLength(p.config.Clock(), load.Slots, service)
 	report := endpoint.LoadReport{Running: load.Running, Queued: queued, Service: service}
-	report.Own, report.OwnAge = p.health.ownLoad()
+	report.Own, report.OwnAge = p.health.backendLoad()
 	return formatLoad(report)
 }
--- a/internal/proxy/gateaccept.go
+++ b/internal/proxy/gateaccept.go
@@ -15,27 +15,27 @@
 func (p *Proxy) acceptGateCall(request *http.Request, body *upload) (*gateCall, Refusal, bool) {
 	header := request.Header
 	mine := p.gate != nil && header.Get(headerHop) == hopGate &&
-		header.Get(headerBackend) == p.instance() &&
+		header.Get(headerBackend) == p.backendInstance() &&
 		header.Get(headerService) == p.config.Service.String()
 	if incarnation := header.Get(headerIncarnation); incarnation != "" {
-		mine = mine && p.incarnations.include(incarnation)
+		mine = mine && p.incarnations.contains(incarnation)
 	}
 	if !mine {
 		return nil, Refusal{Code: result.WrongBackend}, false
 	}
-	if refusal, fine := p.checkForm(request); !fine {
+	if refusal, fine := p.checkRequest(request); !fine {
 		return nil, refusal, false
 	}
 	current := p.view.Load()
 	if refusal, allowed := p.checkRegion(current, request); !allowed {
 		return nil, refusal, false
 	}
-	body.sign()
+	body.requireHash()
 	call := &gateCall{
 		proxy: p, request: request, body: body, timeout: routing.DefaultTimeout, backend: header.Get(headerBackend),
-		table: current.table,
+		table: current.routes,
 	}
-	if stated, found := statedTimeout(header); found {
+	if stated, found := parseTimeout(header); found {
 		call.timeout = stated
 	}
 	call.deadline = p.config.Clock() + call.timeout
@@ -51,12 +51,12 @@
 		priority = int(resource.PriorityNormal)
 	}
 	partner := header.Get(headerPartner)
-	c.verdicts = make(verdictChannel, 1)
+	c.decisions = make(decisionChannel, 1)
 	call := admission.Call{
 		Class:    parseClass(header.Get(headerClass)),
 		Partner:  resource.Partner(partner),
 		Priority: resource.Priority(priority),
-		Deadline: c.proxy.untilCut(c.deadline),
+		Deadline: c.proxy.limitDeadlineByDrain(c.deadline),
 		Request:  c.proxy.fingerprint("request", header.Get(headerRequest)),
 		Key:      c.proxy.fingerprint("key", partner, header.Get(headerRequestKey)),
 	}
@@ -69,5 +69,5 @@
 		call.Partner = ""
 		call.Priority = resource.PriorityNormal
 	}
-	return admission.NewTicket(call, c.verdicts)
+	return admission.NewTicket(call, c.decisions)
 }
