--- a/internal/proxy/gatesend.go
+++ b/internal/proxy/gatesend.go
@@ -7,7 +7,7 @@
 
 // gateTries is how often the gate sends a call on while it is certain that
 // not a byte of it was written.
-const gateTries = 2
+const maxGateSends = 2
 
 // headerBackendDraining and headerBackendRan are a back end's own signals: the
 // first on its health answers, the second, with the value no, on a 503 by
@@ -20,12 +20,12 @@
 // send sends the call to the back end. It is sent again only while it is
 // certain that nothing was written.
 func (c *gateCall) send() *exchange {
-	c.relay = &informer{writer: c.writer}
+	c.relay = &interimRelay{writer: c.writer}
 	for try := 1; ; try++ {
 		c.start = c.proxy.backendStart()
 		sent := c.exchange()
-		again := sent.err != nil && sent.unsent && c.body.replayable() && c.context.Err() == nil
-		if !again || try == gateTries || !c.proxy.gate.TryResend(c.proxy.config.Clock(), c.ticket) {
+		again := sent.err != nil && sent.unsent && c.body.isReplayable() && c.context.Err() == nil
+		if !again || try == maxGateSends || !c.proxy.gate.TryResend(c.proxy.config.Clock(), c.ticket) {
 			return sent
 		}
 		sent.close()
@@ -34,18 +34,18 @@
 
 // exchange sends the call to the back end once. While it is under way it may be found to hang.
 func (c *gateCall) exchange() *exchange {
-	made := &c.sendings[c.sent]
-	c.sent++
-	*made = sending{call: c, start: c.start, sentAt: c.proxy.config.Clock()}
-	watched := &c.proxy.hangs
-	cell := watched.enter(made)
-	defer watched.leave(cell)
-	return c.proxy.backend.send(c.context, c.outgoing(), c.relay, c.proxy.config.Edge)
+	made := &c.dispatches[c.dispatchCount]
+	c.dispatchCount++
+	*made = dispatch{call: c, start: c.start, sentAt: c.proxy.config.Clock()}
+	watched := &c.proxy.hangDetector
+	cell := watched.watch(made)
+	defer watched.unwatch(cell)
+	return c.proxy.backend.send(c.context, c.newBackendRequest(), c.relay, c.proxy.config.Edge)
 }
 
 // outgoing makes the request to the back end. Of springstack's headers it gets
 // those that an application may copy onto the calls it makes itself.
-func (c *gateCall) outgoing() *http.Request {
+func (c *gateCall) newBackendRequest() *http.Request {
 	header := c.request.Header.Clone()
 	noRetry := header.Get(headerNoRetry)
 	request := header.Get(headerRequest)
@@ -69,11 +69,11 @@
 	}
 	outgoing := &http.Request{
 		Method: c.request.Method, Host: c.request.Host, Header: header,
-		URL:   c.proxy.target(c.proxy.config.BackendAddress, c.request, c.request.URL.EscapedPath()),
+		URL:   c.proxy.targetURL(c.proxy.config.BackendAddress, c.request, c.request.URL.EscapedPath()),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if c.body != nil {
-		outgoing.Body = c.body.open()
+		outgoing.Body = c.body.newReader()
 		outgoing.ContentLength = c.request.ContentLength
 		outgoing.Trailer = c.request.Trailer
 	}
--- a/internal/proxy/guard.go
+++ b/internal/proxy/guard.go
@@ -31,16 +31,16 @@
 	// further call.
 	retired atomic.Bool
 	// left is called once when it is closed; nil for nothing.
-	left func(*guardedConn)
+	onReleased func(*guardedConn)
 	// surplus reads past answers in excess.
 	surplus surplusFilter
 	// gone is closed when the connection is.
-	gone chan struct{}
+	released chan struct{}
 }
 
 func newGuardedConn(conn net.Conn, linger time.Duration) *guardedConn {
 	return &guardedConn{
-		Conn: conn, linger: linger, openedAt: time.Now(), surplus: surplusFilter{source: conn}, gone: make(chan struct{}),
+		Conn: conn, linger: linger, openedAt: time.Now(), surplus: surplusFilter{source: conn}, released: make(chan struct{}),
 	}
 }
 
@@ -64,19 +64,19 @@
 	half, canEnd := c.Conn.(writeCloser)
 	unfinished := c.unfinished.Load()
 	if c.linger == 0 || unfinished == nil || !canEnd {
-		defer c.leave()
+		defer c.markReleased()
 		return c.Conn.Close()
 	}
 	// Whoever reads now is woken.
 	_ = c.Conn.SetReadDeadline(time.Now())
-	go c.awaitEnd(half, unfinished.over(c.linger))
+	go c.awaitPeerClose(half, unfinished.workEndsBy(c.linger))
 	return nil
 }
 
 // awaitEnd ends the sending side and reads until the other side ends its own, at most until
 // a time.
-func (c *guardedConn) awaitEnd(half writeCloser, until time.Time) {
-	defer c.leave()
+func (c *guardedConn) awaitPeerClose(half writeCloser, until time.Time) {
+	defer c.markReleased()
 	defer c.Conn.Close()
 	if half.CloseWrite() != nil {
 		return
@@ -89,18 +89,18 @@
 // side is woken.
 func (c *guardedConn) abort() {
 	if c.closed.CompareAndSwap(false, true) {
-		defer c.leave()
+		defer c.markReleased()
 	}
 	_ = c.Conn.Close()
 }
 
 // leave tells that the connection is closed. Its place is free before the slot of its call is:
 // the call that gets the slot finds one.
-func (c *guardedConn) leave() {
-	if c.left != nil {
-		c.left(c)
+func (c *guardedConn) markReleased() {
+	if c.onReleased != nil {
+		c.onReleased(c)
 	}
-	close(c.gone)
+	close(c.released)
 }
 
 // writeCloser is a connection whose sending side can end by itself: of TCP and
@@ -148,7 +148,7 @@
 
 // over is when the other side has stopped work on the attempt, as much later than it is to as
 // given.
-func (g *attemptGuard) over(later time.Duration) time.Time {
+func (g *attemptGuard) workEndsBy(later time.Duration) time.Time {
 	until := time.Now()
 	if g.deadline.After(until) {
 		until = g.deadline
@@ -176,7 +176,7 @@
 		return
 	}
 	if g.answerID != "" {
-		conn.surplus.begin(g.answerID)
+		conn.surplus.recordRequest(g.answerID)
 	}
 	conn.owner.Store(g)
 	conn.unfinished.Store(g)
@@ -186,7 +186,7 @@
 }
 
 // finish records that the answer was read to its end.
-func (g *attemptGuard) finish() {
+func (g *attemptGuard) markAnswerRead() {
 	conn := g.writer.Load()
 	if conn == nil {
 		return
@@ -199,10 +199,10 @@
 
 // running is closed when the other side has ended the attempt; nil means that
 // it has ended already.
-func (g *attemptGuard) running() <-chan struct{} {
+func (g *attemptGuard) peerDone() <-chan struct{} {
 	conn := g.writer.Load()
 	if conn == nil || conn.unfinished.Load() != g {
 		return nil
 	}
-	return conn.gone
+	return conn.released
 }
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -27,11 +27,11 @@
 		}
 	}}
 	options := meshOptions{
-		route: func(route *resource.Route) {
+		changeRoute: func(route *resource.Route) {
 			route.Timeout = timeout
 			route.RetryAttempts = 3
 		},
-		caller: func(config *Config) { config.OnSilent = func(protocol.NodeID) {} },
+		changeCaller: func(config *Config) { config.OnSilent = func(protocol.NodeID) {} },
 	}
 	made := startMesh(t, options, spec, spec)
 	for range 100 { // the gates learn how long calls take
@@ -41,9 +41,9 @@
 }
 
 // callBeside makes a call to hangPath while others are answered.
-func (m *mesh) callBeside(t *testing.T, method string) answered {
+func (m *mesh) callThroughSecondGate(t *testing.T, method string) callResult {
 	t.Helper()
-	done := make(chan answered, 1)
+	done := make(chan callResult, 1)
 	go func() { done <- m.call(t, method, hangPath, "") }()
 	for {
 		select {
@@ -59,28 +59,28 @@
 	return m.gates[0].Counters().HungCalls + m.gates[1].Counters().HungCalls
 }
 
-func TestARepeatableCallThatHangsIsAnsweredElsewhere(t *testing.T) {
+func TestHungRepeatableCallIsAnsweredElsewhere(t *testing.T) {
 	check := is.New(t)
 	var arrived atomic.Int64
 	mesh := startHangingMesh(t, time.Minute, &arrived)
-	check.Equal(mesh.callBeside(t, http.MethodGet).status, http.StatusOK)
+	check.Equal(mesh.callThroughSecondGate(t, http.MethodGet).status, http.StatusOK)
 	check.Equal(arrived.Load(), int64(2))
 	check.Equal(mesh.hungCalls(), uint64(1))
 }
 
 // It may run: nobody can tell that it never will.
-func TestACallThatMayNotBeRepeatedWaitsForItsDeadline(t *testing.T) {
+func TestHungUnrepeatableCallWaitsForDeadline(t *testing.T) {
 	check := is.New(t)
 	var arrived atomic.Int64
 	mesh := startHangingMesh(t, time.Second, &arrived)
-	expectRefusal(check, mesh.callBeside(t, http.MethodPost), result.DeadlineInFlight, result.RanUnknown)
+	expectRefusal(check, mesh.callThroughSecondGate(t, http.MethodPost), result.DeadlineInFlight, result.RanUnknown)
 	check.Equal(arrived.Load(), int64(1))
 	check.Equal(mesh.hungCalls(), uint64(1))
 }
 
 // watchedCall is a call that was sent a minute ago; three calls that were sent later have been
 // answered, and all calls before took 10 ms.
-func watchedCall(t *testing.T) (*Proxy, time.Duration) {
+func newWatchedCall(t *testing.T) (*Proxy, time.Duration) {
 	t.Helper()
 	const now = 2 * time.Minute
 	proxy := New(Config{Clock: func() time.Duration { return now }, NodeID: "gate", Reported: true})
@@ -89,27 +89,27 @@
 	for range 20 {
 		proxy.gate.RecordServiceTime(&call.ticket.Call, 10*time.Millisecond)
 	}
-	proxy.hangs.enter(&sending{call: call, sentAt: now - time.Minute})
+	proxy.hangDetector.watch(&dispatch{call: call, sentAt: now - time.Minute})
 	for range 3 {
-		proxy.hangs.answers.Record(now - time.Second)
+		proxy.hangDetector.recentAnswers.Record(now - time.Second)
 	}
 	return proxy, now
 }
 
-func TestALongRunThatTheBackEndHoldsIsNotFoundToHang(t *testing.T) {
+func TestCallThatBackEndReportsIsNotHung(t *testing.T) {
 	check := is.New(t)
-	proxy, now := watchedCall(t)
+	proxy, now := newWatchedCall(t)
 	for ago := range 3 {
-		proxy.hangs.balance.Record(now-time.Duration(3-ago)*time.Second/4, 1, 1)
+		proxy.hangDetector.missingCalls.Record(now-time.Duration(3-ago)*time.Second/4, 1, 1)
 	}
 	proxy.findHung(now)
 	check.Equal(proxy.Counters().HungCalls, uint64(0))
 }
 
 // A back end that leaves many calls unanswered is ejected before these reach their deadlines.
-func TestACallThatHangsIsAFailureOfTheBackEnd(t *testing.T) {
+func TestHungCallIsReportedAsBackEndFailure(t *testing.T) {
 	check := is.New(t)
-	proxy, now := watchedCall(t)
+	proxy, now := newWatchedCall(t)
 	failures := make(chan protocol.BackendStart, 2)
 	proxy.config.OnBackendFailed = func(start protocol.BackendStart, _ uint64) { failures <- start }
 	for range 2 {
@@ -118,48 +118,48 @@
 	check.Equal(len(failures), 1)
 }
 
-func TestACallThatTheBackEndDoesNotHoldIsFoundToHang(t *testing.T) {
+func TestCallMissingAtBackEndIsHung(t *testing.T) {
 	check := is.New(t)
-	proxy, now := watchedCall(t)
+	proxy, now := newWatchedCall(t)
 	for ago := range 3 {
-		proxy.hangs.balance.Record(now-time.Duration(3-ago)*time.Second/4, 1, 0)
+		proxy.hangDetector.missingCalls.Record(now-time.Duration(3-ago)*time.Second/4, 1, 0)
 	}
 	proxy.findHung(now)
 	check.Equal(proxy.Counters().HungCalls, uint64(1))
 }
 
 // The slot of a call that was given up is not free while the call may run.
-func TestAGivenUpCallKeepsItsSlotUntilItsDeadline(t *testing.T) {
+func TestCancelledCallKeepsSlotUntilDeadline(t *testing.T) {
 	check := is.New(t)
-	gate := startReportedGate(t, Limits{CancelWait: time.Millisecond}, 2, func(call *heldCall) { <-call.over })
+	gate := startReportedGate(t, Limits{CancelWait: time.Millisecond}, 2, func(call *backendCall) { <-call.released })
 	const timeout = 400 * time.Millisecond
 	began := testClock()
-	call := gate.begin(t, timeout)
-	gate.await(func() bool { return gate.arrived.Load() == 1 })
+	call := gate.startCall(t, timeout)
+	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
 	call.cancel()
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 	check.True(testClock()-began >= timeout)
 }
 
 // A daemon that was killed leaves its calls at the back end.
-func TestAfterARestartOfTheDaemonOneCallAsksWhatTheBackEndHolds(t *testing.T) {
+func TestOneCallProbesForOrphanedCallsAfterDaemonRestart(t *testing.T) {
 	check := is.New(t)
-	gate := startReportedGate(t, Limits{}, 4, func(call *heldCall) { <-call.over })
+	gate := startReportedGate(t, Limits{}, 4, func(call *backendCall) { <-call.released })
 	restarted := gate.restart(t)
 	for range 3 {
-		restarted.begin(t, time.Minute)
+		restarted.startCall(t, time.Minute)
 	}
 	restarted.await(func() bool { return restarted.proxy.gate.Load().Queued == 2 })
-	restarted.await(func() bool { return restarted.arrived.Load() == 1 })
+	restarted.await(func() bool { return restarted.arrivedCount.Load() == 1 })
 	check.Equal(restarted.proxy.gate.Load().Running, 4) // all but a quarter may run, and one does
 }
 
 // Nothing that was sent to a back end that has lost its power can still run.
-func TestACallToACrashedStartEndsAsAnotherOneRuns(t *testing.T) {
+func TestCallToCrashedStartEndsWhenNextStartReports(t *testing.T) {
 	check := is.New(t)
-	gate := startReportedGate(t, Limits{}, 2, func(call *heldCall) { <-call.over })
-	call := gate.begin(t, time.Minute)
-	gate.await(func() bool { return gate.arrived.Load() == 1 })
+	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released })
+	call := gate.startCall(t, time.Minute)
+	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
 	gate.proxy.ReportBackend(BackendReport{
 		Start: protocol.BackendStart{Instance: "next"}, Slots: 2, State: protocol.EndpointReady, EarlierCrashed: true,
 	})
@@ -168,34 +168,34 @@
 }
 
 // The runs of a start that leaves go on, and their connections carry nothing else.
-func TestACallToAStartThatLeftIsAnswered(t *testing.T) {
+func TestCallToDrainingStartIsAnswered(t *testing.T) {
 	check := is.New(t)
-	gate := startReportedGate(t, Limits{}, 2, func(call *heldCall) { <-call.over; call.answerIt() })
-	call := gate.begin(t, time.Minute)
-	gate.await(func() bool { return gate.arrived.Load() == 1 })
+	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released; call.answer() })
+	call := gate.startCall(t, time.Minute)
+	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
 	gate.proxy.ReportBackend(BackendReport{
 		Start: protocol.BackendStart{Instance: "next"}, Slots: 2, State: protocol.EndpointReady,
 	})
-	gate.letGo()
+	gate.releaseCalls()
 	check.Equal((<-call.answer).status, http.StatusOK)
 	gate.await(func() bool { return gate.proxy.Counters().BackendOpen == 0 })
 }
 
-func TestCallsKeepWithinTheConnectionsOfTheBackEnd(t *testing.T) {
+func TestCallsAreLimitedByBackEndConnections(t *testing.T) {
 	check := is.New(t)
-	gate := startReportedGate(t, Limits{}, 9, func(call *heldCall) { <-call.over })
-	gate.proxy.Swap(testSnapshot(meshOptions{spec: resource.Service{MaxConnections: spareConnections + 2}}, nil))
+	gate := startReportedGate(t, Limits{}, 9, func(call *backendCall) { <-call.released })
+	gate.proxy.Swap(testSnapshot(meshOptions{service: resource.Service{MaxConnections: reservedConnections + 2}}, nil))
 	for range 4 {
-		gate.begin(t, time.Minute)
+		gate.startCall(t, time.Minute)
 	}
 	gate.await(func() bool { return gate.proxy.gate.Load().Queued == 2 })
-	gate.await(func() bool { return gate.arrived.Load() == 2 })
+	gate.await(func() bool { return gate.arrivedCount.Load() == 2 })
 	check.Equal(gate.proxy.Counters().BackendOpen, 2)
 }
 
 // A back end may report before the configuration has come that says how long its calls may
 // take.
-func TestWhatWasLeftBehindIsExpectedAlsoWhereRoutesComeLater(t *testing.T) {
+func TestOrphanedCallsAreExpectedWhenRoutesArriveLater(t *testing.T) {
 	check := is.New(t)
 	proxy := New(Config{Clock: testClock, NodeID: "gate", Service: testService, Reported: true})
 	t.Cleanup(proxy.Close)
@@ -207,11 +207,11 @@
 }
 
 // Nothing of a call that hung is at another start: that has all its slots.
-func TestTheSlotOfACallThatHungIsFreeOnceAnotherStartRuns(t *testing.T) {
-	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *heldCall) { <-call.over })
-	call := gate.begin(t, time.Minute)
-	gate.await(func() bool { return gate.arrived.Load() == 1 })
-	gate.hang()
+func TestSlotOfHungCallIsFreedByNextStart(t *testing.T) {
+	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released })
+	call := gate.startCall(t, time.Minute)
+	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
+	gate.hangCall()
 	call.cancel()
 	gate.proxy.ReportBackend(BackendReport{
 		Start: protocol.BackendStart{Instance: "next"}, Slots: 2, State: protocol.EndpointReady, EarlierCrashed: true,
@@ -221,22 +221,22 @@
 
 // A call that was taken for a hung one and is answered was at work: its slot is free as soon as
 // the back end ends the connection, also where its answer was not read to the end.
-func TestTheSlotOfACallThatIsAnsweredAllTheSameIsNotKept(t *testing.T) {
-	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *heldCall) { <-call.over; call.beginAnswer() })
-	call := gate.begin(t, time.Minute)
-	gate.await(func() bool { return gate.arrived.Load() == 1 })
-	gate.hang()
-	gate.letGo()
-	gate.await(func() bool { return gate.proxy.hangs.count.Load() == 0 })
+func TestSlotOfHungCallIsFreedByAnswer(t *testing.T) {
+	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released; call.sendAnswerHead() })
+	call := gate.startCall(t, time.Minute)
+	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
+	gate.hangCall()
+	gate.releaseCalls()
+	gate.await(func() bool { return gate.proxy.hangDetector.callCount.Load() == 0 })
 	call.cancel()
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
 // hang has all calls under way found to hang.
-func (g *reportedGate) hang() {
-	for index := range g.proxy.hangs.cells {
-		if made := g.proxy.hangs.cells[index].Load(); made != nil {
-			made.hangs.Store(true)
+func (g *reportedGate) hangCall() {
+	for index := range g.proxy.hangDetector.cells {
+		if made := g.proxy.hangDetector.cells[index].Load(); made != nil {
+			made.isHung.Store(true)
 		}
 	}
 }
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -15,11 +15,11 @@
 const (
 	// downAfter is how many probes in a row must fail before a back end counts
 	// as down.
-	downAfter = 3
+	maxProbeFailures = 3
 	// probeBytes bounds what is read of a probe's answer.
-	probeBytes = 4 << 10
+	maxProbeAnswerBytes = 4 << 10
 	// firstProbeWait is the time between probes until the first success.
-	firstProbeWait = 50 * time.Millisecond
+	firstProbeInterval = 50 * time.Millisecond
 )
 
 // health follows the back end beside the daemon by probes. What calls meet
@@ -29,28 +29,28 @@
 	proxy  *Proxy
 	client *http.Client
 	// answeredAt is when a call was last answered, on the clock.
-	answeredAt atomic.Int64
+	lastAnswerAt atomic.Int64
 	// wake asks for a probe now.
 	wake chan struct{}
 	// context ends with the proxy, done is closed when run has ended.
 	context context.Context
 	cancel  context.CancelFunc
 	done    chan struct{}
-	load    atomic.Pointer[ownLoad]
+	load    atomic.Pointer[backendLoad]
 
 	// state and failures belong to run.
-	state    protocol.EndpointState
-	failures int
+	state               protocol.EndpointState
+	consecutiveFailures int
 }
 
 // ownLoad is a back end's own report.
-type ownLoad struct {
-	running float64
-	at      time.Duration
+type backendLoad struct {
+	running    float64
+	reportedAt time.Duration
 }
 
 // loadAnswer is the form of a back end's load endpoint.
-type loadAnswer struct {
+type loadResponse struct {
 	Running *float64 `json:"running"`
 }
 
@@ -76,15 +76,15 @@
 
 // answered records that a call was answered. It writes a few times a second at
 // most, so that calls do not contend for it.
-func (h *health) answered() {
+func (h *health) recordAnswer() {
 	now := int64(h.proxy.config.Clock())
-	if now-h.answeredAt.Load() > int64(h.proxy.limits.ProbePeriod)/4 {
-		h.answeredAt.Store(now)
+	if now-h.lastAnswerAt.Load() > int64(h.proxy.limits.ProbePeriod)/4 {
+		h.lastAnswerAt.Store(now)
 	}
 }
 
 // unreachable asks for a probe now, for a call met no connection.
-func (h *health) unreachable() {
+func (h *health) requestProbe() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -92,9 +92,9 @@
 }
 
 // backendUnreachable is called when a call met no connection to the back end.
-func (p *Proxy) backendUnreachable(start protocol.BackendStart) {
+func (p *Proxy) handleBackendUnreachable(start protocol.BackendStart) {
 	if !p.config.Reported {
-		p.health.unreachable()
+		p.health.requestProbe()
 		return
 	}
 	if p.config.OnBackendUnreachable != nil {
@@ -104,12 +104,12 @@
 
 // ownLoad is the back end's last report and its age; the report is negative
 // when there is none.
-func (h *health) ownLoad() (float64, time.Duration) {
+func (h *health) backendLoad() (float64, time.Duration) {
 	held := h.load.Load()
 	if held == nil {
 		return -1, 0
 	}
-	return held.running, h.proxy.config.Clock() - held.at
+	return held.running, h.proxy.config.Clock() - held.reportedAt
 }
 
 // run probes until the proxy is closed.
@@ -120,7 +120,7 @@
 		h.probe()
 		period := h.proxy.limits.ProbePeriod
 		if h.state == protocol.EndpointNone || h.state == protocol.EndpointDown {
-			period = min(period, firstProbeWait)
+			period = min(period, firstProbeInterval)
 		}
 		timer := time.NewTimer(period)
 		select {
@@ -136,22 +136,22 @@
 
 // probe asks the back end once and settles its state.
 func (h *health) probe() {
-	spec, known := h.spec()
+	spec, known := h.serviceSpec()
 	if !known {
 		return
 	}
-	found := h.ask(spec)
+	found := h.probeState(spec)
 	if h.context.Err() != nil {
 		return
 	}
-	h.settle(found)
+	h.applyProbe(found)
 	if spec.LoadPath != "" {
-		h.askLoad(spec.LoadPath)
+		h.fetchLoad(spec.LoadPath)
 	}
 }
 
 // spec is the service as the snapshot in force has it.
-func (h *health) spec() (resource.Service, bool) {
+func (h *health) serviceSpec() (resource.Service, bool) {
 	held := h.proxy.view.Load().snapshot
 	if held == nil {
 		return resource.Service{}, false
@@ -162,7 +162,7 @@
 
 // ask probes health, or only whether the back end takes connections when the
 // service declares no health path.
-func (h *health) ask(spec resource.Service) protocol.EndpointState {
+func (h *health) probeState(spec resource.Service) protocol.EndpointState {
 	started := h.proxy.config.Clock()
 	state := protocol.EndpointDown
 	if spec.HealthPath == "" {
@@ -172,22 +172,22 @@
 			state = protocol.EndpointReady
 		}
 	} else {
-		state = h.askHealth(spec.HealthPath)
+		state = h.fetchHealth(spec.HealthPath)
 	}
-	callsAnswered := time.Duration(h.answeredAt.Load()) >= started-h.proxy.limits.ProbePeriod
-	if state == protocol.EndpointDown && callsAnswered && h.answeredAt.Load() > 0 {
+	callsAnswered := time.Duration(h.lastAnswerAt.Load()) >= started-h.proxy.limits.ProbePeriod
+	if state == protocol.EndpointDown && callsAnswered && h.lastAnswerAt.Load() > 0 {
 		return protocol.EndpointReady
 	}
 	return state
 }
 
-func (h *health) askHealth(path string) protocol.EndpointState {
+func (h *health) fetchHealth(path string) protocol.EndpointState {
 	answer, err := h.get(path)
 	if err != nil {
 		return protocol.EndpointDown
 	}
 	defer answer.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(answer.Body, probeBytes))
+	body, _ := io.ReadAll(io.LimitReader(answer.Body, maxProbeAnswerBytes))
 	draining := answer.Header.Get(headerBackendDraining) != "" || string(body) == "draining"
 	switch {
 	case draining:
@@ -201,18 +201,18 @@
 	return protocol.EndpointDown
 }
 
-func (h *health) askLoad(path string) {
+func (h *health) fetchLoad(path string) {
 	answer, err := h.get(path)
 	if err != nil {
 		return
 	}
 	defer answer.Body.Close()
-	var report loadAnswer
-	err = json.NewDecoder(io.LimitReader(answer.Body, probeBytes)).Decode(&report)
+	var report loadResponse
+	err = json.NewDecoder(io.LimitReader(answer.Body, maxProbeAnswerBytes)).Decode(&report)
 	if err != nil || report.Running == nil || *report.Running < 0 {
 		return
 	}
-	h.load.Store(&ownLoad{running: *report.Running, at: h.proxy.config.Clock()})
+	h.load.Store(&backendLoad{running: *report.Running, reportedAt: h.proxy.config.Clock()})
 }
 
 func (h *health) get(path string) (*http.Response, error) {
@@ -226,23 +226,23 @@
 
 // settle takes a probe's finding. Down needs several in a row, so that one
 // lost probe moves no work; the rest is taken at once.
-func (h *health) settle(found protocol.EndpointState) {
+func (h *health) applyProbe(found protocol.EndpointState) {
 	if found == protocol.EndpointDown {
-		h.failures++
-		if h.failures < downAfter && h.state != protocol.EndpointNone {
+		h.consecutiveFailures++
+		if h.consecutiveFailures < maxProbeFailures && h.state != protocol.EndpointNone {
 			return
 		}
 	} else {
-		h.failures = 0
+		h.consecutiveFailures = 0
 	}
 	if found == h.state {
 		return
 	}
-	h.change(found)
+	h.setState(found)
 }
 
 // change puts a new state in force at the gate and tells the daemon.
-func (h *health) change(next protocol.EndpointState) {
+func (h *health) setState(next protocol.EndpointState) {
 	previous := h.state
 	h.state = next
 	switch {
@@ -252,9 +252,9 @@
 		h.proxy.gate.Resume()
 	}
 	if next == protocol.EndpointReady {
-		h.proxy.backend.openAhead(h.proxy.limits.Prewarm)
+		h.proxy.backend.openSpares(h.proxy.limits.Prewarm)
 	}
-	h.proxy.event("backend_state", EventField{Key: "backend", Value: h.proxy.config.Backend},
+	h.proxy.logEvent("backend_state", EventField{Key: "backend", Value: h.proxy.config.Backend},
 		EventField{Key: "state", Value: next.String()})
 	if h.proxy.config.OnBackendState != nil {
 		h.proxy.config.OnBackendState(next)
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -15,7 +15,7 @@
 const errHedged = errors.ConstError("the gate is silent, and the call is sent elsewhere")
 
 // hedgedExchange stands for the exchange of an attempt whose own goes on without it.
-func hedgedExchange() *exchange { return &exchange{err: errHedged, cancel: func() {}} }
+func newPlaceholderExchange() *exchange { return &exchange{err: errHedged, cancel: func() {}} }
 
 // pendingExchange is an exchange that runs on a goroutine of its own.
 type pendingExchange struct {
@@ -77,7 +77,7 @@
 // daemon drains: a process learns of a stop later than it is sent, up to some tenths of
 // a second where its processor share is spent, and a call broken off by then is cut by
 // the stop all the same. A call has one at most.
-type hedged struct {
+type hedgedAttempt struct {
 	chosen *endpoint.Endpoint
 	sentAt time.Duration
 	// set is that of the endpoint when it was chosen.
@@ -86,27 +86,27 @@
 }
 
 // answered is closed when the hedged attempt has ended; nil, which never is, without one.
-func (c *callerCall) answered() <-chan struct{} {
-	if c.hedged == nil {
+func (c *callerCall) hedgedDone() <-chan struct{} {
+	if c.hedgedAttempt == nil {
 		return nil
 	}
-	return c.hedged.pending.done
+	return c.hedgedAttempt.pending.done
 }
 
 // takeHedged returns the hedged attempt, which has ended, if its back end has answered it,
 // and else nil. The call then has no hedged attempt any more, and no doubt about one that
 // is proved not to have run.
-func (c *callerCall) takeHedged() *attempt {
-	earlier := c.hedged
-	c.hedged = nil
+func (c *callerCall) takeHedgedAnswer() *attempt {
+	earlier := c.hedgedAttempt
+	c.hedgedAttempt = nil
 	received := earlier.pending.take()
 	if received.answer == nil && !received.unsent {
 		received.close()
 		return nil
 	}
-	late := &attempt{chosen: earlier.chosen, sentAt: earlier.sentAt, exchange: received}
-	late.chosen.Begin()
-	c.judge(late, earlier.set)
+	late := &attempt{endpoint: earlier.chosen, sentAt: earlier.sentAt, exchange: received}
+	late.endpoint.Begin()
+	c.classifyAttempt(late, earlier.set)
 	if late.outcome.Kind == retry.Answered {
 		return late
 	}
@@ -117,18 +117,18 @@
 
 // awaitHedged waits for the hedged attempt before a call is refused, and returns its
 // answer, or nil when it ended without one or the call ended before.
-func (c *callerCall) awaitHedged() *attempt {
-	if c.hedged == nil {
+func (c *callerCall) awaitHedgedAnswer() *attempt {
+	if c.hedgedAttempt == nil {
 		return nil
 	}
 	select {
-	case <-c.answered():
-		return c.takeHedged()
+	case <-c.hedgedDone():
+		return c.takeHedgedAnswer()
 	case <-c.context.Done():
 	}
 	select {
-	case <-c.answered(): // at the same moment: what is ready is delivered
-		return c.takeHedged()
+	case <-c.hedgedDone(): // at the same moment: what is ready is delivered
+		return c.takeHedgedAnswer()
 	default:
 		return nil
 	}
@@ -136,16 +136,16 @@
 
 // keep keeps a back end's answer of failure, to be delivered if nothing better comes. An
 // answer that was not read whole is not kept: it would hold its connection.
-func (c *callerCall) keep(failed *attempt) {
-	if c.failure == nil && failed.outcome.Kind == retry.Answered && failed.exchange.whole {
-		c.failure = failed
+func (c *callerCall) keepFailureAnswer(failed *attempt) {
+	if c.failureAnswer == nil && failed.outcome.Kind == retry.Answered && failed.exchange.complete {
+		c.failureAnswer = failed
 	}
 }
 
 // betterAnswer returns the answer of the hedged attempt in place of one by which a back
 // end failed the call, if there is one.
-func (c *callerCall) betterAnswer(failed *attempt) *attempt {
-	late := c.awaitHedged()
+func (c *callerCall) preferHedgedAnswer(failed *attempt) *attempt {
+	late := c.awaitHedgedAnswer()
 	if late == nil {
 		return failed
 	}
@@ -156,33 +156,33 @@
 // lastAnswer returns what a call can be answered with before it is refused: what the
 // hedged attempt is answered with or, failing that, a back end's failure; nil for
 // neither.
-func (c *callerCall) lastAnswer() *attempt {
-	if late := c.awaitHedged(); late != nil {
+func (c *callerCall) fallbackAnswer() *attempt {
+	if late := c.awaitHedgedAnswer(); late != nil {
 		return late
 	}
-	return c.failure
+	return c.failureAnswer
 }
 
 // runsAt tells whether the hedged attempt is at an endpoint.
-func (c *callerCall) runsAt(chosen *endpoint.Endpoint) bool {
-	return c.hedged != nil && chosen != nil && c.hedged.chosen.Address == chosen.Address
+func (c *callerCall) isHedgedAt(chosen *endpoint.Endpoint) bool {
+	return c.hedgedAttempt != nil && chosen != nil && c.hedgedAttempt.chosen.Address == chosen.Address
 }
 
 // dropHedged gives up what is still under way when a call has ended.
-func (c *callerCall) dropHedged() {
-	if c.hedged == nil {
+func (c *callerCall) abandonHedged() {
+	if c.hedgedAttempt == nil {
 		return
 	}
-	dropped := c.hedged
-	c.hedged = nil
+	dropped := c.hedgedAttempt
+	c.hedgedAttempt = nil
 	dropped.pending.drop()
 	reason, ended := c.endReason()
 	switch {
 	case ended:
-	case c.answering:
-		reason = AbandonedForAnswer
+	case c.answerStarted:
+		reason = AbandonedForOtherAnswer
 	default:
-		reason = AbandonedForRefusal
+		reason = AbandonedForCallRefusal
 	}
-	c.noteAbandoned(&attempt{chosen: dropped.chosen, sentAt: dropped.sentAt}, reason)
+	c.recordAbandoned(&attempt{endpoint: dropped.chosen, sentAt: dropped.sentAt}, reason)
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -15,51 +15,51 @@
 )
 
 // ending is how a back end ends a run.
-type ending int
+type failureKind int
 
 const (
-	endsWell ending = iota
-	endsWithFailure
-	endsByReset
+	succeeds failureKind = iota
+	respondsWithError
+	resetsConnection
 	// endsMidway resets the connection after a part of the answer.
-	endsMidway
+	breaksMidAnswer
 	// endsUnbegun sheds the call: the back end says that it has not begun it.
-	endsUnbegun
+	shedsCall
 )
 
 // stepped is a back end whose runs end as the test says.
-type stepped struct {
+type steppedBackend struct {
 	entered   chan struct{}
-	ends      chan ending
+	outcomes  chan failureKind
 	cancelled chan struct{}
 }
 
-func newStepped() *stepped {
-	return &stepped{entered: make(chan struct{}, 9), ends: make(chan ending, 9), cancelled: make(chan struct{}, 9)}
+func newSteppedBackend() *steppedBackend {
+	return &steppedBackend{entered: make(chan struct{}, 9), outcomes: make(chan failureKind, 9), cancelled: make(chan struct{}, 9)}
 }
 
-func (s *stepped) spec(name string) backendSpec {
+func (s *steppedBackend) spec(name string) backendSpec {
 	return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		s.entered <- struct{}{}
 		select {
-		case how := <-s.ends:
-			end(writer, how, name)
+		case how := <-s.outcomes:
+			failCall(writer, how, name)
 		case <-request.Context().Done():
 			s.cancelled <- struct{}{}
 		}
 	}}
 }
 
-func end(writer http.ResponseWriter, how ending, name string) {
+func failCall(writer http.ResponseWriter, how failureKind, name string) {
 	switch how {
-	case endsWell:
+	case succeeds:
 		_, _ = io.WriteString(writer, name)
-	case endsWithFailure:
+	case respondsWithError:
 		writer.WriteHeader(http.StatusInternalServerError)
-	case endsUnbegun:
+	case shedsCall:
 		writer.Header().Set(headerBackendRan, string(result.RanNo))
 		writer.WriteHeader(http.StatusServiceUnavailable)
-	case endsMidway:
+	case breaksMidAnswer:
 		writer.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(writer, "part")
 		_ = http.NewResponseController(writer).Flush()
@@ -70,50 +70,50 @@
 }
 
 // breakAll breaks the runs of all attempts that a call may make.
-func (s *stepped) breakAll() {
+func (s *steppedBackend) resetAllAttempts() {
 	for range routing.DefaultAttempts {
-		s.ends <- endsByReset
+		s.outcomes <- resetsConnection
 	}
 }
 
 // hedging is a mesh of two back ends with a call under way at one of them.
-type hedging struct {
+type hedgedCall struct {
 	*mesh
-	first, second *stepped
+	first, second *steppedBackend
 	// silent is the gate of the first.
-	silent  *Proxy
-	answers chan answered
+	firstGate *Proxy
+	answers   chan callResult
 }
 
 // startHedging starts a repeatable call and waits until it runs.
-func startHedging(t *testing.T, change func(*Config)) *hedging {
+func startHedgedCall(t *testing.T, change func(*Config)) *hedgedCall {
 	t.Helper()
-	one, other := newStepped(), newStepped()
-	made := &hedging{answers: make(chan answered, 1)}
-	made.mesh = startMesh(t, meshOptions{caller: func(config *Config) {
+	one, other := newSteppedBackend(), newSteppedBackend()
+	made := &hedgedCall{answers: make(chan callResult, 1)}
+	made.mesh = startMesh(t, meshOptions{changeCaller: func(config *Config) {
 		config.OnSilent = func(protocol.NodeID) {} // calls may be hedged
 		change(config)
 	}}, one.spec("a"), other.spec("b"))
 	go func() { made.answers <- made.call(t, "GET", "/", "") }()
 	select {
 	case <-one.entered:
-		made.first, made.second, made.silent = one, other, made.gates[0]
+		made.first, made.second, made.firstGate = one, other, made.gates[0]
 	case <-other.entered:
-		made.first, made.second, made.silent = other, one, made.gates[1]
+		made.first, made.second, made.firstGate = other, one, made.gates[1]
 	}
 	return made
 }
 
 // fallSilent tells the caller's side that the daemon of the first does not answer.
-func (o *hedging) fallSilent() {
-	o.mesh.caller.SetReachable(o.silent.config.NodeID, false)
-	o.mesh.caller.GiveUp(o.silent.config.NodeID)
+func (o *hedgedCall) silenceFirstGate() {
+	o.mesh.caller.SetReachable(o.firstGate.config.NodeID, false)
+	o.mesh.caller.GiveUp(o.firstGate.config.NodeID)
 }
 
 // closeOther has the other gate refuse all calls.
-func (o *hedging) closeOther() {
+func (o *hedgedCall) closeSecondGate() {
 	for _, gate := range o.gates {
-		if gate != o.silent {
+		if gate != o.firstGate {
 			gate.StartDrain()
 			<-gate.Drained()
 		}
@@ -121,7 +121,7 @@
 }
 
 // awaitLimit bounds the waits for what must come.
-const awaitLimit = 5 * time.Second
+const awaitTimeout = 5 * time.Second
 
 // await waits for one thing on a channel.
 func await[Thing any](t *testing.T, from <-chan Thing, what string) Thing {
@@ -129,24 +129,24 @@
 	select {
 	case got := <-from:
 		return got
-	case <-time.After(awaitLimit):
+	case <-time.After(awaitTimeout):
 		t.Fatal("never: " + what)
 		panic("unreachable")
 	}
 }
 
 // settleTime is how long a wrong answer, which comes at once, is waited for.
-const settleTime = 60 * time.Millisecond
+const noAnswerPeriod = 60 * time.Millisecond
 
 // stayOpen fails when the caller is answered while the first attempt runs.
-func (o *hedging) stayOpen(t *testing.T, when string) {
+func (o *hedgedCall) requireUnanswered(t *testing.T, when string) {
 	t.Helper()
 	select {
 	case got := <-o.answers:
 		t.Fatalf("%s: the caller got %d %q while its call ran", when, got.status, got.body)
 	case <-o.first.cancelled:
 		t.Fatalf("%s: the run was cut", when)
-	case <-time.After(settleTime):
+	case <-time.After(noAnswerPeriod):
 	}
 }
 
@@ -157,41 +157,41 @@
 // process learnt of its stop a moment after. So an attempt that was sent ends by its own
 // answer or connection, its caller, its time or the drain's hard bound, at any moment
 // around a stop, and never because its daemon is silent.
-func TestNoCallIsFailedWhileAnAttemptIsUnderWay(t *testing.T) {
-	ends := map[string]ending{"breaks": endsByReset, "is refused": endsWell}
+func TestCallIsNotFailedWhileHedgedAttemptRuns(t *testing.T) {
+	ends := map[string]failureKind{"breaks": resetsConnection, "is refused": succeeds}
 	for name, how := range ends {
 		for _, moment := range []string{"never", "before the silence", "before the other ends", "after the other ended"} {
-			t.Run("the other "+name+", stop "+moment, func(t *testing.T) { failsNoCallUnderWay(t, how, moment) })
+			t.Run("the other "+name+", stop "+moment, func(t *testing.T) { testNoCallFailed(t, how, moment) })
 		}
 	}
 }
 
-func failsNoCallUnderWay(t *testing.T, how ending, stop string) {
+func testNoCallFailed(t *testing.T, how failureKind, stop string) {
 	check := is.New(t)
-	mesh := startHedging(t, func(*Config) {})
+	mesh := startHedgedCall(t, func(*Config) {})
 	stopAt := func(moment string) {
 		if moment == stop {
 			mesh.caller.StartDrain()
 		}
 	}
-	if how != endsByReset {
-		mesh.closeOther()
+	if how != resetsConnection {
+		mesh.closeSecondGate()
 	}
 	stopAt("before the silence")
-	mesh.fallSilent()
-	if how == endsByReset {
+	mesh.silenceFirstGate()
+	if how == resetsConnection {
 		await(t, mesh.second.entered, "another attempt")
 	}
 	stopAt("before the other ends")
-	if how == endsByReset {
-		mesh.second.breakAll()
+	if how == resetsConnection {
+		mesh.second.resetAllAttempts()
 	}
-	mesh.stayOpen(t, "after the other attempt")
+	mesh.requireUnanswered(t, "after the other attempt")
 	stopAt("after the other ended")
-	mesh.stayOpen(t, "after the stop")
+	mesh.requireUnanswered(t, "after the stop")
 	check.Equal(len(mesh.first.entered), 0) // what keeps the call open is its first attempt alone
 	check.Equal(len(mesh.caller.Counters().Abandoned), 0)
-	mesh.first.ends <- endsWell
+	mesh.first.outcomes <- succeeds
 	got := await(t, mesh.answers, "an answer")
 	check.Equal(got.status, http.StatusOK)
 	check.Equal(len(got.body), 1)
@@ -199,78 +199,78 @@
 
 // A failure that the first back end answers does not end the attempt that runs at the
 // other one.
-func TestAFailureOfTheFirstDoesNotCutTheOther(t *testing.T) {
+func TestFailureOfHedgedAttemptDoesNotEndSecondAttempt(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedging(t, func(*Config) {})
-	mesh.fallSilent()
+	mesh := startHedgedCall(t, func(*Config) {})
+	mesh.silenceFirstGate()
 	await(t, mesh.second.entered, "another attempt")
-	mesh.first.ends <- endsWithFailure
+	mesh.first.outcomes <- respondsWithError
 	select {
 	case got := <-mesh.answers:
 		t.Fatalf("the caller got %d while its call ran", got.status)
-	case <-time.After(settleTime):
+	case <-time.After(noAnswerPeriod):
 	}
-	mesh.second.ends <- endsWell
+	mesh.second.outcomes <- succeeds
 	check.Equal(await(t, mesh.answers, "an answer").status, http.StatusOK)
 }
 
 // A back end's own answer of failure is delivered rather than a failure of our own.
-func TestAFailureOfABackEndGoesBeforeOneOfOurOwn(t *testing.T) {
+func TestBackEndFailureIsPreferredToOwnRefusal(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedging(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
-	mesh.fallSilent()
+	mesh := startHedgedCall(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
+	mesh.silenceFirstGate()
 	await(t, mesh.second.entered, "another attempt")
-	mesh.first.ends <- endsWithFailure
-	time.Sleep(settleTime)
-	mesh.second.breakAll()
-	mesh.first.breakAll() // further attempts
+	mesh.first.outcomes <- respondsWithError
+	time.Sleep(noAnswerPeriod)
+	mesh.second.resetAllAttempts()
+	mesh.first.resetAllAttempts() // further attempts
 	got := await(t, mesh.answers, "an answer")
 	check.Equal(got.status, http.StatusInternalServerError)
 	check.Equal(got.code(), "")
 }
 
 // An answer of the first that breaks off leaves the caller with a whole answer of our own.
-func TestABrokenLateAnswerIsAnsweredForWhole(t *testing.T) {
+func TestTruncatedHedgedAnswerIsReplacedByRefusal(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedging(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
-	mesh.closeOther()
-	mesh.caller.GiveUp(mesh.silent.config.NodeID)
-	mesh.stayOpen(t, "after the other attempt")
-	mesh.first.ends <- endsMidway
+	mesh := startHedgedCall(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
+	mesh.closeSecondGate()
+	mesh.caller.GiveUp(mesh.firstGate.config.NodeID)
+	mesh.requireUnanswered(t, "after the other attempt")
+	mesh.first.outcomes <- breaksMidAnswer
 	got := await(t, mesh.answers, "an answer")
-	check.True(!got.cut)
+	check.True(!got.truncated)
 	check.Equal(got.ran(), string(result.RanUnknown))
 }
 
 // A hedged attempt that is proved not to have run leaves no doubt: its caller is told that
 // nothing ran, and with a status that says so.
-func TestAHedgedCallThatRanNowhereIsToldSo(t *testing.T) {
+func TestHedgedCallShedLastIsRefusedAsNotRun(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedging(t, func(*Config) {})
-	mesh.closeOther()
-	mesh.fallSilent()
-	mesh.stayOpen(t, "after the other attempt")
-	mesh.first.ends <- endsUnbegun
+	mesh := startHedgedCall(t, func(*Config) {})
+	mesh.closeSecondGate()
+	mesh.silenceFirstGate()
+	mesh.requireUnanswered(t, "after the other attempt")
+	mesh.first.outcomes <- shedsCall
 	got := await(t, mesh.answers, "an answer")
 	check.Equal(got.ran(), string(result.RanNo))
 	check.Equal(got.status, http.StatusServiceUnavailable)
 }
 
 // The same where the proof comes first.
-func TestAHedgedCallThatIsLaterRefusedElsewhereIsToldThatItRanNowhere(t *testing.T) {
+func TestHedgedCallShedFirstIsRefusedAsNotRun(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedging(t, func(*Config) {})
-	mesh.fallSilent()
+	mesh := startHedgedCall(t, func(*Config) {})
+	mesh.silenceFirstGate()
 	await(t, mesh.second.entered, "another attempt")
-	mesh.first.ends <- endsUnbegun
+	mesh.first.outcomes <- shedsCall
 	select {
 	case got := <-mesh.answers:
 		t.Fatalf("the caller got %d while its call ran", got.status)
-	case <-time.After(settleTime):
+	case <-time.After(noAnswerPeriod):
 	}
 	for range routing.DefaultAttempts {
-		mesh.first.ends <- endsUnbegun // further attempts
-		mesh.second.ends <- endsUnbegun
+		mesh.first.outcomes <- shedsCall // further attempts
+		mesh.second.outcomes <- shedsCall
 	}
 	got := await(t, mesh.answers, "an answer")
 	check.Equal(got.ran(), string(result.RanNo))
@@ -278,32 +278,32 @@
 
 // A suspicion takes no attempt away, whatever the other attempt ends with: the first back
 // end is at work, and its answer is of success.
-func TestAFailureOfTheOtherDoesNotCutTheFirst(t *testing.T) {
+func TestFailureOfSecondAttemptDoesNotEndHedgedAttempt(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedging(t, func(*Config) {})
-	mesh.fallSilent()
+	mesh := startHedgedCall(t, func(*Config) {})
+	mesh.silenceFirstGate()
 	await(t, mesh.second.entered, "another attempt")
-	mesh.second.ends <- endsWithFailure
-	mesh.stayOpen(t, "after the other failed")
-	mesh.first.ends <- endsWell
+	mesh.second.outcomes <- respondsWithError
+	mesh.requireUnanswered(t, "after the other failed")
+	mesh.first.outcomes <- succeeds
 	check.Equal(await(t, mesh.answers, "an answer").status, http.StatusOK)
 }
 
 // The attempt that is waited for is the first one, and not a second one at the same place.
-func TestNoCallIsSentAgainToWhereItRuns(t *testing.T) {
+func TestCallIsNotResentToHedgedEndpoint(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedging(t, func(*Config) {})
-	mesh.fallSilent()
+	mesh := startHedgedCall(t, func(*Config) {})
+	mesh.silenceFirstGate()
 	await(t, mesh.second.entered, "another attempt")
-	mesh.second.breakAll()
-	mesh.stayOpen(t, "after the other attempt")
+	mesh.second.resetAllAttempts()
+	mesh.requireUnanswered(t, "after the other attempt")
 	check.Equal(len(mesh.first.entered), 0) // a second run where the first one is at work
-	mesh.first.ends <- endsWell
+	mesh.first.outcomes <- succeeds
 	check.Equal(await(t, mesh.answers, "an answer").status, http.StatusOK)
 }
 
 // A hedged attempt whose answer stops midway holds no answer up that is whole.
-func TestALateAnswerThatStopsMidwayHoldsNothingUp(t *testing.T) {
+func TestStalledHedgedAnswerDoesNotDelayCompleteAnswer(t *testing.T) {
 	check := is.New(t)
 	began := make(chan string, 9)
 	head := make(chan struct{})
@@ -326,13 +326,13 @@
 		}}
 	}
 	limits := Limits{CollectBytes: 1 << 10}
-	mesh := startMesh(t, meshOptions{limits: limits, caller: func(config *Config) {
+	mesh := startMesh(t, meshOptions{limits: limits, changeCaller: func(config *Config) {
 		config.OnSilent = func(protocol.NodeID) {}
 	}}, spec("a"), spec("b"))
 	for _, gate := range mesh.gates {
 		gate.limits.CollectBytes = 0 // the gate's machine is cut off midway
 	}
-	got := make(chan answered, 1)
+	got := make(chan callResult, 1)
 	go func() { got <- mesh.call(t, "GET", "/", "", "Springstack-Timeout-Ms", "2000") }()
 	name := await(t, began, "a run")
 	silent := mesh.gates[name[0]-'a'].config.NodeID
@@ -340,7 +340,7 @@
 	mesh.caller.GiveUp(silent)
 	await(t, began, "another attempt")
 	close(head)
-	time.Sleep(settleTime)
+	time.Sleep(noAnswerPeriod)
 	close(finish)
 	select {
 	case one := <-got:
--- a/internal/proxy/incarnation.go
+++ b/internal/proxy/incarnation.go
@@ -12,26 +12,26 @@
 // with the one of its configuration and takes a higher one when a peer
 // remembers it; calls chosen by either are meant for this process, and those
 // for any other number are meant for an earlier one.
-type incarnations struct {
-	own atomic.Pointer[[]protocol.Incarnation]
+type ownIncarnations struct {
+	known atomic.Pointer[[]protocol.Incarnation]
 }
 
 // add notes a number that the node goes by. One goroutine adds at a time.
-func (i *incarnations) add(incarnation protocol.Incarnation) {
-	known := i.own.Load()
+func (i *ownIncarnations) add(incarnation protocol.Incarnation) {
+	known := i.known.Load()
 	if known == nil {
-		i.own.Store(&[]protocol.Incarnation{incarnation})
+		i.known.Store(&[]protocol.Incarnation{incarnation})
 		return
 	}
 	if slices.Contains(*known, incarnation) {
 		return
 	}
 	longer := append(slices.Clone(*known), incarnation)
-	i.own.Store(&longer)
+	i.known.Store(&longer)
 }
 
 // learn notes the number in the node's own member record.
-func (i *incarnations) learn(self protocol.NodeID, members []protocol.Member) {
+func (i *ownIncarnations) addFromMembers(self protocol.NodeID, members []protocol.Member) {
 	for _, member := range members {
 		if member.ID == self {
 			i.add(member.Incarnation)
@@ -40,7 +40,7 @@
 }
 
 // include reports whether a call's header names one of them.
-func (i *incarnations) include(header string) bool {
+func (i *ownIncarnations) contains(header string) bool {
 	incarnation, err := strconv.ParseUint(header, 10, 64)
-	return err == nil && slices.Contains(*i.own.Load(), protocol.Incarnation(incarnation))
+	return err == nil && slices.Contains(*i.known.Load(), protocol.Incarnation(incarnation))
 }
--- a/internal/proxy/incarnation_test.go
+++ b/internal/proxy/incarnation_test.go
@@ -8,14 +8,14 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-func TestGateAnswersToEachNumberOfItsOwnLifeOnly(t *testing.T) {
+func TestOwnIncarnationsContainOnlyOwnNumbers(t *testing.T) {
 	is := is.New(t)
-	own := &incarnations{}
+	own := &ownIncarnations{}
 	own.add(7)
-	own.learn("self", []protocol.Member{{ID: "other", Incarnation: 8}, {ID: "self", Incarnation: 9}})
-	is.True(own.include("7"))
-	is.True(!own.include("8")) // an earlier life may have gone by it
-	is.True(own.include("9"))
-	is.True(!own.include("-1"))
-	is.True(!own.include("nine"))
+	own.addFromMembers("self", []protocol.Member{{ID: "other", Incarnation: 8}, {ID: "self", Incarnation: 9}})
+	is.True(own.contains("7"))
+	is.True(!own.contains("8")) // an earlier life may have gone by it
+	is.True(own.contains("9"))
+	is.True(!own.contains("-1"))
+	is.True(!own.contains("nine"))
 }
--- a/internal/proxy/judge.go
+++ b/internal/proxy/judge.go
@@ -15,82 +15,82 @@
 
 // refusalBytes bounds what is read of a refusal so that its connection can be
 // used again.
-const refusalBytes = 4 << 10
+const maxRefusalBytes = 4 << 10
 
 // judge tells what became of an attempt, for the call and for the endpoint.
-func (c *callerCall) judge(made *attempt, set *endpoint.Set) {
+func (c *callerCall) classifyAttempt(made *attempt, set *endpoint.Set) {
 	made.exchange.collect(c.proxy.limits.CollectBytes)
 	now := c.proxy.config.Clock()
-	made.outcome.Replayable = c.body.replayable()
-	made.outcome.Others = set.HasUntried(now, c.tried)
+	made.outcome.Replayable = c.body.isReplayable()
+	made.outcome.Others = set.HasUntried(now, c.triedEndpoints)
 	answer := made.exchange.answer
 	switch {
 	case answer == nil:
-		c.judgeFailure(made)
+		c.classifyFailure(made)
 		return
 	case answer.Header.Get(headerCode) != "":
-		c.judgeRefusal(made, answer)
-		made.outcome.Others = c.othersAfter(made, set, now)
+		c.classifyRefusal(made, answer)
+		made.outcome.Others = c.hasOtherEndpoint(made, set, now)
 	default:
 		made.outcome.Kind = retry.Answered
-		made.evidence = endpoint.Succeeded
+		made.endpointOutcome = endpoint.Succeeded
 		if answer.StatusCode >= http.StatusInternalServerError {
 			made.outcome.Failed = true
-			made.evidence = endpoint.ServerError
+			made.endpointOutcome = endpoint.ServerError
 		}
 	}
 	if report, found := parseLoad(answer.Header.Get(headerLoad)); found {
-		made.chosen.ApplyLoadReport(now, report)
+		made.endpoint.ApplyLoadReport(now, report)
 	}
 }
 
 // othersAfter tells whether an endpoint is left that may take the call after a gate's refusal.
 // A region that the gate does not allow binds the call from then on.
-func (c *callerCall) othersAfter(made *attempt, set *endpoint.Set, now time.Duration) bool {
+func (c *callerCall) hasOtherEndpoint(made *attempt, set *endpoint.Set, now time.Duration) bool {
 	switch {
-	case made.evidence == endpoint.Overloaded && !made.outcome.Arrived:
+	case made.endpointOutcome == endpoint.Overloaded && !made.outcome.Arrived:
 		// To ask gates that have just refused others would burden them for nothing.
-		return set.HasUntriedWithCapacity(now, c.tried)
+		return set.HasUntriedWithCapacity(now, c.triedEndpoints)
 	case made.outcome.Code == result.RegionNotAllowed:
-		c.bindAsGate(made.exchange.answer)
-		return set.InRegions(c.regions).HasUntried(now, c.tried)
+		c.applyGateRegions(made.exchange.answer)
+		return set.InRegions(c.regions).HasUntried(now, c.triedEndpoints)
 	case made.outcome.Code == result.WarmingUp:
-		return set.HasUntried(now, c.tried) || set.ChooseCold(now, 0, c.tried, c.class()) != nil
+		return set.HasUntried(now, c.triedEndpoints) || set.ChooseCold(now, 0, c.triedEndpoints, c.priorityClass()) != nil
 	}
-	return set.HasUntried(now, c.tried)
+	return set.HasUntried(now, c.triedEndpoints)
 }
 
 // judgeFailure weighs an attempt without an answer. Only the guard's proof
 // makes it one that did not run.
-func (c *callerCall) judgeFailure(made *attempt) {
-	c.detail = describeFailure(made.exchange.err)
-	made.evidence = endpoint.Broken
+func (c *callerCall) classifyFailure(made *attempt) {
+	c.attemptDetail = describeFailure(made.exchange.err)
+	made.endpointOutcome = endpoint.Broken
 	switch {
 	case made.exchange.unsent:
 		made.outcome.Kind = retry.NotSent
-		made.evidence = endpoint.Unreachable
-	case c.body.problem() != nil:
+		made.endpointOutcome = endpoint.Unreachable
+	case c.body.readFailure() != nil:
 		// The caller's own sending failed, so nothing can be sent again.
 		made.outcome.Kind = retry.Broken
 		made.outcome.Replayable = false
-		made.evidence = endpoint.Cancelled
-		c.detail = describeBody(c.body.problem())
+		made.endpointOutcome = endpoint.Cancelled
+		c.attemptDetail = describeBodyFailure(c.body.readFailure())
 	case c.context.Err() == context.DeadlineExceeded:
 		// Under overload healthy endpoints are late as well, so this weighs less
 		// than a break.
 		made.outcome.Kind = retry.Expired
-		made.evidence = endpoint.ServerError
+		made.endpointOutcome = endpoint.ServerError
 	default:
 		made.outcome.Kind = retry.Broken
 	}
 	if reason, ended := c.endReason(); ended && !made.exchange.unsent {
-		c.noteAbandoned(made, reason)
+		c.recordAbandoned(made, reason)
 	}
 	if c.context.Err() != nil && made.exchange.unsent {
-		made.evidence = endpoint.Cancelled
+		made.endpointOutcome = endpoint.Cancelled
 	}
 	if c.request.Context().Err() != nil {
-		made.evidence = endpoint.Cancelled
+		made.endpointOutcome = endpoint.Cancelled
 		if context.Cause(c.context) != errDrainBound {
 			made.outcome.Kind = retry.CallerGone
 		}
@@ -98,10 +98,10 @@
 }
 
 // judgeRefusal reads the gate's word. One that can't be read counts as unknown.
-func (c *callerCall) judgeRefusal(made *attempt, answer *http.Response) {
+func (c *callerCall) classifyRefusal(made *attempt, answer *http.Response) {
 	made.outcome.Kind = retry.Refused
 	made.outcome.Ran = result.RanUnknown
-	made.evidence = endpoint.Succeeded
+	made.endpointOutcome = endpoint.Succeeded
 	code, err := strconv.Atoi(answer.Header.Get(headerCode))
 	made.outcome.Code = result.Code(code)
 	if err != nil {
@@ -113,30 +113,30 @@
 	if seconds, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
 		made.outcome.RetryAfter = time.Duration(seconds * float64(time.Second))
 	}
-	c.weighRefusal(made)
-	c.noteEnded(answer.Header.Get(headerEnded))
-	c.detail = ""
+	c.setEndpointOutcome(made)
+	c.recordInstanceEnd(answer.Header.Get(headerEnded))
+	c.attemptDetail = ""
 	// Reading the rest lets the connection be used again; it is short.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, refusalBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxRefusalBytes))
 }
 
 // weighRefusal tells what a refusal says of the endpoint.
-func (c *callerCall) weighRefusal(made *attempt) {
+func (c *callerCall) setEndpointOutcome(made *attempt) {
 	switch made.outcome.Code {
 	case result.Draining, result.WrongBackend, result.ZoneEvacuated:
-		made.evidence = endpoint.NotAccepting
+		made.endpointOutcome = endpoint.NotAccepting
 	case result.WarmingUp:
-		made.evidence = endpoint.Cancelled
-		made.chosen.RecordColdRefusal(c.proxy.config.Clock(), made.outcome.RetryAfter, c.class())
+		made.endpointOutcome = endpoint.Cancelled
+		made.endpoint.RecordColdRefusal(c.proxy.config.Clock(), made.outcome.RetryAfter, c.priorityClass())
 	case result.QueueFull, result.DeadlineBeforeStart, result.Shed, result.ShareExceeded, result.Overloaded:
-		made.evidence = endpoint.Overloaded
+		made.endpointOutcome = endpoint.Overloaded
 	case result.ConnectFailed:
-		made.evidence = endpoint.Unreachable
+		made.endpointOutcome = endpoint.Unreachable
 	case result.BackendRefused:
-		made.evidence = endpoint.Overloaded
+		made.endpointOutcome = endpoint.Overloaded
 		made.outcome.Arrived = true
 	case result.BrokenInFlight:
-		made.evidence = endpoint.Broken
+		made.endpointOutcome = endpoint.Broken
 	}
 }
 
@@ -146,16 +146,16 @@
 	if err == nil {
 		return ""
 	}
-	return "The attempt failed: " + innermost(err).Error() + "."
+	return "The attempt failed: " + rootCause(err).Error() + "."
 }
 
 // describeBody names a failure to read a request's body.
-func describeBody(err error) string {
-	return "The request's body: " + innermost(err).Error() + "."
+func describeBodyFailure(err error) string {
+	return "The request's body: " + rootCause(err).Error() + "."
 }
 
 // innermost unwraps an error to what it began with.
-func innermost(err error) error {
+func rootCause(err error) error {
 	for {
 		next := errors.Unwrap(err)
 		if next == nil {
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -18,15 +18,15 @@
 )
 
 // refusedWait bounds the time that a refused connection is kept open.
-const refusedWait = 250 * time.Millisecond
+const refusalTimeout = 250 * time.Millisecond
 
 // refusedLimit bounds the refused connections that are answered at a time;
 // those beyond it are closed without a word.
-const refusedLimit = 64
+const maxRefusedConns = 64
 
 // quietLog drops the library's own lines: they are about single connections
 // and are not in the project's form.
-var quietLog = log.New(io.Discard, "", 0)
+var discardLog = log.New(io.Discard, "", 0)
 
 // boundedListener refuses connections beyond a limit, with a code, and gives
 // the library's own refusals of malformed requests a code.
@@ -34,24 +34,24 @@
 	net.Listener
 	limit int64
 	// quiet closes idle connections without an announcing answer.
-	quiet  bool
-	secure *tls.Config
+	closesIdleSilently bool
+	tlsConfig          *tls.Config
 	// ahead is set when requests of a connection may run ahead of their turn.
-	ahead    *pipeline.Config
-	open     atomic.Int64
-	refusing atomic.Int64
+	pipelining    *pipeline.Config
+	openCount     atomic.Int64
+	refusingCount atomic.Int64
 	// conns are the open connections, entered and left once each.
 	conns sync.Map // of *countedConn
 	// stage is one of the stages in shutdown.go.
 	stage atomic.Int32
 	// emptied is closed when Accept has ended.
-	emptied     chan struct{}
-	emptiedOnce sync.Once
-	closeOnce   sync.Once
+	acceptEnded     chan struct{}
+	acceptEndedOnce sync.Once
+	closeOnce       sync.Once
 }
 
 func newBoundedListener(inner net.Listener, limit int) *boundedListener {
-	return &boundedListener{Listener: inner, limit: int64(limit), emptied: make(chan struct{})}
+	return &boundedListener{Listener: inner, limit: int64(limit), acceptEnded: make(chan struct{})}
 }
 
 // Close closes the listener; closing it again does nothing.
@@ -66,24 +66,24 @@
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
-			return nil, l.acceptFailed(err)
+			return nil, l.handleAcceptError(err)
 		}
-		if l.secure != nil {
+		if l.tlsConfig != nil {
 			// The handshake takes place at the first reading or writing, in the
 			// connection's own goroutine and within its deadlines.
-			conn = tls.Server(conn, l.secure)
+			conn = tls.Server(conn, l.tlsConfig)
 		}
 		if l.stage.Load() == stageRetiring {
-			l.refuse(conn, leavingRefusal(0))
+			l.refuseConnection(conn, stoppingRefusal(0))
 			continue
 		}
-		if l.open.Add(1) <= l.limit {
+		if l.openCount.Add(1) <= l.limit {
 			counted := newCountedConn(conn, l)
 			l.conns.Store(counted, struct{}{})
 			return counted, nil
 		}
-		l.open.Add(-1)
-		l.refuse(conn, Refusal{
+		l.openCount.Add(-1)
+		l.refuseConnection(conn, Refusal{
 			Code:       result.Overloaded,
 			Detail:     "The listener has as many connections as it may.",
 			RetryAfter: time.Second,
@@ -92,11 +92,11 @@
 }
 
 // acceptFailed tells the server whether to go on accepting.
-func (l *boundedListener) acceptFailed(err error) error {
+func (l *boundedListener) handleAcceptError(err error) error {
 	if l.stage.Load() == stageServing && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	l.emptiedOnce.Do(func() { close(l.emptied) })
+	l.acceptEndedOnce.Do(func() { close(l.acceptEnded) })
 	return net.ErrClosed
 }
 
@@ -104,20 +104,20 @@
 // it. It waits for the call, for a caller may not heed an answer that comes
 // before; and it reads what the caller sends after it, for closing with unread
 // bytes would reset the connection before the caller has read the refusal.
-func (l *boundedListener) refuse(conn net.Conn, refusal Refusal) {
-	if l.refusing.Add(1) > refusedLimit {
-		l.refusing.Add(-1)
+func (l *boundedListener) refuseConnection(conn net.Conn, refusal Refusal) {
+	if l.refusingCount.Add(1) > maxRefusedConns {
+		l.refusingCount.Add(-1)
 		_ = conn.Close()
 		return
 	}
 	go func() {
-		defer l.refusing.Add(-1)
+		defer l.refusingCount.Add(-1)
 		defer conn.Close()
-		_ = conn.SetDeadline(time.Now().Add(refusedWait))
-		if _, err := conn.Read(make([]byte, refusalBytes)); err != nil {
+		_ = conn.SetDeadline(time.Now().Add(refusalTimeout))
+		if _, err := conn.Read(make([]byte, maxRefusalBytes)); err != nil {
 			return
 		}
-		if _, err := conn.Write(plainRefusal(refusal)); err != nil {
+		if _, err := conn.Write(rawRefusal(refusal)); err != nil {
 			return
 		}
 		if half, ok := conn.(writeCloser); ok {
@@ -132,24 +132,26 @@
 	net.Conn
 	listener *boundedListener
 	// ahead is Conn when requests may run ahead of their turn, and else nil.
-	ahead *pipeline.Conn
-	once  sync.Once
-	phase atomic.Int32
-	rest  restTimer
+	pipelined *pipeline.Conn
+	closeOnce sync.Once
+	phase     atomic.Int32
+	idleTimer idleTimer
 }
 
 func newCountedConn(conn net.Conn, listener *boundedListener) *countedConn {
 	counted := &countedConn{Conn: conn, listener: listener}
-	if listener.ahead != nil {
-		counted.ahead = pipeline.Wrap(conn, listener.ahead)
-		counted.Conn = counted.ahead
+	if listener.pipelining != nil {
+		counted.pipelined = pipeline.Wrap(conn, listener.pipelining)
+		counted.Conn = counted.pipelined
 	}
 	return counted
 }
 
 // owes tells whether answers are owed to requests behind the current one that
 // run or have run ahead.
-func (c *countedConn) owes() bool { return c.ahead != nil && c.ahead.Pending() }
+func (c *countedConn) hasPendingAnswers() bool {
+	return c.pipelined != nil && c.pipelined.HasPendingAnswers()
+}
 
 // The phases of a connection.
 const (
@@ -164,14 +166,14 @@
 
 // begin marks the start of a call; false means that the connection is retired
 // and that the call must not run.
-func (c *countedConn) begin() bool {
-	c.rest.await(0, c)
+func (c *countedConn) beginCall() bool {
+	c.idleTimer.reset(0, c)
 	return c.phase.CompareAndSwap(phaseIdle, phaseBusy) || c.phase.Load() == phaseBusy
 }
 
 // finished marks the end of a call. A connection that outlived the stage in
 // which it could be retired is retired now.
-func (c *countedConn) finished() {
+func (c *countedConn) endCall() {
 	c.phase.CompareAndSwap(phaseBusy, phaseIdle)
 	if c.listener.stage.Load() == stageRetiring {
 		c.retire()
@@ -183,9 +185,9 @@
 
 // Close closes the connection.
 func (c *countedConn) Close() error {
-	c.once.Do(func() {
-		c.rest.await(0, c)
-		c.listener.open.Add(-1)
+	c.closeOnce.Do(func() {
+		c.idleTimer.reset(0, c)
+		c.listener.openCount.Add(-1)
 		c.listener.conns.Delete(c)
 	})
 	return c.Conn.Close()
@@ -203,38 +205,38 @@
 // The library answers requests that it can't parse by one write of a whole
 // answer, while no handler runs.
 const (
-	libraryPrefix = "HTTP/1.1 "
+	statusLinePrefix = "HTTP/1.1 "
 	// firstError and tooLarge are its statuses, as digits.
-	firstError = "400"
-	tooLarge   = "431"
+	firstErrorStatus      = "400"
+	headersTooLargeStatus = "431"
 )
 
 // Write sends bytes, giving the library's own refusals a code.
 func (c *countedConn) Write(text []byte) (int, error) {
-	status, prefixed := bytes.CutPrefix(text, []byte(libraryPrefix))
-	if c.phase.Load() != phaseIdle || !prefixed || len(status) < len(firstError) {
+	status, prefixed := bytes.CutPrefix(text, []byte(statusLinePrefix))
+	if c.phase.Load() != phaseIdle || !prefixed || len(status) < len(firstErrorStatus) {
 		return c.Conn.Write(text)
 	}
-	digits := string(status[:len(firstError)])
-	if digits < firstError {
+	digits := string(status[:len(firstErrorStatus)])
+	if digits < firstErrorStatus {
 		return c.Conn.Write(text)
 	}
 	refusal := Refusal{Code: result.RequestMalformed}
-	if digits == tooLarge {
+	if digits == headersTooLargeStatus {
 		refusal.Code = result.RequestTooLarge
 	}
 	if _, detail, found := bytes.Cut(text, []byte("\r\n\r\n")); found {
 		refusal.Detail = string(detail)
 	}
-	if _, err := c.Conn.Write(plainRefusal(refusal)); err != nil {
+	if _, err := c.Conn.Write(rawRefusal(refusal)); err != nil {
 		return 0, err
 	}
 	return len(text), nil
 }
 
 // plainRefusal is a refusal as the bytes of an HTTP/1.1 answer.
-func plainRefusal(refusal Refusal) []byte {
-	recorder := &plainWriter{header: http.Header{}}
+func rawRefusal(refusal Refusal) []byte {
+	recorder := &answerRecorder{header: http.Header{}}
 	recorder.header.Set("Connection", "close")
 	refusal.write(recorder)
 	var text bytes.Buffer
@@ -247,17 +249,17 @@
 }
 
 // plainWriter keeps one answer.
-type plainWriter struct {
+type answerRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
 // Header returns the headers.
-func (w *plainWriter) Header() http.Header { return w.header }
+func (w *answerRecorder) Header() http.Header { return w.header }
 
 // WriteHeader keeps the status.
-func (w *plainWriter) WriteHeader(status int) { w.status = status }
+func (w *answerRecorder) WriteHeader(status int) { w.status = status }
 
 // Write keeps the body.
-func (w *plainWriter) Write(text []byte) (int, error) { return w.body.Write(text) }
+func (w *answerRecorder) Write(text []byte) (int, error) { return w.body.Write(text) }
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -29,17 +29,17 @@
 }
 
 // gateFields is the number of the gate's own fields.
-const gateFields = 3
+const gateFieldCount = 3
 
 // parseLoad reads a load report; false means that there is none to learn from.
 func parseLoad(text string) (endpoint.LoadReport, bool) {
 	gate, own, hasOwn := strings.Cut(text, ";")
 	report := endpoint.LoadReport{Own: -1}
 	fields := strings.Fields(gate)
-	if len(fields) != gateFields {
+	if len(fields) != gateFieldCount {
 		return report, false
 	}
-	var numbers [gateFields]int
+	var numbers [gateFieldCount]int
 	for index, field := range fields {
 		number, err := strconv.Atoi(field)
 		if err != nil || number < 0 {
--- a/internal/proxy/load_test.go
+++ b/internal/proxy/load_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestLoadReportsComeBackAsSent(t *testing.T) {
+func TestLoadReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := endpoint.LoadReport{
 			Running: rapid.IntRange(0, 1000).Draw(t, "running"),
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -41,23 +41,23 @@
 // mesh is a callers' side with a gate and a back end for each spec, all over
 // loopback TCP.
 type mesh struct {
-	caller  *Proxy
-	gates   []*Proxy
-	members []protocol.Member
-	held    *snapshot.Snapshot
-	address string
-	client  *http.Client
+	caller   *Proxy
+	gates    []*Proxy
+	members  []protocol.Member
+	snapshot *snapshot.Snapshot
+	address  string
+	client   *http.Client
 }
 
 // meshOptions changes the defaults of a mesh.
 type meshOptions struct {
-	slots  int
-	limits Limits
-	route  func(*resource.Route)
-	spec   resource.Service
-	state  func(protocol.EndpointState)
+	slots          int
+	limits         Limits
+	changeRoute    func(*resource.Route)
+	service        resource.Service
+	onBackendState func(protocol.EndpointState)
 	// caller changes the configuration of the callers' side.
-	caller func(*Config)
+	changeCaller func(*Config)
 }
 
 func startMesh(t testing.TB, options meshOptions, specs ...backendSpec) *mesh {
@@ -74,11 +74,11 @@
 			Clock: testClock, NodeID: protocol.NodeID("gate-" + name), Incarnation: 7,
 			Region: region, Zone: "z", Service: testService, Backend: name,
 			BackendAddress: startBackend(t, spec), Slots: options.slots, Limits: options.limits,
-			OnBackendState: options.state,
+			OnBackendState: options.onBackendState,
 		}
 		gate := New(config)
 		t.Cleanup(gate.Close)
-		address := serve(t, gate.GateHandler(), options.limits)
+		address := startServer(t, gate.GateHandler(), options.limits)
 		made.gates = append(made.gates, gate)
 		backends = append(backends, resource.Backend{
 			Partner: "k", Name: name, Service: "plans", Address: address, Region: region, Zone: "z", Slots: options.slots,
@@ -88,21 +88,21 @@
 			Region: region, Zone: "z", Service: testService, Backend: name, Endpoint: protocol.EndpointReady, Slots: options.slots,
 		})
 	}
-	made.held = testSnapshot(options, backends)
+	made.snapshot = testSnapshot(options, backends)
 	config := Config{Clock: testClock, NodeID: "caller", Incarnation: 3, Region: "r", Zone: "z", Limits: options.limits}
-	if options.caller != nil {
-		options.caller(&config)
+	if options.changeCaller != nil {
+		options.changeCaller(&config)
 	}
 	made.caller = New(config)
 	t.Cleanup(made.caller.Close)
-	made.address = serve(t, made.caller.CallerHandler(), options.limits)
+	made.address = startServer(t, made.caller.CallerHandler(), options.limits)
 	made.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
 	t.Cleanup(made.client.CloseIdleConnections)
-	made.caller.Swap(made.held)
+	made.caller.Swap(made.snapshot)
 	made.caller.PublishMembers(made.members)
 	made.caller.ExtendServing(testClock() + time.Hour)
 	for _, gate := range made.gates {
-		gate.Swap(made.held)
+		gate.Swap(made.snapshot)
 	}
 	return made
 }
@@ -113,10 +113,10 @@
 		Split:  []resource.Destination{{Service: testService, Weight: 1}},
 		Secret: &resource.SecretUse{Name: "key", Header: "X-Secret"},
 	}
-	if options.route != nil {
-		options.route(&route)
+	if options.changeRoute != nil {
+		options.changeRoute(&route)
 	}
-	spec := options.spec
+	spec := options.service
 	spec.Partner, spec.Name = testService.Partner, testService.Name
 	return &snapshot.Snapshot{
 		Version:  1,
@@ -130,16 +130,16 @@
 }
 
 // serve serves a handler until the test ends and returns the address.
-func serve(t testing.TB, handler http.Handler, limits Limits) string {
+func startServer(t testing.TB, handler http.Handler, limits Limits) string {
 	t.Helper()
-	listener := listen(t)
+	listener := listenLoopback(t)
 	server := NewServer(handler, limits)
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	return listener.Addr().String()
 }
 
-func listen(t testing.TB) net.Listener {
+func listenLoopback(t testing.TB) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -154,9 +154,9 @@
 	if spec.address != "" {
 		return spec.address
 	}
-	listener := listen(t)
+	listener := listenLoopback(t)
 	if spec.handler != nil {
-		server := &http.Server{Handler: spec.handler, ErrorLog: quietLog}
+		server := &http.Server{Handler: spec.handler, ErrorLog: discardLog}
 		go func() { _ = server.Serve(listener) }()
 		t.Cleanup(func() { _ = server.Close() })
 		return listener.Addr().String()
@@ -188,24 +188,24 @@
 }
 
 // reset closes a connection so that the other side meets a reset.
-func reset(conn net.Conn) {
+func resetConnection(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
 // answered is an answer as a caller sees it.
-type answered struct {
+type callResult struct {
 	status int
 	header http.Header
 	body   string
 	// cut is set when the body did not come whole.
-	cut bool
+	truncated bool
 }
 
-func (a answered) code() string { return a.header.Get(headerCode) }
-func (a answered) ran() string  { return a.header.Get(headerRan) }
+func (a callResult) code() string { return a.header.Get(headerCode) }
+func (a callResult) ran() string  { return a.header.Get(headerRan) }
 
-func (m *mesh) call(t testing.TB, method, path, body string, headers ...string) answered {
+func (m *mesh) call(t testing.TB, method, path, body string, headers ...string) callResult {
 	t.Helper()
 	var reader io.Reader
 	if body != "" {
@@ -221,20 +221,20 @@
 	return m.send(t, request)
 }
 
-func (m *mesh) send(t testing.TB, request *http.Request) answered {
+func (m *mesh) send(t testing.TB, request *http.Request) callResult {
 	t.Helper()
 	answer, err := m.client.Do(request)
 	if err != nil {
 		t.Log(err)
-		return answered{cut: true, header: http.Header{}}
+		return callResult{truncated: true, header: http.Header{}}
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
-	return answered{status: answer.StatusCode, header: answer.Header, body: string(text), cut: err != nil}
+	return callResult{status: answer.StatusCode, header: answer.Header, body: string(text), truncated: err != nil}
 }
 
 // raw sends bytes to the callers' side and returns all that comes back.
-func (m *mesh) raw(t testing.TB, text string) string {
+func (m *mesh) sendRaw(t testing.TB, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", m.address)
 	if err != nil {
@@ -250,7 +250,7 @@
 }
 
 // counting is a back end that counts its runs and answers at once.
-func counting(runs *atomic.Int64) backendSpec {
+func countingBackend(runs *atomic.Int64) backendSpec {
 	return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		runs.Add(1)
 		_, _ = io.Copy(writer, request.Body)
@@ -258,7 +258,7 @@
 }
 
 // dead is an address where nobody listens.
-func dead(t testing.TB) string {
+func closedAddress(t testing.TB) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -268,7 +268,7 @@
 }
 
 // expectRefusal checks the form of a refusal.
-func expectRefusal(check *is.I, got answered, code result.Code, ran result.Execution) {
+func expectRefusal(check *is.I, got callResult, code result.Code, ran result.Execution) {
 	check.Helper()
 	entry, _ := result.Lookup(code)
 	check.Equal(got.code(), strings.TrimSpace(itoa(int(code))))
--- a/internal/proxy/openconns.go
+++ b/internal/proxy/openconns.go
@@ -9,7 +9,7 @@
 )
 
 // errConnectionsTaken refuses a connection beyond what the back end takes.
-const errConnectionsTaken = errors.ConstError("the back end takes no more connections")
+const errConnectionLimit = errors.ConstError("the back end takes no more connections")
 
 // openConns are the connections to a back end, from before they are opened until they are
 // closed on this side. To those of a gate, which are not counted, nil stands.
@@ -24,7 +24,7 @@
 }
 
 // bounded tells whether the other side bounds its connections; none are opened ahead then.
-func (o *openConns) bounded() bool {
+func (o *openConns) isLimited() bool {
 	if o == nil {
 		return false
 	}
@@ -37,7 +37,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.limit = limit
-	o.wake()
+	o.wakeWaiting()
 }
 
 // reserve takes the place of a connection that is about to be opened, if need be that of an
@@ -45,24 +45,24 @@
 // a moment longer than the call keeps its slot: that is waited for, until the context ends.
 func (o *openConns) reserve(ctx context.Context, closeIdle func()) error {
 	for {
-		if o.take() == nil {
+		if o.tryReserve() == nil {
 			return nil
 		}
 		closeIdle()
-		freed := o.take()
+		freed := o.tryReserve()
 		if freed == nil {
 			return nil
 		}
 		select {
 		case <-freed:
 		case <-ctx.Done():
-			return errConnectionsTaken
+			return errConnectionLimit
 		}
 	}
 }
 
 // take takes a place, or returns what is closed when one may be free.
-func (o *openConns) take() (freed <-chan struct{}) {
+func (o *openConns) tryReserve() (freed <-chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.limit <= 0 || o.opening+len(o.open) < o.limit {
@@ -76,7 +76,7 @@
 }
 
 // wake has those that wait for a place look again; the lock is held.
-func (o *openConns) wake() {
+func (o *openConns) wakeWaiting() {
 	if o.freed != nil {
 		close(o.freed)
 		o.freed = nil
@@ -90,14 +90,14 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.opening--
-	o.wake()
+	o.wakeWaiting()
 }
 
 func (o *openConns) add(conn *guardedConn) {
 	if o == nil {
 		return
 	}
-	conn.left = o.remove
+	conn.onReleased = o.remove
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.opening--
@@ -111,7 +111,7 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	delete(o.open, conn)
-	o.wake()
+	o.wakeWaiting()
 }
 
 // count is how many are open or being opened.
@@ -122,7 +122,7 @@
 }
 
 // before are the connections opened before a time.
-func (o *openConns) before(at time.Time) []*guardedConn {
+func (o *openConns) openedBefore(at time.Time) []*guardedConn {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	var found []*guardedConn
@@ -136,16 +136,16 @@
 
 // retire has each connection that is open now closed when its call has ended.
 func (o *openConns) retire() {
-	for _, conn := range o.before(time.Now()) {
+	for _, conn := range o.openedBefore(time.Now()) {
 		conn.retired.Store(true)
 	}
 }
 
 // end closes the connections opened before a time, whose other side is no more, and returns
 // how many of them carried a call.
-func (o *openConns) end(at time.Time) int {
+func (o *openConns) abortOpenedBefore(at time.Time) int {
 	calls := 0
-	for _, conn := range o.before(at) {
+	for _, conn := range o.openedBefore(at) {
 		if conn.unfinished.Load() != nil {
 			calls++
 		}
--- a/internal/proxy/outgoing.go
+++ b/internal/proxy/outgoing.go
@@ -12,7 +12,7 @@
 
 // outgoing makes the request to the gate of an endpoint. Springstack's headers
 // of the caller are gone from it, and so are the headers of its connection.
-func (c *callerCall) outgoing(chosen *endpoint.Endpoint, mark bool, left time.Duration) *http.Request {
+func (c *callerCall) newGateRequest(chosen *endpoint.Endpoint, mark bool, left time.Duration) *http.Request {
 	header := c.request.Header.Clone()
 	stripHopByHop(header)
 	stripOwn(header)
@@ -26,14 +26,14 @@
 	if c.route.SecretHeader != "" {
 		header[c.route.SecretHeader] = []string{c.route.SecretText.Reveal()}
 	}
-	c.hopHeaders(header, chosen, mark, left)
+	c.setHopHeaders(header, chosen, mark, left)
 	outgoing := &http.Request{
 		Method: c.request.Method, Host: c.request.Host, Header: header,
-		URL:   c.proxy.target(chosen.Address, c.request, c.place.path),
+		URL:   c.proxy.targetURL(chosen.Address, c.request, c.hostPath.path),
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if c.body != nil {
-		outgoing.Body = c.body.open()
+		outgoing.Body = c.body.newReader()
 		outgoing.ContentLength = c.request.ContentLength
 		outgoing.Trailer = c.request.Trailer
 		if c.body.isLarge() {
@@ -45,14 +45,14 @@
 }
 
 // hopHeaders sets springstack's headers on a request to a gate.
-func (c *callerCall) hopHeaders(header http.Header, chosen *endpoint.Endpoint, mark bool, left time.Duration) {
-	left -= min(left/hopMarginShare, hopMarginLimit)
+func (c *callerCall) setHopHeaders(header http.Header, chosen *endpoint.Endpoint, mark bool, left time.Duration) {
+	left -= min(left/hopMarginDivisor, maxHopMargin)
 	// One array backs all the values.
 	values := [...]string{
 		hopGate,
 		c.serviceName,
 		chosen.Backend,
-		c.proxy.nextRequest(),
+		c.proxy.nextRequestID(),
 		strconv.FormatInt(left.Milliseconds(), 10),
 		strconv.Itoa(int(c.route.Resource.Priority)),
 		string(c.route.Resource.Partner),
@@ -64,17 +64,17 @@
 	if chosen.Incarnation != 0 && !c.proxy.config.Reported {
 		header[headerIncarnation] = []string{strconv.FormatUint(uint64(chosen.Incarnation), 10)}
 	}
-	if c.key != "" {
-		header[headerRequestKey] = []string{c.key}
+	if c.requestKey != "" {
+		header[headerRequestKey] = []string{c.requestKey}
 	}
-	if c.suspicion.ends > 0 {
-		header[headerEnded] = []string{strconv.Itoa(c.suspicion.ends)}
+	if c.suspicion.instanceEnds > 0 {
+		header[headerEnded] = []string{strconv.Itoa(c.suspicion.instanceEnds)}
 	}
 	if mark {
 		header[headerNoRetry] = []string{"1"}
 	}
 	if c.route.Resource.Target > 0 {
-		header[headerTarget] = []string{formatTarget(c.target - c.proxy.config.Clock())}
+		header[headerTarget] = []string{formatTarget(c.targetTime - c.proxy.config.Clock())}
 	}
 }
 
@@ -86,39 +86,39 @@
 }
 
 // locate finds the host and path that a call is matched by.
-func (p *Proxy) locate(request *http.Request) (place, Refusal, bool) {
+func (p *Proxy) locate(request *http.Request) (hostPath, Refusal, bool) {
 	if p.config.Edge == nil {
-		return locate(request)
+		return canonicalHostPath(request)
 	}
 	path := verbatimPath(verbatimTarget(request))
-	return place{host: verbatimHost(request.Host), path: path}, Refusal{}, true
+	return hostPath{host: routingHost(request.Host), path: path}, Refusal{}, true
 }
 
 // statedTime is what a caller says is left of its time.
-func (p *Proxy) statedTime(header http.Header) (time.Duration, bool) {
+func (p *Proxy) requestedTimeout(header http.Header) (time.Duration, bool) {
 	if p.config.Edge != nil {
-		return p.config.Edge.statedDeadline(header)
+		return p.config.Edge.parseTimeLeft(header)
 	}
-	return statedTimeout(header)
+	return parseTimeout(header)
 }
 
 // target is the URL of a call at an address: as the caller sent it with an
 // Edge, and else in the canonical form that the route was matched by.
-func (p *Proxy) target(address string, request *http.Request, canonical string) *url.URL {
+func (p *Proxy) targetURL(address string, request *http.Request, canonical string) *url.URL {
 	if p.config.Edge == nil {
-		return target(address, canonical, request.URL.RawQuery)
+		return targetURL(address, canonical, request.URL.RawQuery)
 	}
 	verbatim := verbatimTarget(request)
 	if strings.HasPrefix(verbatim, "//") {
 		// The library would take it for a host.
-		return target(address, verbatimPath(verbatim), request.URL.RawQuery)
+		return targetURL(address, verbatimPath(verbatim), request.URL.RawQuery)
 	}
 	return &url.URL{Scheme: "http", Host: address, Opaque: verbatim}
 }
 
 // target is the URL of a call at an address. The path is sent in the form that
 // the route was matched by.
-func target(address, canonical, query string) *url.URL {
+func targetURL(address, canonical, query string) *url.URL {
 	made := &url.URL{Scheme: "http", Host: address, Path: canonical, RawQuery: query}
 	if plain, err := url.PathUnescape(canonical); err == nil {
 		made.Path = plain
--- a/internal/proxy/path_test.go
+++ b/internal/proxy/path_test.go
@@ -18,7 +18,7 @@
 
 func itoa(number int) string { return strconv.Itoa(number) }
 
-func TestCallPassesThroughWhole(t *testing.T) {
+func TestCallIsForwardedCompletely(t *testing.T) {
 	check := is.New(t)
 	var got http.Header
 	var host, uri string
@@ -50,7 +50,7 @@
 	check.Equal(host, mesh.address)
 }
 
-func TestTrailersAndInterimAnswersCross(t *testing.T) {
+func TestTrailersAndInterimAnswersAreForwarded(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
@@ -61,7 +61,7 @@
 		_, _ = io.WriteString(writer, "whole")
 		writer.Header().Set("X-Sum", request.Trailer.Get("X-Check"))
 	}})
-	text := mesh.raw(t, "POST / HTTP/1.1\r\nHost: h\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nTrailer: X-Check\r\n\r\n"+
+	text := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHost: h\r\nConnection: close\r\nTransfer-Encoding: chunked\r\nTrailer: X-Check\r\n\r\n"+
 		"3\r\nabc\r\n0\r\nX-Check: 42\r\n\r\n")
 	interim, final, found := strings.Cut(text, "\r\n\r\n")
 	check.True(found)
@@ -74,7 +74,7 @@
 // TestBreaksAreToldTruly breaks the back end's connection at each class of
 // byte. A call that may not be repeated is never sent again after a byte of it
 // has gone, and never said not to have run.
-func TestBreaksAreToldTruly(t *testing.T) {
+func TestBrokenCallIsNeverReportedAsNotRun(t *testing.T) {
 	whole := "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
 	head := strings.Index(whole, "\r\n\r\n") + 4
 	cases := []struct {
@@ -111,15 +111,15 @@
 				}
 				_, _ = io.WriteString(conn, whole[:given.send])
 				if given.reset {
-					reset(conn)
+					resetConnection(conn)
 				}
 			}
 			mesh := startMesh(t, meshOptions{}, backendSpec{script: script}, backendSpec{script: script})
 			answer := mesh.call(t, "POST", "/charge", "one", "Idempotency-Key", "k1")
 			check.Equal(runs.Load(), int64(1))
-			check.True(answer.cut || answer.ran() == "unknown")
+			check.True(answer.truncated || answer.ran() == "unknown")
 			if given.delivered {
-				check.True(answer.cut)
+				check.True(answer.truncated)
 			} else {
 				expectRefusal(check, answer, result.BrokenInFlight, result.RanUnknown)
 			}
@@ -131,13 +131,13 @@
 // TestKeptConnectionThatDiesIsNotResent breaks a connection under its second
 // request, where the HTTP library itself would send the request again: it has
 // no body, and an idempotency key makes the library think that it may.
-func TestKeptConnectionThatDiesIsNotResent(t *testing.T) {
+func TestRequestOnBrokenKeptConnectionIsNotResent(t *testing.T) {
 	for _, method := range []string{"POST", "GET"} {
 		t.Run(method, func(t *testing.T) {
 			check := is.New(t)
 			var seen atomic.Int64
 			never := false
-			options := meshOptions{route: func(route *resource.Route) { route.Repeatable = &never }}
+			options := meshOptions{changeRoute: func(route *resource.Route) { route.Repeatable = &never }}
 			mesh := startMesh(t, options, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 				for {
 					request, found := readRequest(reader)
@@ -159,11 +159,11 @@
 	}
 }
 
-func TestRepeatableCallNeverSeesADeadEndpoint(t *testing.T) {
+func TestUnreachableEndpointIsHiddenFromCallers(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs), counting(&runs), counting(&runs))
-	address := dead(t)
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs), countingBackend(&runs), countingBackend(&runs))
+	address := closedAddress(t)
 	mesh.members[0].DataAddress = address
 	mesh.caller.PublishMembers(mesh.members)
 	for range 50 {
@@ -173,26 +173,26 @@
 	check.Equal(runs.Load(), int64(100))
 }
 
-func TestDeadBackendIsRefusedAsNotRun(t *testing.T) {
+func TestUnreachableBackEndIsRefusedAsNotRun(t *testing.T) {
 	check := is.New(t)
-	mesh := startMesh(t, meshOptions{}, backendSpec{address: dead(t)})
+	mesh := startMesh(t, meshOptions{}, backendSpec{address: closedAddress(t)})
 	answer := mesh.call(t, "POST", "/", "x")
 	expectRefusal(check, answer, result.ConnectFailed, result.RanNo)
 	check.True(answer.header.Get("Retry-After") != "")
 }
 
 // blocking is a back end whose calls wait; entered tells of each.
-type blocking struct {
+type blockingBackend struct {
 	entered   chan struct{}
 	release   chan struct{}
 	cancelled chan struct{}
 }
 
-func newBlocking() *blocking {
-	return &blocking{entered: make(chan struct{}, 99), release: make(chan struct{}), cancelled: make(chan struct{}, 99)}
+func newBlockingBackend() *blockingBackend {
+	return &blockingBackend{entered: make(chan struct{}, 99), release: make(chan struct{}), cancelled: make(chan struct{}, 99)}
 }
 
-func (b *blocking) spec() backendSpec {
+func (b *blockingBackend) spec() backendSpec {
 	return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		b.entered <- struct{}{}
@@ -205,9 +205,9 @@
 	}}
 }
 
-func TestCallerHangingUpFreesTheSlot(t *testing.T) {
+func TestCallerDisconnectFreesSlot(t *testing.T) {
 	check := is.New(t)
-	backend := newBlocking()
+	backend := newBlockingBackend()
 	mesh := startMesh(t, meshOptions{slots: 1}, backend.spec())
 	for range 3 {
 		conn, err := net.Dial("tcp", mesh.address)
@@ -224,11 +224,11 @@
 
 // TestSlotIsKeptUntilTheBackEndHasEnded: a cancelled call that the back end
 // still works on must not share its slot with the next one.
-func TestSlotIsKeptUntilTheBackEndHasEnded(t *testing.T) {
+func TestCancelledCallKeepsSlotUntilBackEndEnds(t *testing.T) {
 	check := is.New(t)
 	entered := make(chan struct{}, 9)
 	release := make(chan struct{})
-	options := meshOptions{slots: 1, route: func(route *resource.Route) { route.Timeout = 5 * time.Second }}
+	options := meshOptions{slots: 1, changeRoute: func(route *resource.Route) { route.Timeout = 5 * time.Second }}
 	mesh := startMesh(t, options, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		if _, found := readRequest(reader); found {
 			entered <- struct{}{}
@@ -244,12 +244,12 @@
 	check.Equal(mesh.call(t, "POST", "/", "x").body, "ok")
 }
 
-func TestDeadlines(t *testing.T) {
+func TestDeadlineInQueueAndInFlight(t *testing.T) {
 	check := is.New(t)
-	backend := newBlocking()
-	options := meshOptions{slots: 1, route: func(route *resource.Route) { route.Timeout = 300 * time.Millisecond }}
+	backend := newBlockingBackend()
+	options := meshOptions{slots: 1, changeRoute: func(route *resource.Route) { route.Timeout = 300 * time.Millisecond }}
 	mesh := startMesh(t, options, backend.spec())
-	first := make(chan answered)
+	first := make(chan callResult)
 	go func() { first <- mesh.call(t, "POST", "/", "x") }()
 	<-backend.entered
 	// The second waits for the slot; its time ends in the queue.
@@ -261,9 +261,9 @@
 	<-backend.cancelled
 }
 
-func TestDeadlineInTheAnswerBreaksIt(t *testing.T) {
+func TestDeadlineTruncatesAnswer(t *testing.T) {
 	check := is.New(t)
-	options := meshOptions{route: func(route *resource.Route) { route.Timeout = 200 * time.Millisecond }}
+	options := meshOptions{changeRoute: func(route *resource.Route) { route.Timeout = 200 * time.Millisecond }}
 	mesh := startMesh(t, options, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.WriteString(writer, "part")
 		_ = http.NewResponseController(writer).Flush()
@@ -271,10 +271,10 @@
 	}})
 	answer := mesh.call(t, "GET", "/", "")
 	check.Equal(answer.body, "part")
-	check.True(answer.cut)
+	check.True(answer.truncated)
 }
 
-func TestAnswerWithoutLengthIsNotPassedOn(t *testing.T) {
+func TestAnswerWithoutLengthIsRefused(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		if _, found := readRequest(reader); found {
@@ -284,14 +284,14 @@
 	expectRefusal(check, mesh.call(t, "POST", "/", "x"), result.BrokenInFlight, result.RanUnknown)
 }
 
-func TestShedByTheBackEndGoesElsewhere(t *testing.T) {
+func TestShedCallIsRetriedElsewhere(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	shedding := backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(headerRan, "no")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}}
-	mesh := startMesh(t, meshOptions{}, shedding, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, shedding, countingBackend(&runs))
 	for range 10 {
 		check.Equal(mesh.call(t, "POST", "/", "x").body, "x")
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -27,51 +27,51 @@
 	// view is replaced whole; calls load it once for each attempt.
 	view atomic.Pointer[view]
 	// changing serializes Swap and PublishState; calls never take it.
-	changing sync.Mutex
+	viewMutex sync.Mutex
 	// servingUntil is a time on the clock, in nanoseconds.
 	servingUntil atomic.Int64
 
 	// gate and backend are nil when there is no back end beside the daemon.
 	gate      *admission.Gate
-	transfers *transfers
+	transfers *transferQueue
 	backend   *upstream
 	health    *health
 	// bounds are what bounds the calls at the back end, hangs tells those that it never answers.
-	bounds backendBounds
-	hangs  hangs
+	backendLimits backendLimits
+	hangDetector  hangDetector
 
 	// answers counts those of the back end while a roll-out of its service goes on.
-	answers rollout.Tally
+	rolloutAnswers rollout.Tally
 
 	// harmful are requests that may end the back ends that run them; ends finds out about
 	// the ends of the back end beside the daemon. suspectTurn is held by the one suspected
 	// call that the gate runs at a time.
-	harmful     *harmful
-	ends        backendEnds
+	harmful     *harmfulRequests
+	backendEnds backendEnds
 	suspectTurn chan struct{}
 
 	// startedAt is when the proxy was made, on the clock.
 	startedAt time.Duration
-	starting  starting
+	starting  startWaiters
 
-	incarnations   incarnations
-	reported       reportedBackend
-	requestLimits  atomic.Pointer[RequestLimits]
-	tally          tally
-	callersRunning atomic.Int64
-	gateRunning    atomic.Int64
-	drain          drain
-	connections    connections
+	incarnations       ownIncarnations
+	reported           reportedBackend
+	requestLimits      atomic.Pointer[RequestLimits]
+	counters           counterSet
+	runningCallerCalls atomic.Int64
+	runningGateCalls   atomic.Int64
+	drain              drain
+	connections        connectionContexts
 	// held bounds the answers of calls that have run ahead of their turn.
-	held      *pipeline.Held
-	closed    chan struct{}
-	closeOnce sync.Once
+	heldAnswers *pipeline.ByteBudget
+	closed      chan struct{}
+	closeOnce   sync.Once
 
-	requestPrefix string
-	requestCount  atomic.Uint64
-	turn          atomic.Uint64
-	randomState   atomic.Uint64
-	hashSeed      uint64
+	requestIDPrefix string
+	requestCount    atomic.Uint64
+	roundRobinCount atomic.Uint64
+	randomState     atomic.Uint64
+	hashSeed        uint64
 }
 
 // New returns a proxy that refuses calls until it has a snapshot and may
@@ -89,20 +89,20 @@
 
 		hashSeed: rand.Uint64(),
 	}
-	proxy.harmful = newHarmful(config, proxy.event)
-	proxy.held = pipeline.NewHeld(proxy.limits.AheadHeldBytes)
+	proxy.harmful = newHarmfulRequests(config, proxy.logEvent)
+	proxy.heldAnswers = pipeline.NewByteBudget(proxy.limits.AheadHeldBytes)
 	proxy.incarnations.add(config.Incarnation)
 	incarnation := strconv.FormatUint(uint64(config.Incarnation), 36)
-	proxy.requestPrefix = string(config.NodeID) + "-" + incarnation + "-"
+	proxy.requestIDPrefix = string(config.NodeID) + "-" + incarnation + "-"
 	proxy.randomState.Store(config.RandomSeed)
 	proxy.view.Store(&view{})
 	if config.Backend != "" || config.Reported {
-		proxy.openGate()
+		proxy.initGate()
 	}
 	return proxy
 }
 
-func (p *Proxy) openGate() {
+func (p *Proxy) initGate() {
 	if p.config.Baseline.UnboundedQueue {
 		p.limits.QueueLength = math.MaxInt
 	}
@@ -118,12 +118,12 @@
 		NoEstimate:    p.config.Baseline.UnboundedQueue,
 	})
 	p.backend = newUpstream(p.config.BackendAddress, p.limits, p.limits.BackendIdle)
-	p.backend.open = &openConns{}
-	p.backend.linger = p.limits.CancelWait
-	p.backend.takesUnframed = p.config.Edge != nil
-	p.bounds.slots.Store(int64(p.config.Slots))
-	p.bounds.startedByMachine, p.bounds.startedByClock = time.Now(), p.config.Clock()
-	p.transfers = newTransfers()
+	p.backend.openConns = &openConns{}
+	p.backend.cancelLinger = p.limits.CancelWait
+	p.backend.acceptsUnframed = p.config.Edge != nil
+	p.backendLimits.slots.Store(int64(p.config.Slots))
+	p.backendLimits.startWallTime, p.backendLimits.startProxyTime = time.Now(), p.config.Clock()
+	p.transfers = newTransferQueue()
 	go p.watchBackend()
 	p.health = newHealth(p)
 	if p.config.Reported {
@@ -137,32 +137,32 @@
 // Swap puts a snapshot in force by one pointer swap, after everything that
 // calls need of it was built.
 func (p *Proxy) Swap(held *snapshot.Snapshot) {
-	p.changing.Lock()
-	defer p.changing.Unlock()
+	p.viewMutex.Lock()
+	defer p.viewMutex.Unlock()
 	old := p.view.Load()
-	p.limitCold(held)
-	p.limitCalls(held)
-	p.publish(p.buildView(old, held, old.state))
+	p.updateColdLimit(held)
+	p.applyCallLimits(held)
+	p.publishView(p.buildView(old, held, old.mesh))
 }
 
 // PublishMembers gives the newest member records, whole.
 func (p *Proxy) PublishMembers(members []protocol.Member) {
-	p.publishState(func(state *MeshState) { state.Members = members })
+	p.updateMeshState(func(state *MeshState) { state.Members = members })
 }
 
 // PublishState gives the newest that is known of the mesh, whole.
 func (p *Proxy) PublishState(state MeshState) {
-	p.publishState(func(known *MeshState) { *known = state })
+	p.updateMeshState(func(known *MeshState) { *known = state })
 }
 
-func (p *Proxy) publishState(change func(*MeshState)) {
-	p.changing.Lock()
-	defer p.changing.Unlock()
+func (p *Proxy) updateMeshState(change func(*MeshState)) {
+	p.viewMutex.Lock()
+	defer p.viewMutex.Unlock()
 	old := p.view.Load()
-	state := old.state
+	state := old.mesh
 	change(&state)
-	p.incarnations.learn(p.config.NodeID, state.Members)
-	p.publish(p.buildView(old, old.snapshot, state))
+	p.incarnations.addFromMembers(p.config.NodeID, state.Members)
+	p.publishView(p.buildView(old, old.snapshot, state))
 }
 
 // ExtendServing lets the callers' side serve until a time on the clock. It
@@ -188,12 +188,12 @@
 func (p *Proxy) Close() {
 	p.closeOnce.Do(func() {
 		close(p.closed)
-		p.connections.cut(errClosed)
+		p.connections.cancelAll(errClosed)
 		if p.health != nil {
 			p.health.stop()
 		}
-		p.changing.Lock()
-		defer p.changing.Unlock()
+		p.viewMutex.Lock()
+		defer p.viewMutex.Unlock()
 		for _, one := range p.view.Load().upstreams {
 			one.close()
 		}
@@ -217,8 +217,8 @@
 }
 
 // nextRequest returns the unique id of an attempt.
-func (p *Proxy) nextRequest() string {
-	return p.requestPrefix + strconv.FormatUint(p.requestCount.Add(1), 36)
+func (p *Proxy) nextRequestID() string {
+	return p.requestIDPrefix + strconv.FormatUint(p.requestCount.Add(1), 36)
 }
 
 // fingerprint hashes the parts of an id with a seed of this process; 0 means
@@ -238,23 +238,23 @@
 
 // refuse counts a refusal and answers with it.
 func (p *Proxy) refuse(writer http.ResponseWriter, body *upload, refusal Refusal) {
-	p.tally.refused(refusal.Code)
+	p.counters.recordRefusal(refusal.Code)
 	refusal.edge = p.config.Edge
-	refuseCall(writer, body, refusal, p.limits.StallTimeout)
+	writeRefusal(writer, body, refusal, p.limits.StallTimeout)
 }
 
 // refuseCall answers with a refusal. A body that has arrived is read first, so
 // that the connection can be kept.
-func refuseCall(writer http.ResponseWriter, body *upload, refusal Refusal, stall time.Duration) {
-	body.takeArrived()
-	body.beforeAnswer(writer.Header())
+func writeRefusal(writer http.ResponseWriter, body *upload, refusal Refusal, stall time.Duration) {
+	body.readArrived()
+	body.announceClose(writer.Header())
 	// Without a deadline a caller that does not read could hold the call.
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(stall))
 	refusal.write(writer)
 }
 
 // event logs one event.
-func (p *Proxy) event(name string, fields ...EventField) {
+func (p *Proxy) logEvent(name string, fields ...EventField) {
 	if p.config.Log != nil {
 		p.config.Log(Event{Name: name, Fields: fields})
 	}
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -16,20 +16,20 @@
 	// answeredTime is how long the gate remembers which requests its back end answered
 	// well, and answeredCount how many at most: 32 bytes each. Within it a request that
 	// comes regularly is not taken for one that ends its back end.
-	answeredTime  = time.Minute
-	answeredCount = 1 << 14
+	answeredRetention   = time.Minute
+	maxAnsweredRequests = 1 << 14
 )
 
 // harmful is what the daemon knows of requests that may end the back ends that run them.
 // Calls read it by an atomic pointer, and pay two loads where nothing is known.
-type harmful struct {
+type harmfulRequests struct {
 	clock func() time.Duration
 	log   func(name string, fields ...EventField)
 	// held is told of requests that are held by an end seen here. Nil tells nobody.
-	held func(quarantine.Record)
+	onHeld func(quarantine.Record)
 	// tell is told that there is news for all daemons, urgent when it holds for the next
 	// request that comes. It must not block. Nil tells nobody.
-	tell func(urgent bool)
+	onChanged func(urgent bool)
 	// answered are the requests that the back end beside the daemon has answered well.
 	answered *admission.FingerprintSet
 	view     atomic.Pointer[quarantine.View]
@@ -37,42 +37,42 @@
 	mutex sync.Mutex
 	table *quarantine.Table
 	// untold are the requests of which others have not been told yet.
-	untold map[quarantine.Signature]bool
-}
-
-func newHarmful(config Config, log func(string, ...EventField)) *harmful {
-	return &harmful{
-		clock:    config.Clock,
-		tell:     config.OnHarmful,
-		held:     config.OnHeld,
-		log:      log,
-		table:    quarantine.NewTable(quarantine.DefaultRules()),
-		answered: admission.NewFingerprintSet(config.Clock(), answeredTime, answeredCount),
-		untold:   map[quarantine.Signature]bool{},
+	unpublished map[quarantine.Signature]bool
+}
+
+func newHarmfulRequests(config Config, log func(string, ...EventField)) *harmfulRequests {
+	return &harmfulRequests{
+		clock:       config.Clock,
+		onChanged:   config.OnHarmful,
+		onHeld:      config.OnHeld,
+		log:         log,
+		table:       quarantine.NewTable(quarantine.DefaultRules()),
+		answered:    admission.NewFingerprintSet(config.Clock(), answeredRetention, maxAnsweredRequests),
+		unpublished: map[quarantine.Signature]bool{},
 	}
 }
 
 // change changes what is known of some requests, and has all daemons told of what changed.
-func (h *harmful) change(signatures []quarantine.Signature, change func(now time.Duration, signature quarantine.Signature) bool) []quarantine.Signature {
+func (h *harmfulRequests) update(signatures []quarantine.Signature, change func(now time.Duration, signature quarantine.Signature) bool) []quarantine.Signature {
 	h.mutex.Lock()
 	now := h.clock()
 	changed := lo.Filter(signatures, func(signature quarantine.Signature, _ int) bool { return change(now, signature) })
 	for _, signature := range changed {
-		h.untold[signature] = true
+		h.unpublished[signature] = true
 	}
 	if len(changed) > 0 {
-		h.publish()
+		h.publishView()
 	}
 	h.mutex.Unlock()
-	if len(changed) > 0 && h.tell != nil {
-		h.tell(true)
+	if len(changed) > 0 && h.onChanged != nil {
+		h.onChanged(true)
 	}
 	return changed
 }
 
 // publish puts what is known in force, and logs what that means for requests; the lock is
 // held. What changes of one may change what is believed of others.
-func (h *harmful) publish() {
+func (h *harmfulRequests) publishView() {
 	now := h.clock()
 	next := h.table.View(now)
 	before := h.view.Swap(next)
@@ -83,16 +83,16 @@
 			continue
 		}
 		h.log("harmful_request", textField("signature", record.Signature.String()), textField("belief", is.String()),
-			textField("ends", number(len(record.Ends))), textField("ends_beside_others", number(record.CountSharedEnds())),
-			textField("last_trial", number(int(next.LastTrial(record.Signature)))),
-			textField("isolation", next.Isolation(now, record.Signature).String()), textField("round", number(int(record.Round))),
+			textField("ends", formatInt(len(record.Ends))), textField("ends_beside_others", formatInt(record.CountSharedEnds())),
+			textField("last_trial", formatInt(int(next.LastTrial(record.Signature)))),
+			textField("isolation", next.Isolation(now, record.Signature).String()), textField("round", formatInt(int(record.Round))),
 			textField("familiar", strconv.FormatBool(record.Familiar)))
 	}
 }
 
 // noteUnknownAtEnd notes that requests that are not known were at work as an instance ended,
 // before noteEnded tells of the others.
-func (h *harmful) noteUnknownAtEnd(instance string) {
+func (h *harmfulRequests) recordUnidentified(instance string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.table.RecordUnidentified(instance)
@@ -100,42 +100,42 @@
 
 // noteEnded notes that an instance beside this daemon has ended under some requests, and has
 // all others told.
-func (h *harmful) noteEnded(instance string, signatures ...quarantine.Signature) {
-	h.noteEndedIn(nil, instance, signatures...)
+func (h *harmfulRequests) recordEnd(instance string, signatures ...quarantine.Signature) {
+	h.recordEndInTrials(nil, instance, signatures...)
 }
 
 // noteEndedIn is noteEnded for runs whose trials are known; those of others are trials of their
 // own.
-func (h *harmful) noteEndedIn(trials map[quarantine.Signature]uint32, instance string, signatures ...quarantine.Signature) {
-	changed := h.change(signatures, func(now time.Duration, signature quarantine.Signature) bool {
+func (h *harmfulRequests) recordEndInTrials(trials map[quarantine.Signature]uint32, instance string, signatures ...quarantine.Signature) {
+	changed := h.update(signatures, func(now time.Duration, signature quarantine.Signature) bool {
 		familiar := h.answered.Contains(fingerprintOf(signature))
 		if trial := trials[signature]; trial > 0 {
 			return h.table.RecordEndInTrial(now, signature, instance, familiar, trial)
 		}
 		return h.table.RecordEnd(now, signature, instance, familiar)
 	})
-	if h.held == nil {
+	if h.onHeld == nil {
 		return
 	}
 	for _, signature := range changed {
-		h.tellHeld(signature)
+		h.notifyIfHeld(signature)
 	}
 }
 
 // tellHeld tells of a request if it is held now.
-func (h *harmful) tellHeld(signature quarantine.Signature) {
+func (h *harmfulRequests) notifyIfHeld(signature quarantine.Signature) {
 	h.mutex.Lock()
 	record, found := h.table.Lookup(h.clock(), signature)
 	h.mutex.Unlock()
 	belief, _ := h.view.Load().State(h.clock(), signature)
 	if found && belief == quarantine.Held {
-		h.held(record)
+		h.onHeld(record)
 	}
 }
 
 // noteAnswered remembers that the back end has answered a request well, and clears it if it
 // was suspected.
-func (h *harmful) noteAnswered(signature quarantine.Signature) {
+func (h *harmfulRequests) recordAnswered(signature quarantine.Signature) {
 	h.answered.Add(h.clock(), fingerprintOf(signature))
 	if h.view.Load().Has(signature) {
 		h.clear(signature)
@@ -143,8 +143,8 @@
 }
 
 // clear has a request trusted again.
-func (h *harmful) clear(signature quarantine.Signature) {
-	h.change([]quarantine.Signature{signature}, h.table.Clear)
+func (h *harmfulRequests) clear(signature quarantine.Signature) {
+	h.update([]quarantine.Signature{signature}, h.table.Clear)
 }
 
 // fingerprintOf shortens a signature to what is remembered of answered requests. Two with
@@ -169,16 +169,16 @@
 		own := news && !record.Familiar && h.answered.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
 		changed = changed || news
 		if own || (news && pass) {
-			h.untold[record.Signature] = true
+			h.unpublished[record.Signature] = true
 			tell = true
 		}
 	}
 	if changed {
-		h.publish()
+		h.publishView()
 	}
 	h.mutex.Unlock()
-	if tell && h.tell != nil {
-		h.tell(false)
+	if tell && h.onChanged != nil {
+		h.onChanged(false)
 	}
 	return refused
 }
@@ -208,12 +208,12 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var records []quarantine.Record
-	for signature := range h.untold {
+	for signature := range h.unpublished {
 		if record, found := h.table.Lookup(h.clock(), signature); found {
 			records = append(records, record)
 		}
 	}
-	clear(h.untold)
+	clear(h.unpublished)
 	return records
 }
 
@@ -226,7 +226,7 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.table.Expire(h.clock()) {
-		h.publish()
+		h.publishView()
 	}
 	return h.table.Sum(h.clock())
 }
--- a/internal/proxy/refuse.go
+++ b/internal/proxy/refuse.go
@@ -74,7 +74,7 @@
 	if r.Regions != nil {
 		header[headerRegions] = r.Regions
 	}
-	if wait := cmp.Or(r.RetryAfter, usualWait(r.Code)); wait > 0 {
+	if wait := cmp.Or(r.RetryAfter, defaultRetryAfter(r.Code)); wait > 0 {
 		header.Set("Retry-After", r.retryAfter(wait))
 	}
 	body := refusalBody{Code: r.Code, Name: entry.Name, Ran: r.execution(), Detail: r.Detail}
@@ -88,7 +88,7 @@
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	status := cmp.Or(r.Status, entry.HTTPStatus)
 	if r.edge != nil {
-		status = r.edge.status(r)
+		status = r.edge.refusalStatus(r)
 	}
 	writer.WriteHeader(status)
 	// A failed write means that the caller is gone; there is no one to tell.
@@ -96,7 +96,7 @@
 }
 
 // usualWait is told with refusals that pass with time and name no better wait.
-func usualWait(code result.Code) time.Duration {
+func defaultRetryAfter(code result.Code) time.Duration {
 	switch code {
 	case result.NotServing, result.NoEndpoint, result.QueueFull, result.DeadlineBeforeStart,
 		result.Draining, result.ConnectFailed, result.ShareExceeded, result.Shed,
--- a/internal/proxy/refuse_test.go
+++ b/internal/proxy/refuse_test.go
@@ -13,11 +13,11 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-func TestRefusalsBeforeAnythingRuns(t *testing.T) {
+func TestInvalidRequestsAreRefusedAsNotRun(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	limits := Limits{HeaderBytes: 4096, BodyBytes: 1000}
-	mesh := startMesh(t, meshOptions{limits: limits}, counting(&runs))
+	mesh := startMesh(t, meshOptions{limits: limits}, countingBackend(&runs))
 	expectRefusal(check, mesh.call(t, "GET", "/", "", "Connection", "Upgrade", "Upgrade", "websocket"), result.UpgradeRefused, result.RanNo)
 	expectRefusal(check, mesh.call(t, "GET", "/a/..%2fb", ""), result.RequestMalformed, result.RanNo)
 	expectRefusal(check, mesh.call(t, "POST", "/", strings.Repeat("x", 1001)), result.RequestTooLarge, result.RanNo)
@@ -31,22 +31,22 @@
 		"nonsense\r\n\r\n",
 	}
 	for _, text := range malformed {
-		check.True(strings.Contains(mesh.raw(t, text), "Springstack-Code: 411\r\n"))
+		check.True(strings.Contains(mesh.sendRaw(t, text), "Springstack-Code: 411\r\n"))
 	}
-	long := mesh.raw(t, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("x", 16<<10)+"\r\n\r\n")
+	long := mesh.sendRaw(t, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("x", 16<<10)+"\r\n\r\n")
 	check.True(strings.Contains(long, "Springstack-Code: 410\r\n"))
 	check.True(strings.Contains(long, "Springstack-Ran: no\r\n"))
-	mesh.caller.Swap(testSnapshot(meshOptions{route: func(route *resource.Route) { route.Match.PathPrefix = "/x" }}, nil))
+	mesh.caller.Swap(testSnapshot(meshOptions{changeRoute: func(route *resource.Route) { route.Match.PathPrefix = "/x" }}, nil))
 	expectRefusal(check, mesh.call(t, "GET", "/", ""), result.NoRoute, result.RanNo)
 	expectRefusal(check, mesh.call(t, "GET", "/x", ""), result.NoEndpoint, result.RanNo)
 	check.Equal(runs.Load(), int64(0))
 }
 
-func TestTwoFramingsReachTheBackEndAsOne(t *testing.T) {
+func TestConflictingFramingIsNotSmuggled(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
-	text := mesh.raw(t, "POST / HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"+
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
+	text := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\nX: y")
 	check.True(strings.HasPrefix(text, "HTTP/1.1 200 "))
 	check.Equal(runs.Load(), int64(1)) // the rest never became a call: it is no whole request
@@ -56,12 +56,12 @@
 	check := is.New(t)
 	var runs atomic.Int64
 	var now atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	proxy := New(Config{Clock: func() time.Duration { return time.Duration(now.Load()) }, Region: "r", Zone: "z"})
 	t.Cleanup(proxy.Close)
-	mesh.address = serve(t, proxy.CallerHandler(), Limits{})
+	mesh.address = startServer(t, proxy.CallerHandler(), Limits{})
 	expectRefusal(check, mesh.call(t, "GET", "/", ""), result.NotServing, result.RanNo) // no snapshot
-	proxy.Swap(mesh.held)
+	proxy.Swap(mesh.snapshot)
 	proxy.PublishMembers(mesh.members)
 	expectRefusal(check, mesh.call(t, "GET", "/", ""), result.NotServing, result.RanNo) // no lease
 	proxy.ExtendServing(10 * time.Second)
@@ -75,7 +75,7 @@
 func TestWrongBackendIsRefused(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	direct := *mesh
 	direct.address = mesh.members[0].DataAddress
 	right := []string{headerHop, hopGate, headerService, "k/plans", headerBackend, "a", headerIncarnation, "7", headerRequest, "r1"}
@@ -91,10 +91,10 @@
 
 // TestRaisedIncarnationIsFollowed: the node raises its incarnation when peers
 // remember a later one of it.
-func TestRaisedIncarnationIsFollowed(t *testing.T) {
+func TestGateAcceptsItsRaisedIncarnation(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	mesh.members[0].Incarnation = 9
 	mesh.caller.PublishMembers(mesh.members)
 	expectRefusal(check, mesh.call(t, "POST", "/", "x"), result.WrongBackend, result.RanNo)
@@ -104,11 +104,11 @@
 	check.Equal(mesh.call(t, "POST", "/", "x").status, http.StatusOK)
 }
 
-func TestRequestKeyStartsOnce(t *testing.T) {
+func TestRequestKeyStartsOneCall(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	options := meshOptions{route: func(route *resource.Route) { route.RequestKeyHeader = "X-Charge" }}
-	mesh := startMesh(t, options, counting(&runs), counting(&runs), counting(&runs))
+	options := meshOptions{changeRoute: func(route *resource.Route) { route.RequestKeyHeader = "X-Charge" }}
+	mesh := startMesh(t, options, countingBackend(&runs), countingBackend(&runs), countingBackend(&runs))
 	for key := range 20 {
 		text := fmt.Sprint(key)
 		check.Equal(mesh.call(t, "POST", "/", "x", "X-Charge", text).status, http.StatusOK)
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -14,16 +14,16 @@
 
 // restrictedPool is where calls go that may run in some regions only.
 type restrictedPool struct {
-	allowed region.Allowed
+	allowed region.Set
 	pool    *pool
 }
 
 // within is the part of a pool in allowed regions. A roll-out's stage for the whole service binds
 // there too: a call is refused where the regions have no back end of a version that may take it.
-func (p *pool) within(allowed region.Allowed) pool {
+func (p *pool) inRegions(allowed region.Set) pool {
 	made := pool{set: p.set.InRegions(allowed)}
-	if p.canary.every != nil && made.set.UsableCount() > 0 {
-		made.canary = newCanary(p.canary.every.InRegions(allowed), made.set.UsableCount(), p.canary.share)
+	if p.canary.allTargets != nil && made.set.UsableCount() > 0 {
+		made.canary = newCanary(p.canary.allTargets.InRegions(allowed), made.set.UsableCount(), p.canary.share)
 	}
 	return made
 }
@@ -31,17 +31,17 @@
 // restrict makes the pools of the lists of regions that the service's routes name, so that
 // calls find them made. Lists that differ only in regions without its back ends share one:
 // there are as many pools as the back ends' regions make, however many lists routes name.
-func (s *service) restrict(lists []region.Allowed) {
+func (s *service) buildRestrictedPools(lists []region.Set) {
 	if len(lists) == 0 {
 		return
 	}
-	present := region.NewAllowed(lo.Map(s.all.All, func(one *endpoint.Endpoint, _ int) string { return one.Region }))
+	present := region.NewAllowed(lo.Map(s.allEndpoints.All, func(one *endpoint.Endpoint, _ int) string { return one.Region }))
 	var made []restrictedPool
 	for _, allowed := range lists {
 		reachable := present.Intersect(allowed)
 		shared, found := lo.Find(made, func(one restrictedPool) bool { return one.allowed.Equal(reachable) })
 		if !found {
-			part := s.within(reachable)
+			part := s.inRegions(reachable)
 			shared = restrictedPool{allowed: reachable, pool: &part}
 			made = append(made, shared)
 		}
@@ -51,7 +51,7 @@
 
 // poolOf is where a call goes. A pool is made for it only where it is bound by two versions
 // that allow different regions, while one of them is on its way.
-func (s *service) poolOf(allowed region.Allowed) *pool {
+func (s *service) poolFor(allowed region.Set) *pool {
 	if !allowed.Restricted() {
 		return &s.pool
 	}
@@ -60,29 +60,29 @@
 			return s.restricted[index].pool
 		}
 	}
-	made := s.within(allowed)
+	made := s.inRegions(allowed)
 	return &made
 }
 
 // bind has the call keep what the version in force now allows besides what bound it before:
 // a restriction that is set while the call waits or is tried again holds for its next
 // attempt, and one that is lifted stays with the call until it ends.
-func (c *callerCall) bind(current *view) {
-	if current.table == c.table {
+func (c *callerCall) applyRegions(current *view) {
+	if current.routes == c.routingTable {
 		return
 	}
-	c.table = current.table
-	if !current.table.HasRestrictions() {
+	c.routingTable = current.routes
+	if !current.routes.HasRestrictions() {
 		return
 	}
-	if route := current.find(c.request, c.place); route != nil {
+	if route := current.findRoute(c.request, c.hostPath); route != nil {
 		c.regions = c.regions.Intersect(route.Regions)
 	}
 }
 
 // bindAsGate has the call keep what a gate has refused it by, whose version may be newer: a
 // daemon that is out of touch learns of a restriction call by call.
-func (c *callerCall) bindAsGate(answer *http.Response) {
+func (c *callerCall) applyGateRegions(answer *http.Response) {
 	if values := answer.Header[headerRegions]; len(values) > 0 {
 		c.regions = c.regions.Intersect(parseRegions(values[0]))
 	}
@@ -91,25 +91,25 @@
 // checkRegion refuses a call that may not run in this gate's region by the version of the view.
 // The version of its sender may be older; what that bars its sender has kept.
 func (p *Proxy) checkRegion(current *view, request *http.Request) (Refusal, bool) {
-	if !current.table.HasRestrictions() {
+	if !current.routes.HasRestrictions() {
 		return Refusal{}, true
 	}
 	located, refusal, fine := p.locate(request)
 	if !fine {
 		return refusal, false
 	}
-	route := current.find(request, located)
+	route := current.findRoute(request, located)
 	if route == nil || route.Regions.Has(p.config.Region) {
 		return Refusal{}, true
 	}
-	return Refusal{Code: result.RegionNotAllowed, Regions: []string{regionsText(route.Regions)}}, false
+	return Refusal{Code: result.RegionNotAllowed, Regions: []string{formatRegions(route.Regions)}}, false
 }
 
 // checkRegionAgain refuses a call whose body and turn were waited for, up to some seconds, if
 // by a version that came meanwhile it may not run here.
-func (c *gateCall) checkRegionAgain() (Refusal, bool) {
+func (c *gateCall) recheckRegion() (Refusal, bool) {
 	current := c.proxy.view.Load()
-	if current.table == c.table {
+	if current.routes == c.table {
 		return Refusal{}, true
 	}
 	return c.proxy.checkRegion(current, c.request)
@@ -119,13 +119,13 @@
 const regionsSeparator = ","
 
 // regionsText writes a restriction for headerRegions.
-func regionsText(allowed region.Allowed) string {
+func formatRegions(allowed region.Set) string {
 	escaped := lo.Map(allowed.Names(), func(name string, _ int) string { return url.QueryEscape(name) })
 	return strings.Join(escaped, regionsSeparator)
 }
 
 // parseRegions reads headerRegions. A name that can't be read allows nothing.
-func parseRegions(text string) region.Allowed {
+func parseRegions(text string) region.Set {
 	names := []string{}
 	for escaped := range strings.SplitSeq(text, regionsSeparator) {
 		if name, err := url.QueryUnescape(escaped); err == nil && name != "" {
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -26,18 +26,18 @@
 )
 
 // inRegions allows regions to a route, nil all, and two attempts to its calls.
-func inRegions(regions []string) meshOptions {
-	return meshOptions{route: func(route *resource.Route) { route.AllowedRegions, route.RetryAttempts = regions, 2 }}
+func optionsWithRegions(regions []string) meshOptions {
+	return meshOptions{changeRoute: func(route *resource.Route) { route.AllowedRegions, route.RetryAttempts = regions, 2 }}
 }
 
 // in puts a back end into a region.
-func in(region string, spec backendSpec) backendSpec {
+func withRegion(region string, spec backendSpec) backendSpec {
 	spec.region = region
 	return spec
 }
 
 // failing is a back end that counts its runs and fails them.
-func failing(runs *atomic.Int64) backendSpec {
+func failingBackend(runs *atomic.Int64) backendSpec {
 	return backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
 		panic(http.ErrAbortHandler)
@@ -45,8 +45,8 @@
 }
 
 // force puts a version that allows regions in force on daemons; backends are declared by it.
-func (m *mesh) force(version uint64, regions []string, daemons ...*Proxy) {
-	made := testSnapshot(inRegions(regions), m.held.Backends[testService])
+func (m *mesh) applyRegions(version uint64, regions []string, daemons ...*Proxy) {
+	made := testSnapshot(optionsWithRegions(regions), m.snapshot.Backends[testService])
 	made.Version = protocol.Version(version)
 	for _, daemon := range daemons {
 		daemon.Swap(made)
@@ -54,15 +54,15 @@
 }
 
 // Back ends next door get nothing of a call that is at home elsewhere, whatever its key.
-func TestACallRunsInAnAllowedRegion(t *testing.T) {
+func TestCallRunsInAllowedRegion(t *testing.T) {
 	for _, headers := range [][]string{nil, {"X-Key", "k"}} {
 		check := is.New(t)
 		var near, home atomic.Int64
-		options := meshOptions{route: func(route *resource.Route) {
+		options := meshOptions{changeRoute: func(route *resource.Route) {
 			route.AllowedRegions = []string{"home"}
 			route.RequestKeyHeader = "X-Key"
 		}}
-		mesh := startMesh(t, options, counting(&near), in("home", counting(&home)))
+		mesh := startMesh(t, options, countingBackend(&near), withRegion("home", countingBackend(&home)))
 		for range 20 {
 			headers := append([]string{}, headers...)
 			if len(headers) > 0 {
@@ -79,8 +79,8 @@
 func TestRetriesStayInAllowedRegions(t *testing.T) {
 	check := is.New(t)
 	var near, home atomic.Int64
-	mesh := startMesh(t, inRegions([]string{"home"}), counting(&near),
-		in("home", failing(&home)), in("home", backendSpec{address: dead(t)}))
+	mesh := startMesh(t, optionsWithRegions([]string{"home"}), countingBackend(&near),
+		withRegion("home", failingBackend(&home)), withRegion("home", backendSpec{address: closedAddress(t)}))
 	for range 30 {
 		got := mesh.call(t, "GET", "/", "")
 		check.True(got.status != http.StatusOK)
@@ -89,11 +89,11 @@
 	check.True(home.Load() > 0)
 }
 
-func TestACallWithoutBackEndInAnAllowedRegionIsRefusedAtOnce(t *testing.T) {
+func TestCallWithoutAllowedBackEndIsRefusedUnsent(t *testing.T) {
 	for _, regions := range [][]string{{}, {"nowhere"}} {
 		check := is.New(t)
 		var near atomic.Int64
-		mesh := startMesh(t, inRegions(regions), counting(&near))
+		mesh := startMesh(t, optionsWithRegions(regions), countingBackend(&near))
 		got := mesh.call(t, "POST", "/", "body")
 		expectRefusal(check, got, result.RegionNotAllowed, result.RanNo)
 		check.True(got.header.Get("Retry-After") != "")
@@ -105,7 +105,7 @@
 
 // While a version that sets, moves or lifts a restriction is on its way, the stricter of the
 // entry's and the gate's binds; the gate's refusal tells the entry where to send the call.
-func TestTheStricterVersionBinds(t *testing.T) {
+func TestStricterRegionVersionApplies(t *testing.T) {
 	for _, given := range []struct {
 		name        string
 		entry, gate []string
@@ -120,10 +120,10 @@
 		t.Run(given.name, func(t *testing.T) {
 			check := is.New(t)
 			var near, home atomic.Int64
-			next := counting(&near)
-			mesh := startMesh(t, meshOptions{}, next, next, next, in("home", counting(&home)))
-			mesh.force(2, given.entry, mesh.caller)
-			mesh.force(2, given.gate, mesh.gates...)
+			next := countingBackend(&near)
+			mesh := startMesh(t, meshOptions{}, next, next, next, withRegion("home", countingBackend(&home)))
+			mesh.applyRegions(2, given.entry, mesh.caller)
+			mesh.applyRegions(2, given.gate, mesh.gates...)
 			for range 10 {
 				got := mesh.call(t, "POST", "/", "body")
 				if given.wanted == result.OK {
@@ -140,7 +140,7 @@
 
 // A call that has waited at a gate for its turn is bound by the version in force when it begins
 // to run, and is sent home in place of that.
-func TestAVersionThatComesWhileACallWaitsAtAGateBindsIt(t *testing.T) {
+func TestNewRegionVersionAppliesToQueuedCall(t *testing.T) {
 	check := is.New(t)
 	var near, home atomic.Int64
 	begun, held := make(chan struct{}), make(chan struct{})
@@ -150,9 +150,9 @@
 		}
 		<-held
 	}}
-	mesh := startMesh(t, meshOptions{slots: 1}, slow, in("home", counting(&home)))
-	mesh.force(2, []string{"r"}, mesh.caller)
-	answers := make(chan answered, 2)
+	mesh := startMesh(t, meshOptions{slots: 1}, slow, withRegion("home", countingBackend(&home)))
+	mesh.applyRegions(2, []string{"r"}, mesh.caller)
+	answers := make(chan callResult, 2)
 	ask := func() { answers <- mesh.call(t, "POST", "/", "body") }
 	go ask()
 	<-begun
@@ -160,7 +160,7 @@
 	for mesh.gates[0].gate.Load().Queued == 0 {
 		runtime.Gosched()
 	}
-	mesh.force(3, []string{"home"}, append(mesh.gates, mesh.caller)...)
+	mesh.applyRegions(3, []string{"home"}, append(mesh.gates, mesh.caller)...)
 	close(held)
 	codes := []string{(<-answers).header.Get(headerCode), (<-answers).header.Get(headerCode)}
 	check.True(slices.Contains(codes, itoa(int(result.RegionNotAllowed))))
@@ -172,27 +172,27 @@
 
 // A large body, which is announced, is refused before any of it was sent: by the gate and by
 // the entry.
-func TestNoBodyIsTakenInThatMayNotBeHeld(t *testing.T) {
+func TestBodyOutsideAllowedRegionIsNotRead(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
-	mesh.force(2, []string{"home"}, append(mesh.gates, mesh.caller)...)
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
+	mesh.applyRegions(2, []string{"home"}, append(mesh.gates, mesh.caller)...)
 	hop := fmt.Sprintf("%s: %s\r\n%s: %s\r\n%s: a\r\n", headerHop, hopGate, headerService, testService, headerBackend)
-	check.Equal(refusalOfHead(t, mesh.members[0].DataAddress, hop), itoa(int(result.RegionNotAllowed)))
-	check.Equal(refusalOfHead(t, mesh.address, ""), itoa(int(result.RegionNotAllowed)))
+	check.Equal(sendHead(t, mesh.members[0].DataAddress, hop), itoa(int(result.RegionNotAllowed)))
+	check.Equal(sendHead(t, mesh.address, ""), itoa(int(result.RegionNotAllowed)))
 	check.Equal(runs.Load(), int64(0))
 }
 
 // refusalOfHead sends the head of a request with a large body, and returns the code by which it
 // is refused.
-func refusalOfHead(t *testing.T, address, headers string) string {
+func sendHead(t *testing.T, address, headers string) string {
 	t.Helper()
 	check := is.New(t)
 	conn, err := net.Dial("tcp", address)
 	check.NoErr(err)
 	defer conn.Close()
 	check.NoErr(conn.SetDeadline(time.Now().Add(10 * time.Second)))
-	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n%s\r\n", largeBody, headers)
+	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n%s\r\n", largeBodyBytes, headers)
 	check.NoErr(err)
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	check.NoErr(err)
@@ -200,7 +200,7 @@
 }
 
 // An entry's newest version binds each attempt, besides the one that the call came under.
-func TestAVersionThatComesMeanwhileBindsTheNextAttempt(t *testing.T) {
+func TestNewRegionVersionAppliesToNextAttempt(t *testing.T) {
 	for _, given := range []struct {
 		name          string
 		before, after []string
@@ -216,11 +216,11 @@
 			var made *mesh
 			swapping := backendSpec{handler: func(http.ResponseWriter, *http.Request) {
 				near.Add(1)
-				made.force(3, given.after, made.caller)
+				made.applyRegions(3, given.after, made.caller)
 				panic(http.ErrAbortHandler)
 			}}
-			made = startMesh(t, meshOptions{}, swapping, swapping, in("home", counting(&home)))
-			made.force(2, given.before, made.caller)
+			made = startMesh(t, meshOptions{}, swapping, swapping, withRegion("home", countingBackend(&home)))
+			made.applyRegions(2, given.before, made.caller)
 			made.call(t, "GET", "/", "")
 			check.Equal(near.Load(), given.near)
 			check.Equal(home.Load(), given.home)
@@ -230,7 +230,7 @@
 
 // Canaries and the other version alike: where its regions have no back end that a roll-out
 // lets take the call, none gets it.
-func TestARolloutKeepsToAllowedRegions(t *testing.T) {
+func TestRolloutStaysInAllowedRegions(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, given := range []struct {
 		name     string
@@ -245,9 +245,9 @@
 	} {
 		t.Run(given.name, func(t *testing.T) {
 			check := is.New(t)
-			made := &service{all: regionalSet()}
-			made.divide(Split{Target: "v2", Stage: given.stage, CanaryShare: 0.5})
-			pool := made.poolOf(region.NewAllowed(given.regions))
+			made := &service{allEndpoints: newRegionalSet()}
+			made.applySplit(VersionSplit{Target: "v2", Stage: given.stage, CanaryShare: 0.5})
+			pool := made.poolFor(region.NewAllowed(given.regions))
 			seen := map[string]bool{}
 			for range 200 {
 				chosen := pool.canary.choose(0, random.Uint64(), random.Uint64())
@@ -268,11 +268,11 @@
 }
 
 // Neither way of choosing leaves the regions, whatever was tried or ejected before.
-func TestEveryChoiceKeepsToAllowedRegions(t *testing.T) {
+func TestEveryChoiceStaysInAllowedRegions(t *testing.T) {
 	check := is.New(t)
-	made := &service{all: regionalSet()}
-	made.divide(Split{})
-	set := made.poolOf(region.NewAllowed([]string{"home"})).set
+	made := &service{allEndpoints: newRegionalSet()}
+	made.applySplit(VersionSplit{})
+	set := made.poolFor(region.NewAllowed([]string{"home"})).set
 	random := rand.New(rand.NewPCG(3, 4))
 	var tried endpoint.Tried
 	for range 3 * len(set.All) {
@@ -289,12 +289,12 @@
 }
 
 // A call of a restricted route allocates no more than another: its pool was made with the view.
-func TestARestrictedCallAllocatesNoMoreThanAnother(t *testing.T) {
+func TestRegionRestrictionAddsNoAllocations(t *testing.T) {
 	check := is.New(t)
 	allocated := func(regions []string) float64 {
 		proxy := New(Config{Clock: testClock, NodeID: "caller", Region: "r", Zone: "z"})
 		t.Cleanup(proxy.Close)
-		proxy.Swap(testSnapshot(inRegions(regions), []resource.Backend{
+		proxy.Swap(testSnapshot(optionsWithRegions(regions), []resource.Backend{
 			{Partner: "k", Name: "a", Service: "plans", Address: "127.0.0.1:1", Region: "r", Zone: "z", Slots: 6},
 			{Partner: "k", Name: "b", Service: "plans", Address: "127.0.0.1:2", Region: "home", Zone: "z", Slots: 6},
 		}))
@@ -303,8 +303,8 @@
 		return testing.AllocsPerRun(100, func() {
 			call, _, _ := proxy.acceptCall(request)
 			current := proxy.view.Load()
-			call.bind(current)
-			call.choose(current.services[call.service].poolOf(call.regions), quarantine.Trusted, testClock())
+			call.applyRegions(current)
+			call.chooseEndpoint(current.services[call.service].poolFor(call.regions), quarantine.Trusted, testClock())
 		})
 	}
 	check.Equal(allocated([]string{"home"}), allocated(nil))
@@ -312,22 +312,22 @@
 
 // What lists cost is bounded by the regions in which a service has back ends, not by how many
 // lists a configuration's routes name.
-func TestListsThatAllowTheSameBackEndsShareTheirPool(t *testing.T) {
+func TestEquivalentRegionListsShareOnePool(t *testing.T) {
 	check := is.New(t)
-	made := &service{all: regionalSet()}
-	made.divide(Split{})
-	lists := lo.Times(3000, func(number int) region.Allowed {
+	made := &service{allEndpoints: newRegionalSet()}
+	made.applySplit(VersionSplit{})
+	lists := lo.Times(3000, func(number int) region.Set {
 		return region.NewAllowed([]string{[]string{"home", "old"}[number%2], fmt.Sprintf("elsewhere-%d", number)})
 	})
-	made.restrict(lists)
-	pools := lo.Uniq(lo.Map(lists, func(allowed region.Allowed, _ int) *pool { return made.poolOf(allowed) }))
+	made.buildRestrictedPools(lists)
+	pools := lo.Uniq(lo.Map(lists, func(allowed region.Set, _ int) *pool { return made.poolFor(allowed) }))
 	check.Equal(len(pools), 2)
-	check.Equal(made.poolOf(lists[0]).set.All[0].Region, "home")
-	check.Equal(made.poolOf(lists[1]).set.All[0].Region, "old")
+	check.Equal(made.poolFor(lists[0]).set.All[0].Region, "home")
+	check.Equal(made.poolFor(lists[1]).set.All[0].Region, "old")
 }
 
 // regionalSet has back ends of two versions in a region, and of one in each of two others.
-func regionalSet() *endpoint.Set {
+func newRegionalSet() *endpoint.Set {
 	var members []protocol.Member
 	var backends []resource.Backend
 	for index, place := range []struct{ region, version string }{
@@ -346,15 +346,15 @@
 	return endpoint.Build(nil, endpoint.Locality{Region: "old"}, backends, members, 0)
 }
 
-func TestARestrictionIsReadAsItWasWritten(t *testing.T) {
+func TestRegionsHeaderRoundTrip(t *testing.T) {
 	for _, names := range [][]string{{}, {"north"}, {"north", "south"}, {"a,b", "c d", "é"}} {
 		check := is.New(t)
-		check.True(parseRegions(regionsText(region.NewAllowed(names))).Equal(region.NewAllowed(names)))
+		check.True(parseRegions(formatRegions(region.NewAllowed(names))).Equal(region.NewAllowed(names)))
 	}
 }
 
 // A name that can't be read bars more, never less.
-func TestATextThatCannotBeReadAllowsNothing(t *testing.T) {
+func TestUnreadableRegionsHeaderAllowsNothing(t *testing.T) {
 	check := is.New(t)
 	check.True(parseRegions("%zz").Equal(region.NewAllowed([]string{})))
 }
--- a/internal/proxy/renewal_test.go
+++ b/internal/proxy/renewal_test.go
@@ -11,7 +11,7 @@
 
 // A call whose upstream is at work is answered by it whatever view comes meanwhile, before
 // or after the start of a drain.
-func TestNoViewEndsACallThatRuns(t *testing.T) {
+func TestNewViewDoesNotEndRunningCall(t *testing.T) {
 	views := []struct {
 		name    string
 		publish func(*mesh)
@@ -38,9 +38,9 @@
 		for _, drained := range []string{"before", "after"} {
 			t.Run(view.name+" "+drained+" the drain", func(t *testing.T) {
 				check := is.New(t)
-				backend := newBlocking()
+				backend := newBlockingBackend()
 				mesh := startMesh(t, meshOptions{}, backend.spec())
-				running := make(chan answered)
+				running := make(chan callResult)
 				for _, method := range []string{"GET", "POST"} {
 					go func() { running <- mesh.call(t, method, "/", "x") }()
 					<-backend.entered
--- a/internal/proxy/reported.go
+++ b/internal/proxy/reported.go
@@ -29,7 +29,7 @@
 
 // put puts a report in force, and only then closes replaced. So whoever loads replaced, and then
 // still finds the earlier start in force, holds a channel that is closed later.
-func (r *reportedBackend) put(report *BackendReport) {
+func (r *reportedBackend) set(report *BackendReport) {
 	previous := r.current.Swap(report)
 	if previous != nil && previous.Start == report.Start {
 		return
@@ -42,10 +42,10 @@
 
 // startReplaced is closed when a start of the back end is no longer the one that gets calls; nil
 // where no back end reports, for none is replaced then.
-func (p *Proxy) startReplaced(start protocol.BackendStart) <-chan struct{} {
+func (p *Proxy) replacedChannel(start protocol.BackendStart) <-chan struct{} {
 	replaced := p.reported.replaced.Load()
 	if p.backendStart() != start {
-		return alreadyClosed
+		return closedChannel
 	}
 	if replaced == nil {
 		return nil
@@ -54,14 +54,14 @@
 }
 
 // alreadyClosed is a closed channel.
-var alreadyClosed = func() <-chan struct{} {
+var closedChannel = func() <-chan struct{} {
 	made := make(chan struct{})
 	close(made)
 	return made
 }()
 
 // instance is the name by which callers' sides address the back end.
-func (p *Proxy) instance() string {
+func (p *Proxy) backendInstance() string {
 	if !p.config.Reported {
 		return p.config.Backend
 	}
@@ -95,16 +95,16 @@
 	if previous != nil && previous.Start != report.Start {
 		// Connections to an earlier start lead nowhere.
 		p.backend.retire()
-		p.answers.Reset()
-		p.hangs.balance.Reset()
-		p.bounds.found.Store(nil)
+		p.rolloutAnswers.Reset()
+		p.hangDetector.missingCalls.Reset()
+		p.backendLimits.foundStart.Store(nil)
 		p.gate.ClearOrphanedCalls(p.config.Clock())
 	}
 	if report.EarlierCrashed && (previous == nil || !previous.EarlierCrashed || previous.Start != report.Start) {
-		p.endCrashed(report.Start)
+		p.endCrashedCalls(report.Start)
 	}
 	if previous == nil || previous.Software != report.Software {
-		p.ends.answeredBefore.Store(p.tally.answered.Load())
+		p.backendEnds.succeededBeforeVersion.Store(p.counters.succeeded.Load())
 	}
 	takesWork := report.State.AcceptsCalls()
 	switch {
@@ -113,24 +113,24 @@
 	case !takesWork:
 		p.gate.Drain()
 	}
-	p.reported.put(&report)
+	p.reported.set(&report)
 	if report.Slots > 0 {
-		p.bounds.slots.Store(int64(report.Slots))
-		p.boundCalls()
+		p.backendLimits.slots.Store(int64(report.Slots))
+		p.updateCallLimit()
 	}
 	if previous == nil {
-		p.bounds.found.Store(&report.Start)
-		p.expectLeftBehind()
+		p.backendLimits.foundStart.Store(&report.Start)
+		p.expectOrphanedCalls()
 	}
 	if takesWork {
 		p.gate.Resume()
 	}
-	p.event("backend_state", EventField{Key: "backend", Value: report.Start.Instance}, bornField(report.Start),
+	p.logEvent("backend_state", EventField{Key: "backend", Value: report.Start.Instance}, bornField(report.Start),
 		EventField{Key: "state", Value: report.State.String()})
 }
 
 // warming tells whether the back end says that it is still slow from its start.
-func (p *Proxy) warming() bool {
+func (p *Proxy) isWarming() bool {
 	report := p.reported.current.Load()
 	return report != nil && report.State == protocol.EndpointWarming
 }
--- a/internal/proxy/reported_test.go
+++ b/internal/proxy/reported_test.go
@@ -12,31 +12,31 @@
 )
 
 // What a gate has counted of one start of its back end says nothing of the next one.
-func TestANewStartsEvidenceBeginsAnew(t *testing.T) {
+func TestNewStartResetsAnswerCounts(t *testing.T) {
 	check := is.New(t)
 	proxy := New(Config{Clock: testClock, NodeID: "gate", Backend: "i", Reported: true})
 	t.Cleanup(proxy.Close)
 	report := BackendReport{Start: protocol.BackendStart{Instance: "i", Born: 100}, Slots: 2, State: protocol.EndpointReady}
 	proxy.ReportBackend(report)
-	proxy.CountAnswers(true)
-	proxy.answers.Record(callclass.Class(0), true, true, time.Second)
+	proxy.SetAnswerCounting(true)
+	proxy.rolloutAnswers.Record(callclass.Class(0), true, true, time.Second)
 	proxy.ReportBackend(report)
-	counted, _ := proxy.Answers()
+	counted, _ := proxy.AnswerEvidence()
 	check.Equal(counted[0].Failures, uint32(1))
 	report.Start.Born = 200
 	proxy.ReportBackend(report)
-	counted, _ = proxy.Answers()
+	counted, _ = proxy.AnswerEvidence()
 	check.Equal(counted[0].Failures, uint32(0))
 }
 
 // A request that ends a back end that starts again under its name has ended several.
-func TestEndsUnderOneNameAreCountedByStart(t *testing.T) {
+func TestEndsUnderOneNameCountPerStart(t *testing.T) {
 	check := is.New(t)
-	proxy := newEndsProxy(t)
+	proxy := newProxyWithAnswers(t)
 	for born := range int64(quarantine.DefaultRules().Ends) {
-		end := atWorkOn(proxy, "i", "/a")
+		end := newBackendEnd(proxy, "i", "/a")
 		end.start.Born = born + 1
-		proxy.suspectOf(end)
+		proxy.attributeEnd(end)
 	}
-	check.Equal(proxy.HarmfulBelief(signatureAt(proxy, "/a")), quarantine.Held)
+	check.Equal(proxy.HarmfulBelief(signatureOf(proxy, "/a")), quarantine.Held)
 }
--- a/internal/proxy/reportedgate_test.go
+++ b/internal/proxy/reportedgate_test.go
@@ -23,47 +23,47 @@
 	limits  Limits
 	slots   int
 	// arrived are the calls that the back end has taken, over lets them go.
-	arrived *atomic.Int64
-	over    chan struct{}
-	letGo   func()
+	arrivedCount *atomic.Int64
+	released     chan struct{}
+	releaseCalls func()
 }
 
 // heldCall is a call as the back end of a reported gate sees it.
-type heldCall struct {
-	over <-chan struct{}
-	conn net.Conn
+type backendCall struct {
+	released <-chan struct{}
+	conn     net.Conn
 }
 
 // answerIt answers the call well and keeps the connection.
-func (c *heldCall) answerIt() {
+func (c *backendCall) answer() {
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 }
 
 // beginAnswer sends the head of an answer and no byte of its body.
-func (c *heldCall) beginAnswer() {
+func (c *backendCall) sendAnswerHead() {
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
 }
 
 // answerAndClose answers the call well and ends the connection.
-func (c *heldCall) answerAndClose() {
+func (c *backendCall) answerAndClose() {
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	_ = c.conn.Close()
 }
 
 // startReportedGate starts such a gate with a back end that began after it. The back end
 // heeds the end of a connection only once it has served the call on it.
-func startReportedGate(t *testing.T, limits Limits, slots int, serve func(*heldCall)) *reportedGate {
+func startReportedGate(t *testing.T, limits Limits, slots int, serve func(*backendCall)) *reportedGate {
 	t.Helper()
-	made := &reportedGate{limits: limits, slots: slots, arrived: &atomic.Int64{}, over: make(chan struct{})}
-	made.letGo = sync.OnceFunc(func() { close(made.over) })
-	t.Cleanup(made.letGo)
+	made := &reportedGate{limits: limits, slots: slots, arrivedCount: &atomic.Int64{}, released: make(chan struct{})}
+	made.releaseCalls = sync.OnceFunc(func() { close(made.released) })
+	t.Cleanup(made.releaseCalls)
 	made.backend = startBackend(t, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		for {
 			if _, came := readRequest(reader); !came {
 				return
 			}
-			made.arrived.Add(1)
-			serve(&heldCall{over: made.over, conn: conn})
+			made.arrivedCount.Add(1)
+			serve(&backendCall{released: made.released, conn: conn})
 		}
 	}})
 	made.start(t, made.slots, protocol.BackendStart{Instance: "i", Born: time.Now().Add(time.Hour).UnixMilli()})
@@ -74,7 +74,7 @@
 func (g *reportedGate) restart(t *testing.T) *reportedGate {
 	t.Helper()
 	again := *g
-	again.arrived.Store(0)
+	again.arrivedCount.Store(0)
 	again.start(t, g.slots, protocol.BackendStart{Instance: "i", Born: 1})
 	return &again
 }
@@ -88,17 +88,17 @@
 	t.Cleanup(g.proxy.Close)
 	g.proxy.Swap(testSnapshot(meshOptions{}, nil))
 	g.proxy.ReportBackend(BackendReport{Start: start, Slots: slots, State: protocol.EndpointReady})
-	g.address = serve(t, g.proxy.GateHandler(), g.limits)
+	g.address = startServer(t, g.proxy.GateHandler(), g.limits)
 }
 
 // begunCall is a call that was sent to a gate.
-type begunCall struct {
+type startedCall struct {
 	cancel context.CancelFunc
-	answer chan answered
+	answer chan callResult
 }
 
 // begin sends a call to the gate.
-func (g *reportedGate) begin(t *testing.T, timeout time.Duration) *begunCall {
+func (g *reportedGate) startCall(t *testing.T, timeout time.Duration) *startedCall {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.address+"/", nil)
@@ -109,7 +109,7 @@
 	request.Header.Set(headerBackend, "i")
 	request.Header.Set(headerService, testService.String())
 	request.Header.Set(headerTimeout, itoa(int(timeout.Milliseconds())))
-	made := &begunCall{cancel: cancel, answer: make(chan answered, 1)}
+	made := &startedCall{cancel: cancel, answer: make(chan callResult, 1)}
 	ended := make(chan struct{})
 	t.Cleanup(func() {
 		cancel()
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -13,15 +13,15 @@
 
 // TestHopBetweenDaemonsTakesTLS serves a gate by mutual TLS: calls pass with a
 // certificate, and without one nothing runs and that is known.
-func TestHopBetweenDaemonsTakesTLS(t *testing.T) {
+func TestGateRequiresMutualTLS(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	borrowed := httptest.NewTLSServer(http.NotFoundHandler())
 	t.Cleanup(borrowed.Close)
 	certificates := borrowed.TLS.Certificates
-	listener := listen(t)
-	server := NewServer(mesh.gates[0].GateHandler(), Limits{}).Secure(&tls.Config{
+	listener := listenLoopback(t)
+	server := NewServer(mesh.gates[0].GateHandler(), Limits{}).SetTLS(&tls.Config{
 		Certificates: certificates, ClientAuth: tls.RequireAnyClientCert, MaxVersion: tls.VersionTLS12,
 	})
 	go func() { _ = server.Serve(listener) }()
@@ -34,9 +34,9 @@
 		})
 		t.Cleanup(caller.Close)
 		caller.PublishMembers(mesh.members)
-		caller.Swap(mesh.held)
+		caller.Swap(mesh.snapshot)
 		caller.ExtendServing(1 << 62)
-		mesh.address = serve(t, caller.CallerHandler(), Limits{})
+		mesh.address = startServer(t, caller.CallerHandler(), Limits{})
 		answer := mesh.call(t, "POST", "/", "x")
 		if given != nil {
 			check.Equal(answer.body, "x")
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -24,45 +24,45 @@
 
 const (
 	// refusingWait bounds stageRefusing.
-	refusingWait = 250 * time.Millisecond
+	maxRefusingTime = 250 * time.Millisecond
 	// retireWait is how long retired connections are kept for what was on its
 	// way when they were retired: more than a round trip.
-	retireWait = 100 * time.Millisecond
+	retiredConnWait = 100 * time.Millisecond
 	// backlogWait is how long the last connections that the system has taken
 	// may need to be handed out.
 	backlogWait = 5 * time.Millisecond
 	// stagePoll is how often a stage looks whether it can end early.
-	stagePoll = 5 * time.Millisecond
+	stagePollInterval = 5 * time.Millisecond
 )
 
 // Shutdown stops taking calls, ends the connections without a call so that
 // none is in doubt, and waits for the calls that run.
 func (s *Server) Shutdown(ctx context.Context) error {
-	listeners := s.stop()
+	listeners := s.markStopping()
 	for _, listener := range listeners {
 		listener.stage.Store(stageRefusing)
 	}
-	awaitConns(ctx, listeners, refusingWait)
+	awaitConnsClosed(ctx, listeners, maxRefusingTime)
 	for _, listener := range listeners {
 		listener.stage.Store(stageRetiring)
 		listener.retireIdle()
 	}
-	awaitConns(ctx, listeners, retireWait)
+	awaitConnsClosed(ctx, listeners, retiredConnWait)
 	for _, listener := range listeners {
-		listener.closeEmpty()
+		listener.closeAfterBacklog()
 	}
-	awaitRefused(ctx, listeners)
-	awaitOwed(ctx, listeners)
-	return s.inner.Shutdown(ctx)
+	awaitRefusals(ctx, listeners)
+	awaitPendingAnswers(ctx, listeners)
+	return s.httpServer.Shutdown(ctx)
 }
 
 // awaitConns waits until no connection is open, but not longer than a bound.
-func awaitConns(ctx context.Context, listeners []*boundedListener, wait time.Duration) {
+func awaitConnsClosed(ctx context.Context, listeners []*boundedListener, wait time.Duration) {
 	bound := time.NewTimer(wait)
 	defer bound.Stop()
-	poll := time.NewTicker(stagePoll)
+	poll := time.NewTicker(stagePollInterval)
 	defer poll.Stop()
-	for anyOpen(listeners) {
+	for hasOpenConns(listeners) {
 		select {
 		case <-poll.C:
 		case <-bound.C:
@@ -74,22 +74,22 @@
 }
 
 // awaitRefused waits for the refusals of the last connections.
-func awaitRefused(ctx context.Context, listeners []*boundedListener) {
-	bounded, cancel := context.WithTimeout(ctx, refusedWait)
+func awaitRefusals(ctx context.Context, listeners []*boundedListener) {
+	bounded, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
 	for _, listener := range listeners {
-		for listener.refusing.Load() > 0 && bounded.Err() == nil {
-			time.Sleep(stagePoll)
+		for listener.refusingCount.Load() > 0 && bounded.Err() == nil {
+			time.Sleep(stagePollInterval)
 		}
 	}
 }
 
 // awaitOwed waits until no connection owes answers to requests behind its current
 // one: the library closes connections after the current answer.
-func awaitOwed(ctx context.Context, listeners []*boundedListener) {
-	poll := time.NewTicker(stagePoll)
+func awaitPendingAnswers(ctx context.Context, listeners []*boundedListener) {
+	poll := time.NewTicker(stagePollInterval)
 	defer poll.Stop()
-	for anyOwed(listeners) {
+	for hasPendingAnswers(listeners) {
 		select {
 		case <-poll.C:
 		case <-ctx.Done():
@@ -98,20 +98,20 @@
 	}
 }
 
-func anyOwed(listeners []*boundedListener) bool {
+func hasPendingAnswers(listeners []*boundedListener) bool {
 	owed := false
 	for _, listener := range listeners {
 		listener.conns.Range(func(conn, _ any) bool {
-			owed = owed || conn.(*countedConn).owes()
+			owed = owed || conn.(*countedConn).hasPendingAnswers()
 			return !owed
 		})
 	}
 	return owed
 }
 
-func anyOpen(listeners []*boundedListener) bool {
+func hasOpenConns(listeners []*boundedListener) bool {
 	for _, listener := range listeners {
-		if listener.open.Load()+listener.refusing.Load() > 0 {
+		if listener.openCount.Load()+listener.refusingCount.Load() > 0 {
 			return true
 		}
 	}
@@ -129,17 +129,17 @@
 // closeEmpty closes the listener once the connections that the system has
 // already taken have been handed out and refused. Closing it before would
 // reset them.
-func (l *boundedListener) closeEmpty() {
+func (l *boundedListener) closeAfterBacklog() {
 	if deadline, can := l.Listener.(interface{ SetDeadline(time.Time) error }); can {
 		if deadline.SetDeadline(time.Now().Add(backlogWait)) == nil {
-			<-l.emptied
+			<-l.acceptEnded
 		}
 	}
 	_ = l.Close()
 }
 
 // leavingRefusal is what is said on a connection that takes no call any more.
-func leavingRefusal(status int) Refusal {
+func stoppingRefusal(status int) Refusal {
 	return Refusal{
 		Code:       result.Draining,
 		Status:     status,
@@ -154,18 +154,18 @@
 // holds for whatever is still sent. An idle caller takes an answer with this
 // status for the close that it is (RFC 9110, 15.5.9).
 func (c *countedConn) retire() {
-	if c.owes() {
+	if c.hasPendingAnswers() {
 		return // finished retires it
 	}
 	if !c.phase.CompareAndSwap(phaseIdle, phaseRetired) {
 		return
 	}
-	if c.listener.quiet {
+	if c.listener.closesIdleSilently {
 		_ = c.CloseWrite()
 		return
 	}
-	_ = c.Conn.SetWriteDeadline(time.Now().Add(refusedWait))
-	if _, err := c.Conn.Write(plainRefusal(leavingRefusal(http.StatusRequestTimeout))); err == nil {
+	_ = c.Conn.SetWriteDeadline(time.Now().Add(refusalTimeout))
+	if _, err := c.Conn.Write(rawRefusal(stoppingRefusal(http.StatusRequestTimeout))); err == nil {
 		_ = c.CloseWrite()
 	}
 }
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -12,35 +12,35 @@
 
 // startPart is the part of a call's time, one in so many, for which it may wait while its
 // daemon starts: with a quarter gone, it can still be sent elsewhere and answered in time.
-const startPart = 4
+const startWaitDivisor = 4
 
 // starting lets calls wait that come to a daemon which has just started and does not know yet
 // where to send them. After a loss of all machines callers return before configuration and
 // members have come, which takes some tenths of a second: to refuse them at once sends them
 // to other daemons that know no more.
-type starting struct {
+type startWaiters struct {
 	mutex sync.Mutex
 	// changed is closed by the next publish; nil while no call waits.
-	changed chan struct{}
+	viewChanged chan struct{}
 }
 
 // nextView is closed when the next view is in force, or none will be of use.
-func (s *starting) nextView() <-chan struct{} {
+func (s *startWaiters) nextView() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.changed == nil {
-		s.changed = make(chan struct{})
+	if s.viewChanged == nil {
+		s.viewChanged = make(chan struct{})
 	}
-	return s.changed
+	return s.viewChanged
 }
 
 // publish wakes the calls that wait: a view has come, or none will be of use.
-func (s *starting) publish() {
+func (s *startWaiters) wakeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.changed != nil {
-		close(s.changed)
-		s.changed = nil
+	if s.viewChanged != nil {
+		close(s.viewChanged)
+		s.viewChanged = nil
 	}
 }
 
@@ -49,24 +49,24 @@
 	if p.config.Clock()-p.startedAt >= p.limits.StartWait {
 		return p.acceptCall(request)
 	}
-	return p.acceptStarting(request, body)
+	return p.acceptDuringStart(request, body)
 }
 
 // acceptStarting accepts a call as acceptCall does. While the daemon starts, it waits for a
 // view by which the call can be sent, for a part of the call's time at most.
-func (p *Proxy) acceptStarting(request *http.Request, body *upload) (*callerCall, Refusal, bool) {
+func (p *Proxy) acceptDuringStart(request *http.Request, body *upload) (*callerCall, Refusal, bool) {
 	came := p.config.Clock()
 	for {
 		changed := p.starting.nextView()
 		known := p.view.Load()
 		now := p.config.Clock()
-		call, refusal, accepted := p.acceptCall(withWait(request, waitOf(request)+now-came))
-		whole := p.wholeTime(request, call, now-came)
-		bound := min(p.startedAt+p.limits.StartWait, came+whole/startPart)
-		if now >= bound || !known.lacks(call, refusal, accepted) {
+		call, refusal, accepted := p.acceptCall(withTurnWait(request, turnWait(request)+now-came))
+		whole := p.totalTimeout(request, call, now-came)
+		bound := min(p.startedAt+p.limits.StartWait, came+whole/startWaitDivisor)
+		if now >= bound || !known.isIncompleteFor(call, refusal, accepted) {
 			return call, refusal, accepted
 		}
-		p.readSmall(request, body, came+whole-now)
+		p.preloadSmallBody(request, body, came+whole-now)
 		if !p.awaitView(request, changed, bound-p.config.Clock()) {
 			return call, refusal, accepted
 		}
@@ -75,25 +75,25 @@
 
 // wholeTime is what a call that has waited for the start may take in all; a nil call was
 // refused.
-func (p *Proxy) wholeTime(request *http.Request, call *callerCall, waited time.Duration) time.Duration {
+func (p *Proxy) totalTimeout(request *http.Request, call *callerCall, waited time.Duration) time.Duration {
 	if call != nil {
 		return call.timeout + waited
 	}
-	stated, found := p.statedTime(request.Header)
+	stated, found := p.requestedTimeout(request.Header)
 	if !found {
 		stated = routing.DefaultTimeout
 	}
-	return max(stated-waitOf(request), 0)
+	return max(stated-turnWait(request), 0)
 }
 
 // lacks tells whether a call that was weighed by this view, or by a newer one, can't be sent
 // because this view knows too little yet.
-func (v *view) lacks(call *callerCall, refusal Refusal, accepted bool) bool {
+func (v *view) isIncompleteFor(call *callerCall, refusal Refusal, accepted bool) bool {
 	switch {
 	case refusal.Code == result.NotServing:
 		return v.snapshot == nil
 	case refusal.Code == result.RegionNotAllowed:
-		return len(v.state.Members) <= 1 // nobody but itself
+		return len(v.mesh.Members) <= 1 // nobody but itself
 	case !accepted:
 		return false
 	}
@@ -103,7 +103,7 @@
 
 // readSmall reads a body that is not large before its call waits: the server sees that a
 // caller has left only once its request has been read.
-func (p *Proxy) readSmall(request *http.Request, body *upload, most time.Duration) {
+func (p *Proxy) preloadSmallBody(request *http.Request, body *upload, most time.Duration) {
 	if body.isLarge() {
 		return
 	}
@@ -115,7 +115,7 @@
 // awaitView waits for the next view or a bound; false means that the caller has left or the
 // proxy is closed.
 func (p *Proxy) awaitView(request *http.Request, changed <-chan struct{}, most time.Duration) bool {
-	p.tally.startWaits.Add(1)
+	p.counters.startWaits.Add(1)
 	bound := time.NewTimer(most)
 	defer bound.Stop()
 	select {
--- a/internal/proxy/starting_test.go
+++ b/internal/proxy/starting_test.go
@@ -19,172 +19,172 @@
 )
 
 // startLate makes a callers' side of a mesh that knows nothing yet.
-func startLate(t *testing.T, made *mesh, clock func() time.Duration) *mesh {
+func startEmptyCaller(t *testing.T, made *mesh, clock func() time.Duration) *mesh {
 	t.Helper()
 	limits := Limits{StartWait: time.Hour, DrainLinger: time.Millisecond}
 	late := *made
 	late.caller = New(Config{Clock: clock, NodeID: "late", Incarnation: 4, Region: "r", Zone: "z", Limits: limits})
 	t.Cleanup(late.caller.Close)
-	late.address = serve(t, late.caller.CallerHandler(), limits)
+	late.address = startServer(t, late.caller.CallerHandler(), limits)
 	late.caller.ExtendServing(1 << 62)
 	return &late
 }
 
 // callAndWait makes a call and returns, once it waits for the daemon's start, where its answer
 // will come.
-func (m *mesh) callAndWait(t *testing.T) <-chan answered {
+func (m *mesh) startWaitingCall(t *testing.T) <-chan callResult {
 	t.Helper()
-	answer := make(chan answered, 1)
+	answer := make(chan callResult, 1)
 	go func() { answer <- m.call(t, http.MethodGet, "/", "", headerTimeout, "60000") }()
-	m.awaitWait(t)
+	m.awaitStartWait(t)
 	return answer
 }
 
 // awaitWait waits until a call waits for the daemon's start.
-func (m *mesh) awaitWait(t *testing.T) {
+func (m *mesh) awaitStartWait(t *testing.T) {
 	t.Helper()
 	for began := time.Now(); m.caller.Counters().StartWaits == 0; runtime.Gosched() {
-		if time.Since(began) > awaitLimit {
+		if time.Since(began) > awaitTimeout {
 			t.Fatal("no call waits for the start")
 		}
 	}
 }
 
-func TestACallThatComesBeforeTheConfigurationWaitsForIt(t *testing.T) {
+func TestCallWaitsForConfigurationDuringStart(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	made := startMesh(t, meshOptions{}, counting(&runs))
-	late := startLate(t, made, testClock)
-	answer := late.callAndWait(t)
-	late.caller.Swap(made.held)
+	made := startMesh(t, meshOptions{}, countingBackend(&runs))
+	late := startEmptyCaller(t, made, testClock)
+	answer := late.startWaitingCall(t)
+	late.caller.Swap(made.snapshot)
 	check.Equal((<-answer).status, http.StatusOK)
 	check.Equal(runs.Load(), int64(1))
 }
 
-func TestACallThatComesBeforeTheBackEndsAreKnownWaitsForThem(t *testing.T) {
+func TestCallWaitsForBackEndsDuringStart(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	made := startMesh(t, meshOptions{}, counting(&runs))
-	late := startLate(t, made, testClock)
+	made := startMesh(t, meshOptions{}, countingBackend(&runs))
+	late := startEmptyCaller(t, made, testClock)
 	late.caller.Swap(testSnapshot(meshOptions{}, nil))
-	answer := late.callAndWait(t)
-	late.caller.Swap(made.held)
+	answer := late.startWaitingCall(t)
+	late.caller.Swap(made.snapshot)
 	check.Equal((<-answer).status, http.StatusOK)
 	check.Equal(runs.Load(), int64(1))
 }
 
-func TestWhatACallHasWaitedForTheStartIsTakenOffItsTime(t *testing.T) {
+func TestStartWaitCountsAgainstTimeout(t *testing.T) {
 	check := is.New(t)
 	told := make(chan string, 1)
 	made := startMesh(t, meshOptions{}, backendSpec{handler: func(_ http.ResponseWriter, request *http.Request) {
 		told <- request.Header.Get(headerTimeout)
 	}})
 	var now atomic.Int64
-	late := startLate(t, made, func() time.Duration { return time.Duration(now.Load()) })
-	answer := late.callAndWait(t)
+	late := startEmptyCaller(t, made, func() time.Duration { return time.Duration(now.Load()) })
+	answer := late.startWaitingCall(t)
 	now.Store(int64(10 * time.Second))
-	late.caller.Swap(made.held)
+	late.caller.Swap(made.snapshot)
 	check.Equal((<-answer).status, http.StatusOK)
 	left, err := strconv.Atoi(<-told)
 	check.NoErr(err)
 	check.True(left <= 50_000)
 }
 
-func TestACallWaitsForTheStartForAPartOfItsTimeOnly(t *testing.T) {
+func TestStartWaitIsBoundedByShareOfTimeout(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	late := startLate(t, startMesh(t, meshOptions{}, counting(&runs)), testClock)
+	late := startEmptyCaller(t, startMesh(t, meshOptions{}, countingBackend(&runs)), testClock)
 	expectRefusal(check, late.call(t, http.MethodGet, "/", "", headerTimeout, "40"), result.NotServing, result.RanNo)
 	check.Equal(runs.Load(), int64(0))
 }
 
-func TestNoCallWaitsOnceTheDaemonHasStarted(t *testing.T) {
+func TestNoCallWaitsAfterStart(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	var now atomic.Int64
-	made := startMesh(t, meshOptions{}, counting(&runs))
-	late := startLate(t, made, func() time.Duration { return time.Duration(now.Load()) })
+	made := startMesh(t, meshOptions{}, countingBackend(&runs))
+	late := startEmptyCaller(t, made, func() time.Duration { return time.Duration(now.Load()) })
 	now.Store(int64(time.Hour))
 	expectRefusal(check, late.call(t, http.MethodGet, "/", ""), result.NotServing, result.RanNo)
 	check.Equal(late.caller.Counters().StartWaits, uint64(0))
 }
 
 // A call that has a quarter of its time behind it is left no more than the rest.
-func TestACallThatWaitedInVainIsLeftTheRestOfItsTime(t *testing.T) {
+func TestUnsuccessfulStartWaitReducesTimeout(t *testing.T) {
 	check := is.New(t)
-	late := startLate(t, startMesh(t, meshOptions{}), testClock)
+	late := startEmptyCaller(t, startMesh(t, meshOptions{}), testClock)
 	late.caller.Swap(testSnapshot(meshOptions{}, nil))
 	request := httptest.NewRequestWithContext(t.Context(), http.MethodGet, "/", nil)
 	request.Header.Set(headerTimeout, "400")
-	call, _, accepted := late.caller.acceptStarting(request, nil)
+	call, _, accepted := late.caller.acceptDuringStart(request, nil)
 	check.True(accepted)
 	check.True(call.timeout <= 300*time.Millisecond)
 }
 
 // A call that states no time has that of its route.
-func TestACallWithoutAStatedTimeWaitsForAPartOfItsRoutesTime(t *testing.T) {
+func TestStartWaitIsBoundedByRouteTimeout(t *testing.T) {
 	check := is.New(t)
-	options := meshOptions{route: func(route *resource.Route) { route.Timeout = 200 * time.Millisecond }}
-	late := startLate(t, startMesh(t, options), testClock)
+	options := meshOptions{changeRoute: func(route *resource.Route) { route.Timeout = 200 * time.Millisecond }}
+	late := startEmptyCaller(t, startMesh(t, options), testClock)
 	late.caller.Swap(testSnapshot(options, nil))
-	ctx, cancel := context.WithTimeout(t.Context(), awaitLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), awaitTimeout)
 	defer cancel()
-	_, _, accepted := late.caller.acceptStarting(httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), nil)
+	_, _, accepted := late.caller.acceptDuringStart(httptest.NewRequestWithContext(ctx, http.MethodGet, "/", nil), nil)
 	check.True(accepted)
 	check.NoErr(ctx.Err())
 }
 
 // The first view may come while a call is weighed. What the call was refused for is judged by
 // the view from before, so that it is weighed again.
-func TestACallDoesNotMissTheViewThatComesWhileItIsWeighed(t *testing.T) {
+func TestViewPublishedDuringAcceptIsNotMissed(t *testing.T) {
 	check := is.New(t)
 	made := startMesh(t, meshOptions{})
-	late := startLate(t, made, testClock)
+	late := startEmptyCaller(t, made, testClock)
 	before := late.caller.view.Load()
-	late.caller.Swap(made.held)
-	check.True(before.lacks(nil, Refusal{Code: result.NotServing}, false))
-	check.True(!late.caller.view.Load().lacks(nil, Refusal{Code: result.NotServing}, false))
+	late.caller.Swap(made.snapshot)
+	check.True(before.isIncompleteFor(nil, Refusal{Code: result.NotServing}, false))
+	check.True(!late.caller.view.Load().isIncompleteFor(nil, Refusal{Code: result.NotServing}, false))
 }
 
 // A caller that leaves ends its wait, also one whose request has a body.
-func TestACallerThatLeavesWhileItsCallWaitsForTheStartIsNotSentFor(t *testing.T) {
+func TestCallerDisconnectEndsStartWait(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	made := startMesh(t, meshOptions{}, counting(&runs))
-	late := startLate(t, made, testClock)
+	made := startMesh(t, meshOptions{}, countingBackend(&runs))
+	late := startEmptyCaller(t, made, testClock)
 	conn, err := net.Dial("tcp", late.address)
 	check.NoErr(err)
 	_, err = io.WriteString(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nSpringstack-Timeout-Ms: 3600000\r\n\r\nbody")
 	check.NoErr(err)
-	late.awaitWait(t)
+	late.awaitStartWait(t)
 	check.NoErr(conn.Close())
-	for began := time.Now(); late.caller.callersRunning.Load() > 0; runtime.Gosched() {
-		if time.Since(began) > awaitLimit {
+	for began := time.Now(); late.caller.runningCallerCalls.Load() > 0; runtime.Gosched() {
+		if time.Since(began) > awaitTimeout {
 			t.Fatal("the call still waits")
 		}
 	}
-	late.caller.Swap(made.held)
+	late.caller.Swap(made.snapshot)
 	check.Equal(runs.Load(), int64(0))
 }
 
 // Before any other daemon is known, no region has a back end.
-func TestACallThatIsBoundToRegionsWaitsForTheMembersToo(t *testing.T) {
+func TestRegionBoundCallWaitsForMembersDuringStart(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	made := startMesh(t, inRegions([]string{"r"}), counting(&runs))
-	late := startLate(t, made, testClock)
-	late.caller.Swap(testSnapshot(inRegions([]string{"r"}), nil))
-	answer := late.callAndWait(t)
-	late.caller.Swap(made.held)
+	made := startMesh(t, optionsWithRegions([]string{"r"}), countingBackend(&runs))
+	late := startEmptyCaller(t, made, testClock)
+	late.caller.Swap(testSnapshot(optionsWithRegions([]string{"r"}), nil))
+	answer := late.startWaitingCall(t)
+	late.caller.Swap(made.snapshot)
 	check.Equal((<-answer).status, http.StatusOK)
 	check.Equal(runs.Load(), int64(1))
 }
 
 // A stop is not held up by calls that wait for the start.
-func TestACallThatWaitsForTheStartIsRefusedWhenTheDaemonStops(t *testing.T) {
+func TestStopRefusesCallsThatWaitForStart(t *testing.T) {
 	check := is.New(t)
-	late := startLate(t, startMesh(t, meshOptions{}), testClock)
-	answer := late.callAndWait(t)
+	late := startEmptyCaller(t, startMesh(t, meshOptions{}), testClock)
+	answer := late.startWaitingCall(t)
 	late.caller.StartDrain()
 	expectRefusal(check, await(t, answer, "a refusal"), result.Draining, result.RanNo)
 	await(t, late.caller.Drained(), "the drain's end")
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -20,20 +20,20 @@
 )
 
 // patterned is a body of a given length that depends on the place.
-type patterned struct {
-	left int
-	hash *xxhash.Digest
+type patternReader struct {
+	remaining int
+	hash      *xxhash.Digest
 }
 
-func (p *patterned) Read(bytes []byte) (int, error) {
-	if p.left == 0 {
+func (p *patternReader) Read(bytes []byte) (int, error) {
+	if p.remaining == 0 {
 		return 0, io.EOF
 	}
-	count := min(p.left, len(bytes))
+	count := min(p.remaining, len(bytes))
 	for index := range count {
-		bytes[index] = byte((p.left - index) * 7)
+		bytes[index] = byte((p.remaining - index) * 7)
 	}
-	p.left -= count
+	p.remaining -= count
 	_, _ = p.hash.Write(bytes[:count])
 	return count, nil
 }
@@ -65,11 +65,11 @@
 				sum <- hash.Sum64()
 			}})
 			before := heapBytes()
-			body := &patterned{left: size, hash: xxhash.New()}
+			body := &patternReader{remaining: size, hash: xxhash.New()}
 			request, err := http.NewRequest("PUT", "http://"+mesh.address+"/label", body)
 			check.NoErr(err)
 			request.ContentLength = stated
-			done := make(chan answered)
+			done := make(chan callResult)
 			go func() { done <- mesh.send(t, request) }()
 			<-stalled
 			check.True(heapBytes() < before+heapBound)
@@ -82,10 +82,10 @@
 
 // TestRefusedUploadGoesElsewhereUnread: a body too large to be kept waits for
 // the gate's leave, so a gate that drains costs nothing.
-func TestRefusedUploadGoesElsewhereUnread(t *testing.T) {
+func TestUnsentUploadIsRetriedAfterRefusal(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs), counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs), countingBackend(&runs))
 	mesh.gates[0].StartDrain()
 	body := strings.Repeat("x", 1<<20)
 	for range 6 {
@@ -126,7 +126,7 @@
 }
 
 // TestEarlyAnswerEndsTheUpload: the back end answers without reading.
-func TestEarlyAnswerEndsTheUpload(t *testing.T) {
+func TestAnswerBeforeEndOfUploadIsDelivered(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusUnauthorized)
@@ -142,10 +142,10 @@
 
 // TestRestOfARefusedBodyIsNoRequest: the refusal comes at once, and what is
 // sent of the body afterwards is never taken for the next request.
-func TestRestOfARefusedBodyIsNoRequest(t *testing.T) {
+func TestRefusedBodyIsNotParsedAsRequest(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{limits: Limits{BodyBytes: 1000}}, counting(&runs))
+	mesh := startMesh(t, meshOptions{limits: Limits{BodyBytes: 1000}}, countingBackend(&runs))
 	conn, err := net.Dial("tcp", mesh.address)
 	check.NoErr(err)
 	defer conn.Close()
@@ -167,17 +167,17 @@
 func TestSlowSenderIsTimedOut(t *testing.T) {
 	check := is.New(t)
 	limits := Limits{StallTimeout: 50 * time.Millisecond, HeaderTimeout: 50 * time.Millisecond}
-	mesh := startMesh(t, meshOptions{limits: limits}, newBlocking().spec())
+	mesh := startMesh(t, meshOptions{limits: limits}, newBlockingBackend().spec())
 	for framing, ran := range map[string]string{
 		"Content-Length: 9\r\n\r\nx":               "no", // read before it is sent on
 		"Transfer-Encoding: chunked\r\n\r\n1\r\nx": "unknown",
 	} {
-		text := mesh.raw(t, "POST / HTTP/1.1\r\nHost: h\r\n"+framing)
+		text := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHost: h\r\n"+framing)
 		check.True(strings.HasPrefix(text, "HTTP/1.1 408 "))
 		check.True(strings.Contains(text, "Springstack-Code: 416\r\n"))
 		check.True(strings.Contains(text, "Springstack-Ran: "+ran+"\r\n"))
 	}
-	neverWhole := mesh.raw(t, "POST / HTTP/1.1\r\nHos")
+	neverWhole := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHos")
 	check.True(strings.Contains(neverWhole, "Springstack-Code: 411\r\n"))
 	check.True(strings.Contains(neverWhole, "Springstack-Ran: no\r\n"))
 	mesh.awaitIdle()
@@ -208,10 +208,10 @@
 func TestConnectionLimitRefusesWithACode(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
-	mesh.address = serve(t, mesh.caller.CallerHandler(), Limits{Connections: 1})
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
+	mesh.address = startServer(t, mesh.caller.CallerHandler(), Limits{Connections: 1})
 	check.Equal(mesh.call(t, "GET", "/", "").status, http.StatusOK) // kept open
-	text := mesh.raw(t, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+	text := mesh.sendRaw(t, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	check.True(strings.Contains(text, "Springstack-Code: 302\r\n"))
 	check.True(strings.Contains(text, "Retry-After: 1\r\n"))
 }
@@ -219,10 +219,10 @@
 // TestQueueIsFullAtOnce: the refusal comes at once and says when to come back.
 func TestQueueIsFullAtOnce(t *testing.T) {
 	check := is.New(t)
-	backend := newBlocking()
-	options := meshOptions{slots: 1, limits: Limits{QueueLength: 1}, route: func(route *resource.Route) { route.Timeout = time.Hour }}
+	backend := newBlockingBackend()
+	options := meshOptions{slots: 1, limits: Limits{QueueLength: 1}, changeRoute: func(route *resource.Route) { route.Timeout = time.Hour }}
 	mesh := startMesh(t, options, backend.spec())
-	done := make(chan answered, 2)
+	done := make(chan callResult, 2)
 	for range 2 {
 		go func() { done <- mesh.call(t, "POST", "/", "x") }()
 	}
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -11,28 +11,28 @@
 // endsOfCall is how many instances may end under the attempts of one call before it is given
 // up: what ran beside a harmful request is saved by its second attempt, and a third one
 // would mostly save what ends a third back end.
-const endsOfCall = 2
+const maxEndsPerCall = 2
 
 const (
 	// isolationWait bounds how long a back end takes no other calls before one that is to run
 	// alone, and isolationPart is the part of the call's time that it may wait so.
-	isolationWait = 500 * time.Millisecond
-	isolationPart = 2
+	maxIsolationWait     = 500 * time.Millisecond
+	isolationWaitDivisor = 2
 )
 
 // awaitTurn keeps a call that is suspected to end its back end apart from others that are:
 // one runs at a time, so that the next end is of that one alone, and the others do not end
 // further back ends before that is known. A call that is held is refused.
-func (c *gateCall) awaitTurn() (Refusal, bool) {
-	belief, refusal := c.belief()
+func (c *gateCall) awaitSuspectTurn() (Refusal, bool) {
+	belief, refusal := c.quarantineState()
 	if belief == quarantine.Suspected {
 		select {
 		case c.proxy.suspectTurn <- struct{}{}:
-			c.hasTurn = true
+			c.holdsSuspectTurn = true
 		case <-c.context.Done():
-			return Refusal{Code: c.endCode()}, false
+			return Refusal{Code: c.cancellationCode()}, false
 		}
-		belief, refusal = c.belief() // the one before may have settled it
+		belief, refusal = c.quarantineState() // the one before may have settled it
 	}
 	return refusal, belief != quarantine.Held
 }
@@ -42,7 +42,7 @@
 // harmful while it waited, and one that may run alone only where others keep the back end busy.
 func (c *gateCall) isolate() (Refusal, bool) {
 	view := c.proxy.harmful.view.Load()
-	if view.Empty() || !view.HasHead(c.head()) {
+	if view.Empty() || !view.HasHead(c.headHash()) {
 		c.trial = 1
 		return Refusal{}, true
 	}
@@ -50,7 +50,7 @@
 	if !signed {
 		return Refusal{}, true
 	}
-	belief, refusal := c.proxy.beliefOf(view, signature)
+	belief, refusal := c.proxy.quarantineState(view, signature)
 	if belief == quarantine.Held {
 		return refusal, false
 	}
@@ -60,7 +60,7 @@
 		return Refusal{}, true
 	}
 	if isolation == quarantine.AloneRequired {
-		return Refusal{Code: result.QueueFull, RetryAfter: isolationWait}, false
+		return Refusal{Code: result.QueueFull, RetryAfter: maxIsolationWait}, false
 	}
 	c.proxy.gate.EndIsolation(c.proxy.config.Clock(), c.ticket)
 	return Refusal{}, true
@@ -74,12 +74,12 @@
 		return false
 	}
 	left := c.deadline - c.proxy.config.Clock()
-	patience := time.NewTimer(min(isolationWait, left/isolationPart))
+	patience := time.NewTimer(min(maxIsolationWait, left/isolationWaitDivisor))
 	defer patience.Stop()
 	select {
 	case <-alone:
-		c.proxy.tally.isolated.Add(1)
-		c.alone = true
+		c.proxy.counters.isolatedCalls.Add(1)
+		c.runsAlone = true
 		return true
 	case <-patience.C:
 	case <-c.context.Done():
@@ -90,51 +90,51 @@
 // endIsolation lets other calls start once a call that ran alone has its answer or none comes any
 // more. The back end may still be at work on it, for as long as it hangs.
 func (c *gateCall) endIsolation() {
-	if c.alone {
+	if c.runsAlone {
 		c.proxy.gate.EndIsolation(c.proxy.config.Clock(), c.ticket)
 	}
 }
 
 // endTurn lets the next suspected call run.
-func (c *gateCall) endTurn() {
-	if c.hasTurn {
+func (c *gateCall) releaseSuspectTurn() {
+	if c.holdsSuspectTurn {
 		<-c.proxy.suspectTurn
 	}
 }
 
 // belief is what to believe of the call, and the refusal if it is held. A call under whose
 // earlier attempt an instance has ended is suspected before the news of that has come.
-func (c *gateCall) belief() (quarantine.State, Refusal) {
+func (c *gateCall) quarantineState() (quarantine.State, Refusal) {
 	least := quarantine.Trusted
 	if c.request.Header.Get(headerEnded) != "" {
 		least = quarantine.Suspected
 	}
 	view := c.proxy.harmful.view.Load()
-	if view.Empty() || !view.HasHead(c.head()) {
+	if view.Empty() || !view.HasHead(c.headHash()) {
 		return least, Refusal{}
 	}
-	c.body.awaitSigned(c.context)
+	c.body.awaitSignatureBytes(c.context)
 	signature, signed := c.signature()
 	if !signed {
 		return least, Refusal{}
 	}
-	belief, refusal := c.proxy.beliefOf(view, signature)
+	belief, refusal := c.proxy.quarantineState(view, signature)
 	return max(least, belief), refusal
 }
 
-func (p *Proxy) beliefOf(view *quarantine.View, signature quarantine.Signature) (quarantine.State, Refusal) {
+func (p *Proxy) quarantineState(view *quarantine.View, signature quarantine.Signature) (quarantine.State, Refusal) {
 	belief, held := view.State(p.config.Clock(), signature)
 	return belief, Refusal{Code: result.Quarantined, RetryAfter: held}
 }
 
 // noteAnswered notes that the back end has answered the call well. An answer of failure
 // clears no request: its run may have ended before it did harm.
-func (c *gateCall) noteAnswered(status int) {
+func (c *gateCall) recordSuccess(status int) {
 	if status >= http.StatusInternalServerError {
 		return
 	}
 	if signature, signed := c.signature(); signed {
-		c.proxy.harmful.noteAnswered(signature)
+		c.proxy.harmful.recordAnswered(signature)
 	}
 }
 
@@ -144,17 +144,17 @@
 	signature quarantine.Signature
 	signed    bool
 	// ends counts the instances that have ended under the call's attempts.
-	ends int
+	instanceEnds int
 }
 
 // belief is what to believe of the call, and the refusal if it is held. What its own attempts
 // have met counts before the news of that has come.
-func (c *callerCall) belief() (quarantine.State, Refusal) {
-	if c.suspicion.ends >= endsOfCall {
+func (c *callerCall) quarantineState() (quarantine.State, Refusal) {
+	if c.suspicion.instanceEnds >= maxEndsPerCall {
 		return quarantine.Held, Refusal{Code: result.Quarantined}
 	}
-	belief, refusal := c.beliefOfAll()
-	if belief == quarantine.Trusted && c.suspicion.ends > 0 {
+	belief, refusal := c.sharedQuarantineState()
+	if belief == quarantine.Trusted && c.suspicion.instanceEnds > 0 {
 		belief = quarantine.Suspected
 	}
 	return belief, refusal
@@ -162,23 +162,23 @@
 
 // beliefOfAll is what the daemon believes of the call's request. Its body is looked at only
 // where something is known of its head.
-func (c *callerCall) beliefOfAll() (quarantine.State, Refusal) {
+func (c *callerCall) sharedQuarantineState() (quarantine.State, Refusal) {
 	view := c.proxy.harmful.view.Load()
 	if view.Empty() {
 		return quarantine.Trusted, Refusal{}
 	}
-	if !c.suspicion.signed && !view.HasHead(c.head()) {
+	if !c.suspicion.signed && !view.HasHead(c.headHash()) {
 		return quarantine.Trusted, Refusal{}
 	}
-	if !c.sign() {
+	if !c.ensureSignature() {
 		return quarantine.Trusted, Refusal{}
 	}
-	return c.proxy.beliefOf(view, c.suspicion.signature)
+	return c.proxy.quarantineState(view, c.suspicion.signature)
 }
 
 // head is that of the call as its gate sees it.
-func (c *callerCall) head() quarantine.Hash {
-	sent := c.proxy.target("", c.request, c.place.path)
+func (c *callerCall) headHash() quarantine.Hash {
+	sent := c.proxy.targetURL("", c.request, c.hostPath.path)
 	target := sent.Opaque
 	if target == "" {
 		target = sent.RequestURI()
@@ -187,25 +187,25 @@
 	if edge := c.proxy.config.Edge; edge != nil {
 		caller = edge.Service
 	}
-	return headOf(c.request, target, caller)
+	return hashRequestHead(c.request, target, caller)
 }
 
 // sign makes the signature of the call, for which the first bytes of its body must come.
-func (c *callerCall) sign() bool {
+func (c *callerCall) ensureSignature() bool {
 	if c.suspicion.signed {
 		return true
 	}
-	c.body.awaitSigned(c.context)
-	body, signed := c.body.signed()
-	c.suspicion.signature = quarantine.Signature{Head: c.head(), Body: body}
+	c.body.awaitSignatureBytes(c.context)
+	body, signed := c.body.signatureHash()
+	c.suspicion.signature = quarantine.Signature{Head: c.headHash(), Body: body}
 	c.suspicion.signed = signed
 	return signed
 }
 
 // noteEnded takes a gate's word that an instance has ended and that the call is suspected
 // of it.
-func (c *callerCall) noteEnded(instance string) {
-	if instance != "" && c.sign() {
-		c.suspicion.ends++
+func (c *callerCall) recordInstanceEnd(instance string) {
+	if instance != "" && c.ensureSignature() {
+		c.suspicion.instanceEnds++
 	}
 }
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -12,7 +12,7 @@
 )
 
 // Trace takes the decisions that touch single requests. It must not block.
-type Trace interface {
+type Tracer interface {
 	// Wants tells whether an event is to be written now. Its fields are put
 	// together only then.
 	Wants(event string) bool
@@ -33,14 +33,14 @@
 }
 
 // observe passes a duration on, if somebody listens.
-func observe(to func(time.Duration), took time.Duration) {
+func observeDuration(to func(time.Duration), took time.Duration) {
 	if to != nil {
 		to(took)
 	}
 }
 
 // traced writes an event about a request; fields are made only if it is wanted.
-func (p *Proxy) traced(event string, fields func() []EventField) {
+func (p *Proxy) trace(event string, fields func() []EventField) {
 	if p.config.Trace == nil || !p.config.Trace.Wants(event) {
 		return
 	}
@@ -58,7 +58,7 @@
 
 // sampled tells whether a request that went well has a line of its own. The
 // same requests are chosen on all daemons.
-func sampled(id string) bool {
+func isSampled(id string) bool {
 	const share = 128
 	sum := uint32(2166136261)
 	for index := range len(id) {
@@ -67,9 +67,9 @@
 	return sum%share == 0
 }
 
-func number(value int) string { return strconv.Itoa(value) }
+func formatInt(value int) string { return strconv.Itoa(value) }
 
-func millis(duration time.Duration) string {
+func formatMillis(duration time.Duration) string {
 	return strconv.FormatFloat(float64(duration.Microseconds())/1000, 'f', 1, 64)
 }
 
@@ -81,28 +81,28 @@
 	if tried.outcome.Kind == retry.Answered && !tried.outcome.Failed {
 		return
 	}
-	c.proxy.traced("attempt_ended", func() []EventField {
+	c.proxy.trace("attempt_ended", func() []EventField {
 		now := c.proxy.config.Clock()
-		fields := append(c.identity(),
-			textField("attempt", number(len(c.tried))),
+		fields := append(c.identityFields(),
+			textField("attempt", formatInt(len(c.triedEndpoints))),
 			textField("outcome", outcomeNames[tried.outcome.Kind]),
-			textField("left_ms", millis(c.deadline-now)),
+			textField("left_ms", formatMillis(c.deadline-now)),
 			textField("next", stepNames[step.Action]))
 		if tried.outcome.Code != 0 {
-			fields = append(fields, textField("code", number(int(tried.outcome.Code))), textField("ran", string(tried.outcome.Ran)))
+			fields = append(fields, textField("code", formatInt(int(tried.outcome.Code))), textField("ran", string(tried.outcome.Ran)))
 		}
 		if tried.exchange != nil && tried.exchange.answer != nil {
-			fields = append(fields, textField("status", number(tried.exchange.answer.StatusCode)))
+			fields = append(fields, textField("status", formatInt(tried.exchange.answer.StatusCode)))
 		}
-		if c.detail != "" {
-			fields = append(fields, textField("detail", c.detail))
+		if c.attemptDetail != "" {
+			fields = append(fields, textField("detail", c.attemptDetail))
 		}
-		return append(fields, endpointFields(tried.chosen, now)...)
+		return append(fields, endpointFields(tried.endpoint, now)...)
 	})
 }
 
 // identity is what every line about a call begins with.
-func (c *callerCall) identity() []EventField {
+func (c *callerCall) identityFields() []EventField {
 	fields := []EventField{
 		textField("request", c.proxy.requestID(c.request.Header)),
 		textField("route", c.route.Resource.Name),
@@ -123,8 +123,8 @@
 		textField("endpoint", chosen.Backend),
 		textField("peer", string(chosen.Node)),
 		textField("state", chosen.State.String()),
-		textField("record_age_ms", millis(chosen.RecordAge(now))),
-		textField("outstanding", number(chosen.Outstanding())),
+		textField("record_age_ms", formatMillis(chosen.RecordAge(now))),
+		textField("outstanding", formatInt(chosen.Outstanding())),
 	}
 }
 
@@ -146,21 +146,21 @@
 
 // traceRefusal writes the final refusal of a call.
 func (c *callerCall) traceRefusal(refusal Refusal) {
-	c.proxy.traced("request_refused", func() []EventField {
+	c.proxy.trace("request_refused", func() []EventField {
 		now := c.proxy.config.Clock()
-		fields := c.identity()
+		fields := c.identityFields()
 		if c.suspicion.signed {
 			fields = append(fields, textField("signature", c.suspicion.signature.String()))
 		}
 		return append(fields,
-			textField("code", number(int(refusal.Code))),
+			textField("code", formatInt(int(refusal.Code))),
 			textField("name", refusal.Code.Name()),
 			textField("ran", string(refusal.execution())),
-			textField("attempts", number(len(c.tried))),
-			textField("held_ms", millis(c.timeout-(c.deadline-now))),
-			textField("left_ms", millis(c.deadline-now)),
+			textField("attempts", formatInt(len(c.triedEndpoints))),
+			textField("held_ms", formatMillis(c.timeout-(c.deadline-now))),
+			textField("left_ms", formatMillis(c.deadline-now)),
 			textField("budget", c.retries.BudgetRemaining(now)),
-			textField("under_way", strconv.FormatBool(c.hedged != nil)),
+			textField("under_way", strconv.FormatBool(c.hedgedAttempt != nil)),
 			c.proxy.drainField())
 	})
 }
@@ -171,12 +171,12 @@
 }
 
 // traceTurnedAway writes the refusal of a request before it became a call.
-func (p *Proxy) traceTurnedAway(request *http.Request, refusal Refusal) {
-	p.traced("request_turned_away", func() []EventField {
+func (p *Proxy) traceEarlyRefusal(request *http.Request, refusal Refusal) {
+	p.trace("request_turned_away", func() []EventField {
 		fields := []EventField{
 			textField("request", p.requestID(request.Header)),
 			textField("host", request.Host),
-			textField("code", number(int(refusal.Code))),
+			textField("code", formatInt(int(refusal.Code))),
 			textField("name", refusal.Code.Name()),
 			p.drainField(),
 		}
@@ -207,26 +207,26 @@
 // or is one of the sample.
 func (c *callerCall) traceAnswer(tried *attempt, err error) {
 	status := tried.exchange.answer.StatusCode
-	failed := err != nil || status >= http.StatusInternalServerError || len(c.tried) > 1
-	if !failed && !sampled(c.proxy.requestID(c.request.Header)) {
+	failed := err != nil || status >= http.StatusInternalServerError || len(c.triedEndpoints) > 1
+	if !failed && !isSampled(c.proxy.requestID(c.request.Header)) {
 		return
 	}
 	fields := func() []EventField {
 		now := c.proxy.config.Clock()
-		fields := append(c.identity(),
-			textField("status", number(status)),
-			textField("attempts", number(len(c.tried))),
-			textField("held_ms", millis(c.timeout-(c.deadline-now))))
+		fields := append(c.identityFields(),
+			textField("status", formatInt(status)),
+			textField("attempts", formatInt(len(c.triedEndpoints))),
+			textField("held_ms", formatMillis(c.timeout-(c.deadline-now))))
 		if err != nil {
-			fields = append(fields, textField("detail", innermost(err).Error()))
+			fields = append(fields, textField("detail", rootCause(err).Error()))
 		}
-		return append(fields, endpointFields(tried.chosen, now)...)
+		return append(fields, endpointFields(tried.endpoint, now)...)
 	}
 	if err != nil {
-		c.proxy.traced("request_cut", fields)
+		c.proxy.trace("request_cut", fields)
 		return
 	}
-	c.proxy.traced("request_answered", fields)
+	c.proxy.trace("request_answered", fields)
 }
 
 // traceGate writes what the gate did with a call that it refused, that failed
@@ -234,27 +234,27 @@
 func (c *gateCall) traceGate(event string, outcome result.Code, status int, waited, ran time.Duration) {
 	id := c.proxy.requestID(c.request.Header)
 	ordinary := outcome == result.OK && status < http.StatusInternalServerError
-	if ordinary && !sampled(id) {
+	if ordinary && !isSampled(id) {
 		return
 	}
-	c.proxy.traced(event, func() []EventField {
+	c.proxy.trace(event, func() []EventField {
 		load := c.proxy.gate.Load()
 		fields := []EventField{
 			textField("request", id),
 			textField("instance", c.backend),
-			textField("running", number(load.Running)),
-			textField("queued", number(load.Queued)),
-			textField("slots", number(load.Slots)),
-			textField("mean_ms", millis(c.proxy.gate.MeanServiceTime())),
-			textField("waited_ms", millis(waited)),
-			textField("ran_ms", millis(ran)),
-			textField("left_ms", millis(c.deadline-c.proxy.config.Clock())),
+			textField("running", formatInt(load.Running)),
+			textField("queued", formatInt(load.Queued)),
+			textField("slots", formatInt(load.Slots)),
+			textField("mean_ms", formatMillis(c.proxy.gate.MeanServiceTime())),
+			textField("waited_ms", formatMillis(waited)),
+			textField("ran_ms", formatMillis(ran)),
+			textField("left_ms", formatMillis(c.deadline-c.proxy.config.Clock())),
 		}
 		if outcome != result.OK {
-			fields = append(fields, textField("code", number(int(outcome))), textField("name", outcome.Name()))
+			fields = append(fields, textField("code", formatInt(int(outcome))), textField("name", outcome.Name()))
 		}
 		if status != 0 {
-			fields = append(fields, textField("status", number(status)))
+			fields = append(fields, textField("status", formatInt(status)))
 		}
 		return fields
 	})
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -20,7 +20,7 @@
 
 // TestLargeBodiesComeFewAtATime: a gate tells only some senders at once to go on,
 // and small calls pass by those that wait.
-func TestLargeBodiesComeFewAtATime(t *testing.T) {
+func TestConcurrentLargeBodiesAreLimited(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
@@ -30,10 +30,10 @@
 	}})
 	transfers := mesh.gates[0].transfers
 	for range transferLimit {
-		check.True(transfers.await(t.Context()))
+		check.True(transfers.acquireTurn(t.Context()))
 	}
-	large := strings.Repeat("x", largeBody)
-	ended := make(chan answered, 3)
+	large := strings.Repeat("x", largeBodyBytes)
+	ended := make(chan callResult, 3)
 	for range 3 {
 		go func() { ended <- mesh.call(t, "POST", "/", large) }()
 	}
@@ -42,13 +42,13 @@
 	}
 	check.Equal(mesh.call(t, "POST", "/", "small").body, "small")
 	check.Equal(runs.Load(), int64(1)) // no large one holds a slot
-	check.True(strings.HasPrefix(mesh.gates[0].loadText(), "0 3 "))
-	transfers.done(time.Millisecond)
+	check.True(strings.HasPrefix(mesh.gates[0].loadHeaderValue(), "0 3 "))
+	transfers.completeTurn(time.Millisecond)
 	for range 3 {
 		check.True((<-ended).body == large)
 	}
-	transfers.done(time.Millisecond)
-	check.Equal(len(transfers.tokens), 0)
+	transfers.completeTurn(time.Millisecond)
+	check.Equal(len(transfers.turns), 0)
 }
 
 // slowUpload sends the head and the first bytes of a large body.
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(awaitLimit))
-	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\nfirst", largeBody, headers)
+	_ = conn.SetDeadline(time.Now().Add(awaitTimeout))
+	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\nfirst", largeBodyBytes, headers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,9 +76,9 @@
 // A gate once took no large body for 15 s, since the senders of those whose turn it was had
 // gone with their machines. A body that stands still holds no other one up; when it flows
 // again its call goes on.
-func TestABodyThatStandsStillHoldsNoOtherUp(t *testing.T) {
+func TestStalledBodyDoesNotBlockOthers(t *testing.T) {
 	check := is.New(t)
-	mesh := startMesh(t, meshOptions{caller: func(config *Config) {
+	mesh := startMesh(t, meshOptions{changeCaller: func(config *Config) {
 		config.Limits.ReplayBytes = 1 << 10 // bodies are passed on as they come
 	}}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
@@ -88,40 +88,40 @@
 	for range transferLimit {
 		still = append(still, slowUpload(t, mesh, ""))
 	}
-	for len(transfers.tokens) < transferLimit {
+	for len(transfers.turns) < transferLimit {
 		time.Sleep(time.Millisecond)
 	}
-	ended := make(chan answered, 1)
-	go func() { ended <- mesh.call(t, "POST", "/", strings.Repeat("x", largeBody)) }()
+	ended := make(chan callResult, 1)
+	go func() { ended <- mesh.call(t, "POST", "/", strings.Repeat("x", largeBodyBytes)) }()
 	check.Equal(await(t, ended, "an answer beside bodies that stand still").status, http.StatusOK)
-	check.True(transfers.meanTime() < transferIdle) // what stood still tells nothing of the link
+	check.True(transfers.meanTime() < transferIdleTimeout) // what stood still tells nothing of the link
 	for _, conn := range still {
-		_, _ = io.WriteString(conn, strings.Repeat("x", largeBody-len("first")))
+		_, _ = io.WriteString(conn, strings.Repeat("x", largeBodyBytes-len("first")))
 		check.Equal(statusLine(conn), "HTTP/1.1 200 OK")
 	}
-	check.Equal(len(transfers.tokens), 0)
+	check.Equal(len(transfers.turns), 0)
 }
 
 // A body is waited for as long as its call has time, and no longer.
-func TestABodyIsAwaitedUntilTheCallsTimeIsOver(t *testing.T) {
+func TestStalledBodyEndsAtCallDeadline(t *testing.T) {
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	conn := slowUpload(t, mesh, "Springstack-Timeout-Ms: 100\r\n")
 	is.New(t).Equal(statusLine(conn), "HTTP/1.1 504 Gateway Timeout") // not run
 }
 
 // Large bodies that come to the daemon beside a back end cross no link to reach it, and wait
 // for none that do. Small ones go where they are answered sooner.
-func TestALargeBodyRunsBesideItsDaemon(t *testing.T) {
+func TestLargeBodyPrefersLocalBackEnd(t *testing.T) {
 	check := is.New(t)
 	var beside, elsewhere atomic.Int64
-	mesh := startMesh(t, meshOptions{caller: func(config *Config) {
+	mesh := startMesh(t, meshOptions{changeCaller: func(config *Config) {
 		config.NodeID, config.Incarnation, config.Backend, config.Slots = "gate-a", 7, "a", 6
-	}}, counting(&beside), counting(&elsewhere))
+	}}, countingBackend(&beside), countingBackend(&elsewhere))
 	for range transferLimit {
-		check.True(mesh.gates[0].transfers.await(t.Context())) // bodies that cross the link
+		check.True(mesh.gates[0].transfers.acquireTurn(t.Context())) // bodies that cross the link
 	}
-	large := strings.Repeat("x", largeBody)
+	large := strings.Repeat("x", largeBodyBytes)
 	for range 20 {
 		check.Equal(mesh.call(t, "POST", "/", large).status, http.StatusOK)
 	}
@@ -134,79 +134,79 @@
 
 // Where other things share the link, bodies wait for longer than those ahead of them make
 // expect; a gate that doesn't learn that takes in what it answers late.
-func TestAnExpectedWaitFollowsWaits(t *testing.T) {
+func TestExpectedWaitFollowsObservedWaits(t *testing.T) {
 	check := is.New(t)
-	waits := newTransfers()
-	waits.mean.Store(int64(90 * time.Millisecond))
+	waits := newTransferQueue()
+	waits.meanNanos.Store(int64(90 * time.Millisecond))
 	check.Equal(waits.expectedWait(0), time.Duration(0)) // a turn is free
 	for range transferLimit {
-		check.True(waits.await(t.Context()))
+		check.True(waits.acquireTurn(t.Context()))
 	}
 	check.Equal(waits.expectedWait(0), 30*time.Millisecond) // until the first one has come
 	waits.waiting.Add(4)
 	check.Equal(waits.expectedWait(0), 210*time.Millisecond)
 	for range 100 {
-		waits.learnWait(0, 200*time.Millisecond, 300*time.Millisecond)
+		waits.recordWait(0, 200*time.Millisecond, 300*time.Millisecond)
 	}
 	check.True(waits.expectedWait(0) > 300*time.Millisecond)
 	for range 100 {
-		waits.learnWait(0, 200*time.Millisecond, time.Minute) // a stall
+		waits.recordWait(0, 200*time.Millisecond, time.Minute) // a stall
 	}
 	check.True(waits.expectedWait(0) <= 3*210*time.Millisecond)
-	waits.learnWait(0, 0, time.Minute) // nothing was expected
+	waits.recordWait(0, 0, time.Minute) // nothing was expected
 	for range 100 {
-		waits.learnWait(0, 200*time.Millisecond, 100*time.Millisecond)
+		waits.recordWait(0, 200*time.Millisecond, 100*time.Millisecond)
 	}
 	check.Equal(waits.queueWait(), 210*time.Millisecond)
 	check.True(waits.expectedWait(0) < 220*time.Millisecond)
 }
 
 // A daemon whose name begins with that of another one is another one.
-func TestABodyOfADaemonWithALikeNameIsNotOwn(t *testing.T) {
+func TestNodeIDPrefixIsNotSameDaemon(t *testing.T) {
 	check := is.New(t)
 	own := New(Config{Clock: testClock, NodeID: "gate", Incarnation: 7})
 	other := New(Config{Clock: testClock, NodeID: "gate-7", Incarnation: 7})
 	for _, sender := range []*Proxy{own, other} {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", nil)
-		request.Header.Set(headerRequest, sender.nextRequest())
-		check.Equal((&gateCall{proxy: own, request: request}).isOwn(), sender == own)
+		request.Header.Set(headerRequest, sender.nextRequestID())
+		check.Equal((&gateCall{proxy: own, request: request}).isFromThisDaemon(), sender == own)
 	}
 }
 
 // What was learned in a crowded moment may refuse all that would tell that it has passed.
-func TestAnExpectedWaitForgetsTheLinksOtherLoad(t *testing.T) {
+func TestExcessWaitExpires(t *testing.T) {
 	check := is.New(t)
-	waits := newTransfers()
-	waits.mean.Store(int64(90 * time.Millisecond))
+	waits := newTransferQueue()
+	waits.meanNanos.Store(int64(90 * time.Millisecond))
 	waits.waiting.Add(4)
-	waits.learnWait(time.Second, 200*time.Millisecond, time.Minute)
-	check.True(waits.expectedWait(time.Second+excessLife) > waits.queueWait())
-	check.Equal(waits.expectedWait(time.Second+excessLife+1), waits.queueWait())
+	waits.recordWait(time.Second, 200*time.Millisecond, time.Minute)
+	check.True(waits.expectedWait(time.Second+excessLifetime) > waits.queueWait())
+	check.Equal(waits.expectedWait(time.Second+excessLifetime+1), waits.queueWait())
 }
 
 // TestABodyThatWouldComeTooLateIsRefusedUnsent: at once, as not run; too late for
 // its deadline, or for its route's target.
-func TestABodyThatWouldComeTooLateIsRefusedUnsent(t *testing.T) {
+func TestBodyThatWouldArriveTooLateIsRefusedUnsent(t *testing.T) {
 	for name, route := range map[string]func(*resource.Route){
 		"deadline": nil,
 		"target":   func(route *resource.Route) { route.Target = time.Second },
 	} {
-		t.Run(name, func(t *testing.T) { refusesUnsent(t, route) })
+		t.Run(name, func(t *testing.T) { expectRefusedUnsent(t, route) })
 	}
 }
 
-func refusesUnsent(t *testing.T, route func(*resource.Route)) {
+func expectRefusedUnsent(t *testing.T, route func(*resource.Route)) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{route: route}, counting(&runs))
+	mesh := startMesh(t, meshOptions{changeRoute: route}, countingBackend(&runs))
 	transfers := mesh.gates[0].transfers
 	transfers.waiting.Add(4)
-	transfers.mean.Store(int64(time.Minute))
+	transfers.meanNanos.Store(int64(time.Minute))
 	if route != nil {
-		transfers.mean.Store(int64(800 * time.Millisecond)) // within the deadline's share
+		transfers.meanNanos.Store(int64(800 * time.Millisecond)) // within the deadline's share
 	}
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+mesh.address+"/",
-		strings.NewReader(strings.Repeat("x", largeBody)))
+		strings.NewReader(strings.Repeat("x", largeBodyBytes)))
 	check.NoErr(err)
 	answer, err := mesh.client.Do(request)
 	check.NoErr(err)
@@ -218,11 +218,11 @@
 }
 
 // A gate that takes no more work says so before it takes a large body in.
-func TestAClosedGateTakesInNoLargeBody(t *testing.T) {
+func TestDrainedGateReceivesNoLargeBody(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	limits := Limits{DrainLinger: time.Millisecond}
-	mesh := startMesh(t, meshOptions{limits: limits}, counting(&runs))
+	mesh := startMesh(t, meshOptions{limits: limits}, countingBackend(&runs))
 	mesh.gates[0].StartDrain()
 	<-mesh.gates[0].Drained()
 	body := make([]byte, 48<<10)
