--- a/internal/proxy/uploadsignature.go
+++ b/internal/proxy/uploadsignature.go
@@ -7,14 +7,14 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
-func (u *upload) remember(bytes []byte) {
+func (u *upload) keepBytes(bytes []byte) {
 	if u.overflow {
 		return
 	}
-	if len(u.kept)+len(bytes) > u.keep {
+	if len(u.kept)+len(bytes) > u.keepLimit {
 		u.overflow = true
-		if u.signs {
-			u.firstHash = quarantine.SumBody(append(u.kept, bytes...)[:u.signedBytes()])
+		if u.needsHash {
+			u.prefixHash = quarantine.SumBody(append(u.kept, bytes...)[:u.signatureBytes()])
 		}
 		u.kept = nil
 		return
@@ -23,18 +23,18 @@
 }
 
 // sign has the first bytes of a body hashed, whatever its length.
-func (u *upload) sign() {
+func (u *upload) requireHash() {
 	if u == nil {
 		return
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	u.signs = true
+	u.needsHash = true
 }
 
 // signed is the hash of the body's first bytes; false while they have not come, or when
 // the body was discarded.
-func (u *upload) signed() (quarantine.Hash, bool) {
+func (u *upload) signatureHash() (quarantine.Hash, bool) {
 	if u == nil {
 		return quarantine.Hash{}, true
 	}
@@ -43,24 +43,24 @@
 	}
 	defer u.mutex.Unlock()
 	if u.overflow {
-		return u.firstHash, u.firstHash != quarantine.Hash{}
+		return u.prefixHash, u.prefixHash != quarantine.Hash{}
 	}
-	return quarantine.SumBody(u.kept), u.failure == io.EOF || len(u.kept) == u.signedBytes()
+	return quarantine.SumBody(u.kept), u.readErr == io.EOF || len(u.kept) == u.signatureBytes()
 }
 
 // signedBytes is how much of the body counts for the signature: what can be kept of it.
-func (u *upload) signedBytes() int { return min(u.keep, quarantine.BodyBytes) }
+func (u *upload) signatureBytes() int { return min(u.keepLimit, quarantine.BodyBytes) }
 
 // awaitSigned reads the body's first bytes, which are kept, as far as they count for the
 // signature. It does not while an attempt that was given up still reads.
-func (u *upload) awaitSigned(ctx context.Context) {
+func (u *upload) awaitSignatureBytes(ctx context.Context) {
 	if u == nil || !u.mutex.TryLock() {
 		return
 	}
 	defer u.mutex.Unlock()
-	u.signs = true
-	buffer := make([]byte, signReadBytes)
-	for u.failure == nil && !u.overflow && ctx.Err() == nil && len(u.kept) < u.signedBytes() {
-		_, _ = u.read(buffer[:min(len(buffer), u.signedBytes()-len(u.kept))]) // keeps what it reads, and how it ended
+	u.needsHash = true
+	buffer := make([]byte, signatureReadBytes)
+	for u.readErr == nil && !u.overflow && ctx.Err() == nil && len(u.kept) < u.signatureBytes() {
+		_, _ = u.read(buffer[:min(len(buffer), u.signatureBytes()-len(u.kept))]) // keeps what it reads, and how it ended
 	}
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -16,42 +16,42 @@
 	// spareLife is how long a connection opened ahead may wait for its first
 	// call, but not longer than half of what a server of ours waits for a
 	// request: the other side closes connections without one.
-	spareLife = 4 * time.Second
+	maxSpareAge = 4 * time.Second
 	// spareLimit bounds the connections opened ahead to one address.
-	spareLimit = 8
+	maxSpares = 8
 )
 
 // keepAlive finds connections to machines without power or behind a cut, so
 // that no call is sent on one of them after the machine is back.
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2}
+var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2}
 
 // upstream is the connections to one address: of a gate, or of the back end.
 type upstream struct {
 	address string
 	// linger is how long a cancelled call may take to end; see guardedConn.
-	linger time.Duration
+	cancelLinger time.Duration
 	// secure is for TLS; nil connects in the clear.
-	secure    *tls.Config
+	tlsConfig *tls.Config
 	transport *http.Transport
 	dialer    net.Dialer
 	// roundTrip tells how long peers take to answer; nil knows nothing of it. dialLimit
 	// bounds what it may make of the time to connect.
-	roundTrip func() time.Duration
-	dialLimit time.Duration
-	spares    chan spare
-	spareLife time.Duration
+	roundTrip   func() time.Duration
+	dialLimit   time.Duration
+	spares      chan spare
+	maxSpareAge time.Duration
 	// takesUnframed takes answers whose end is that of their connection.
-	takesUnframed bool
+	acceptsUnframed bool
 	// noSpares opens no connections ahead of calls.
-	noSpares bool
-	opening  atomic.Int64
+	noSpares      bool
+	openingSpares atomic.Int64
 	// incarnation is that of the daemon at the address; connections to an
 	// earlier one are dead.
 	incarnation atomic.Uint64
-	silence     silence
+	silence     silenceMonitor
 	// open are its connections where they are counted, as those to the back end are; nil for
 	// a gate's.
-	open *openConns
+	openConns *openConns
 	// context ends when the upstream is given up.
 	context context.Context
 	cancel  context.CancelFunc
@@ -69,13 +69,13 @@
 		context: ctx,
 		cancel:  cancel,
 		address: address,
-		dialer:  net.Dialer{Timeout: limits.DialTimeout, KeepAliveConfig: keepAlive},
+		dialer:  net.Dialer{Timeout: limits.DialTimeout, KeepAliveConfig: keepAliveConfig},
 
 		dialLimit: limits.DialLimit,
-		spares:    make(chan spare, spareLimit),
+		spares:    make(chan spare, maxSpares),
 
-		spareLife: min(spareLife, limits.HeaderTimeout/2),
-		noSpares:  limits.NoSpares,
+		maxSpareAge: min(maxSpareAge, limits.HeaderTimeout/2),
+		noSpares:    limits.NoSpares,
 	}
 	made.transport = &http.Transport{
 		DialContext:            made.dial,
@@ -92,15 +92,15 @@
 // dial hands out a connection opened ahead, or opens one; either way it sees
 // to it that another one is ready.
 func (u *upstream) dial(ctx context.Context, _, _ string) (net.Conn, error) {
-	if err := u.reserve(ctx); err != nil {
+	if err := u.reserveConn(ctx); err != nil {
 		return nil, err
 	}
 	for {
 		select {
 		case ready := <-u.spares:
-			if time.Since(ready.openedAt) < u.spareLife {
-				u.openAhead(1)
-				return u.guard(ready.conn), nil
+			if time.Since(ready.openedAt) < u.maxSpareAge {
+				u.openSpares(1)
+				return u.newGuarded(ready.conn), nil
 			}
 			_ = ready.conn.Close()
 			continue
@@ -108,34 +108,34 @@
 		}
 		conn, err := u.connect(ctx)
 		if err != nil {
-			u.open.release()
+			u.openConns.release()
 			return nil, err
 		}
-		u.openAhead(1)
-		return u.guard(conn), nil
+		u.openSpares(1)
+		return u.newGuarded(conn), nil
 	}
 }
 
 // reserve takes the place of a connection, and waits for it no longer than for the connection.
-func (u *upstream) reserve(ctx context.Context) error {
-	if u.open == nil {
+func (u *upstream) reserveConn(ctx context.Context) error {
+	if u.openConns == nil {
 		return nil
 	}
 	bounded, cancel := context.WithTimeout(ctx, u.dialTimeout())
 	defer cancel()
-	return u.open.reserve(bounded, u.transport.CloseIdleConnections)
+	return u.openConns.reserve(bounded, u.transport.CloseIdleConnections)
 }
 
 // guard has a connection that was opened carry calls.
-func (u *upstream) guard(conn net.Conn) *guardedConn {
-	made := newGuardedConn(conn, u.linger)
-	u.open.add(made)
+func (u *upstream) newGuarded(conn net.Conn) *guardedConn {
+	made := newGuardedConn(conn, u.cancelLinger)
+	u.openConns.add(made)
 	return made
 }
 
 // retire gives up the connections that carry no call, and the others when their calls have ended.
 func (u *upstream) retire() {
-	u.open.retire()
+	u.openConns.retire()
 	u.closeIdle()
 }
 
@@ -147,10 +147,10 @@
 	dialer := u.dialer
 	dialer.Timeout = timeout
 	conn, err := dialer.DialContext(bounded, "tcp", u.address)
-	if err != nil || u.secure == nil {
+	if err != nil || u.tlsConfig == nil {
 		return conn, err
 	}
-	guarded := tls.Client(conn, u.secure)
+	guarded := tls.Client(conn, u.tlsConfig)
 	if err := guarded.HandshakeContext(bounded); err != nil {
 		_ = conn.Close()
 		return nil, err
@@ -167,18 +167,18 @@
 }
 
 // openAhead opens connections in the background for calls to come.
-func (u *upstream) openAhead(count int) {
+func (u *upstream) openSpares(count int) {
 	for range count {
-		if u.noSpares || u.open.bounded() || u.context.Err() != nil || int(u.opening.Load())+len(u.spares) >= spareLimit {
+		if u.noSpares || u.openConns.isLimited() || u.context.Err() != nil || int(u.openingSpares.Load())+len(u.spares) >= maxSpares {
 			return
 		}
-		u.opening.Add(1)
+		u.openingSpares.Add(1)
 		go u.openSpare()
 	}
 }
 
 func (u *upstream) openSpare() {
-	defer u.opening.Add(-1)
+	defer u.openingSpares.Add(-1)
 	conn, err := u.connect(u.context)
 	if err != nil {
 		return // the call that needs one meets the error itself
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -16,8 +16,8 @@
 type view struct {
 	// snapshot is nil until the first one was put in force.
 	snapshot *snapshot.Snapshot
-	table    *routing.Table
-	state    MeshState
+	routes   *routing.Table
+	mesh     MeshState
 	services map[resource.ServiceRef]*service
 	// upstreams are the connections by address of a gate.
 	upstreams map[string]*upstream
@@ -27,26 +27,26 @@
 type service struct {
 	name string
 	// all holds every endpoint.
-	all *endpoint.Set
+	allEndpoints *endpoint.Set
 	// pool is where calls go that may run in any region, restricted where others go, by
 	// the regions that the routes of the view allow.
 	pool
-	restricted []restrictedPool
-	budget     *retry.Budget
+	restricted  []restrictedPool
+	retryBudget *retry.Budget
 }
 
 // MeshState is what a daemon knows of the others, apart from the configuration.
 type MeshState struct {
 	Members []protocol.Member
 	// Splits say how the back ends of services are divided among versions.
-	Splits Splits
+	Splits VersionSplits
 	// Evacuations are the zones to be empty.
 	Evacuations evacuation.Orders
 }
 
 // find returns the route of a request, or nil.
-func (v *view) find(request *http.Request, located place) *routing.Route {
-	return v.table.Find(routing.Query{
+func (v *view) findRoute(request *http.Request, located hostPath) *routing.Route {
+	return v.routes.Find(routing.Query{
 		Method: request.Method, Host: located.host, Path: located.path, Header: request.Header.Get,
 	})
 }
@@ -56,8 +56,8 @@
 func (p *Proxy) buildView(previous *view, held *snapshot.Snapshot, state MeshState) *view {
 	next := &view{
 		snapshot:  held,
-		table:     previous.table,
-		state:     state,
+		routes:    previous.routes,
+		mesh:      state,
 		services:  map[resource.ServiceRef]*service{},
 		upstreams: map[string]*upstream{},
 	}
@@ -65,11 +65,11 @@
 		return next
 	}
 	if held != previous.snapshot {
-		next.table = p.compile(held)
+		next.routes = p.compileRoutes(held)
 	}
 	now := p.config.Clock()
 	budget := p.retryLimits(len(state.Members))
-	index := endpoint.NewIndex(state.Members)
+	index := endpoint.NewMemberIndex(state.Members)
 	self := endpoint.Locality{
 		Region: p.config.Region, Zone: p.config.Zone, TrustStates: p.config.Reported, Spill: p.config.Spill,
 		Evacuations: state.Evacuations,
@@ -78,25 +78,25 @@
 		made := &service{name: reference.String()}
 		var oldSet *endpoint.Set
 		if old := previous.services[reference]; old != nil {
-			oldSet = old.all
-			made.budget = old.budget
-			made.budget.SetMinimumRetries(budget.Part)
+			oldSet = old.allEndpoints
+			made.retryBudget = old.retryBudget
+			made.retryBudget.SetMinimumRetries(budget.Part)
 		} else {
-			made.budget = retry.NewBudgetWithLimits(budget)
+			made.retryBudget = retry.NewBudgetWithLimits(budget)
 		}
 		self.ColdRate = held.Services[reference].WarmUp.PerSecond
-		made.all = endpoint.BuildIndexed(oldSet, self, backends, index, now)
-		made.divide(state.Splits[reference])
-		made.restrict(next.table.RestrictionsOf(reference))
+		made.allEndpoints = endpoint.BuildIndexed(oldSet, self, backends, index, now)
+		made.applySplit(state.Splits[reference])
+		made.buildRestrictedPools(next.routes.RestrictionsOf(reference))
 		next.services[reference] = made
-		p.connect(previous, next, made.all)
+		p.assignUpstreams(previous, next, made.allEndpoints)
 	}
 	return next
 }
 
 // compile makes the table of a snapshot's routes, which at an edge match hosts and
 // paths as they were sent.
-func (p *Proxy) compile(held *snapshot.Snapshot) *routing.Table {
+func (p *Proxy) compileRoutes(held *snapshot.Snapshot) *routing.Table {
 	if p.config.Edge != nil {
 		return routing.CompileVerbatim(held)
 	}
@@ -138,7 +138,7 @@
 }
 
 // connect gives every endpoint of a set its connections.
-func (p *Proxy) connect(previous, next *view, set *endpoint.Set) {
+func (p *Proxy) assignUpstreams(previous, next *view, set *endpoint.Set) {
 	for _, one := range set.All {
 		if one.Address == "" || next.upstreams[one.Address] != nil {
 			continue
@@ -146,10 +146,10 @@
 		kept := previous.upstreams[one.Address]
 		if kept == nil {
 			kept = newUpstream(one.Address, p.limits, p.limits.UpstreamIdle)
-			kept.secure = p.config.PeerTLS
+			kept.tlsConfig = p.config.PeerTLS
 			kept.roundTrip = p.config.RoundTrip
 			if !p.config.Reported && one.Zone == p.config.Zone && one.Region == p.config.Region {
-				kept.openAhead(1)
+				kept.openSpares(1)
 			}
 		}
 		if before := kept.incarnation.Swap(uint64(one.Incarnation)); before != 0 && before != uint64(one.Incarnation) {
@@ -160,22 +160,22 @@
 }
 
 // publish puts a view in force and then gives up what it no longer needs.
-func (p *Proxy) publish(next *view) {
+func (p *Proxy) publishView(next *view) {
 	previous := p.view.Swap(next)
-	p.starting.publish()
+	p.starting.wakeAll()
 	for address, old := range previous.upstreams {
 		if next.upstreams[address] == nil {
 			old.close()
 		}
 	}
 	for _, one := range next.services {
-		p.closeLeaving(next, one.all)
+		p.closeIdleToStopping(next, one.allEndpoints)
 	}
 }
 
 // closeLeaving gives up idle connections to daemons that are leaving, so that
 // no call is sent on one while the other side closes it.
-func (p *Proxy) closeLeaving(next *view, set *endpoint.Set) {
+func (p *Proxy) closeIdleToStopping(next *view, set *endpoint.Set) {
 	for _, one := range set.All {
 		if one.State == protocol.EndpointDraining || one.State == protocol.EndpointDown {
 			if leaving := next.upstreams[one.Address]; leaving != nil {
--- a/internal/proxy/warmth.go
+++ b/internal/proxy/warmth.go
@@ -7,7 +7,7 @@
 )
 
 // limitCold puts the rate in force that the service of the back end states.
-func (p *Proxy) limitCold(held *snapshot.Snapshot) {
+func (p *Proxy) updateColdLimit(held *snapshot.Snapshot) {
 	if p.gate == nil || held == nil {
 		return
 	}
@@ -19,4 +19,4 @@
 
 // SetCold says until when, on the clock, the back end is cold. Until it is first called the
 // back end counts as cold.
-func (p *Proxy) SetCold(until time.Duration) { p.gate.SetColdUntil(p.config.Clock(), until) }
+func (p *Proxy) SetColdUntil(until time.Duration) { p.gate.SetColdUntil(p.config.Clock(), until) }
--- a/internal/proxy/warmth_test.go
+++ b/internal/proxy/warmth_test.go
@@ -14,12 +14,12 @@
 )
 
 // statesARate is a service whose cold back ends bear two calls a second.
-var statesARate = meshOptions{spec: resource.Service{WarmUp: resource.WarmUp{PerSecond: 2}}}
+var coldRateOptions = meshOptions{service: resource.Service{WarmUp: resource.WarmUp{PerSecond: 2}}}
 
-func TestACallWhoseBackEndsAreAllColdIsRefusedAtOnce(t *testing.T) {
+func TestCallIsRefusedWhenAllBackEndsAreCold(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, statesARate, counting(&runs), counting(&runs))
+	mesh := startMesh(t, coldRateOptions, countingBackend(&runs), countingBackend(&runs))
 	asked := func() uint64 { return mesh.gates[0].Counters().GateCalls + mesh.gates[1].Counters().GateCalls }
 	for range 3 {
 		got := mesh.call(t, http.MethodPost, "/", "body")
@@ -33,11 +33,11 @@
 	check.True(mesh.gates[0].Counters().Cold)
 }
 
-func TestACallThatAColdGateRefusesRunsAtAWarmOne(t *testing.T) {
+func TestCallRefusedByColdGateRunsAtWarmGate(t *testing.T) {
 	check := is.New(t)
 	var atCold, atWarm atomic.Int64
-	mesh := startMesh(t, statesARate, counting(&atCold), counting(&atWarm))
-	mesh.gates[1].SetCold(0)
+	mesh := startMesh(t, coldRateOptions, countingBackend(&atCold), countingBackend(&atWarm))
+	mesh.gates[1].SetColdUntil(0)
 	for range 20 {
 		check.Equal(mesh.call(t, http.MethodPost, "/", "body").status, http.StatusOK)
 	}
@@ -45,45 +45,45 @@
 	check.Equal(atWarm.Load(), int64(20))
 }
 
-func TestAServiceThatStatesNoRateIsNotBounded(t *testing.T) {
+func TestServiceWithoutWarmUpRateIsNotLimited(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{}, counting(&runs))
+	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	check.Equal(mesh.call(t, http.MethodPost, "/", "body").status, http.StatusOK)
 	check.True(!mesh.gates[0].Counters().Cold)
 }
 
 // hasRefused has the callers' side know that a gate has refused a call of a priority as cold.
-func (m *mesh) hasRefused(gate int, priority resource.Priority) {
-	set := m.caller.view.Load().services[testService].all
+func (m *mesh) recordColdRefusal(gate int, priority resource.Priority) {
+	set := m.caller.view.Load().services[testService].allEndpoints
 	set.All[gate].RecordColdRefusal(testClock(), time.Second, int(priority))
 }
 
 // statesARateForUrgentCalls is the same service, of which all calls are urgent.
-func statesARateForUrgentCalls() meshOptions {
-	options := statesARate
-	options.route = func(route *resource.Route) { route.Priority = resource.PriorityHigh }
+func urgentColdRateOptions() meshOptions {
+	options := coldRateOptions
+	options.changeRoute = func(route *resource.Route) { route.Priority = resource.PriorityHigh }
 	return options
 }
 
-func TestAnUrgentCallAsksAColdGateThatRefusedALessUrgentOne(t *testing.T) {
+func TestUrgentCallTriesGateThatRefusedLessUrgentCall(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, statesARateForUrgentCalls(), counting(&runs))
-	mesh.gates[0].SetCold(0) // it has a start
-	mesh.hasRefused(0, resource.PriorityLow)
+	mesh := startMesh(t, urgentColdRateOptions(), countingBackend(&runs))
+	mesh.gates[0].SetColdUntil(0) // it has a start
+	mesh.recordColdRefusal(0, resource.PriorityLow)
 	check.Equal(mesh.call(t, http.MethodPost, "/", "body").status, http.StatusOK)
-	mesh.hasRefused(0, resource.PriorityHigh)
+	mesh.recordColdRefusal(0, resource.PriorityHigh)
 	expectRefusal(check, mesh.call(t, http.MethodPost, "/", "body"), result.WarmingUp, result.RanNo)
 	check.Equal(runs.Load(), int64(1))
 }
 
-func TestAnUrgentCallThatAColdGateRefusesAsksOneThatRefusedALessUrgentOne(t *testing.T) {
+func TestUrgentCallRetriesAtGateThatRefusedLessUrgentCall(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, statesARateForUrgentCalls(), counting(&runs), counting(&runs))
-	mesh.gates[1].SetCold(0) // it has a start; the first gate has none
-	mesh.hasRefused(1, resource.PriorityLow)
+	mesh := startMesh(t, urgentColdRateOptions(), countingBackend(&runs), countingBackend(&runs))
+	mesh.gates[1].SetColdUntil(0) // it has a start; the first gate has none
+	mesh.recordColdRefusal(1, resource.PriorityLow)
 	check.Equal(mesh.call(t, http.MethodPost, "/", "body").status, http.StatusOK)
 	check.Equal(runs.Load(), int64(1))
 }
--- a/internal/sim/calls/side.go
+++ b/internal/sim/calls/side.go
@@ -22,7 +22,7 @@
 	repeatable bool
 	key        uint64
 	// allowed is where it may run by the versions of its side and its gates.
-	allowed  region.Allowed
+	allowed  region.Set
 	deadline time.Duration
 	state    *retry.Call
 	tried    endpoint.Tried
@@ -254,7 +254,7 @@
 	}
 	a := c.current
 	c.current = nil
-	step := c.state.Next(w.now(), outcome)
+	step := c.state.NextStep(w.now(), outcome)
 	switch step.Action {
 	case retry.Send:
 		w.timeline.After(step.Wait, func() { w.try(c) })
