--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -87,7 +87,7 @@
 var eventName = regexp.MustCompile(`^[a-z]+(_[a-z]+)+$`)
 
 // TestEventsAreThoseOfTheCode finds the names that the code writes: the first
-// argument of calls of log, event, Event, traced and traceGate.
+// argument of calls of log, event, Event, logEvent, trace and traceGate.
 func TestEventsAreThoseOfTheCode(t *testing.T) {
 	is := is.New(t)
 	written := map[string]bool{}
@@ -121,7 +121,7 @@
 		return "", false
 	}
 	selector, isSelector := call.Fun.(*ast.SelectorExpr)
-	if !isSelector || !slices.Contains([]string{"log", "event", "Event", "traced", "traceGate"}, selector.Sel.Name) {
+	if !isSelector || !slices.Contains([]string{"log", "event", "Event", "logEvent", "trace", "traceGate"}, selector.Sel.Name) {
 		return "", false
 	}
 	literal, isLiteral := call.Args[0].(*ast.BasicLit)
