--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -2,9 +2,9 @@
 // probes and calls: which start of it runs, and whether it may receive work. A start is one run of
 // the back-end process, identified by the name of the instance and the time at which it began. A
 // back end announces its end by a heartbeat that says it drains, or by a leave. Both are
-// acknowledged and therefore binding: that start receives no more work. Reports may arrive late,
-// repeatedly, out of order and from a start that has ended. The package performs no input or output
-// and reads no clock.
+// acknowledged and therefore binding: that start receives no more work, whatever it reports later.
+// Reports may arrive late, repeatedly, out of order and from a start that has ended. The package
+// performs no input or output and reads no clock.
 package backend
 
 import (
@@ -22,7 +22,8 @@
 type Tracker struct {
 	interval time.Duration
 
-	// running is the start that receives calls, or the last one that did.
+	// running is the start to which calls are sent unless it is unconfirmed, draining or down. It
+	// is the latest one that was confirmed or has replaced another of its instance.
 	running protocol.BackendStart
 	// unconfirmed is true if the running start has reported but has not answered a probe yet. It
 	// receives no calls until it has.
@@ -31,15 +32,16 @@
 	// a drain or leave, so that none of its calls can still be running.
 	previousCrashed bool
 	// sequence, slots and software are those of the latest report of the running start.
-	sequence uint64
-	slots    int
-	software string
-	warmUp   coldTimes
+	sequence  uint64
+	slots     int
+	software  string
+	coldTimes coldTimes
 	// draining is true once the running start has reported that it drains or leaves. It is never
 	// reset for the same start.
 	draining bool
 	// down is true if the running start is unconfirmed, has refused a connection, or may not be the
-	// start that runs (see markDownIfOlderRuns). Its next valid report resets it.
+	// start that runs (see markDownIfOlderRuns). A newer report of the running start resets it, or,
+	// if that start is unconfirmed, only the answer to a probe.
 	down bool
 	// lastActivityAt is the time of the running start's latest report or answered call,
 	// lastReportAt the time of its latest report.
@@ -73,7 +75,7 @@
 	if start != t.running && t.isOlderThanKnown(start) && !t.handleOlderReport(now, report) {
 		return false
 	}
-	return t.handleOtherStart(now, report)
+	return t.handleUnconfirmedStart(now, report)
 }
 
 // handleOlderReport processes a report of a start that appears to be older than a known one. It
@@ -82,7 +84,7 @@
 func (t *Tracker) handleOlderReport(now time.Duration, report Report) bool {
 	required := t.requiredHeartbeats(report.Start())
 	if !t.olderStart.recordReport(now, t.interval, t.lastReportAt, required, report) {
-		t.recordDropped(report)
+		t.recordEndIfDraining(report)
 		if report.Draining {
 			t.markDownIfOlderRuns(report.Start())
 		}
@@ -122,10 +124,10 @@
 	t.draining = t.draining || report.Draining
 }
 
-// handleOtherStart processes a report of a start other than the running one. If the start has the
-// same instance name as the running one and is newer, the running one must have ended. The new
-// start may be cold, so it receives no calls until it has answered a probe.
-func (t *Tracker) handleOtherStart(now time.Duration, report Report) (probe bool) {
+// handleUnconfirmedStart processes a report of a start that has not answered a probe yet. If the
+// start has the same instance name as the running one, it replaces it, because the running one must
+// have ended. It may be cold, so it receives no calls until it has answered a probe.
+func (t *Tracker) handleUnconfirmedStart(now time.Duration, report Report) (probe bool) {
 	start := report.Start()
 	sameInstance := t.running.Instance == start.Instance
 	if report.Draining && (sameInstance || t.running.Instance == "") {
@@ -146,7 +148,7 @@
 	t.sequence = report.Sequence
 	t.slots = report.Slots
 	t.software = report.Software
-	t.warmUp.setByReport(now, report.WarmUp)
+	t.coldTimes.setByReport(now, report.WarmUp)
 	t.draining = t.draining || report.Draining
 	t.down = false
 	t.lastActivityAt = now
@@ -155,7 +157,7 @@
 
 // setRunning makes a start the running one, unconfirmed and down until it has answered a probe. Of
 // the previous start's state it keeps only the time until which the back end is assumed to be cold,
-// and the count of answered calls.
+// and the count of successful calls.
 func (t *Tracker) setRunning(start protocol.BackendStart) {
 	if start == t.running {
 		return
@@ -170,16 +172,16 @@
 	t.running = start
 	t.unconfirmed = true
 	t.sequence = 0
-	t.warmUp = coldTimes{byAssumption: t.warmUp.byAssumption}
+	t.coldTimes = coldTimes{byAssumption: t.coldTimes.byAssumption}
 	t.draining = false
 	t.down = true
 	t.outlier = outlierDetector{succeeded: t.outlier.succeeded}
 }
 
-// HandleProbe processes the answer to a probe. A candidate that answers replaces the running start.
-// The answer names only the instance, not the start, but starts of one instance never run at the
-// same time. The start that answers is therefore the newest one that has reported, or a newer one
-// whose report will replace it.
+// HandleProbe processes the answer to a probe. A candidate that answers replaces the running start
+// if it is healthy or has reported that it drains. The answer names only the instance, but starts
+// of one instance never run at the same time. The start that answered is therefore the newest one
+// that has reported, or a newer one that has not reported yet and will then replace it.
 func (t *Tracker) HandleProbe(now time.Duration, result ProbeResult) {
 	index := t.candidateIndex(result.Instance)
 	if index < 0 {
@@ -188,23 +190,23 @@
 	}
 	confirmed := t.candidates[index]
 	if !result.Healthy && !confirmed.Draining {
-		return // it is leaving or failing: its next report triggers another probe
+		return // the instance is leaving or failing: its next report triggers another probe
 	}
 	t.setRunning(confirmed.Start())
 	t.unconfirmed = false
 	t.applyReport(now, confirmed)
 	t.updateWarmUp(now, result)
 	for _, candidate := range slices.Delete(t.candidates, index, index+1) {
-		t.recordDropped(candidate)
+		t.recordEndIfDraining(candidate)
 	}
 	t.candidates = nil
 }
 
-// HandleLeave processes a start's notice, sent at a time in Unix milliseconds, that it accepts no
-// more work. If no start is known yet, it becomes the running one, so that peers learn of the leave
-// and can restore it after a restart of this daemon. If the notice does not identify the start, it
-// applies to the newest known start of the instance, or, if none is known, to any that began before
-// the notice was sent.
+// HandleLeave processes the notice of a start that it accepts no more work. If no start is known
+// yet, the one that leaves becomes the running one, so that peers store the leave and can restore
+// it after a restart of this daemon. If start.Born is 0, the newest known start of the instance is
+// meant. If there is none, sentAt, the time of the notice in Unix milliseconds, is stored as an
+// upper bound of the start time (see endedStart.mayBeEarlier).
 func (t *Tracker) HandleLeave(start protocol.BackendStart, sentAt int64) {
 	newest := t.newestStart(start.Instance)
 	unknown := start.Born == 0 && newest.Instance == ""
@@ -214,14 +216,14 @@
 	case start.Born == 0:
 		start = newest
 	}
-	t.stopWork(endedStart{start: start, orEarlier: unknown})
+	t.stopWork(endedStart{start: start, mayBeEarlier: unknown})
 }
 
 // RestoreLeave processes a leave that a peer has stored: an earlier process of this daemon had
 // acknowledged it, so it remains binding. If the back end had not reported its start time, the
 // stored time is that of the notice, so an earlier start may be meant.
 func (t *Tracker) RestoreLeave(start protocol.BackendStart) {
-	t.stopWork(endedStart{start: start, orEarlier: true})
+	t.stopWork(endedStart{start: start, mayBeEarlier: true})
 }
 
 // stopWork stops sending work to a start and drops the candidates that are the same start or older.
@@ -261,8 +263,7 @@
 
 // View is the state of the back end at a given time, for the gate and for the members of the mesh.
 type View struct {
-	// Start is the start that receives calls, or the last one that did; Slots and Software are
-	// those of its latest report.
+	// Start is the running start (see Tracker); Slots and Software are those of its latest report.
 	Start    protocol.BackendStart
 	Slots    int
 	Software string
@@ -281,7 +282,7 @@
 		Start: t.running, Slots: t.slots, Software: t.software,
 		EarlierCrashed: t.previousCrashed && !t.unconfirmed,
 	}
-	if until := t.warmUp.coldUntil(); now < until {
+	if until := t.coldTimes.coldUntil(); now < until {
 		view.ColdUntil = until
 	}
 	switch {
--- a/internal/core/backend/candidates.go
+++ b/internal/core/backend/candidates.go
@@ -4,20 +4,21 @@
 	"slices"
 )
 
-// candidateLimit bounds the number of unconfirmed instances: one that starts, and a few earlier
-// ones that crashed within the time for which heartbeats may be delayed.
+// candidateLimit bounds the number of candidates, one for each unconfirmed instance: an instance
+// that starts, and a few earlier ones that crashed within the time for which heartbeats may be
+// delayed.
 const candidateLimit = 4
 
 // HasCandidates reports whether there are candidates waiting for a probe.
 func (t *Tracker) HasCandidates() bool { return len(t.candidates) > 0 }
 
-// addCandidate stores a report unless it has a newer one of the same instance. At the limit it
+// addCandidate stores a report unless there is a newer one of the same instance. At the limit it
 // drops the oldest candidate.
 func (t *Tracker) addCandidate(report Report) {
 	index := t.candidateIndex(report.Instance)
 	if index < 0 {
 		if len(t.candidates) == candidateLimit {
-			t.recordDropped(t.candidates[0])
+			t.recordEndIfDraining(t.candidates[0])
 		}
 		t.candidates = appendBounded(t.candidates, candidateLimit, report)
 		return
@@ -31,30 +32,30 @@
 		}
 		t.candidates[index].Draining = draining
 	case !t.isOlderThanKnown(report.Start()):
-		t.recordDropped(candidate)
+		t.recordEndIfDraining(candidate)
 		t.candidates[index] = report
 	}
 }
 
-// dropCandidates removes the reports that match.
+// dropCandidates removes the candidates for which matches returns true.
 func (t *Tracker) dropCandidates(matches func(Report) bool) {
 	for _, candidate := range t.candidates {
 		if matches(candidate) {
-			t.recordDropped(candidate)
+			t.recordEndIfDraining(candidate)
 		}
 	}
 	t.candidates = slices.DeleteFunc(t.candidates, matches)
 }
 
-// recordDropped must be called for each report that is dropped. If its start drains, that start is
-// recorded as ended, because the drain has been acknowledged.
-func (t *Tracker) recordDropped(report Report) {
+// recordEndIfDraining records the start of a report as ended if it drains, because the drain has
+// been acknowledged. It must be called for each report and each candidate that is dropped.
+func (t *Tracker) recordEndIfDraining(report Report) {
 	if report.Draining {
 		t.recordEnded(endedStart{start: report.Start()})
 	}
 }
 
-// candidateIndex returns the index of the report of an instance, or -1.
+// candidateIndex returns the index of the candidate of an instance, or -1.
 func (t *Tracker) candidateIndex(instance string) int {
 	return slices.IndexFunc(t.candidates, func(candidate Report) bool { return candidate.Instance == instance })
 }
--- a/internal/core/backend/crashed_test.go
+++ b/internal/core/backend/crashed_test.go
@@ -26,7 +26,8 @@
 	check.True(tracker.View(0).EarlierCrashed)
 }
 
-// A start that never received a call does not change whether the one before it left or crashed.
+// EarlierCrashed refers to the last confirmed start, even if an unconfirmed one reported in
+// between.
 func TestAnUnconfirmedStartDoesNotHideAnEarlierLeave(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 100)
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -241,8 +241,9 @@
 	}
 }
 
-// If only a start that appears to be older than the running one reports, it may be the one that
-// runs. Once its drain is acknowledged, calls to the running one stop as well.
+// If only a start that appears to be older than the tracker's running start reports, calls may
+// reach the older one. Once its drain is acknowledged, the back end therefore receives no more
+// calls.
 func TestADrainOfAPersistentOlderStartStopsCalls(t *testing.T) {
 	draining := reportOf(200, 9)
 	draining.Draining = true
@@ -259,7 +260,7 @@
 			announce(tracker)
 			tracker.RecordAnswer(3 * interval)
 			check.True(!tracker.View(3 * interval).State.AcceptsCalls())
-			tracker.HandleReport(3*interval, reportOf(300, 8)) // it was only late, and runs
+			tracker.HandleReport(3*interval, reportOf(300, 8)) // the tracked start was only late, and runs
 			check.Equal(tracker.View(3*interval).State, protocol.EndpointReady)
 		})
 	}
@@ -280,8 +281,8 @@
 	check.Equal(probes, 3)
 }
 
-// A leave restored by a peer, or one without a start time, may carry the time of a clock that has
-// been set back since. The next start is delayed but not locked out.
+// A leave restored by a peer, or one without a start time, may have a time from a clock that has
+// been set back since. The next start is accepted late, but it is accepted.
 func TestAClockSetBackAfterALeaveDoesNotLockOutTheNextStart(t *testing.T) {
 	for name, leave := range map[string]func(*Tracker){
 		"remembered": func(tracker *Tracker) { tracker.RestoreLeave(startOf(5000)) },
@@ -329,9 +330,9 @@
 	}
 }
 
-// If only a start that appears to be older than the running one reports, it may be the one that
-// runs. When it reports that it is cold, the back end counts as cold until the running one reports
-// or answers a probe.
+// If only a start that appears to be older than the tracker's running start reports, calls may
+// reach the older one. When that one reports that it is cold, the back end counts as cold until it
+// answers a probe.
 func TestAPersistentOlderStartMayReportThatItIsCold(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 300)
--- a/internal/core/backend/starts.go
+++ b/internal/core/backend/starts.go
@@ -15,17 +15,18 @@
 	// which a start that appears to be older than a silent one is considered running: a clock must
 	// have been wrong. Delayed heartbeats arrive together and are fewer.
 	persistentHeartbeats = 8
-	// persistentHeartbeatsAfterLeave replaces persistentHeartbeats for a start that may be one that
-	// left, if only an upper bound of the start time of the one that left is known. It is several
-	// times as long as a back end keeps running after its leave.
+	// persistentHeartbeatsAfterLeave replaces persistentHeartbeats for a start that may have left
+	// itself: a start of its instance has left, and only an upper bound of that one's start time is
+	// known. It is several times as long as a back end keeps running after its leave.
 	persistentHeartbeatsAfterLeave = 120
 )
 
 // endedStart is a start that receives no more work.
 type endedStart struct {
 	start protocol.BackendStart
-	// orEarlier is true if an earlier start of the same instance may be meant.
-	orEarlier bool
+	// mayBeEarlier is true if start.Born is only an upper bound, so that an earlier start of the
+	// same instance may have ended instead.
+	mayBeEarlier bool
 }
 
 // isEnded reports whether a start is known to have left or been replaced.
@@ -37,7 +38,7 @@
 // to be older is considered running.
 func (t *Tracker) requiredHeartbeats(start protocol.BackendStart) int {
 	mayHaveLeft := slices.ContainsFunc(t.endedStarts, func(ended endedStart) bool {
-		return ended.orEarlier && ended.start.Instance == start.Instance && start.Born < ended.start.Born
+		return ended.mayBeEarlier && ended.start.Instance == start.Instance && start.Born < ended.start.Born
 	})
 	if mayHaveLeft {
 		return persistentHeartbeatsAfterLeave
@@ -89,30 +90,31 @@
 type olderStartTracker struct {
 	start    protocol.BackendStart
 	sequence uint64
-	// reports is the number of consecutive reports, the first of which arrived at since.
-	reports int
-	since   time.Duration
+	// reports is the number of consecutive reports, the first of which arrived at firstReportAt.
+	reports       int
+	firstReportAt time.Duration
 }
 
-// recordReport records a report of the older start, given the time of the running start's latest
-// report. It reports whether the older start has sent the given number of heartbeats, over as many
-// intervals, while the running one was silent.
-func (o *olderStartTracker) recordReport(now, interval, runningAt time.Duration, required int, report Report) bool {
-	if o.start != report.Start() || runningAt >= o.since && o.reports > 0 {
-		*o = olderStartTracker{start: report.Start(), since: now}
+// recordReport records a report of the older start. runningReportedAt is the time of the running
+// start's latest report. It returns whether the older start has sent the given number of
+// heartbeats, over as many intervals, while the running one was silent.
+func (o *olderStartTracker) recordReport(now, interval, runningReportedAt time.Duration, required int, report Report) bool {
+	if o.start != report.Start() || runningReportedAt >= o.firstReportAt && o.reports > 0 {
+		*o = olderStartTracker{start: report.Start(), firstReportAt: now}
 	}
 	if o.reports > 0 && report.Sequence <= o.sequence {
 		return false
 	}
 	o.sequence = report.Sequence
 	o.reports++
-	return o.reports >= required && now-o.since >= time.Duration(required)*interval
+	return o.reports >= required && now-o.firstReportAt >= time.Duration(required)*interval
 }
 
 // isOnlyReporter reports whether the older start has reported more than once while the running one,
-// whose latest report arrived at runningAt, was silent. A single report may have been delayed.
-func (o *olderStartTracker) isOnlyReporter(start protocol.BackendStart, runningAt time.Duration) bool {
-	return o.start == start && o.reports > 1 && runningAt < o.since
+// whose latest report arrived at runningReportedAt, was silent. A single report may have been
+// delayed.
+func (o *olderStartTracker) isOnlyReporter(start protocol.BackendStart, runningReportedAt time.Duration) bool {
+	return o.start == start && o.reports > 1 && runningReportedAt < o.firstReportAt
 }
 
 // appendBounded appends an entry and removes the oldest one if the list has reached its limit.
--- a/internal/core/backend/warmth.go
+++ b/internal/core/backend/warmth.go
@@ -36,26 +36,27 @@
 // probe, or an answer of another instance, changes nothing.
 func (t *Tracker) updateWarmUp(now time.Duration, result ProbeResult) {
 	if result.Instance == t.running.Instance && t.running.Instance != "" && !t.unconfirmed && result.TellsWarmUp {
-		t.warmUp.setByProbe(now, result.WarmUp)
+		t.coldTimes.setByProbe(now, result.WarmUp)
 	}
 }
 
 // AssumeCold treats the back end as cold for a given time, unless a probe shows otherwise: it may
 // have become cold unnoticed.
 func (t *Tracker) AssumeCold(now, duration time.Duration) {
-	t.warmUp.byAssumption = now + clampWarmUp(duration)
+	t.coldTimes.byAssumption = now + clampWarmUp(duration)
 }
 
 // IsAssumedCold reports whether the back end is assumed to be cold and has not answered a probe
 // since.
 func (t *Tracker) IsAssumedCold(now time.Duration) bool {
-	return t.running.Instance != "" && now < t.warmUp.byAssumption
+	return t.running.Instance != "" && now < t.coldTimes.byAssumption
 }
 
 // NeedsWarmthProbe reports whether the back end must be probed again: either it is assumed to be
 // cold, or its reports say that it is warm while its latest answer to a probe said that it is cold.
-// Without the second case a single wrong answer would block calls for as long as it stated.
+// Without the second case, a single wrong answer would make the back end count as cold for the
+// whole time stated in that answer.
 func (t *Tracker) NeedsWarmthProbe(now time.Duration) bool {
-	contradicted := t.warmUp.byReport <= now && now < t.warmUp.byProbe
+	contradicted := t.coldTimes.byReport <= now && now < t.coldTimes.byProbe
 	return t.IsAssumedCold(now) || contradicted
 }
--- a/internal/core/evacuation/eras_test.go
+++ b/internal/core/evacuation/eras_test.go
@@ -9,9 +9,9 @@
 	"github.com/springstack/springstack/internal/core/position"
 )
 
-// An order that the store has lost in a change of era remains in force until a later reading drops
-// it. An order that was withdrawn in the new era does not.
-func TestALostOrderRemainsInForceUntilItIsDropped(t *testing.T) {
+// An order that the store lost in a change of era remains in force, also after later readings in
+// the new era. An order that was withdrawn in the new era does not remain in force.
+func TestALostOrderRemainsInForce(t *testing.T) {
 	check := is.New(t)
 	table := &Table{}
 	merge := func(now time.Duration, orders Orders) { table.Merge(now, SharedOrders{Orders: orders, Known: true}) }
@@ -20,13 +20,13 @@
 	merge(time.Second, restored.WithLost(table.Orders()))
 	check.Equal(table.Orders().AllZones(), []string{"a", "b"})
 	check.True(table.Orders().Evacuates("a"))
-	withdrawn := NewOrders(position.Position{Era: 2, Revision: 881}, nil)
-	merge(2*time.Second, withdrawn.WithLost(table.Orders()))
+	afterWithdrawal := NewOrders(position.Position{Era: 2, Revision: 881}, nil)
+	merge(2*time.Second, afterWithdrawal.WithLost(table.Orders()))
 	check.Equal(table.Orders().AllZones(), []string{"a"})
-	reissued := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
-	merge(3*time.Second, reissued.WithLost(table.Orders()))
+	afterReissue := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
+	merge(3*time.Second, afterReissue.WithLost(table.Orders()))
 	check.Equal(table.Orders().Lost, []string{})
-	merge(4*time.Second, withdrawn.WithLost(table.Orders())) // an outdated reading
+	merge(4*time.Second, afterWithdrawal.WithLost(table.Orders())) // an outdated reading
 	check.Equal(table.Orders().AllZones(), []string{"a"})
 }
 
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -1,8 +1,9 @@
-// Package evacuation holds an operator's orders to evacuate zones as one daemon knows them. All
-// orders together form one value: the contents of the store at one position. The value with the
-// higher position replaces the other as a whole, so daemons converge on the same orders even if
-// orders are issued, withdrawn and issued again, and are received late, repeatedly or out of order.
-// The package performs no input or output and reads no clock.
+// Package evacuation holds the orders of an operator to evacuate zones that one daemon has read or
+// received. An era is the time between two restorations of the store from an older copy (see
+// package position). All orders together form one value: the contents of the store at one position.
+// The value with the higher position replaces the other as a whole, so daemons converge on the same
+// orders even if orders are issued, withdrawn and issued again, and are received late, repeatedly
+// or out of order. The package performs no input or output and reads no clock.
 package evacuation
 
 import (
@@ -19,8 +20,9 @@
 	At position.Position
 	// Zones holds the zones to evacuate, in ascending order.
 	Zones []string
-	// Lost holds the zones, in ascending order, to evacuate by orders of an earlier era that the
-	// store no longer holds but that are not known to have been withdrawn.
+	// Lost holds, in ascending order, the zones of orders that were read in an earlier era and that
+	// the store no longer holds. They remain in force, since the store may have lost them without a
+	// withdrawal.
 	Lost []string
 }
 
@@ -62,11 +64,12 @@
 	Orders Orders
 	// Known is false if the sender has neither read nor received the orders yet.
 	Known bool
-	// Age is the time since the start of the latest reading of the store that the sender knows of.
+	// Age is the time since the start of the latest reading of the store on which the orders are
+	// based, by the sender or by another daemon.
 	Age time.Duration
 }
 
-// Table holds the orders as one daemon knows them. It is not safe for concurrent use.
+// Table holds the orders that one daemon has read or received. It is not safe for concurrent use.
 type Table struct {
 	orders Orders
 	known  bool
@@ -90,10 +93,10 @@
 }
 
 // Merge merges a reading, or the state received from a peer, and reports whether the set of zones
-// to evacuate has changed. Orders at a lower position are outdated and ignored, and do not count as
-// a reading either. Orders of a later era are newer regardless of their revision. Of two readings
-// at the same position the later one applies: orders of an earlier era that it no longer contains
-// are dropped.
+// to evacuate has changed. Orders at a lower position are outdated: they are ignored and do not
+// reset the age of the latest reading. Orders of a later era are newer regardless of their
+// revision. Of two readings at the same position the later one applies, with its own list of lost
+// orders.
 func (t *Table) Merge(now time.Duration, received SharedOrders) (changed bool) {
 	if !received.Known || (t.known && received.Orders.At.Before(t.orders.At)) {
 		return false
--- a/internal/core/evacuation/timing.go
+++ b/internal/core/evacuation/timing.go
@@ -11,8 +11,8 @@
 	// again, since a watch may miss a change. An order that no watch reports then takes effect well
 	// within half of the bound.
 	relistDivisor = 4
-	// staggerDivisor divides the bound: each further watcher waits longer by this part of it, so
-	// that usually only the first one reads.
+	// staggerDivisor divides the bound: each further watcher waits longer than the one before it by
+	// this part of the bound, so that usually only the first one reads.
 	staggerDivisor = 20
 	// A daemon that is no watcher reads the orders itself once its latest known reading is older
 	// than staleFraction of the bound plus a random time of up to jitterFraction of it. The sum is
@@ -23,10 +23,10 @@
 	// startupDivisor divides the bound: a starting daemon waits for this part of it, plus the
 	// random time, for the orders from a peer before it reads them.
 	startupDivisor = 16
-	// maxRetryBounds is the maximum delay, in bounds, between two attempts of a daemon that is no
-	// watcher while the store refuses them. Each attempt costs the store a call, and peers may
-	// provide the orders in the meantime.
-	maxRetryBounds = 2
+	// maxRetryDelayFactor is the maximum delay, as a multiple of the bound, between two attempts of
+	// a daemon that is no watcher while the store refuses them. Each attempt costs the store a
+	// call, and peers may provide the orders in the meantime.
+	maxRetryDelayFactor = 2
 )
 
 // Timing determines when a daemon reads the orders itself. If Within is 0 it never does; callers
@@ -40,7 +40,7 @@
 func (t Timing) RelistInterval() time.Duration { return t.Within / relistDivisor }
 
 // RefreshAge returns the age of the latest known reading at which a daemon of the given rank reads
-// the orders itself. random must be uniformly distributed.
+// the orders itself. known is true if it has any reading. random must be uniformly distributed.
 func (t Timing) RefreshAge(rank int, known bool, random uint64) time.Duration {
 	jitter := time.Duration(jitterFraction * float64(t.Within) * float64(random>>11) / (1 << 53)) // the fraction of a float64 has 53 bits
 	switch {
@@ -58,5 +58,5 @@
 	if rank < WatcherCount {
 		return t.RelistInterval()
 	}
-	return min(t.RelistInterval()<<min(max(failures-1, 0), 8), maxRetryBounds*t.Within)
+	return min(t.RelistInterval()<<min(max(failures-1, 0), 8), maxRetryDelayFactor*t.Within)
 }
--- a/internal/core/evacuation/timing_test.go
+++ b/internal/core/evacuation/timing_test.go
@@ -82,8 +82,8 @@
 	return count
 }
 
-// An order that no watch reports reaches all connected daemons within half of the bound, at any
-// phase, even if some daemons are dead, refused by the store or disconnected.
+// An order that no watch reports reaches all connected daemons within half of the bound,
+// whenever it is issued, even if some daemons are dead, refused by the store or disconnected.
 func TestAnUnreportedOrderIsKnownWithinHalfOfTheBound(t *testing.T) {
 	for name, impair := range map[string]func(*testDaemon){
 		"nobody":                         func(*testDaemon) {},
@@ -102,7 +102,7 @@
 					impair(daemon)
 				}
 				fleet.run(orderedAt, orderedAt+testBound/2, NewOrders(position.Position{Revision: 4}, []string{"z"}))
-				check.Equal(fleet.countUnaware("z"), 0) // the daemons that do not know the order
+				check.Equal(fleet.countUnaware("z"), 0)
 			}
 		})
 	}
@@ -116,7 +116,7 @@
 	fleet.run(0, 10*time.Second, NewOrders(position.Position{Revision: 3}, nil))
 	fleet.reads = 0
 	fleet.run(10*time.Second, 70*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	check.True(fleet.reads <= 49) // 60 s divided by 1.25 s, and one more for the phase
+	check.True(fleet.reads <= 49) // one per RelistInterval, and one more because the period may begin just before a reading
 }
 
 // While the store refuses all calls, daemons that are no watchers call it at increasing intervals.
@@ -130,8 +130,8 @@
 	fleet.run(10*time.Second, 40*time.Second, NewOrders(position.Position{Revision: 3}, nil))
 	fleet.reads = 0
 	fleet.run(40*time.Second, 100*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	const watchers, others = 49 * WatcherCount, 7 * (77 - WatcherCount)
-	check.True(fleet.reads <= watchers+others)
+	const maxWatcherReads, maxOtherReads = 49 * WatcherCount, 7 * (77 - WatcherCount) // one per retry delay, and one more each
+	check.True(fleet.reads <= maxWatcherReads+maxOtherReads)
 }
 
 // When all daemons start at once, a few read the orders and the others receive them.
--- a/internal/core/hang/hang.go
+++ b/internal/core/hang/hang.go
@@ -7,15 +7,16 @@
 import "time"
 
 const (
-	// minAnsweredCalls is the number of answered calls of a class from which its longest service
-	// time is usable. With fewer, one in twenty healthy calls takes longer.
+	// minAnsweredCalls is the number of answered calls of a class below which no call of the class
+	// is considered hung. With fewer, at least one in twenty healthy calls takes longer than all of
+	// them.
 	minAnsweredCalls = 20
-	// minOvertaken is the number of calls sent later that must have been answered. They show that
-	// the back end is answering, so the call is not merely delayed by a pause of the whole back
-	// end.
+	// minOvertaken is the number of calls of any class that must have been sent later than a call
+	// and been answered. They show that the back end is answering, so the call is not merely
+	// delayed by a pause of the whole back end.
 	minOvertaken = 3
-	// ageOnlyFactor is the multiple of the longest service time that a call must exceed if the back
-	// end does not report the calls it holds, so that its age is the only evidence.
+	// ageOnlyFactor is the multiple of the longest service time that the age of a call must exceed
+	// if the back end does not report how many calls it holds.
 	ageOnlyFactor = 2
 )
 
@@ -30,18 +31,18 @@
 	Seen    int
 	// Overtaken is the number of answered calls that were sent after this one.
 	Overtaken int
-	// Told is true if the back end reports the number of calls it holds, and Missing is by how much
-	// this is below the number of calls in flight there.
+	// Told is true if the back end reports the number of calls it holds, running or queued. Missing
+	// is the number of calls in flight there minus that number.
 	Told    bool
 	Missing int
-	// Rank is the position of the call among those in flight, starting at 1 for the one that is
-	// longest overdue.
+	// Rank is the position of the call among those in flight, starting at 1 for the one with the
+	// highest ratio of its age to the mean service time of its class.
 	Rank int
 }
 
 // IsHung reports whether the call is considered hung. A back end that reports holding all calls is
-// still running this one, however long it takes. A call is not ended for being hung: the only cost
-// of a wrong result is another attempt, if one is allowed.
+// still running this one, however long it takes. A call that is considered hung is not cancelled:
+// the only cost of a wrong result is another attempt, if one is allowed.
 func (e Evidence) IsHung() bool {
 	if e.Seen < minAnsweredCalls || e.Overtaken < minOvertaken {
 		return false
@@ -49,7 +50,8 @@
 	if !e.Told {
 		return e.Age > ageOnlyFactor*e.Longest
 	}
-	// It is certain here that calls are missing, and likely that these are the overdue ones.
-	// Waiting for certainty would leave no time to run them elsewhere within their latency target.
+	// Missing calls are lost for certain, and they are probably the most overdue ones. Waiting
+	// until it is certain which ones are lost would leave no time to run them elsewhere within
+	// their latency target.
 	return e.Rank <= e.Missing && e.Age > e.Long
 }
--- a/internal/core/hang/hang_test.go
+++ b/internal/core/hang/hang_test.go
@@ -28,7 +28,7 @@
 	is.New(t).True(!evidence.IsHung())
 }
 
-// Missing calls are attributed first to the one that is longest overdue.
+// With one missing call, only the call of rank 1 is considered hung.
 func TestNoMoreCallsAreHungThanAreMissing(t *testing.T) {
 	evidence := hungEvidence()
 	evidence.Rank = 2
@@ -51,8 +51,9 @@
 	check.True(evidence.IsHung())
 }
 
-// If the back end answers no call, it may be paused as a whole, and no call can be singled out.
-func TestNoCallIsHungWhileTheBackEndAnswersNone(t *testing.T) {
+// If fewer than minOvertaken later calls have been answered, the whole back end may be paused, so
+// no call is considered hung.
+func TestNoCallIsHungBeforeEnoughLaterCallsAreAnswered(t *testing.T) {
 	evidence := hungEvidence()
 	evidence.Overtaken = minOvertaken - 1
 	is.New(t).True(!evidence.IsHung())
@@ -64,7 +65,7 @@
 	is.New(t).True(!evidence.IsHung())
 }
 
-func TestOnlyAnswersToLaterCallsCount(t *testing.T) {
+func TestOnlyAnswersToCallsSentLaterCount(t *testing.T) {
 	check := is.New(t)
 	var answers RecentAnswers
 	for second := range 5 {
--- a/internal/core/hang/missing.go
+++ b/internal/core/hang/missing.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// missingPeriod is the period over which the minimum is taken. A call that was still on its
-	// way, or was answered while the report was on its way, is missing only for a few milliseconds.
+	// missingPeriod is the minimum duration of a period. The result of a period is the lowest
+	// number of missing calls in its reports, because a call that is on its way to the back end, or
+	// is answered while the report is on its way, is missing only for a few milliseconds.
 	missingPeriod = 200 * time.Millisecond
 	// minReportsPerPeriod is the number of reports that a period must contain to be valid.
 	minReportsPerPeriod = 3
@@ -17,7 +18,8 @@
 )
 
 // MissingCalls tracks how many of the calls in flight at a back end the back end does not report as
-// held. It is safe for concurrent use, and recording never blocks. The zero value has no data.
+// held, that is, running or queued. It is safe for concurrent use, and Record never blocks. The
+// zero value has no data.
 type MissingCalls struct {
 	mutex sync.Mutex
 	// periodStart is the start of the present period, minimum the lowest number of missing calls in
@@ -47,7 +49,7 @@
 	if now-m.periodStart < missingPeriod || m.reports < minReportsPerPeriod {
 		return
 	}
-	m.lastResult, m.lastResultAt = m.minimum, max(now, 1)
+	m.lastResult, m.lastResultAt = m.minimum, max(now, 1) // 0 would mean that there is no result
 	m.reports = 0
 }
 
--- a/internal/core/hang/recentanswers.go
+++ b/internal/core/hang/recentanswers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// keptAnswers is the number of answers kept: minOvertaken, and a reserve for answers to calls that
-// were sent earlier.
+// keptAnswers is the number of answers kept. It exceeds minOvertaken because some of the latest
+// answers may be to calls that were sent before the call in question.
 const keptAnswers = 16
 
 // RecentAnswers records the send times of the most recently answered calls. It is safe for
--- a/internal/core/quarantine/classify.go
+++ b/internal/core/quarantine/classify.go
@@ -12,9 +12,10 @@
 	// clock. A value of 0 or less means never.
 	suspectedUntil time.Duration
 	heldUntil      time.Duration
-	// unattributed is the number of ends that are not attributed to a harmful request, requiredEnds
-	// the number from which the request is held.
-	unattributed int
+	// countedEnds is the number of ends that count against the request: all ends of a harmful one,
+	// and those of a suspected one that are not attributed to a harmful request. requiredEnds is
+	// the number of ends from which the request is held.
+	countedEnds  int
 	requiredEnds int
 	// lastTrial is the number of the latest trial that met an end; 0 if the request was cleared.
 	lastTrial uint32
@@ -34,9 +35,9 @@
 // isolation returns how the request must be isolated if it may run.
 func (c classification) isolation() Isolation {
 	switch {
-	case c.requiredEnds == 0 || c.unattributed < c.requiredEnds-1:
+	case c.requiredEnds == 0 || c.countedEnds < c.requiredEnds-1:
 		return AlongsideTrusted
-	case c.unattributed < c.requiredEnds:
+	case c.countedEnds < c.requiredEnds:
 		return AlonePreferred
 	}
 	return AloneRequired
@@ -57,7 +58,7 @@
 // Suspected requests run separately, so the next successful answer or end resolves the case.
 // Daemons with the same records arrive at the same result.
 func (t *Table) classify(now time.Duration) map[Signature]classification {
-	records := t.companionRecords(now)
+	records := t.unexpiredByKey(now)
 	candidates := t.candidates(now, records)
 	result := make(map[Signature]classification, len(candidates))
 	for len(candidates) > 0 {
@@ -83,31 +84,31 @@
 	return result
 }
 
-// companionRecords maps the keys of signatures to the valid entries of their requests, for the
-// evaluation of companions.
-type companionRecords map[uint64]*entry
+// entriesByKey maps the keys of signatures to the unexpired entries of their requests, for the
+// evaluation of companions, which are identified by these keys.
+type entriesByKey map[uint64]*entry
 
-func (t *Table) companionRecords(now time.Duration) companionRecords {
-	records := make(companionRecords, len(t.entries))
+func (t *Table) unexpiredByKey(now time.Duration) entriesByKey {
+	records := make(entriesByKey, len(t.entries))
 	for signature, entry := range t.entries {
-		if !entry.expired(now) {
+		if !entry.isExpired(now) {
 			records[signature.Key()] = entry
 		}
 	}
 	return records
 }
 
-// caused reports whether a companion was found harmful in the round in which it ran at an end. It
-// remains the cause of that end after its record was cleared.
-func (r companionRecords) caused(companion Companion) bool {
+// isKnownCause reports whether an end is attributed to the given companion: its request was found
+// harmful in the round in which it ran at that end, or in a later one, and has been cleared since.
+func (r entriesByKey) isKnownCause(companion Companion) bool {
 	entry := r[companion.Key]
 	return entry != nil && entry.record.Proven > companion.Round
 }
 
-// isExcused reports whether a companion cannot have caused an end: it was answered successfully
-// since then, or it was answered successfully before and the other request was not. A companion
-// without a valid record is never excused.
-func (r companionRecords) isExcused(companion Companion, other *entry) bool {
+// cannotHaveCaused reports whether a companion cannot have caused an end of a suspect: it was
+// answered successfully since then, or it was answered successfully before and the suspect was not.
+// It returns false if there is no unexpired record of the companion.
+func (r entriesByKey) cannotHaveCaused(companion Companion, suspect *entry) bool {
 	entry := r[companion.Key]
 	if entry == nil {
 		return false
@@ -115,18 +116,18 @@
 	if entry.record.Round > companion.Round || entry.record.Cleared {
 		return true
 	}
-	return entry.record.Familiar && !other.record.Familiar
+	return entry.record.Familiar && !suspect.record.Familiar
 }
 
-// candidates returns the valid records that were not cleared, in order of their signatures.
-func (t *Table) candidates(now time.Duration, records companionRecords) []*candidate {
+// candidates returns the unexpired records that were not cleared, in order of their signatures.
+func (t *Table) candidates(now time.Duration, records entriesByKey) []*candidate {
 	var found []*candidate
 	for _, e := range t.entries {
-		if e.record.Cleared || e.expired(now) {
+		if e.record.Cleared || e.isExpired(now) {
 			continue
 		}
 		unattributed := slices.DeleteFunc(slices.Clone(e.record.Ends), func(end string) bool {
-			return !t.rules.IgnoresCompany && slices.ContainsFunc(e.record.detail(end).Beside, records.caused)
+			return !t.rules.IgnoresCompany && slices.ContainsFunc(e.record.detail(end).Beside, records.isKnownCause)
 		})
 		found = append(found, &candidate{entry: e, unattributed: unattributed})
 	}
@@ -143,9 +144,11 @@
 	})
 }
 
-// isHarmful reports whether a candidate has enough unattributed ends and no other candidate may
-// have caused the same ones.
-func (t *Table) isHarmful(c *candidate, all []*candidate, records companionRecords) bool {
+// isHarmful reports whether a candidate has enough unattributed ends, no other candidate ran at all
+// of them, at least one of them can only be due to this candidate, and, with no more than the
+// required number of ends, there is no rival (see hasRival). The rules that are used for
+// comparisons only (see Rules) skip some of these conditions.
+func (t *Table) isHarmful(c *candidate, all []*candidate, records entriesByKey) bool {
 	required := t.rules.requiredEnds(&c.record)
 	if len(c.unattributed) < required {
 		return false
@@ -153,27 +156,27 @@
 	if t.rules.EachByItself {
 		return true
 	}
-	if slices.ContainsFunc(all, func(other *candidate) bool { return other != c && other.covers(c, 0) }) {
+	if slices.ContainsFunc(all, func(other *candidate) bool { return other != c && other.ranAtEndsOf(c, 0) }) {
 		return false
 	}
 	if t.rules.IgnoresCompany {
 		return true
 	}
 	if t.rules.LeastShare > 0 {
-		return c.weightedEnds(records) >= t.rules.LeastShare
+		return c.sumEndShares(records) >= t.rules.LeastShare
 	}
-	return t.isProven(c, records) && (len(c.unattributed) > required || !c.hasRival(all))
+	return t.isSoleCauseOfAnEnd(c, records) && (len(c.unattributed) > required || !c.hasRival(all))
 }
 
-// isProven reports whether at least one unattributed end can only be due to this candidate: either
-// it ran alone at that end in a later trial, or it has enough trials and every companion at that
-// end is excused.
-func (t *Table) isProven(c *candidate, records companionRecords) bool {
+// isSoleCauseOfAnEnd reports whether at least one unattributed end can only be due to this
+// candidate: either it ran alone at that end in a later trial, or it has as many trials as it needs
+// ends to be held and no companion at that end can have caused it.
+func (t *Table) isSoleCauseOfAnEnd(c *candidate, records entriesByKey) bool {
 	if c.ranAloneInLaterTrial() {
 		return true
 	}
 	enough := t.rules.IgnoresTrials || c.countTrials() >= t.rules.requiredEnds(&c.record)
-	return enough && c.isOnlyPossibleCause(records)
+	return enough && c.hasEndWithoutOtherCause(records)
 }
 
 // countTrials returns the number of distinct trials that met unattributed ends.
@@ -189,10 +192,10 @@
 	})
 }
 
-// covers reports whether the candidate ran at all unattributed ends of another one, except for at
-// most the given number. A request that was answered successfully before cannot account for the
-// ends of one that was not.
-func (c *candidate) covers(other *candidate, maxMissing int) bool {
+// ranAtEndsOf reports whether the candidate ran at all unattributed ends of another one, except for
+// at most maxMissing of them. A request that was answered successfully before cannot account for
+// the ends of one that was not.
+func (c *candidate) ranAtEndsOf(other *candidate, maxMissing int) bool {
 	if c.record.Familiar && !other.record.Familiar {
 		return false
 	}
@@ -205,26 +208,26 @@
 	return missing <= maxMissing
 }
 
-// isOnlyPossibleCause reports whether the candidate has an unattributed end that no other request
-// may have caused.
-func (c *candidate) isOnlyPossibleCause(records companionRecords) bool {
+// hasEndWithoutOtherCause reports whether the candidate has an unattributed end that no other
+// request can have caused.
+func (c *candidate) hasEndWithoutOtherCause(records entriesByKey) bool {
 	return slices.ContainsFunc(c.unattributed, func(end string) bool { return c.countOtherCauses(end, records) == 0 })
 }
 
-// countOtherCauses returns the number of companions that may have caused an end.
-func (c *candidate) countOtherCauses(end string, records companionRecords) int {
+// countOtherCauses returns the number of companions that can have caused an end.
+func (c *candidate) countOtherCauses(end string, records entriesByKey) int {
 	count := 0
 	for _, companion := range c.record.detail(end).Beside {
-		if !records.isExcused(companion, c.entry) {
+		if !records.cannotHaveCaused(companion, c.entry) {
 			count++
 		}
 	}
 	return count
 }
 
-// weightedEnds returns the sum of the unattributed ends, each divided by the number of requests
-// that may have caused it.
-func (c *candidate) weightedEnds(records companionRecords) float64 {
+// sumEndShares returns the candidate's share of its unattributed ends, in ends: each end is divided
+// equally among the requests that can have caused it.
+func (c *candidate) sumEndShares(records entriesByKey) float64 {
 	sum := 0.0
 	for _, end := range c.unattributed {
 		sum += 1 / float64(1+c.countOtherCauses(end, records))
@@ -232,13 +235,14 @@
 	return sum
 }
 
-// hasRival reports whether another candidate ran at all unattributed ends but one, which may have a
-// separate cause. A candidate that ran at an end attributed to a harmful request is no rival: it is
-// known to run concurrently with harmful requests.
+// hasRival reports whether another candidate ran at all unattributed ends of this one or at all but
+// one of them, since that one may have a separate cause. A candidate that also ran at an end
+// attributed to a harmful request is no rival: it is known to run concurrently with harmful
+// requests.
 func (c *candidate) hasRival(all []*candidate) bool {
 	return slices.ContainsFunc(all, func(other *candidate) bool {
 		ranBesideHarmful := len(other.unattributed) < len(other.record.Ends)
-		return other != c && !ranBesideHarmful && other.covers(c, 1)
+		return other != c && !ranBesideHarmful && other.ranAtEndsOf(c, 1)
 	})
 }
 
@@ -246,13 +250,13 @@
 func (e *entry) classifyHarmful() classification {
 	heldUntil := e.latestEndAt + e.rules.holdDuration(&e.record)
 	required := e.rules.requiredEnds(&e.record)
-	return classification{heldUntil: heldUntil, suspectedUntil: heldUntil + suspicionAfterHold, unattributed: len(e.record.Ends), requiredEnds: required}
+	return classification{heldUntil: heldUntil, suspectedUntil: heldUntil + suspicionAfterHold, countedEnds: len(e.record.Ends), requiredEnds: required}
 }
 
 // classifySuspected returns the classification of a suspected request.
 func (c *candidate) classifySuspected() classification {
 	return classification{
 		suspectedUntil: c.latestEndAt + suspicionTime,
-		unattributed:   len(c.unattributed), requiredEnds: c.rules.requiredEnds(&c.record),
+		countedEnds:    len(c.unattributed), requiredEnds: c.rules.requiredEnds(&c.record),
 	}
 }
--- a/internal/core/quarantine/companions_test.go
+++ b/internal/core/quarantine/companions_test.go
@@ -191,8 +191,7 @@
 	check.Equal(left, firstHold) // four ends of one trial do not extend the hold
 }
 
-// A request is not held either for the failure of a rack and a later end at which another request
-// ran.
+// A request is not held for the failure of a rack and one later end at which another request ran.
 func TestASharedEndAfterARackFailureDoesNotHoldARequest(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
--- a/internal/core/quarantine/doc.go
+++ b/internal/core/quarantine/doc.go
@@ -8,9 +8,10 @@
 // request to one gate on which all callers agree, and that gate runs one suspected request at a
 // time. A successful answer clears the request. The ends are attributed to as few requests as
 // possible (see Table.classify). A request with enough ends attributed to it is held: every daemon
-// refuses it at once. Requests that only ran concurrently with it are trusted again.
+// refuses it at once. Requests that only ran concurrently with it become trusted.
 //
-// A trial is an attempt to run a request after its earlier ends were known. A round is the series
-// of ends up to a successful answer, which starts the next round. Records of requests can be merged
-// in any order and repeatedly: the ends of a round form a set.
+// A trial of a request comprises the attempts that began after the ends of its earlier trials were
+// known. A round is the series of ends up to a successful answer or a release by an operator; the
+// next end starts the next round. Records of requests can be merged in any order and repeatedly:
+// the ends of a round form a set.
 package quarantine
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -27,11 +27,12 @@
 // Rules define how many ends a request needs to be held. All daemons of a mesh must use the same
 // rules.
 type Rules struct {
-	// Ends applies to a request for which no daemon has recorded a successful answer. The first end
-	// may be due to any request that ran on the instance, and the second one to coincidence.
+	// Ends is the number of ends from which a request is held if no back end answered it
+	// successfully before its first end. One end may be due to any request that ran on the
+	// instance, and a second one of the same request to coincidence.
 	Ends int
-	// EndsFamiliar applies to a request that was answered successfully before its first end. Such a
-	// request rarely becomes harmful, and it often runs while other requests end back ends.
+	// EndsFamiliar replaces Ends if the request was answered successfully before its first end.
+	// Such a request rarely becomes harmful, and it often runs while other requests end back ends.
 	EndsFamiliar int
 	// EachByItself classifies each request by its own ends alone, without attributing shared ends
 	// to another request. It is used for comparisons only.
@@ -48,8 +49,9 @@
 	LeastShare float64
 }
 
-// DefaultRules returns the rules with the fewest ends at which no harmless request was held in
-// simulated days with harmful requests. The results are in docs/design/harmful-requests.md.
+// DefaultRules returns the rules that daemons use. Of the rules tried in simulated days with
+// harmful requests, they require the fewest ends without holding a harmless request. The results
+// are in docs/design/harmful-requests.md.
 func DefaultRules() Rules { return Rules{Ends: 3, EndsFamiliar: 4} }
 
 // Limits of records, and the durations of suspicions and holds.
@@ -63,11 +65,12 @@
 	// possible in the lifetime of a record.
 	trialLimit = 1 << 20
 	// suspicionTime is how long a request stays suspected after its latest end. A harmful request
-	// that is sent at longer intervals ends one back end each time.
+	// that is sent at longer intervals is never held and ends one back end each time.
 	suspicionTime = 2 * time.Minute
-	// firstHold is how long a request is held after the end that reached the required number. It is
-	// short because the request may still be harmless, if its ends had several causes. After the
-	// hold the request is suspected again, and its next attempt, which runs separately, decides.
+	// firstHold is how long a request is held after the end with which it has the required number
+	// of ends. It is short because the request may still be harmless, if its ends had several
+	// causes. After the hold the request is suspected again, and its next attempt, which runs
+	// separately, decides.
 	firstHold = time.Minute
 	// repeatedHold is how long a request is held after one further end. It doubles with each end
 	// after that, up to holdLimit.
@@ -104,7 +107,8 @@
 
 // Companion identifies a request that was in flight together with another one at an end.
 type Companion struct {
-	// Key is the short form of the signature of the companion; 0 if the companion is unidentified.
+	// Key is the key of the companion's signature (see Signature.Key); 0 if the companion is
+	// unidentified.
 	Key uint64
 	// Round is the round of the companion's record at the time of the end.
 	Round uint32
@@ -255,6 +259,6 @@
 	latestEndAt time.Duration
 }
 
-func (e *entry) expired(now time.Duration) bool {
+func (e *entry) isExpired(now time.Duration) bool {
 	return now >= e.latestEndAt+e.rules.lifetime(&e.record)
 }
--- a/internal/core/quarantine/signature.go
+++ b/internal/core/quarantine/signature.go
@@ -48,7 +48,7 @@
 		encoded = append(encoded, part...)
 		encoded = append(encoded, 0)
 	}
-	return sum(encoded)
+	return hashBytes(encoded)
 }
 
 // SumBody returns the hash of the first BodyBytes of a body; the zero hash for an empty body.
@@ -56,15 +56,15 @@
 	if len(prefix) == 0 {
 		return Hash{}
 	}
-	return sum(prefix[:min(len(prefix), BodyBytes)])
+	return hashBytes(prefix[:min(len(prefix), BodyBytes)])
 }
 
-func sum(bytes []byte) Hash {
+func hashBytes(bytes []byte) Hash {
 	digest := sha256.Sum256(bytes)
 	return Hash(digest[:hashSize])
 }
 
-// Key returns a 64-bit form of the signature, for use as a map key and in rankings.
+// Key returns a 64-bit hash of the signature, for use as a map key and in rankings.
 func (s Signature) Key() uint64 {
 	return binary.BigEndian.Uint64(s.Head[:]) ^ binary.BigEndian.Uint64(s.Body[:])
 }
@@ -72,8 +72,8 @@
 // logBytes is the number of bytes of each half shown in logs.
 const logBytes = 6
 
-// String returns a short form of the signature for logs. It reveals nothing of the request's
-// content.
+// String returns the first bytes of the signature's hashes in hexadecimal. Logs show these instead
+// of the request, whose content may be confidential.
 func (s Signature) String() string {
 	head := hex.EncodeToString(s.Head[:logBytes])
 	if s.Body == (Hash{}) {
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -124,7 +124,7 @@
 	record.Ends = slices.Compact(slices.Sorted(slices.Values(record.Ends)))
 	record.Details = mergeDetails(nil, record.Details)
 	received := &entry{rules: t.rules, record: record, latestEndAt: now - record.Age}
-	if received.expired(now) {
+	if received.isExpired(now) {
 		return false, true
 	}
 	current := t.liveEntry(now, record.Signature)
@@ -162,7 +162,7 @@
 // liveEntry returns the entry of a request; nil if there is none or it has expired.
 func (t *Table) liveEntry(now time.Duration, signature Signature) *entry {
 	entry := t.entries[signature]
-	if entry == nil || entry.expired(now) {
+	if entry == nil || entry.isExpired(now) {
 		return nil
 	}
 	return entry
@@ -201,14 +201,14 @@
 func (t *Table) Expire(now time.Duration) bool {
 	before := len(t.entries)
 	for signature, entry := range t.entries {
-		if entry.expired(now) {
+		if entry.isExpired(now) {
 			delete(t.entries, signature)
 		}
 	}
 	return len(t.entries) < before
 }
 
-// Records returns all valid records with their present ages, in order of their signatures.
+// Records returns all unexpired records with their present ages, in order of their signatures.
 func (t *Table) Records(now time.Duration) []Record {
 	var records []Record
 	for signature := range t.entries {
@@ -233,19 +233,19 @@
 	return record, true
 }
 
-// Sum returns a hash of all valid records except for their ages, for the comparison of two daemons;
-// 0 without records.
+// Sum returns a hash of all unexpired records except for their ages, for the comparison of two
+// daemons; 0 without records.
 func (t *Table) Sum(now time.Duration) uint64 {
 	sum := uint64(0)
 	for _, entry := range t.entries {
-		if !entry.expired(now) {
-			sum ^= entry.record.sum()
+		if !entry.isExpired(now) {
+			sum ^= entry.record.hash()
 		}
 	}
 	return sum
 }
 
-func (r Record) sum() uint64 {
+func (r Record) hash() uint64 {
 	encoded := append(slices.Clone(r.Signature.Head[:]), r.Signature.Body[:]...)
 	encoded = binary.BigEndian.AppendUint32(encoded, r.Round)
 	encoded = binary.BigEndian.AppendUint32(encoded, r.Proven)
@@ -274,7 +274,7 @@
 	view := &View{heads: map[Hash]bool{}, classifications: map[Signature]classification{}}
 	classifications := t.classify(now)
 	for signature, entry := range t.entries {
-		if entry.expired(now) {
+		if entry.isExpired(now) {
 			continue
 		}
 		view.heads[signature.Head] = true
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// Two harmful requests are both held. A request that ran first with one and later with the other is
-// not.
+// Two harmful requests are both held. A harmless request that ran first with one of them and later
+// with the other is not held.
 func TestTwoHarmfulRequestsAccountForTheEndsOfBoth(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -12,14 +12,16 @@
 	// drainLimit is the longest wait for calls at the stable version to finish. It exceeds the time
 	// that any call started there may run, unless a longer one is configured.
 	drainLimit = 5 * time.Second
-	// deadlineMargin is the time before its deadline by which an outcome is to be written. It is as
-	// long as the receipt of an order may be delayed.
+	// deadlineMargin is the time before the deadline of an order by which its outcome is to be
+	// written. It is as long as the receipt of the order may be delayed, since the duration is
+	// counted from the receipt.
 	deadlineMargin = 1500 * time.Millisecond
 	// minCanaryFraction is the minimum fraction of an order's duration for which the canary is
 	// observed before all traffic shifts.
 	minCanaryFraction = 0.4
-	// minCapacityFraction is the fraction of the stable version's slots that the target must have
-	// before all traffic shifts. The slots are then used somewhat more fully for the same load.
+	// minCapacityFraction is the minimum number of target slots, as a fraction of the stable
+	// version's slots, for all traffic to shift. With fewer slots than the stable version, the
+	// target's slots are used more fully for the same load.
 	minCapacityFraction = 0.7
 	// recentPeriod is the period whose answers are also evaluated separately, so that a version
 	// that turns bad is detected in spite of earlier good answers.
@@ -35,7 +37,7 @@
 	Stable Evidence
 	Target Evidence
 	// StableRunning is the number of calls running or queued at the stable version. StableKnown is
-	// true if all of its gates have reported theirs.
+	// true if all gates of that version have reported their number.
 	StableRunning int
 	StableKnown   bool
 	// StableSlots and TargetSlots count the slots of back ends that accept work.
@@ -54,7 +56,7 @@
 type Decider struct {
 	shiftedAt time.Duration
 	shifting  bool
-	// history holds the observations of the last recentPeriod, oldest first.
+	// history holds the counts of the last recentPeriod, oldest first.
 	history []sample
 }
 
@@ -66,8 +68,9 @@
 }
 
 // ShiftDelay returns the time after the receipt of an order at which all traffic shifts to the
-// target. It is as late as the time for calls at the stable version to finish allows, because a
-// version may turn bad at any time.
+// target. The shift is late, because a version may turn bad at any time, but leaves enough time
+// before the deadline for calls at the stable version to finish. The canary is always observed for
+// minCanaryFraction of the duration.
 func ShiftDelay(duration time.Duration) time.Duration {
 	latest := duration - deadlineMargin - propagationTime - drainLimit
 	return max(latest, time.Duration(float64(duration)*minCanaryFraction))
@@ -95,7 +98,7 @@
 	}
 	due := elapsed >= ShiftDelay(record.Duration)
 	if due && finding.DelaysShift() {
-		return decideSuspected(record, elapsed, finding)
+		return decideDelayedShift(record, elapsed, finding)
 	}
 	switch {
 	case observation.TargetSlots > 0 && observation.StableSlots == 0 && elapsed >= propagationTime:
@@ -108,9 +111,9 @@
 	return Decision{Stage: StageCanary}
 }
 
-// decideSuspected extends the canary stage of a version that is due to receive all traffic, and
-// halts it if no time is left for the shift.
-func decideSuspected(record Record, elapsed time.Duration, finding Finding) Decision {
+// decideDelayedShift extends the canary stage of a version whose shift is due but delayed by a
+// finding against it. It halts the version if no time is left for the shift.
+func decideDelayedShift(record Record, elapsed time.Duration, finding Finding) Decision {
 	if elapsed >= record.Duration-deadlineMargin-propagationTime {
 		return Decision{Stage: StageHalted, Reason: "suspected until the deadline: " + finding.String()}
 	}
@@ -137,8 +140,8 @@
 }
 
 // evaluate evaluates all answers and the recent ones separately, and returns the stronger finding.
-func (d *Decider) evaluate(now time.Duration, observation Observation, tolerated float64) Finding {
-	finding := Evaluate(observation.Target, observation.Stable, tolerated)
+func (d *Decider) evaluate(now time.Duration, observation Observation, toleratedShare float64) Finding {
+	finding := Evaluate(observation.Target, observation.Stable, toleratedShare)
 	for _, earlier := range d.history {
 		if now-earlier.at > recentPeriod {
 			continue
@@ -147,12 +150,13 @@
 		if recent.Total().Answers < minRecentAnswers {
 			recent = observation.Stable
 		}
-		return stronger(finding, Evaluate(observation.Target.Since(earlier.target), recent, tolerated))
+		return stronger(finding, Evaluate(observation.Target.Since(earlier.target), recent, toleratedShare))
 	}
 	return finding
 }
 
-// addToHistory adds an observation to the history and removes those older than recentPeriod.
+// addToHistory adds the counts of an observation to the history and removes those older than
+// recentPeriod.
 func (d *Decider) addToHistory(now time.Duration, observation Observation) {
 	for len(d.history) > 0 && now-d.history[0].at > recentPeriod {
 		d.history = d.history[1:]
--- a/internal/core/rollout/evaluate.go
+++ b/internal/core/rollout/evaluate.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// slowFraction is the fraction of the stable version's answers that count as slow: an answer of
-	// the target is slow if it took longer than all but this fraction of them. In the experiment,
-	// 0.05 detected slow versions sooner than 0.02: the last call to them came at most 7.6 s after
-	// their 50th bad answer, instead of 16.2 s.
+	// slowFraction is the fraction of the stable version's answers that form the tail of its
+	// latency histogram: an answer is slow if it took longer than the answers outside this tail
+	// (see slowBucketMargin). In the experiment, 0.05 detected slow versions sooner than 0.02: the
+	// last call to them came at most 7.6 s after their 50th bad answer, instead of 16.2 s.
 	slowFraction = 0.05
 	// slowBucketMargin is the number of latency buckets by which an answer must exceed the start of
-	// that tail. One bucket is up to 1.5 times the latency, so that a busy canary does not count as
-	// slow.
+	// that tail to count as slow. One bucket is up to 1.5 times the latency, so that a busy canary
+	// does not count as slow.
 	slowBucketMargin = 1
 	// minBadAnswers is the minimum number of bad answers for a finding.
 	minBadAnswers = 4
@@ -27,8 +27,8 @@
 	// maxExpected is the maximum expected fraction of bad answers. With an expectation of 1 no
 	// number of bad answers would be significant.
 	maxExpected = 0.95
-	// uncertaintyDeviations is the number of standard deviations of its estimate that are added to
-	// the stable version's fraction of bad answers.
+	// uncertaintyDeviations is how many standard deviations are added to the estimated fraction of
+	// bad answers of the stable version.
 	uncertaintyDeviations = 2
 	// haltThreshold is the significance, in nats, above which a version is halted: at 5 the
 	// probability that so many bad answers occur by chance at one evaluation is at most e^-5, one
@@ -37,8 +37,8 @@
 	haltThreshold = 5
 	// delayThreshold is the significance, in nats, above which a version does not receive all
 	// traffic yet but is observed for longer: the probability that so many bad answers occur by
-	// chance is at most one in four. Once the version receives all traffic, there is nothing left
-	// to compare it with. The effect is described in docs/design/rollouts.md.
+	// chance is at most one in four. Once the version receives all traffic, no other version
+	// is left to compare it with. The effect is described in docs/design/rollouts.md.
 	delayThreshold = 1.5
 )
 
@@ -62,7 +62,8 @@
 	Sign  Sign
 	Class callclass.Class
 	// Answers and Bad are the counts of the target. Expected is the fraction of bad answers up to
-	// which the target is considered as good as the stable version.
+	// which the target is considered as good as the stable version: the latter's estimated
+	// fraction, plus tolerances.
 	Answers  int
 	Bad      int
 	Expected float64
@@ -78,30 +79,30 @@
 // Evaluate compares the answers of a target version with those of the stable one in the same
 // period, for each class of calls, for all classes together and for each sign, and returns the
 // finding of the highest significance. Failures that affect both versions alike do not count
-// against the target. tolerated is the fraction of bad answers that is always accepted.
+// against the target. toleratedShare is the fraction of bad answers that is always accepted.
 //
 // The number of bad answers is tested against a binomial distribution with the stable version's
 // fraction of bad answers, plus a tolerance for the uncertainty of that estimate. By the Chernoff
 // bound, the probability of a fraction q where p is expected is at most exp(-n KL(q, p)).
-func Evaluate(target, stable Evidence, tolerated float64) Finding {
-	return stronger(evaluateSign(Failing, target, stable, tolerated), evaluateSign(Slow, target, stable, tolerated))
+func Evaluate(target, stable Evidence, toleratedShare float64) Finding {
+	return stronger(evaluateSign(Failing, target, stable, toleratedShare), evaluateSign(Slow, target, stable, toleratedShare))
 }
 
-func evaluateSign(sign Sign, target, stable Evidence, tolerated float64) Finding {
+func evaluateSign(sign Sign, target, stable Evidence, toleratedShare float64) Finding {
 	all, strongest := Finding{Sign: sign, All: true}, Finding{Sign: sign}
-	expected := 0.0
+	expectedBad := 0.0
 	for class, counts := range target {
-		finding := evaluateClass(sign, counts, stable[class], tolerated)
+		finding := evaluateClass(sign, counts, stable[class], toleratedShare)
 		finding.Class = class
 		strongest = stronger(strongest, finding)
 		all.Bad += finding.Bad
 		all.Answers += finding.Answers
-		expected += finding.Expected * float64(finding.Answers)
+		expectedBad += finding.Expected * float64(finding.Answers)
 	}
 	if all.Answers == 0 {
 		return strongest
 	}
-	all.Expected = expected / float64(all.Answers)
+	all.Expected = expectedBad / float64(all.Answers)
 	return stronger(strongest, all)
 }
 
@@ -114,7 +115,7 @@
 }
 
 // evaluateClass evaluates one class of calls for a sign.
-func evaluateClass(sign Sign, target, stable Counts, tolerated float64) Finding {
+func evaluateClass(sign Sign, target, stable Counts, toleratedShare float64) Finding {
 	slowFrom := slowBucket(stable)
 	answers, bad := target.countBad(sign, slowFrom)
 	stableAnswers, stableBad := stable.countBad(sign, slowFrom)
@@ -123,7 +124,7 @@
 		share = 0 // nothing to compare with: only failures count, beyond the tolerated fraction
 	}
 	uncertainty := uncertaintyDeviations * math.Sqrt(share*(1-share)/float64(stableAnswers+2))
-	return Finding{Sign: sign, Answers: answers, Bad: bad, Expected: min(share+uncertainty+tolerated, maxExpected)}
+	return Finding{Sign: sign, Answers: answers, Bad: bad, Expected: min(share+uncertainty+toleratedShare, maxExpected)}
 }
 
 // countBad returns the number of answers that are relevant to a sign, and the number of bad ones
@@ -151,8 +152,8 @@
 // RequiresHalt reports whether the version must be halted because of the finding.
 func (f Finding) RequiresHalt() bool { return f.Significance() > haltThreshold }
 
-// DelaysShift reports whether the finding is too strong to send all traffic to the version. This
-// threshold is below that of RequiresHalt.
+// DelaysShift reports whether the finding is significant enough to delay the shift of all traffic
+// to the version. The threshold is below that of RequiresHalt.
 func (f Finding) DelaysShift() bool { return f.Significance() > delayThreshold }
 
 // slowBucket returns the latency bucket from which an answer counts as slow.
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -11,7 +11,7 @@
 
 const (
 	// latencyBuckets is the number of buckets of the latency histogram, from 1 ms to about 60 s.
-	// The lower bound of each bucket is 1.33 or 1.5 times that of the previous one.
+	// From 2 ms on, the lower bound of each bucket is 1.33 or 1.5 times that of the previous one.
 	latencyBuckets = 32
 	// classLimit bounds the number of call classes that are counted separately.
 	classLimit = 16
@@ -74,6 +74,7 @@
 	c.Latency[latencyBucket(latency)]++
 }
 
+// plus returns the counts plus a multiple of others.
 func (c Counts) plus(other Counts, times uint32) Counts {
 	c.Answers += times * other.Answers
 	c.Failures += times * other.Failures
@@ -83,10 +84,11 @@
 	return c
 }
 
+// minus returns the counts minus others: ^uint32(0) is -1 in the modular arithmetic of uint32.
 func (c Counts) minus(other Counts) Counts { return c.plus(other, ^uint32(0)) }
 
-// latencyBucket returns the index of a latency's bucket: there are two buckets per doubling of the
-// milliseconds.
+// latencyBucket returns the index of the bucket of a latency. Each doubling from 2 ms on has two
+// buckets. Latencies below 2 ms use bucket 0, and bucket 1 is unused.
 func latencyBucket(latency time.Duration) int {
 	milliseconds := uint64(max(latency.Milliseconds(), 1))
 	doublings := bits.Len64(milliseconds) - 1
@@ -134,10 +136,10 @@
 	}
 }
 
-// Record counts an answer. timed is false if its latency is not representative of the version, as
-// while the back end is cold.
-func (t *Tally) Record(class callclass.Class, failed, timed bool, latency time.Duration) {
-	if !t.counting.Load() || (!failed && !timed) {
+// Record counts an answer. countsLatency is false if the latency is not representative of the
+// version, for example while the back end is cold. Such an answer counts only if it failed.
+func (t *Tally) Record(class callclass.Class, failed, countsLatency bool, latency time.Duration) {
+	if !t.counting.Load() || (!failed && !countsLatency) {
 		return
 	}
 	cell := t.cellFor(class)
--- a/internal/core/rollout/record.go
+++ b/internal/core/rollout/record.go
@@ -13,9 +13,9 @@
 // traffic never returns to a version that was halted.
 type Stage int
 
-// The stages of an order, in ascending order. StageHeld belongs to no order: a version that appears
-// for the first time receives no traffic for a moment, since the order for it may not have arrived
-// yet.
+// The stages of an order, in ascending order. StageHeld is not a stage of an order: it applies to a
+// version that has just appeared for the first time. The version receives no traffic yet, since an
+// order for it may still be on its way to this daemon.
 const (
 	StageHeld Stage = iota
 	// StageCanary sends a small share of the calls to the target version.
@@ -47,7 +47,7 @@
 
 // IsUrgent reports whether the stage must reach every daemon quickly, because daemons that have not
 // received it keep sending calls to the wrong version. Deciders then broadcast it repeatedly, since
-// a daemon may be unreachable for a moment.
+// a daemon may be temporarily unreachable.
 func (s Stage) IsUrgent() bool { return s == StageShift || s == StageHalted }
 
 // Final reports whether the outcome has been written.
@@ -58,8 +58,8 @@
 	Service resource.ServiceRef
 	// Target is the software version to roll out.
 	Target string
-	// Generation defines the sequence of the orders of a service. It is the store's position at
-	// which the order was written.
+	// Generation is the position in the store's history at which the order was written. Of two
+	// orders of a service, the one with the later generation applies.
 	Generation position.Position
 	// Duration is the time after the order by which its outcome is due.
 	Duration time.Duration
--- a/internal/core/rollout/record_test.go
+++ b/internal/core/rollout/record_test.go
@@ -51,7 +51,7 @@
 	check.True(first.Merge(time.Second, record))
 	check.True(second.Merge(time.Minute, first.Records(4 * time.Second)[0]))
 	check.Equal(second.Elapsed(time.Minute, testService), 3*time.Second)
-	check.True(!second.Merge(time.Minute, record)) // an old record does not reset the time
+	check.True(!second.Merge(time.Minute, record)) // a record with a shorter elapsed time does not reduce the known one
 	check.Equal(second.Elapsed(time.Minute, testService), 3*time.Second)
 }
 
--- a/internal/core/warmup/collapse_test.go
+++ b/internal/core/warmup/collapse_test.go
@@ -41,8 +41,8 @@
 	// maxAttempts is the maximum number of attempts of a call.
 	maxAttempts = 5
 	disturbAt   = 5 * time.Second
-	// runTime is the duration of a run, evaluatedTime the part of it whose calls have ended by the
-	// end of the run.
+	// runTime is the duration of a run. Calls sent within evaluatedTime have ended by the end of
+	// the run, so only these are evaluated.
 	runTime       = 30 * time.Second
 	evaluatedTime = 25 * time.Second
 )
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -12,31 +12,33 @@
 )
 
 const (
-	// arrivalSpread is how much closer together than their starts two calls may arrive at the back
-	// end: the time a busy machine may take to send a call that was allowed to start.
+	// arrivalSpread is the time that a busy machine may take to send a call that was allowed to
+	// start. Two calls may arrive at the back end closer together than their starts by this time.
 	arrivalSpread = 100 * time.Millisecond
 	// window is the period in which starts are counted.
 	window = time.Second + arrivalSpread
-	// paceParts is the number of parts of a window into which its starts are spread: each part may
-	// hold one paceParts-th of the limit, rounded up. Without pacing all starts of a window could
-	// come at once, and two such bursts would coincide if a machine sent the first one late.
+	// paceParts is the number of parts of a window over which its starts are spread (see
+	// partLimit). Without pacing all starts of a window could come at once, and two such bursts
+	// would coincide if a machine sent the first one late.
 	paceParts = 4
-	// usedSlack is the fraction of the slack that is used. The rest is a reserve for calls that are
-	// sent later than arrivalSpread, up to a quarter of a window late; pacing bounds their number.
-	usedSlack = 0.5
+	// usedSlackFraction is the fraction of the slack that is used. The rest is a reserve for calls
+	// that are sent later than arrivalSpread, up to a quarter of a window late; pacing bounds their
+	// number.
+	usedSlackFraction = 0.5
 	// startLimit bounds the number of starts that are kept, and so the highest limit.
 	startLimit = 4096
-	// reservedParts defines the reserve for each higher class: at most one reservedParts-th of a
-	// window's starts, and no more than the number of its calls that arrived recently.
-	reservedParts = 4
+	// reserveDivisor defines how many starts of a window are reserved for each more urgent class:
+	// the limit divided by reserveDivisor, or the number of recent calls of that class if it is
+	// lower.
+	reserveDivisor = 4
 	// ClassCount is the number of priority classes of calls. A higher class is more urgent.
 	ClassCount = 3
 )
 
 // Tolerance defines by how much the calls to a cold back end may exceed the configured rate.
 type Tolerance struct {
-	// Overage is the factor by which the rate may be exceeded in one second. A value below 1 counts
-	// as 1.
+	// Overage is the maximum number of calls in one second, as a multiple of the configured rate,
+	// before Slack is added. A value below 1 counts as 1.
 	Overage float64
 	// Slack is the number of additional calls that may arrive in one second.
 	Slack float64
@@ -48,7 +50,7 @@
 	if !(perSecond > 0) {
 		return 0
 	}
-	allowed := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*usedSlack
+	allowed := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*usedSlackFraction
 	if !(allowed < startLimit) {
 		return startLimit
 	}
@@ -61,30 +63,32 @@
 	// limitedUntil is the time until which starts are limited; 0 if no limit is set.
 	limitedUntil atomic.Int64
 
-	mutex     sync.Mutex
+	mutex sync.Mutex
+	// limit is the number of starts allowed in a window; 0 means no limit.
 	limit     int
 	coldUntil time.Duration
-	// uncountedAt is the latest time at which uncounted starts may have happened.
-	uncountedAt time.Duration
+	// lastUncountedStartAt is the latest time at which uncounted starts may have happened.
+	lastUncountedStartAt time.Duration
 	// starts holds the times of the latest starts, oldest first.
 	starts   []time.Duration
 	arrivals [ClassCount]arrivalCounter
 }
 
-// New returns a limiter without history. The back end counts as cold until SetColdUntil is called,
-// and an earlier process of the daemon may just have used the whole window.
+// New returns a limiter without recorded starts. The back end counts as cold until SetColdUntil is
+// called. While starts are limited, none is allowed in the first window, because an earlier process
+// of the daemon may have allowed some just before.
 func New(now time.Duration) *Limiter {
-	return &Limiter{coldUntil: math.MaxInt64, uncountedAt: now}
+	return &Limiter{coldUntil: math.MaxInt64, lastUncountedStartAt: now}
 }
 
-// SetLimit sets the number of starts allowed in a window; 0 means no limit. mayHaveStarted is true
-// if calls may have started uncounted while there was no limit.
-func (l *Limiter) SetLimit(now time.Duration, limit int, mayHaveStarted bool) {
+// SetLimit sets the number of starts allowed in a window; 0 means no limit. hasUncountedStarts is
+// true if calls may have started while there was no limit, since these were not counted.
+func (l *Limiter) SetLimit(now time.Duration, limit int, hasUncountedStarts bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	limit = min(max(limit, 0), startLimit)
-	if mayHaveStarted && l.limit == 0 && limit > 0 {
-		l.uncountedAt = max(l.uncountedAt, now)
+	if hasUncountedStarts && l.limit == 0 && limit > 0 {
+		l.lastUncountedStartAt = max(l.lastUncountedStartAt, now)
 	}
 	l.limit = limit
 	l.updateLimitedUntil()
@@ -95,13 +99,14 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if now >= l.coldUntil {
-		l.uncountedAt = max(l.uncountedAt, now) // starts at a warm back end are not counted
+		l.lastUncountedStartAt = max(l.lastUncountedStartAt, now) // starts at a warm back end are not counted
 	}
 	l.coldUntil = until
 	l.updateLimitedUntil()
 }
 
-// updateLimitedUntil updates limitedUntil. The lock must be held.
+// updateLimitedUntil sets limitedUntil to coldUntil, or to 0 if there is no limit. The lock must be
+// held.
 func (l *Limiter) updateLimitedUntil() {
 	until := l.coldUntil
 	if l.limit == 0 {
@@ -120,7 +125,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	wait := l.wait(now, class)
+	wait := l.requiredWait(now, class)
 	if wait > 0 {
 		l.arrivals[ClampClass(class)].record(now)
 	}
@@ -136,7 +141,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.arrivals[ClampClass(class)].record(now)
-	if wait = l.wait(now, class); wait == 0 {
+	if wait = l.requiredWait(now, class); wait == 0 {
 		l.record(now)
 	}
 	return wait
@@ -154,18 +159,20 @@
 	l.starts = append(l.starts, now)
 }
 
-// wait implements Wait. The lock must be held.
-func (l *Limiter) wait(now time.Duration, class int) time.Duration {
+// requiredWait returns how long a call of a class must wait until it may start. The lock must be
+// held.
+func (l *Limiter) requiredWait(now time.Duration, class int) time.Duration {
 	if l.limit == 0 {
 		return 0
 	}
-	free := max(l.uncountedAt+window, l.freeAt(now, l.windowShare(now, class), window))
-	free = max(free, l.freeAt(now, l.partLimit(class), window/paceParts))
-	return max(free-now, 0)
+	startAt := max(l.lastUncountedStartAt+window, l.earliestStart(now, l.windowShare(now, class), window))
+	startAt = max(startAt, l.earliestStart(now, l.partLimit(class), window/paceParts))
+	return max(startAt-now, 0)
 }
 
-// freeAt returns the time from which the latest span contains fewer starts than the given number.
-func (l *Limiter) freeAt(now time.Duration, number int, span time.Duration) time.Duration {
+// earliestStart returns the earliest time at which fewer starts than the given number lie within
+// the preceding span.
+func (l *Limiter) earliestStart(now time.Duration, number int, span time.Duration) time.Duration {
 	if len(l.starts) < number {
 		return now
 	}
@@ -175,7 +182,7 @@
 // windowShare returns how many starts of a window the calls of a class and the classes below it may
 // use.
 func (l *Limiter) windowShare(now time.Duration, class int) int {
-	maxReserve := (l.limit + reservedParts - 1) / reservedParts
+	maxReserve := (l.limit + reserveDivisor - 1) / reserveDivisor
 	share := l.limit
 	for higher := ClampClass(class) + 1; higher < ClassCount; higher++ {
 		share -= min(maxReserve, l.arrivals[higher].recent(now))
@@ -193,33 +200,34 @@
 // ClampClass limits a number to the range of the classes.
 func ClampClass(class int) int { return min(max(class, 0), ClassCount-1) }
 
-// arrivalCounter counts the calls of a class that arrive in the present and the previous window.
+// arrivalCounter counts the calls of a class that arrive in the present and the previous window. A
+// window begins with the first call after the end of the previous one.
 type arrivalCounter struct {
-	windowStart time.Duration
-	current     int
-	previous    int
+	windowStart   time.Duration
+	currentCount  int
+	previousCount int
 }
 
 // record counts a call.
 func (c *arrivalCounter) record(now time.Duration) {
 	if age := now - c.windowStart; age >= window {
-		c.previous = c.current
+		c.previousCount = c.currentCount
 		if age >= 2*window {
-			c.previous = 0
+			c.previousCount = 0
 		}
-		c.current = 0
+		c.currentCount = 0
 		c.windowStart = now
 	}
-	c.current++
+	c.currentCount++
 }
 
 // recent returns the higher of the call counts of the latest two windows.
 func (c *arrivalCounter) recent(now time.Duration) int {
 	switch age := now - c.windowStart; {
 	case age < window:
-		return max(c.current, c.previous)
+		return max(c.currentCount, c.previousCount)
 	case age < 2*window:
-		return c.current
+		return c.currentCount
 	}
 	return 0
 }
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -43,14 +43,14 @@
 	check.True(limiter.TryStart(time.Millisecond, mostUrgent) > 0)
 }
 
-func TestAWarmBackEndAndOneWithoutARateAreNotLimited(t *testing.T) {
+func TestAWarmBackEndAndOneWithoutALimitAreNotLimited(t *testing.T) {
 	check := is.New(t)
 	warm := newColdLimiter(1)
 	warm.SetColdUntil(0, 0)
-	withoutRate := New(0)
+	withoutLimit := New(0)
 	for range 100 {
 		check.Equal(warm.TryStart(0, lowest), time.Duration(0))
-		check.Equal(withoutRate.TryStart(0, lowest), time.Duration(0))
+		check.Equal(withoutLimit.TryStart(0, lowest), time.Duration(0))
 	}
 }
 
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestTheWaitEndsWhenAStartIsFree(t *testing.T) {
+func TestTheWaitEndsWhenAStartIsAllowed(t *testing.T) {
 	check := is.New(t)
 	limiter := newColdLimiter(2)
 	limiter.TryStart(0, lowest)
@@ -189,10 +189,9 @@
 	limit int
 }
 
-// TestNoSecondGetsMoreThanTheLimit draws calls of all classes, restarts of the daemon, changes of
-// the rate, and back ends that turn warm and cold again or are replaced. At each start at a back
-// end that counts as cold it counts all starts in the preceding second, including those while the
-// back end was warm.
+// In a random sequence of calls, daemon restarts, and changes of the limit and of the cold state, a
+// second that ends with a limited start never contains more starts than the highest limit that
+// applied at any of them. Starts while the back end was warm are included.
 func TestNoSecondGetsMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
