--- a/internal/proxy/abandon.go
+++ b/internal/proxy/abandon.go
@@ -5,21 +5,22 @@
 	"sync/atomic"
 )
 
-// AbandonReason is why this daemon ended an attempt that it had sent and that was not
-// answered yet.
+// AbandonReason is the reason why this daemon ended an attempt that it had sent and that was
+// not answered yet.
 type AbandonReason int
 
-// The reasons.
+// The reasons for abandoning an attempt.
 const (
-	// AbandonedByCaller: the caller has hung up.
+	// AbandonedByCaller: the caller closed its connection.
 	AbandonedByCaller AbandonReason = iota
-	// AbandonedAtDeadline: the call's time is over.
+	// AbandonedAtDeadline: the call's deadline has passed.
 	AbandonedAtDeadline
-	// AbandonedAtDrainBound: the hard bound of this daemon's drain has passed.
+	// AbandonedAtDrainBound: the deadline of this daemon's drain has passed; see
+	// Limits.DrainBound.
 	AbandonedAtDrainBound
-	// AbandonedForAnswer: another attempt of the call was answered.
+	// AbandonedForOtherAnswer: another attempt of the call was answered.
 	AbandonedForOtherAnswer
-	// AbandonedForRefusal: the call was refused while the attempt was under way.
+	// AbandonedForCallRefusal: the call was refused while the attempt was in progress.
 	AbandonedForCallRefusal
 	abandonReasonCount
 )
@@ -32,24 +33,24 @@
 	AbandonedForCallRefusal: "refused",
 }
 
-// String is the reason as logs and metrics name it.
+// String returns the reason's name in logs and metrics.
 func (r AbandonReason) String() string { return abandonReasonNames[r] }
 
-// abandonTally counts abandoned attempts by reason.
+// abandonedCounts counts abandoned attempts by reason.
 type abandonedCounts [abandonReasonCount]atomic.Uint64
 
-// snapshot is a copy of the counts that are not 0.
-func (t *abandonedCounts) snapshot() map[AbandonReason]uint64 {
+// snapshot returns a copy of the nonzero counts.
+func (c *abandonedCounts) snapshot() map[AbandonReason]uint64 {
 	counts := map[AbandonReason]uint64{}
-	for reason := range t {
-		if count := t[reason].Load(); count > 0 {
+	for reason := range c {
+		if count := c[reason].Load(); count > 0 {
 			counts[AbandonReason(reason)] = count
 		}
 	}
 	return counts
 }
 
-// endReason is why the call itself has ended; false while it has not.
+// endReason returns the reason why the call's context has ended; false if it has not.
 func (c *callerCall) endReason() (AbandonReason, bool) {
 	switch {
 	case context.Cause(c.context) == errDrainBound:
@@ -62,18 +63,17 @@
 	return 0, false
 }
 
-// noteAbandoned counts an attempt that this daemon has ended, and logs what was known of
-// its endpoint.
-func (c *callerCall) recordAbandoned(tried *attempt, reason AbandonReason) {
+// recordAbandoned counts an abandoned attempt and logs it with the state of its endpoint.
+func (c *callerCall) recordAbandoned(abandoned *attempt, reason AbandonReason) {
 	p := c.proxy
 	p.counters.abandoned[reason].Add(1)
 	p.trace("attempt_abandoned", func() []EventField {
 		now := p.config.Clock()
 		fields := append(c.identityFields(),
 			textField("reason", reason.String()),
-			textField("ran_ms", formatMillis(now-tried.sentAt)),
+			textField("ran_ms", formatMillis(now-abandoned.sentAt)),
 			textField("left_ms", formatMillis(c.deadline-now)),
 			p.drainField())
-		return append(fields, endpointFields(tried.endpoint, now)...)
+		return append(fields, endpointFields(abandoned.endpoint, now)...)
 	})
 }
--- a/internal/proxy/ahead.go
+++ b/internal/proxy/ahead.go
@@ -9,8 +9,8 @@
 	"github.com/springstack/springstack/internal/pipeline"
 )
 
-// aheadConfig says how requests that callers send one behind another on a
-// connection run side by side; nil means that they do not.
+// pipelineConfig returns the configuration for running pipelined requests of a caller's
+// connection concurrently; nil if they run one after another.
 func (p *Proxy) pipelineConfig() *pipeline.Config {
 	if p.limits.AheadCalls < 0 {
 		return nil
@@ -26,35 +26,36 @@
 	}
 }
 
-// mayRunAhead tells whether a request may run before its turn: its route must let
-// it be repeated. A daemon that drains starts nothing that way, so that the next
-// answer can be the connection's last.
+// mayRunAhead reports whether a request may run before the earlier requests of its connection
+// are answered: its route must allow it to be repeated. A draining daemon runs no further
+// request ahead, so that it can close the connection after the next answer.
 func (p *Proxy) mayRunAhead(request *http.Request) bool {
 	if p.drain.started.Load() || !p.mayServe() {
 		return false
 	}
 	current := p.view.Load()
-	located, _, fine := p.locate(request)
-	if current.snapshot == nil || !fine {
+	target, _, ok := p.locate(request)
+	if current.snapshot == nil || !ok {
 		return false
 	}
-	route := current.findRoute(request, located)
+	route := current.findRoute(request, target)
 	return route != nil && route.Repeatable(request.Method)
 }
 
-// startedAhead counts a request that runs ahead.
+// recordRunAhead counts a request that runs ahead of its turn. depth is the number of such
+// requests on its connection.
 func (p *Proxy) recordRunAhead(depth int) {
 	p.counters.ranAhead.Add(1)
 	for {
-		deepest := p.counters.aheadDepth.Load()
-		if int64(depth) <= deepest || p.counters.aheadDepth.CompareAndSwap(deepest, int64(depth)) {
+		previousMax := p.counters.aheadDepth.Load()
+		if int64(depth) <= previousMax || p.counters.aheadDepth.CompareAndSwap(previousMax, int64(depth)) {
 			return
 		}
 	}
 }
 
-// replay answers a request that has run ahead, in its turn. It counts as running
-// until then, so that a drain waits for it.
+// replayAnswer writes the answer to a request that has run ahead, in its turn. The request
+// counts as running until then, so that a drain waits for it.
 func (s *sideHandler) replayAnswer(writer http.ResponseWriter, request *http.Request, call *pipeline.Call) {
 	p := s.proxy
 	p.runningCallerCalls.Add(1)
@@ -63,15 +64,17 @@
 	if p.closesAfterAnswer(request) {
 		writer.Header().Set("Connection", "close")
 	}
-	// Without a deadline a caller that does not read could hold the call.
+	// Without a deadline a caller that does not read would block the call forever.
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(p.limits.StallTimeout))
 	call.Replay(writer)
 }
 
-// longWait is a wait for a request's turn that is always logged.
+// alwaysLoggedWait is the turn wait from which on a request is logged even if it is not in the
+// sample.
 const alwaysLoggedWait = time.Second
 
-// waited notes how long a request has waited behind others of its connection.
+// recordTurnWait records how long a request has waited for the earlier requests of its
+// connection. ahead is set if the request has run in the meantime.
 func (s *sideHandler) recordTurnWait(request *http.Request, waited time.Duration, ahead bool) {
 	if waited <= 0 {
 		return
@@ -91,8 +94,8 @@
 	})
 }
 
-// closesAfter tells whether a connection is closed after the answer to its
-// current request: when the daemon drains, and no request behind it has run ahead.
+// closesAfterAnswer reports whether the connection is closed after the answer to the given
+// request: the daemon drains and no later request of the connection runs or has run ahead.
 func (p *Proxy) closesAfterAnswer(request *http.Request) bool {
 	if !p.drain.started.Load() {
 		return false
@@ -101,11 +104,11 @@
 	return !counted || !conn.hasPendingAnswers()
 }
 
-// waitKey is the key, in a request's context, of the time for which it has waited
-// for its turn.
+// turnWaitKey is the context key of the time that a request has waited for its turn.
 type turnWaitKey struct{}
 
-// withWait notes how long a request has waited for its turn.
+// withTurnWait returns the request with the time that it has waited for its turn in its
+// context.
 func withTurnWait(request *http.Request, waited time.Duration) *http.Request {
 	if waited <= 0 {
 		return request
@@ -113,8 +116,8 @@
 	return request.WithContext(context.WithValue(request.Context(), turnWaitKey{}, waited))
 }
 
-// waitOf is how long a request has waited for its turn behind others of its
-// connection. Its time counts from its arrival.
+// turnWait returns the time that a request has waited for its turn. It is subtracted from the
+// call's timeout, which counts from the request's arrival.
 func turnWait(request *http.Request) time.Duration {
 	waited, _ := request.Context().Value(turnWaitKey{}).(time.Duration)
 	return waited
--- a/internal/proxy/ahead_test.go
+++ b/internal/proxy/ahead_test.go
@@ -12,41 +12,45 @@
 	"github.com/matryer/is"
 )
 
-// held is a back end whose calls wait until the test lets their path go on.
+// pathBlockingBackend is a back end whose calls block until the test closes the channel of their
+// path in releases, or until they are cancelled. It sends the path of each call to started when the
+// call starts, and to cancelled when it is cancelled.
 type pathBlockingBackend struct {
 	started   chan string
 	cancelled chan string
 	releases  map[string]chan struct{}
 }
 
+// newPathBlockingBackend returns a back end with a release channel for each of the paths.
 func newPathBlockingBackend(paths ...string) *pathBlockingBackend {
-	made := &pathBlockingBackend{started: make(chan string, 16), cancelled: make(chan string, 16), releases: map[string]chan struct{}{}}
+	backend := &pathBlockingBackend{started: make(chan string, 16), cancelled: make(chan string, 16), releases: map[string]chan struct{}{}}
 	for _, path := range paths {
-		made.releases[path] = make(chan struct{})
+		backend.releases[path] = make(chan struct{})
 	}
-	return made
+	return backend
 }
 
-func (h *pathBlockingBackend) spec() backendSpec {
+func (b *pathBlockingBackend) spec() backendSpec {
 	return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		path := request.URL.Path
-		h.started <- path
+		b.started <- path
 		select {
-		case <-h.releases[path]:
+		case <-b.releases[path]:
 			_, _ = io.WriteString(writer, path)
 		case <-request.Context().Done():
-			h.cancelled <- path
+			b.cancelled <- path
 		}
 	}}
 }
 
-// pipelined is a caller that sends on without waiting for answers.
+// pipeliningCaller is a caller that sends requests without waiting for answers.
 type pipeliningCaller struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
+// pipeline connects to the callers' side and sends the requests.
 func (m *mesh) pipeline(t *testing.T, requests ...string) *pipeliningCaller {
 	conn, err := net.Dial("tcp", m.address)
 	if err != nil {
@@ -61,7 +65,8 @@
 	return &pipeliningCaller{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// next reads the next answer: its body, and whether the connection ends with it.
+// readAnswer reads the next answer and returns its body, and whether it announces that the
+// connection closes.
 func (p *pipeliningCaller) readAnswer() (body string, closes bool) {
 	p.t.Helper()
 	answer, err := http.ReadResponse(p.reader, nil)
@@ -75,8 +80,10 @@
 	return string(text), answer.Close
 }
 
+// getRequestTo returns the text of a GET request without body.
 func getRequestTo(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
+// payRequest is the text of a POST request, which must not run before its turn.
 const payRequest = "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi"
 
 func TestPipelinedCallsRunConcurrently(t *testing.T) {
@@ -84,16 +91,16 @@
 	backend := newPathBlockingBackend("/a", "/b", "/pay")
 	mesh := startMesh(t, meshOptions{}, backend.spec())
 	caller := mesh.pipeline(t, getRequestTo("/a"), getRequestTo("/b"), payRequest)
-	first := <-backend.started
-	check.True(first != <-backend.started)
+	firstStarted := <-backend.started
+	check.True(firstStarted != <-backend.started)
 	close(backend.releases["/b"])
 	close(backend.releases["/a"])
-	for _, wanted := range []string{"/a", "/b"} {
+	for _, path := range []string{"/a", "/b"} {
 		body, closes := caller.readAnswer()
-		check.Equal(body, wanted)
+		check.Equal(body, path)
 		check.True(!closes)
 	}
-	check.Equal(<-backend.started, "/pay") // not before the answers ahead of it
+	check.Equal(<-backend.started, "/pay") // it starts only after the earlier answers
 	close(backend.releases["/pay"])
 	body, _ := caller.readAnswer()
 	check.Equal(body, "/pay")
@@ -101,8 +108,8 @@
 	check.Equal(mesh.caller.Counters().AheadBytes, int64(0))
 }
 
-// TestADrainAnswersWhatRunsAhead: what has been passed on is answered, and only
-// the last answer closes the connection.
+// A drain must answer the calls that have been sent to the back end already, and only the last
+// answer closes the connection.
 func TestDrainAnswersPipelinedCalls(t *testing.T) {
 	check := is.New(t)
 	backend := newPathBlockingBackend("/a", "/b", "/c")
@@ -125,10 +132,10 @@
 	_, err = caller.reader.ReadByte()
 	check.Equal(err, io.EOF)
 	<-mesh.caller.Drained()
-	check.Equal(len(backend.started), 0) // /c was left unread
+	check.Equal(len(backend.started), 0) // the request for /c was not read
 }
 
-// TestAShutdownAnswersWhatRunsAhead: as a drain does, also when the server stops
+// A shutdown must answer the calls that have been sent to the back end already, also if it begins
 // before the first answer.
 func TestShutdownAnswersPipelinedCalls(t *testing.T) {
 	check := is.New(t)
@@ -148,14 +155,14 @@
 	}
 	close(backend.releases["/b"])
 	close(backend.releases["/a"])
-	for _, wanted := range []string{"/a", "/b"} {
+	for _, path := range []string{"/a", "/b"} {
 		body, _ := caller.readAnswer()
-		check.Equal(body, wanted)
+		check.Equal(body, path)
 	}
 	check.NoErr(<-stopped)
 }
 
-// TestACallerThatLeavesEndsAllItsCalls: also while bytes of it wait to be read.
+// A caller's disconnect must cancel all its calls, even if a request of it is still unread.
 func TestCallerDisconnectCancelsPipelinedCalls(t *testing.T) {
 	check := is.New(t)
 	backend := newPathBlockingBackend("/a", "/b")
@@ -164,21 +171,21 @@
 	<-backend.started
 	<-backend.started
 	check.NoErr(caller.conn.Close())
-	first := <-backend.cancelled
-	check.True(first != <-backend.cancelled)
+	firstCancelled := <-backend.cancelled
+	check.True(firstCancelled != <-backend.cancelled)
 	check.Equal(len(backend.started), 0)
 }
 
-// TestTimeCountsFromArrival: a call that must wait for its turn has less time left.
+// The time that a call waits for its turn must count against its timeout.
 func TestCallTimeoutIncludesTurnWait(t *testing.T) {
 	check := is.New(t)
 	backend := newPathBlockingBackend("/a")
 	backend.releases["/a"] = make(chan struct{})
 	mesh := startMesh(t, meshOptions{}, backend.spec())
-	late := "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nSpringstack-Timeout-Ms: 30\r\n\r\nhi"
-	caller := mesh.pipeline(t, getRequestTo("/a"), late)
+	shortTimeoutRequest := "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\nSpringstack-Timeout-Ms: 30\r\n\r\nhi"
+	caller := mesh.pipeline(t, getRequestTo("/a"), shortTimeoutRequest)
 	check.Equal(<-backend.started, "/a")
-	time.Sleep(60 * time.Millisecond) // the time that the second call has
+	time.Sleep(60 * time.Millisecond) // longer than the second call's timeout
 	close(backend.releases["/a"])
 	body, _ := caller.readAnswer()
 	check.Equal(body, "/a")
@@ -188,8 +195,8 @@
 	check.Equal(len(backend.started), 0)
 }
 
-// TestGarbageBehindACallIsRefusedInItsPlace: with its code, after the answers ahead
-// of it, and the connection closes.
+// A malformed request after valid ones must be refused with a code, after their answers, and the
+// connection must be closed.
 func TestMalformedPipelinedRequestIsRefusedInOrder(t *testing.T) {
 	check := is.New(t)
 	backend := newPathBlockingBackend("/a", "/b")
@@ -199,9 +206,9 @@
 	<-backend.started
 	close(backend.releases["/b"])
 	close(backend.releases["/a"])
-	for _, wanted := range []string{"/a", "/b"} {
+	for _, path := range []string{"/a", "/b"} {
 		body, _ := caller.readAnswer()
-		check.Equal(body, wanted)
+		check.Equal(body, path)
 	}
 	answer, err := http.ReadResponse(caller.reader, nil)
 	check.NoErr(err)
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// copyBytes is the size of the buffer through which an answer streams.
+// copyBufferBytes is the size of the buffers that answers are copied through.
 const copyBufferBytes = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any {
@@ -18,16 +18,19 @@
 	return &buffer
 }}
 
-// informer passes interim answers (1xx) on until the final one has come.
+// interimRelay forwards interim answers (1xx) of one attempt until its final answer arrives.
 type interimRelay struct {
-	// mutex is this call's own; the library calls from another goroutine.
+	// mutex is needed because net/http calls forward on another goroutine.
 	mutex   sync.Mutex
 	writer  http.ResponseWriter
 	stopped bool
-	// hangs is called when a gate tells that the call hangs; nil where nobody asked for that.
+	// onHang is called when the gate reports that the call hangs; nil unless the attempt
+	// carries headerMayHedge.
 	onHang func()
 }
 
+// forward writes an interim answer to the writer. If the interim answer reports that the call
+// hangs, forward calls onHang instead.
 func (i *interimRelay) forward(code int, header http.Header) error {
 	if header.Get(headerHangs) != "" {
 		if i.onHang != nil {
@@ -40,57 +43,59 @@
 	if i.stopped || code == http.StatusContinue || code == http.StatusSwitchingProtocols {
 		return nil
 	}
-	own := i.writer.Header()
-	ending := own.Get("Connection")
+	writerHeader := i.writer.Header()
+	connectionValue := writerHeader.Get("Connection")
 	for name, values := range header {
-		own[name] = slices.Clone(values)
+		writerHeader[name] = slices.Clone(values)
 	}
-	stripHopByHop(own)
-	stripOwn(own)
+	stripHopByHop(writerHeader)
+	stripOwn(writerHeader)
 	i.writer.WriteHeader(code)
-	clear(own)
-	if ending != "" {
-		own.Set("Connection", ending)
+	clear(writerHeader)
+	if connectionValue != "" {
+		writerHeader.Set("Connection", connectionValue)
 	}
 	return nil
 }
 
-// tellHang tells the sender of a call that it hangs, unless its answer has come.
+// reportHang reports to the sending daemon that the call hangs, unless the final answer has
+// arrived.
 func (i *interimRelay) reportHang() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	if i.stopped {
 		return
 	}
-	own := i.writer.Header()
-	ending, closes := own["Connection"]
-	delete(own, "Connection")
-	own[headerHangs] = trueHeaderValue
+	writerHeader := i.writer.Header()
+	connectionValues, hasConnection := writerHeader["Connection"]
+	delete(writerHeader, "Connection")
+	writerHeader[headerHangs] = trueHeaderValue
 	i.writer.WriteHeader(http.StatusProcessing)
-	delete(own, headerHangs)
-	if closes {
-		own["Connection"] = ending
+	delete(writerHeader, headerHangs)
+	if hasConnection {
+		writerHeader["Connection"] = connectionValues
 	}
 }
 
+// stop ends the forwarding of interim answers.
 func (i *interimRelay) stop() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.stopped = true
 }
 
-// delivery passes one answer on.
+// delivery copies one answer to the writer.
 type delivery struct {
 	writer       http.ResponseWriter
 	control      *http.ResponseController
 	answer       *http.Response
 	upload       *upload
 	stallTimeout time.Duration
-	// extra is added to the headers, after springstack's own were stripped.
+	// addHeaders, unless nil, adds headers after springstack's own have been removed.
 	addHeaders func(http.Header)
 }
 
-// head writes the status and headers.
+// writeHead writes the status and headers.
 func (d *delivery) writeHead() {
 	header := d.writer.Header()
 	for name, values := range d.answer.Header {
@@ -99,7 +104,7 @@
 	stripHopByHop(header)
 	stripOwn(header)
 	if _, found := header["Content-Type"]; !found {
-		header["Content-Type"] = nil // the library would guess one
+		header["Content-Type"] = nil // net/http would guess one
 	}
 	if len(d.answer.Trailer) > 0 {
 		header.Set("Trailer", strings.Join(trailerNames(d.answer.Trailer), ", "))
@@ -129,23 +134,23 @@
 	return names
 }
 
-// allowWrite bounds the next write. A failure means that the connection is
-// gone, which the write then finds.
+// extendWriteDeadline sets the deadline of the next write. It fails only on a broken
+// connection, and then the write fails as well.
 func (d *delivery) extendWriteDeadline() {
 	_ = d.control.SetWriteDeadline(time.Now().Add(d.stallTimeout))
 }
 
-// body streams the body and then the trailers. On an error the answer is cut
-// short: the connection of the caller must be broken, never ended cleanly.
+// streamBody copies the body and then the trailers. After an error the answer is incomplete:
+// the receiver's connection must be aborted, so that the answer can't be taken for complete.
 func (d *delivery) streamBody() error {
 	buffer := copyBuffers.Get().(*[]byte)
 	defer copyBuffers.Put(buffer)
-	left := d.answer.ContentLength
+	remaining := d.answer.ContentLength
 	for {
 		count, readErr := d.answer.Body.Read(*buffer)
-		left -= int64(count)
+		remaining -= int64(count)
 		if count > 0 {
-			if err := d.write((*buffer)[:count], left != 0); err != nil {
+			if err := d.write((*buffer)[:count], remaining != 0); err != nil {
 				return err
 			}
 		}
@@ -160,8 +165,8 @@
 	return nil
 }
 
-// write passes bytes on. While more is to come they are flushed, so that a
-// stream is never held back.
+// write writes a part of the body. Unless it is the last one it is flushed, so that streamed
+// data is not delayed.
 func (d *delivery) write(bytes []byte, more bool) error {
 	d.extendWriteDeadline()
 	if _, err := d.writer.Write(bytes); err != nil {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -11,22 +11,23 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// attempt is one sending of a call to one endpoint.
+// attempt is one sending of a call to an endpoint, with its outcome.
 type attempt struct {
 	endpoint        *endpoint.Endpoint
 	exchange        *exchange
 	outcome         retry.Outcome
 	endpointOutcome endpoint.Outcome
 	ended           bool
-	// sentAt is when it was sent, on the clock.
+	// sentAt is the time of sending, on the proxy's clock.
 	sentAt time.Duration
-	// suspected says that the call may end the back end that runs it.
+	// suspected is set if the call's request was suspected of ending back ends.
 	suspected bool
-	// cancel frees the context of the attempt; nil for none.
+	// cancel cancels the attempt's context; nil if the attempt has none of its own.
 	cancel context.CancelFunc
 }
 
-// end closes the exchange and gives the endpoint its evidence, once.
+// end closes the exchange and records endpointOutcome at the endpoint. Further calls do
+// nothing.
 func (a *attempt) end(p *Proxy) {
 	if a.ended || a.endpoint == nil {
 		return
@@ -39,165 +40,169 @@
 	a.endpoint.End(p.config.Clock(), a.endpointOutcome)
 }
 
-// withdraw ends an attempt whose exchange has another owner; it says nothing of its
-// endpoint.
+// endAsCancelled ends an attempt whose exchange has another owner. The endpoint's statistics
+// don't count it as a success or failure.
 func (a *attempt) endAsCancelled(p *Proxy) {
 	a.exchange = newPlaceholderExchange()
 	a.endpointOutcome = endpoint.Cancelled
 	a.end(p)
 }
 
-// attempt sends the call to the endpoint chosen now.
+// makeAttempt chooses an endpoint and sends the call there, with the no-retry mark if mark is set.
+// The returned attempt has its outcome; it is the hedged attempt if that was answered first.
 func (c *callerCall) makeAttempt(mark bool) *attempt {
 	p := c.proxy
 	now := p.config.Clock()
-	belief, outcome, barred := c.checkBlocked(now)
-	if barred {
+	state, outcome, blocked := c.checkBlocked(now)
+	if blocked {
 		return c.unsentAttempt(outcome)
 	}
 	current := p.view.Load()
-	shared := current.services[c.service]
-	if shared == nil {
+	calledService := current.services[c.service]
+	if calledService == nil {
 		return c.unsentAttempt(retry.Outcome{Kind: retry.NoEndpoint})
 	}
 	c.applyRegions(current)
-	among := shared.poolFor(c.regions)
-	chosen := c.chooseEndpoint(among, belief, now)
+	candidates := calledService.poolFor(c.regions)
+	chosen := c.chooseEndpoint(candidates, state, now)
 	if chosen == nil {
-		return c.unsentAttempt(c.noEndpointOutcome(among.set, now))
+		return c.unsentAttempt(c.noEndpointOutcome(candidates.set, now))
 	}
 	if c.isHedgedAt(chosen) {
 		return c.unsentAttempt(retry.Outcome{Kind: retry.NoEndpoint})
 	}
-	path := current.upstreams[chosen.Address]
-	if path == nil {
+	gateUpstream := current.upstreams[chosen.Address]
+	if gateUpstream == nil {
 		return c.unsentAttempt(retry.Outcome{Kind: retry.NoEndpoint})
 	}
 	p.counters.attempts.Add(1)
 	chosen.Begin()
-	made := &attempt{endpoint: chosen, sentAt: now, suspected: belief == quarantine.Suspected}
+	thisAttempt := &attempt{endpoint: chosen, sentAt: now, suspected: state == quarantine.Suspected}
 	c.triedEndpoints = append(c.triedEndpoints, chosen)
-	ended := c.sendAttempt(made, path, among.set, mark, now)
-	if ended == made {
-		c.classifyAttempt(made, among.set)
+	ended := c.sendAttempt(thisAttempt, gateUpstream, candidates.set, mark, now)
+	if ended == thisAttempt {
+		c.classifyAttempt(thisAttempt, candidates.set)
 	}
 	return ended
 }
 
-// barred tells whether the call may not be sent at all now, and the outcome of its attempt
-// then; else what is believed of its request.
+// checkBlocked reports whether the call must not be sent at all now, with the outcome of the
+// attempt in that case. Otherwise it returns the quarantine state of the call's request.
 func (c *callerCall) checkBlocked(now time.Duration) (quarantine.State, retry.Outcome, bool) {
 	if !c.proxy.mayServe() {
-		// The lease has run out since the call came. What was sent before stands;
-		// nothing more is sent.
+		// The serving lease has expired since the call arrived. Attempts already sent
+		// continue, but no further one is sent.
 		return 0, retry.Outcome{Kind: retry.Refused, Code: result.NotServing, Ran: result.RanNo}, true
 	}
 	if now >= c.deadline || c.context.Err() != nil {
 		return 0, retry.Outcome{Kind: retry.NotSent}, true
 	}
-	belief, held := c.quarantineState()
-	if belief == quarantine.Held {
-		return belief, retry.Outcome{Kind: retry.Refused, Code: held.Code, Ran: result.RanNo, RetryAfter: held.RetryAfter}, true
+	state, refusal := c.quarantineState()
+	if state == quarantine.Held {
+		return state, retry.Outcome{Kind: retry.Refused, Code: refusal.Code, Ran: result.RanNo, RetryAfter: refusal.RetryAfter}, true
 	}
-	return belief, retry.Outcome{}, false
+	return state, retry.Outcome{}, false
 }
 
-// send sends an attempt and waits for the head of its answer. The attempt is hedged, which
-// ends it here, when its gate's daemon is found to be unreachable or its gate tells that it
-// hangs, and another one is paid for. An answer of an attempt that was hedged before is taken
-// when it comes first; if it is one of failure, this attempt goes on. It returns the attempt
-// that has ended, which is judged already unless it is made.
-func (c *callerCall) sendAttempt(made *attempt, path *upstream, set *endpoint.Set, mark bool, now time.Duration) *attempt {
+// sendAttempt sends the call and waits for the head of the answer. If the gate's daemon is
+// unreachable, or the gate reports that the call hangs, and another attempt is charged to the
+// retry budget, then the attempt ends here and its exchange continues as the call's hedged
+// attempt. If an earlier hedged attempt is answered first, its answer is returned instead and
+// this attempt is dropped; if that answer is a server error, this attempt continues. The
+// returned attempt has ended; it is already classified unless it is thisAttempt.
+func (c *callerCall) sendAttempt(thisAttempt *attempt, gateUpstream *upstream, candidates *endpoint.Set, mark bool, now time.Duration) *attempt {
 	relay := &interimRelay{writer: c.writer}
-	defer c.proxy.watchSilence(path, made.endpoint, silenceLimit(c.route.Resource.Target))()
+	defer c.proxy.watchSilence(gateUpstream, thisAttempt.endpoint, silenceLimit(c.route.Resource.Target))()
 	ctx, cancel := context.WithCancel(c.context)
-	made.cancel = cancel
-	outgoing := c.newGateRequest(made.endpoint, mark, c.deadline-now)
-	silent := c.hedgeTrigger(made, path, set)
-	if silent != nil {
+	thisAttempt.cancel = cancel
+	outgoing := c.newGateRequest(thisAttempt.endpoint, mark, c.deadline-now)
+	trigger := c.hedgeTrigger(thisAttempt, gateUpstream, candidates)
+	if trigger != nil {
 		outgoing.Header[headerMayHedge] = trueHeaderValue
-		relay.onHang = func() { path.silence.hedge(made) }
+		relay.onHang = func() { gateUpstream.silence.hedge(thisAttempt) }
 	}
-	defer path.silence.removeHedgeable(made)
-	if silent == nil && c.hedgedAttempt == nil {
-		made.exchange = path.send(ctx, outgoing, relay, nil)
-		c.recordIfAnswered(made, path)
-		return made
+	defer gateUpstream.silence.removeHedgeable(thisAttempt)
+	if trigger == nil && c.hedgedAttempt == nil {
+		thisAttempt.exchange = gateUpstream.send(ctx, outgoing, relay, nil)
+		c.recordIfAnswered(thisAttempt, gateUpstream)
+		return thisAttempt
 	}
-	send := func() *exchange { return path.send(ctx, outgoing, relay, nil) }
-	under := startExchange(send, c.proxy.limits.CollectBytes)
+	sendRequest := func() *exchange { return gateUpstream.send(ctx, outgoing, relay, nil) }
+	pending := startExchange(sendRequest, c.proxy.limits.CollectBytes)
 	for {
 		select {
-		case <-under.done:
-			made.exchange = under.take()
-			c.recordIfAnswered(made, path)
-			return made
-		case <-silent:
+		case <-pending.done:
+			thisAttempt.exchange = pending.take()
+			c.recordIfAnswered(thisAttempt, gateUpstream)
+			return thisAttempt
+		case <-trigger:
 			relay.stop()
-			c.detachAsHedged(made, set, under)
-			return made
+			c.detachAsHedged(thisAttempt, candidates, pending)
+			return thisAttempt
 		case <-c.hedgedDone():
-			late := c.takeDeliverableAnswer()
-			if late == nil {
+			hedged := c.takeDeliverableAnswer()
+			if hedged == nil {
 				continue
 			}
 			relay.stop()
-			under.drop()
-			c.recordAbandoned(made, AbandonedForOtherAnswer)
-			made.endAsCancelled(c.proxy)
-			return late
+			pending.drop()
+			c.recordAbandoned(thisAttempt, AbandonedForOtherAnswer)
+			thisAttempt.endAsCancelled(c.proxy)
+			return hedged
 		}
 	}
 }
 
-// hedge ends an attempt here while its exchange runs on, at most until the call's context ends.
-func (c *callerCall) detachAsHedged(made *attempt, set *endpoint.Set, under *pendingExchange) {
-	c.hedgedAttempt = &hedgedAttempt{chosen: made.endpoint, sentAt: made.sentAt, set: set, pending: under}
-	made.cancel = nil
-	made.exchange = newPlaceholderExchange()
+// detachAsHedged makes an attempt the call's hedged attempt: its exchange continues in the
+// background, at most until the call's context ends.
+func (c *callerCall) detachAsHedged(thisAttempt *attempt, candidates *endpoint.Set, pending *pendingExchange) {
+	c.hedgedAttempt = &hedgedAttempt{chosen: thisAttempt.endpoint, sentAt: thisAttempt.sentAt, set: candidates, pending: pending}
+	thisAttempt.cancel = nil
+	thisAttempt.exchange = newPlaceholderExchange()
 }
 
-// takeAnswered returns the hedged attempt, which has ended, if its answer is to be delivered,
-// and else nil. An answer of failure is kept in case no better one comes.
+// takeDeliverableAnswer returns the hedged attempt, which must have ended, if its answer is to
+// be delivered, else nil. A server error is kept for the case that no better answer arrives.
 func (c *callerCall) takeDeliverableAnswer() *attempt {
-	late := c.takeHedgedAnswer()
-	if late == nil || !late.outcome.Failed {
-		return late
+	hedged := c.takeHedgedAnswer()
+	if hedged == nil || !hedged.outcome.Failed {
+		return hedged
 	}
-	late.end(c.proxy)
-	c.keepFailureAnswer(late)
+	hedged.end(c.proxy)
+	c.keepFailureAnswer(hedged)
 	return nil
 }
 
-// noteHeard notes that a gate has answered an attempt, if it has.
-func (c *callerCall) recordIfAnswered(made *attempt, path *upstream) {
-	if made.exchange.answer != nil {
-		c.proxy.recordGateAnswer(path)
+// recordIfAnswered records that the gate has just answered, if it answered the attempt.
+func (c *callerCall) recordIfAnswered(thisAttempt *attempt, gateUpstream *upstream) {
+	if thisAttempt.exchange.answer != nil {
+		c.proxy.recordGateAnswer(gateUpstream)
 	}
 }
 
-// holdSilent returns what is closed when the daemon of the attempt's gate is unreachable, or
-// the gate tells that the attempt hangs, and another attempt is paid for. It returns nil for a
-// call that waits for its gate: one that may not be repeated, may end its back ends, or has a
-// hedged attempt already.
-func (c *callerCall) hedgeTrigger(made *attempt, path *upstream, set *endpoint.Set) <-chan struct{} {
-	if !c.policy.Repeatable || made.suspected || c.proxy.config.OnSilent == nil || c.hedgedAttempt != nil {
+// hedgeTrigger returns a channel that is closed when the attempt is to be hedged: the daemon of
+// its gate is unreachable, or the gate reports that the attempt hangs, and another attempt has
+// been charged to the retry budget. It returns nil if the attempt must not be hedged: the call
+// is not repeatable, is suspected of ending back ends, or has a hedged attempt already, or silent
+// gates are not detected (Config.OnSilent is nil).
+func (c *callerCall) hedgeTrigger(thisAttempt *attempt, gateUpstream *upstream, candidates *endpoint.Set) <-chan struct{} {
+	if !c.policy.Repeatable || thisAttempt.suspected || c.proxy.config.OnSilent == nil || c.hedgedAttempt != nil {
 		return nil
 	}
-	silent := make(chan struct{})
+	trigger := make(chan struct{})
 	var once sync.Once
 	replayable := c.body.isReplayable()
-	path.silence.addHedgeable(made, func() {
+	gateUpstream.silence.addHedgeable(thisAttempt, func() {
 		now := c.proxy.config.Clock()
-		lost := retry.Outcome{Kind: retry.Broken, Replayable: replayable, Others: set.HasUntried(now, c.triedEndpoints)}
-		if c.retries.ReserveRetry(now, lost) {
-			once.Do(func() { close(silent) })
+		expectedOutcome := retry.Outcome{Kind: retry.Broken, Replayable: replayable, Others: candidates.HasUntried(now, c.triedEndpoints)}
+		if c.retries.ReserveRetry(now, expectedOutcome) {
+			once.Do(func() { close(trigger) })
 		}
 	})
-	return silent
+	return trigger
 }
 
-// without is an attempt that went to no endpoint.
+// unsentAttempt returns an attempt that was sent to no endpoint.
 func (c *callerCall) unsentAttempt(outcome retry.Outcome) *attempt {
 	return &attempt{outcome: outcome}
 }
--- a/internal/proxy/bench_test.go
+++ b/internal/proxy/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// BenchmarkDecisions is everything that the callers' side decides for a call
-// before it sends it: route, retries, endpoint and the outgoing request.
+// BenchmarkDecisions measures all decisions of the callers' side before it sends a call: route,
+// retries, endpoint and the outgoing request.
 func BenchmarkDecisions(b *testing.B) {
 	var backends []resource.Backend
 	for index := range 7 {
@@ -31,14 +31,14 @@
 		request.Header.Set("Accept", "text/plain")
 		for loop.Next() {
 			call, _, _ := proxy.acceptCall(request)
-			shared := proxy.view.Load().services[call.service]
-			chosen := call.chooseEndpoint(shared.poolFor(call.regions), quarantine.Trusted, testClock())
+			calledService := proxy.view.Load().services[call.service]
+			chosen := call.chooseEndpoint(calledService.poolFor(call.regions), quarantine.Trusted, testClock())
 			call.newGateRequest(chosen, false, call.timeout)
 		}
 	})
 }
 
-// BenchmarkFingerprints is the gate's hashing of the ids of a call.
+// BenchmarkFingerprints measures how the gate hashes an id of a call.
 func BenchmarkFingerprints(b *testing.B) {
 	proxy := &Proxy{hashSeed: 1}
 	b.ReportAllocs()
@@ -50,11 +50,11 @@
 	})
 }
 
-// answerOK is the least that a back end or gate answers.
+// handleOK is the handler of a back end or gate that answers at once.
 func handleOK(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write([]byte("ok")) }
 
-// BenchmarkEntry is a call through the callers' side alone: a stand-in over loopback
-// takes the place of the gate, and no client is measured.
+// BenchmarkEntry measures a call through the callers' side alone: a test server on loopback
+// replaces the gate, and the handler is called without a client.
 func BenchmarkEntry(b *testing.B) {
 	gate := httptest.NewServer(http.HandlerFunc(handleOK))
 	b.Cleanup(gate.Close)
@@ -76,7 +76,7 @@
 	}
 }
 
-// BenchmarkGate is a call through the gate alone, with a back end over loopback.
+// BenchmarkGate measures a call through the gate alone, with a back end on loopback.
 func BenchmarkGate(b *testing.B) {
 	mesh := startMesh(b, meshOptions{slots: 1 << 10}, backendSpec{handler: handleOK})
 	handler := mesh.gates[0].GateHandler()
@@ -98,8 +98,8 @@
 	}
 }
 
-// BenchmarkMesh is a whole call over loopback: client, callers' side, gate,
-// back end and back again, with a client for each core.
+// BenchmarkMesh measures a whole call on loopback, from the client through the callers' side and
+// the gate to the back end and back, with one client per processor.
 func BenchmarkMesh(b *testing.B) {
 	mesh := startMesh(b, meshOptions{slots: 1 << 10}, backendSpec{handler: handleOK})
 	b.ReportAllocs()
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -16,18 +16,19 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// A gate is told a little less than what is left of a call's time, so that its
-// refusal, which may say "did not run", comes before the callers' side gives
-// up and can say only "unknown".
+// The remaining time sent to a gate is reduced by a hopMarginDivisor-th, at most by maxHopMargin.
+// The gate's refusal, which may state that the call did not run, then arrives before the callers'
+// side reaches the deadline, after which it can only report an unknown outcome.
 const (
 	hopMarginDivisor = 20
 	maxHopMargin     = 10 * time.Millisecond
 
+	// See retryMargin.
 	retryMarginDivisor = 8
 	maxRetryMargin     = 50 * time.Millisecond
 )
 
-// CallerHandler takes callers' requests.
+// CallerHandler returns the handler for the requests of callers.
 func (p *Proxy) CallerHandler() http.Handler {
 	return &sideHandler{proxy: p, serve: p.serveCaller, isCallerSide: true}
 }
@@ -36,8 +37,8 @@
 	p.counters.callerCalls.Add(1)
 	p.runningCallerCalls.Add(1)
 	defer p.endCall(&p.runningCallerCalls)
-	began := p.config.Clock()
-	defer func() { observeDuration(p.config.Timings.Caller, p.config.Clock()-began) }()
+	startedAt := p.config.Clock()
+	defer func() { observeDuration(p.config.Timings.Caller, p.config.Clock()-startedAt) }()
 	control, body := p.prepareExchange(writer, request)
 	defer body.finish()
 	call, refusal, accepted := p.acceptWhenStarted(request, body)
@@ -61,9 +62,9 @@
 	call.run()
 }
 
-// begin prepares what both sides need of an exchange: the control of its
-// connection, which is closed after the answer while the daemon drains, and the
-// body of its request.
+// prepareExchange returns the response controller and the request body of an exchange, on the
+// callers' side or at the gate. While the daemon drains, it announces that the connection closes
+// after the answer.
 func (p *Proxy) prepareExchange(writer http.ResponseWriter, request *http.Request) (*http.ResponseController, *upload) {
 	if p.closesAfterAnswer(request) {
 		writer.Header().Set("Connection", "close")
@@ -74,7 +75,8 @@
 	return control, newUpload(request, control, limits)
 }
 
-// unsentRefusal is for a call whose body did not arrive, before any attempt.
+// bodyRefusal returns the refusal of a call whose body could not be read before the first
+// attempt.
 func bodyRefusal(ctx context.Context, err error) Refusal {
 	refusal := Refusal{Code: result.RequestMalformed, Ran: result.RanNo, Detail: describeBodyFailure(err)}
 	switch {
@@ -88,16 +90,17 @@
 	return refusal
 }
 
-// callerCall is one call on the callers' side.
+// callerCall is one call on the callers' side: a caller's request and its attempts.
 type callerCall struct {
 	proxy   *Proxy
 	route   *routing.Route
 	service resource.ServiceRef
-	// table is that of the newest version that binds the call, regions where it may run by
-	// all versions and gates that it has met.
+	// routingTable belongs to the newest configuration version applied to the call. regions are
+	// those allowed by all versions applied to it and by all gates that refused it because of
+	// its region.
 	routingTable *routing.Table
 	regions      region.Set
-	// serviceName is the service as text.
+	// serviceName is the text form of service.
 	serviceName string
 	hostPath    hostPath
 	request     *http.Request
@@ -105,32 +108,33 @@
 	control     *http.ResponseController
 	body        *upload
 	context     context.Context
-	// timeout is what the call may take in all, deadline when that is over, on
-	// the proxy's clock.
+	// timeout is the total time of the call, deadline its end on the proxy's clock.
 	timeout  time.Duration
 	deadline time.Duration
-	// target is until when an answer is of full use; 0 when none is stated.
+	// targetTime is the time by which the route's target wants the answer, on the proxy's clock;
+	// it has no meaning if the route states no target.
 	targetTime time.Duration
 	policy     retry.Policy
 	retries    *retry.Call
-	// key is the value of the route's request key header, keyHash its hash; the
-	// hash is the same on all daemons.
+	// requestKey is the value of the route's request key header, requestKeyHash its hash, which
+	// is the same on all daemons.
 	requestKey     string
 	requestKeyHash uint64
 	triedEndpoints endpoint.Tried
-	// hedged is the attempt that another one has followed; nil for none.
+	// hedgedAttempt is an earlier attempt that may still be answered while the current one runs;
+	// nil for none.
 	hedgedAttempt *hedgedAttempt
-	// failure is an answer of failure to deliver if nothing better comes; nil for none.
+	// failureAnswer is a server error to deliver if no better answer arrives; nil for none.
 	failureAnswer *attempt
-	// answering is set once an answer is being passed on.
+	// answerStarted is set once an answer is being delivered.
 	answerStarted bool
 	suspicion     suspicion
-	// detail explains the last attempt for people.
+	// attemptDetail describes the failure of the last attempt, for logs and the final refusal.
 	attemptDetail string
 }
 
-// acceptCall checks a request and finds its route, or refuses it. Nothing has
-// run then.
+// acceptCall checks a request and finds its route. If it returns false, the request is refused
+// and has not run.
 func (p *Proxy) acceptCall(request *http.Request) (*callerCall, Refusal, bool) {
 	current := p.view.Load()
 	switch {
@@ -139,47 +143,47 @@
 	case current.snapshot == nil || !p.mayServe():
 		return nil, Refusal{Code: result.NotServing}, false
 	}
-	if refusal, fine := p.checkRequest(request); !fine {
+	if refusal, ok := p.checkRequest(request); !ok {
 		return nil, refusal, false
 	}
-	located, refusal, fine := p.locate(request)
-	if !fine {
+	target, refusal, ok := p.locate(request)
+	if !ok {
 		return nil, refusal, false
 	}
-	route := current.findRoute(request, located)
+	route := current.findRoute(request, target)
 	if route == nil {
 		return nil, Refusal{Code: result.NoRoute}, false
 	}
 	call := &callerCall{
-		proxy: p, route: route, hostPath: located, request: request, service: route.Pick(p.random()),
+		proxy: p, route: route, hostPath: target, request: request, service: route.Pick(p.random()),
 		routingTable: current.routes, regions: route.Regions,
 	}
-	shared := current.services[call.service]
-	if shared == nil {
+	calledService := current.services[call.service]
+	if calledService == nil {
 		return nil, Refusal{Code: result.NoEndpoint}, false
 	}
-	if call.regions.Restricted() && shared.poolFor(call.regions).set.UsableCount() == 0 {
+	if call.regions.Restricted() && calledService.poolFor(call.regions).set.UsableCount() == 0 {
 		return nil, Refusal{Code: result.RegionNotAllowed}, false
 	}
-	call.serviceName = shared.name
-	call.prepare(shared)
+	call.serviceName = calledService.name
+	call.prepare(calledService)
 	return call, Refusal{}, true
 }
 
-// prepare settles deadline, retries and key. A caller's own headers can only
-// make them stricter: an application copies them from the call it serves onto
-// the calls it makes, so that deadlines shrink and retries don't multiply.
-func (c *callerCall) prepare(shared *service) {
+// prepare sets the deadline, retry policy and request key. The caller's headers can only tighten
+// the deadline and the retries: an application copies them from the call that it serves to the
+// calls that it makes, so that deadlines shrink and retries don't multiply.
+func (c *callerCall) prepare(calledService *service) {
 	header := c.request.Header
 	c.timeout = c.route.Timeout
-	if stated, found := c.proxy.requestedTimeout(header); found {
-		c.timeout = min(c.timeout, stated)
+	if requested, found := c.proxy.requestedTimeout(header); found {
+		c.timeout = min(c.timeout, requested)
 	}
-	waited := turnWait(c.request)
+	turnWaited := turnWait(c.request)
 	now := c.proxy.config.Clock()
-	c.timeout = c.proxy.limitTimeoutByDrain(max(c.timeout-waited, 0))
+	c.timeout = c.proxy.limitTimeoutByDrain(max(c.timeout-turnWaited, 0))
 	c.deadline = now + c.timeout
-	c.targetTime = now - waited + c.route.Resource.Target
+	c.targetTime = now - turnWaited + c.route.Resource.Target
 	c.policy = retry.Policy{
 		Repeatable: c.route.Repeatable(c.request.Method),
 		Attempts:   c.route.Attempts,
@@ -193,15 +197,15 @@
 		RetryFailures: c.proxy.config.Edge != nil,
 		Margin:        c.proxy.retryMargin(c.timeout),
 	}
-	c.retries = retry.NewCall(c.policy, shared.retryBudget)
+	c.retries = retry.NewCall(c.policy, calledService.retryBudget)
 	if name := c.route.Resource.RequestKeyHeader; name != "" {
 		c.requestKey = header.Get(name)
 		c.requestKeyHash = xxhash.Sum64String(c.requestKey)
 	}
 }
 
-// retryMargin is the least time in which another attempt of a call can be of
-// use: a part of the call's time, at most retryMarginLimit.
+// retryMargin returns the minimum time left for another attempt to be useful: a fraction of the
+// call's timeout, at most maxRetryMargin. Without an Edge it is 0.
 func (p *Proxy) retryMargin(timeout time.Duration) time.Duration {
 	if p.config.Edge == nil {
 		return 0
@@ -209,31 +213,31 @@
 	return min(timeout/retryMarginDivisor, maxRetryMargin)
 }
 
-// run makes attempts until there is an answer or a final refusal.
+// run makes attempts until an answer or a final refusal has been sent.
 func (c *callerCall) run() {
 	defer c.abandonHedged()
 	defer c.retries.ReleaseTrialRetry()
 	step := c.retries.FirstStep()
 	for {
 		pause.For(c.context, step.Wait)
-		tried := c.makeAttempt(step.Mark)
-		step = c.retries.NextStep(c.proxy.config.Clock(), tried.outcome)
-		c.traceAttempt(tried, step)
+		current := c.makeAttempt(step.Mark)
+		step = c.retries.NextStep(c.proxy.config.Clock(), current.outcome)
+		c.traceAttempt(current, step)
 		switch step.Action {
 		case retry.Send:
 			c.proxy.counters.retries.Add(1)
-			tried.end(c.proxy)
-			c.keepFailureAnswer(tried)
+			current.end(c.proxy)
+			c.keepFailureAnswer(current)
 		case retry.Deliver:
-			if tried.outcome.Failed {
-				tried = c.preferHedgedAnswer(tried)
+			if current.outcome.Failed {
+				current = c.preferHedgedAnswer(current)
 			}
-			c.deliver(tried)
+			c.deliver(current)
 			return
 		default:
-			tried.end(c.proxy)
-			if last := c.fallbackAnswer(); last != nil {
-				c.deliver(last)
+			current.end(c.proxy)
+			if fallback := c.fallbackAnswer(); fallback != nil {
+				c.deliver(fallback)
 				return
 			}
 			c.refuse(c.retries.FinalStep(step))
@@ -242,14 +246,14 @@
 	}
 }
 
-// refuse gives the final refusal. A caller that has hung up gets none.
+// refuse sends the final refusal. A caller that has closed its connection doesn't receive it.
 func (c *callerCall) refuse(step retry.Step) {
 	refusal := Refusal{Code: step.Code, Ran: step.Ran, RetryAfter: step.RetryAfter, Detail: c.attemptDetail}
 	switch {
 	case context.Cause(c.context) == errDrainBound:
 		refusal.Code = result.DrainBound
 	case c.context.Err() == context.DeadlineExceeded && step.Ran == result.RanUnknown:
-		refusal.Code = result.DeadlineInFlight // it was waited for until then
+		refusal.Code = result.DeadlineInFlight // the outcome was awaited until the deadline
 	}
 	if isStallError(c.body.readFailure()) && step.Ran == result.RanUnknown {
 		refusal.Code = result.SlowPeer
@@ -263,30 +267,32 @@
 	c.proxy.refuse(c.writer, c.body, refusal)
 }
 
-// deliver passes the answer on whole, or breaks the caller's connection.
-func (c *callerCall) deliver(tried *attempt) {
+// deliver sends the answer to the caller. If it can't be sent completely, the caller's connection
+// is aborted.
+func (c *callerCall) deliver(answered *attempt) {
 	c.answerStarted = true
-	passing := delivery{
+	output := delivery{
 		writer: c.writer, control: c.control, stallTimeout: c.proxy.limits.StallTimeout,
-		answer: tried.exchange.answer, upload: c.body, addHeaders: c.addCloseHeader,
+		answer: answered.exchange.answer, upload: c.body, addHeaders: c.addCloseHeader,
 	}
-	passing.writeHead()
-	err := passing.streamBody()
+	output.writeHead()
+	err := output.streamBody()
 	if err != nil {
-		tried.endpointOutcome = endpoint.Broken
+		answered.endpointOutcome = endpoint.Broken
 		if c.request.Context().Err() != nil {
-			tried.endpointOutcome = endpoint.Cancelled
+			answered.endpointOutcome = endpoint.Cancelled
 		}
 	}
-	c.traceAnswer(tried, err)
-	tried.end(c.proxy)
+	c.traceAnswer(answered, err)
+	answered.end(c.proxy)
 	if err != nil {
 		c.proxy.counters.aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// answerHeaders asks callers to go elsewhere while the daemon is leaving.
+// addCloseHeader announces that the connection closes after the answer if the daemon drains, so
+// that the caller connects to another daemon.
 func (c *callerCall) addCloseHeader(header http.Header) {
 	if c.proxy.closesAfterAnswer(c.request) {
 		header.Set("Connection", "close")
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -10,9 +10,9 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// checkForm refuses requests that this proxy can't carry whole and unchanged.
-// Ambiguous framing can't come through: the library has parsed the one form,
-// and a new one is written for the next hop. What it can't parse it refuses.
+// checkRequest refuses requests that this proxy can't forward completely and unchanged.
+// Ambiguous framing is never forwarded: net/http refuses what it can't parse, and the request to
+// the next hop gets a framing of its own.
 func (p *Proxy) checkRequest(request *http.Request) (Refusal, bool) {
 	limits := p.RequestLimits()
 	switch {
@@ -31,37 +31,36 @@
 	return Refusal{}, true
 }
 
-// RequestLimits bound the requests of callers; a configuration may change them.
+// RequestLimits limits the requests of callers. A new configuration may change the limits.
 type RequestLimits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTimeout bounds the arrival of a request's headers after their first
-	// byte, IdleTimeout the time that a connection rests. 0 leaves the server's
-	// own.
+	// HeaderTimeout limits the time from the first byte of a request's headers to their end,
+	// IdleTimeout the time that a connection is idle. With 0 the server's own limits apply.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
 
-// SetRequestLimits changes what callers may send; a zero field leaves what the
-// proxy was started with.
+// SetRequestLimits sets the limits of callers' requests. A zero HeaderBytes or BodyBytes means the
+// limit that the proxy was created with.
 func (p *Proxy) SetRequestLimits(limits RequestLimits) { p.requestLimits.Store(&limits) }
 
-// RequestLimits are the limits in force.
+// RequestLimits returns the limits in force.
 func (p *Proxy) RequestLimits() RequestLimits {
 	limits := RequestLimits{HeaderBytes: p.limits.HeaderBytes, BodyBytes: p.limits.BodyBytes}
-	if given := p.requestLimits.Load(); given != nil {
-		limits.HeaderBytes = cmp.Or(given.HeaderBytes, limits.HeaderBytes)
-		limits.BodyBytes = cmp.Or(given.BodyBytes, limits.BodyBytes)
-		limits.HeaderTimeout = given.HeaderTimeout
-		limits.IdleTimeout = given.IdleTimeout
+	if configured := p.requestLimits.Load(); configured != nil {
+		limits.HeaderBytes = cmp.Or(configured.HeaderBytes, limits.HeaderBytes)
+		limits.BodyBytes = cmp.Or(configured.BodyBytes, limits.BodyBytes)
+		limits.HeaderTimeout = configured.HeaderTimeout
+		limits.IdleTimeout = configured.IdleTimeout
 	}
 	return limits
 }
 
-// headerOverhead is what a header line has besides its name and value.
+// headerLineOverhead is the number of bytes of a header line besides its name and value.
 const headerLineOverhead = len(": \r\n")
 
-// headerBytes is about how many bytes the request line and headers had.
+// headerBytes returns the approximate size of the request line and headers in bytes.
 func headerBytes(request *http.Request) int {
 	total := len(request.Method) + len(request.RequestURI) + len(request.Host)
 	for name, values := range request.Header {
@@ -72,13 +71,14 @@
 	return total
 }
 
-// place is the canonical host and path of a request.
+// hostPath is the host and path by which a request's route is found.
 type hostPath struct {
 	host string
 	path string
 }
 
-// locate finds the canonical host and path, or refuses the request.
+// canonicalHostPath returns the canonical host and path of a request. If it returns false, the
+// request is refused.
 func canonicalHostPath(request *http.Request) (hostPath, Refusal, bool) {
 	host, err := resource.CanonicalHost(request.Host)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return hostPath{host: host, path: path}, Refusal{}, true
 }
 
-// statedTimeout reads headerTimeout; false means that none is stated.
+// parseTimeout parses headerTimeout; false means that it is missing or invalid.
 func parseTimeout(header http.Header) (time.Duration, bool) {
 	text := header.Get(headerTimeout)
 	if text == "" {
--- a/internal/proxy/choose.go
+++ b/internal/proxy/choose.go
@@ -9,14 +9,15 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// choose picks the endpoint of the next attempt. First attempts may go to a canary.
-func (c *callerCall) chooseEndpoint(among *pool, belief quarantine.State, now time.Duration) *endpoint.Endpoint {
-	set := among.set
-	if belief == quarantine.Suspected {
+// chooseEndpoint chooses the endpoint of the next attempt; nil if there is none. Only a first
+// attempt may go to a canary.
+func (c *callerCall) chooseEndpoint(candidates *pool, state quarantine.State, now time.Duration) *endpoint.Endpoint {
+	set := candidates.set
+	if state == quarantine.Suspected {
 		return set.ChooseByContentHash(now, c.suspicion.signature.Key(), c.triedEndpoints)
 	}
 	if len(c.triedEndpoints) == 0 {
-		chosen := among.canary.choose(now, c.proxy.random(), c.proxy.random())
+		chosen := candidates.canary.choose(now, c.proxy.random(), c.proxy.random())
 		if chosen != nil && c.retries.ReserveTrialRetry(now) {
 			return chosen
 		}
@@ -24,8 +25,8 @@
 	if c.requestKey != "" {
 		return set.ChooseByRequestKey(now, c.requestKeyHash, c.triedEndpoints)
 	}
-	if own := c.localEndpoint(set, now); own != nil {
-		return own
+	if local := c.localEndpoint(set, now); local != nil {
+		return local
 	}
 	if c.proxy.config.Baseline.RoundRobin {
 		return set.ChooseRoundRobin(now, c.proxy.roundRobinCount.Add(1), c.triedEndpoints)
@@ -36,23 +37,24 @@
 	return set.ChooseCold(now, c.proxy.random(), c.triedEndpoints, c.priorityClass())
 }
 
-// class is the class of the call's priority at the gates of cold back ends.
+// priorityClass returns the class of the call by which the gates of cold back ends limit calls.
 func (c *callerCall) priorityClass() int { return int(c.route.Resource.Priority) }
 
-// nothingChosen is the outcome of an attempt that no endpoint of a set may take. Of several
-// reasons it tells the first of: an order of operators, a wait that ends, a restriction.
+// noEndpointOutcome returns the outcome of an attempt for which no endpoint of a set could be
+// chosen. If several reasons apply, it names the first of: an evacuation of the zone, cold back
+// ends, a region restriction.
 func (c *callerCall) noEndpointOutcome(set *endpoint.Set, now time.Duration) retry.Outcome {
-	refused := retry.Outcome{Kind: retry.Refused, Ran: result.RanNo}
-	refused.RetryAfter = set.ColdWait(now)
+	outcome := retry.Outcome{Kind: retry.Refused, Ran: result.RanNo}
+	outcome.RetryAfter = set.ColdWait(now)
 	switch {
 	case set.BlockedByEvacuation():
-		refused.Code = result.ZoneEvacuated
-	case refused.RetryAfter > 0:
-		refused.Code = result.WarmingUp
+		outcome.Code = result.ZoneEvacuated
+	case outcome.RetryAfter > 0:
+		outcome.Code = result.WarmingUp
 	case c.regions.Restricted():
-		refused.Code = result.RegionNotAllowed
+		outcome.Code = result.RegionNotAllowed
 	default:
 		return retry.Outcome{Kind: retry.NoEndpoint}
 	}
-	return refused
+	return outcome
 }
--- a/internal/proxy/class.go
+++ b/internal/proxy/class.go
@@ -6,8 +6,8 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// parseClass reads headerClass, the class of a call's route. One that is missing,
-// malformed or out of range counts as 0: calls of an unknown class are one class.
+// parseClass parses headerClass, the class of a call's route. A missing, malformed or out-of-range
+// value yields class 0, which all calls of unknown class share.
 func parseClass(text string) callclass.Class {
 	number, err := strconv.Atoi(text)
 	if err != nil || !callclass.Valid(number) {
--- a/internal/proxy/class_test.go
+++ b/internal/proxy/class_test.go
@@ -8,7 +8,6 @@
 	"github.com/springstack/springstack/internal/core/callclass"
 )
 
-// A class that is malformed or out of range counts as none.
 func TestInvalidClassIsParsedAsZero(t *testing.T) {
 	check := is.New(t)
 	check.Equal(parseClass("511"), callclass.Class(511))
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -1,7 +1,6 @@
-// Package proxy is the data path: the callers' side, which routes calls to
-// daemons beside back ends, and the gate, which admits calls to the back end
-// beside this daemon. It does the input and output; the decisions are those of
-// core/routing, core/endpoint, core/admission and core/retry.
+// Package proxy implements the data path: the callers' side, which routes calls to the daemons of
+// back ends, and the gate, which admits calls to this daemon's own back end. It does the input
+// and output; core/routing, core/endpoint, core/admission and core/retry make the decisions.
 package proxy
 
 import (
@@ -16,93 +15,93 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// Config is what a proxy is told at its start.
+// Config is the configuration of a proxy.
 type Config struct {
-	// Clock is monotonic time since an arbitrary origin, the node's clock.
+	// Clock returns the node's monotonic time since an arbitrary origin.
 	Clock       func() time.Duration
 	NodeID      protocol.NodeID
 	Incarnation protocol.Incarnation
 	Region      string
 	Zone        string
-	// Service and Backend name the back end beside the daemon; empty for none.
+	// Service and Backend name the daemon's own back end; empty for none.
 	Service resource.ServiceRef
 	Backend string
-	// BackendAddress is where the back end itself listens, an IP and port.
+	// BackendAddress is the IP address and port of the back end itself.
 	BackendAddress string
-	// Slots is how many calls the back end runs at once.
+	// Slots is the number of calls that the back end runs concurrently.
 	Slots  int
 	Limits Limits
-	// Reported says that the back end reports its own state, by ReportBackend, and
-	// is not probed. Back ends are then known by instance, and the endpoints of
-	// all services come from the member records alone.
+	// Reported is set if the back end's state is reported through ReportBackend; the proxy then
+	// doesn't probe the back end. Back ends are identified by instance, and the endpoints of all
+	// services come from the member records alone.
 	Reported bool
-	// Edge is how callers and back ends of a foreign platform speak; nil means
+	// Edge describes the headers of a foreign platform's callers and back ends; nil means
 	// springstack's own headers.
 	Edge *Edge
-	// Spill says when calls leave the own zone; the zero value means
-	// endpoint.DefaultSpill.
+	// Spill defines when calls are sent to other zones; the zero value means
+	// endpoint.DefaultSpillover.
 	Spill endpoint.Spillover
-	// RetryBudget bounds retries at each of a number of daemons that share the
-	// whole; nil means retry.DefaultLimits.
+	// RetryBudget returns the limits of each retry budget of this daemon, given the number of
+	// daemons that share the total; nil means retry.DefaultLimits.
 	RetryBudget func(daemons int) retry.Limits
-	// OnBackendUnreachable is told when a call found that the back end takes no
-	// connections. It must not block. Nil means that nobody listens.
+	// OnBackendUnreachable, unless nil, is called when a call can't connect to the back end, if
+	// Reported is set. It must not block.
 	OnBackendUnreachable func(protocol.BackendStart)
-	// OnBackendFailed is told when the back end has failed a call, with the count
-	// of all calls so far that it answered well. It must not block. Nil means that
-	// nobody listens.
+	// OnBackendFailed, unless nil, is called when the back end has failed a call; answered is the
+	// number of calls that it has answered without a server error so far. It must not block.
 	OnBackendFailed func(start protocol.BackendStart, answered uint64)
-	// OnSilent is told when a daemon's gate owes answers and gives none. It must
-	// not block. Nil means that nobody listens.
+	// OnSilent is called when a daemon's gate has calls to answer and has answered none for some
+	// time. It must not block. If it is nil, silent gates are not detected and calls are not
+	// hedged.
 	OnSilent func(protocol.NodeID)
-	// RoundTrip is within what time nearly all answers of peers come lately. Connecting
-	// may take as long, if that is longer than the limit says. Nil knows nothing of it.
+	// RoundTrip returns the time within which nearly all recent answers of peers arrived. If it
+	// exceeds Limits.DialTimeout, connecting may take that long, at most Limits.DialLimit. It
+	// may be nil.
 	RoundTrip func() time.Duration
-	// OnHarmful is told that there is news of requests that may be harmful, which
-	// UntoldHarmful returns, and whether it is urgent. It must not block. Nil means that
-	// nobody listens.
+	// OnHarmful, unless nil, is called when UntoldHarmful has new records of harmful requests;
+	// urgent is set if they must be sent to other daemons at once. It must not block.
 	OnHarmful func(urgent bool)
-	// OnHeld is told of a request that is held by an end that this daemon has seen. It must
-	// not block. Nil means that nobody listens.
+	// OnHeld, unless nil, is called with the record of a request that is held after an end of
+	// this daemon's back end. It must not block.
 	OnHeld func(quarantine.Record)
-	// WarmUp says how far the calls to a cold back end may exceed the rate that its service
+	// WarmUp defines how far the calls to a cold back end may exceed the rate that its service
 	// states.
 	WarmUp warmup.Tolerance
-	// PeerTLS guards the calls to other daemons' gates; nil sends them in the
-	// clear. A gate's server is guarded by Server.Secure.
+	// PeerTLS is the TLS configuration of calls to other daemons' gates; with nil they are not
+	// encrypted. The server of a gate has its own, see Server.SetTLS.
 	PeerTLS *tls.Config
-	// RandomSeed makes the choices of endpoints repeatable; 0 draws a seed.
+	// RandomSeed makes the choice of endpoints reproducible; with 0 it differs in each run.
 	RandomSeed uint64
-	// Baseline switches protections off, for comparisons only.
+	// Baseline disables protections, for comparisons only.
 	Baseline Baseline
-	// OnBackendState is told when the state of the back end changes. It must
-	// not block. Nil means that nobody listens.
+	// OnBackendState, unless nil, is called when a probe changes the state of the back end. It
+	// must not block.
 	OnBackendState func(protocol.EndpointState)
-	// Log takes one event; it must not block. Nil means no log.
+	// Log writes one event; it must not block. Nil means no log.
 	Log func(Event)
-	// Trace takes the decisions that touch requests; nil for none.
+	// Trace receives the events about single requests; nil for none.
 	Trace Tracer
-	// Freshness tells, for the log of a refusal by the version in force, how that came and how
-	// fresh it is. Nil tells nothing.
+	// Freshness returns log fields on the origin and age of the version in force, for refusals
+	// that depend on it. Nil adds none.
 	Freshness func() []EventField
-	// Timings take durations; nil functions for none.
+	// Timings receives durations for histograms.
 	Timings Timings
 }
 
-// Baseline leaves out one protection each, so that an experiment can show what
-// it is for. The zero value is for production; no settings file reaches it.
+// Baseline disables protections, so that experiments can measure the effect of each. The zero
+// value is for production; no settings file can change it.
 type Baseline struct {
-	// RoundRobin takes the endpoints in turn, whatever their load and zone.
+	// RoundRobin chooses endpoints round robin, regardless of their load and zone.
 	RoundRobin bool
-	// UnboundedQueue lets any number of calls wait at the gate until their
-	// deadline, in order of arrival, whatever their priority and partner.
+	// UnboundedQueue lets any number of calls wait at the gate until their deadlines, in order
+	// of arrival, regardless of priority and partner.
 	UnboundedQueue bool
-	// UnbudgetedRetries retries whenever a call has attempts left, without
-	// budget and without the mark against retries further down.
+	// UnbudgetedRetries retries whenever a call has attempts left, without a retry budget and
+	// without the no-retry mark.
 	UnbudgetedRetries bool
 }
 
-// Event is one thing worth a log line. It never holds a secret.
+// Event is one structured log event. It never contains a secret.
 type Event struct {
 	// Name is a stable event name listed in docs/OPERATIONS.md.
 	Name   string
@@ -115,89 +114,89 @@
 	Value string
 }
 
-// Limits bounds what the proxy takes and how long it waits. A zero field
-// means its default.
+// Limits holds size, count and time limits of the proxy. A zero field means its default.
 type Limits struct {
-	// HeaderBytes bounds the request line and headers of a call, in bytes.
+	// HeaderBytes is the maximum size of a call's request line and headers.
 	HeaderBytes int
-	// BodyBytes bounds the body of a request, in bytes.
+	// BodyBytes is the maximum size of a request's body.
 	BodyBytes int64
-	// QuietClose closes idle connections without an answer that announces it.
+	// QuietClose closes the idle connections of a stopping server without first announcing it by
+	// an answer.
 	QuietClose bool
-	// Connections bounds the connections of one listener.
+	// Connections is the maximum number of connections of one listener.
 	Connections int
-	// HeaderTimeout bounds the arrival of a request's headers.
+	// HeaderTimeout limits the time in which a request's headers must arrive.
 	HeaderTimeout time.Duration
-	// IdleTimeout closes a kept connection without calls.
+	// IdleTimeout is the time after which an idle connection of a caller is closed.
 	IdleTimeout time.Duration
-	// StallTimeout bounds each read and write of a body.
+	// StallTimeout limits each read and write of a body.
 	StallTimeout time.Duration
-	// DialTimeout bounds the opening of a connection, DialLimit the same where answers
-	// of peers take longer (see Config.RoundTrip).
+	// DialTimeout limits the time to open a connection. DialLimit limits it instead while
+	// answers of peers take longer than DialTimeout (see Config.RoundTrip).
 	DialTimeout time.Duration
 	DialLimit   time.Duration
-	// UpstreamConnections bounds the connections to one endpoint.
+	// UpstreamConnections is the maximum number of connections to one endpoint.
 	UpstreamConnections int
-	// UpstreamIdle closes an unused connection to an endpoint; it must be
-	// shorter than IdleTimeout, so that the side that sends closes first.
+	// UpstreamIdle is the time after which an idle connection to an endpoint is closed. It must
+	// be shorter than IdleTimeout, so that the sending side closes first.
 	UpstreamIdle time.Duration
-	// BackendIdle is the same for connections to the back end, whose own limit
-	// is not known; many servers close after 5 s.
+	// BackendIdle is the same for connections to the back end. Its own idle timeout is not
+	// known; that of many servers is 5 s.
 	BackendIdle time.Duration
-	// NoSpares opens no connections ahead of the calls that need them.
+	// NoSpares disables spare connections, which are opened before calls need them.
 	NoSpares bool
-	// Prewarm is how many connections are opened to a new endpoint ahead of
-	// its first call.
+	// Prewarm is the number of connections that are opened to a new endpoint before its first
+	// call.
 	Prewarm int
-	// CollectBytes is how much of an answer is read before its head is passed
-	// on, so that an answer cut short can still be told from a whole one. 0
-	// streams every answer.
+	// CollectBytes is the maximum size of an answer that is read completely before its head is
+	// sent on, so that an answer that breaks off is detected before then. 0 streams every answer.
 	CollectBytes int
-	// AheadCalls bounds the repeatable requests of one caller's connection that
-	// run before their turn; a negative number runs each in its turn.
+	// AheadCalls is the maximum number of repeatable requests of one caller's connection that
+	// run before their turn; a negative number disables running ahead.
 	AheadCalls int
-	// AheadInputBytes bounds what is read of a caller's connection beyond the request
-	// that is served.
+	// AheadInputBytes limits the bytes read from a caller's connection beyond the current
+	// request.
 	AheadInputBytes int
-	// AheadAnswerBytes bounds what is held of one answer until its turn, and
-	// AheadHeldBytes what is held of all. The calls behind longer answers go on when
-	// their turn comes.
+	// AheadAnswerBytes limits the buffered bytes of one answer that waits for its turn,
+	// AheadHeldBytes those of all answers. A call with a longer answer pauses until its turn.
 	AheadAnswerBytes int
 	AheadHeldBytes   int64
-	// ReplayBytes is how much of a request's body is kept for sending again.
+	// ReplayBytes is the number of bytes of a request's body that are kept for another attempt.
 	ReplayBytes int
-	// QueueLength bounds the calls waiting at the gate.
+	// QueueLength is the maximum number of calls that wait at the gate.
 	QueueLength int
-	// QueueWait bounds the expected wait at the gate.
+	// QueueWait limits the expected wait at the gate.
 	QueueWait time.Duration
 	// KeyWindow is how long the gate remembers the request keys of operations.
 	KeyWindow time.Duration
-	// KeyCount bounds the request keys remembered.
+	// KeyCount is the maximum number of request keys remembered.
 	KeyCount int
 	// RequestWindow is how long the gate remembers the ids of attempts.
 	RequestWindow time.Duration
-	// RequestCount bounds the ids remembered. Memory is taken as it is needed.
+	// RequestCount is the maximum number of ids remembered. Memory is allocated as needed.
 	RequestCount int
-	// CancelWait is how long past its deadline the gate keeps the slot of a call that was
-	// given up while the back end has not ended it.
+	// CancelWait is the time after a call's deadline at which the gate releases the slot of an
+	// abandoned call even if the back end has not ended it.
 	CancelWait time.Duration
-	// HungWait is the same for a call that was found to hang: a back end that takes in less than
-	// its slots say gets fewer calls for a while. It ends early only once another start runs.
+	// HungWait is the same for a hung call. Its slot is kept so that a back end with hung calls
+	// gets fewer calls for a while, and is released earlier only if another start of the back
+	// end replaces this one.
 	HungWait time.Duration
-	// StartWait is how long after its start the daemon lets calls wait that it can't send
-	// yet; 0 lets none wait.
+	// StartWait is the time after the daemon's start during which calls that can't be sent yet
+	// wait; 0 lets none wait.
 	StartWait time.Duration
-	// DrainLinger is how long a draining daemon goes on taking connections
-	// after its last call, so that callers learn to go elsewhere.
+	// DrainLinger is the time from the start of a drain during which the callers' side still
+	// serves calls while asking callers to close their connections.
 	DrainLinger time.Duration
-	// GateLingers keeps the gate open during the linger, for a daemon that stops
-	// while its back end goes on.
+	// GateLingers keeps the gate open during DrainLinger, for a daemon that stops while its back
+	// end continues.
 	GateLingers bool
-	// DrainBound is when the calls still running are cut with DrainBound.
+	// DrainBound is the time from the start of a drain to its deadline. The calls still running
+	// then are cancelled, with result.DrainBound.
 	DrainBound time.Duration
 	// ProbePeriod is the time between probes of the back end's health and load.
 	ProbePeriod time.Duration
-	// ProbeTimeout bounds one probe.
+	// ProbeTimeout limits the time of one probe.
 	ProbeTimeout time.Duration
 }
 
@@ -242,7 +241,7 @@
 	}
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns the limits with zero fields set to their defaults.
 func (l Limits) withDefaults() Limits {
 	fallback := DefaultLimits()
 	setDefault(&l.HeaderBytes, fallback.HeaderBytes)
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -8,26 +8,27 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Counters is a copy of what the proxy has counted since its start.
+// Counters is a copy of the proxy's counters since its start, and of some current values.
 type Counters struct {
-	// CallerCalls and GateCalls are the calls taken on each side.
+	// CallerCalls and GateCalls count the calls received by the callers' side and by the gate.
 	CallerCalls uint64
 	GateCalls   uint64
-	// Attempts are the sendings to gates, Retries those after the first.
+	// Attempts counts the attempts sent to gates, Retries the decisions to make another one.
 	Attempts uint64
 	Retries  uint64
-	// Aborted are the answers cut short.
+	// Aborted counts the answers that could not be sent completely.
 	Aborted uint64
-	// StartWaits are the waits of calls for the daemon's start.
+	// StartWaits counts the waits of calls during the daemon's start.
 	StartWaits uint64
-	// Ahead are the calls that ran before their turn on a connection, AheadDepth
-	// the most that did so at a time on one, AheadBytes the answers held now.
+	// Ahead counts the calls that ran before their turn on a connection. AheadDepth is the
+	// maximum number that did so at a time on one connection, AheadBytes the current size of
+	// their buffered answers.
 	Ahead      uint64
 	AheadDepth int
 	AheadBytes int64
-	// BodiesWaiting are the large bodies that wait to be sent to the gate now.
+	// BodiesWaiting is the current number of large bodies that wait to be read by the gate.
 	BodiesWaiting int
-	// CallerRunning, GateRunning and GateQueued are the calls now.
+	// CallerRunning, GateRunning and GateQueued are the current numbers of calls.
 	CallerRunning int
 	GateRunning   int
 	GateQueued    int
@@ -35,26 +36,26 @@
 	GateService time.Duration
 	// Refusals counts refusals by code, on both sides.
 	Refusals map[result.Code]uint64
-	// Cold says that starts are bounded now, since the back end is cold.
+	// Cold is set while the gate limits the starts of calls because the back end is cold.
 	Cold bool
-	// BackendEnds counts the ends of the back end under calls, HarmfulRequests the requests
-	// that may be harmful by what is believed of them now.
+	// BackendEnds counts the ends of the back end during calls. HarmfulRequests counts the
+	// possibly harmful requests by their current state.
 	BackendEnds uint64
-	// IsolatedCalls counts the calls that ran alone since their request was suspected.
+	// IsolatedCalls counts the calls that ran alone because their request was suspected.
 	IsolatedCalls   uint64
 	HarmfulRequests map[quarantine.State]int
-	// HungCalls counts the calls that the back end was found never to answer, BackendOpen the
-	// connections to it now.
+	// HungCalls counts the calls found to hang at the back end. BackendOpen is the current number
+	// of connections to it.
 	HungCalls   uint64
 	BackendOpen int
-	// Abandoned counts the attempts that were ended before their answer, by reason.
+	// Abandoned counts the attempts that were abandoned before their answer, by reason.
 	Abandoned map[AbandonReason]uint64
 }
 
-// codeLimit bounds the codes that are counted one by one.
+// codeCount is the number of result codes that have a counter.
 const codeCount = int(result.Internal) + 1
 
-// tally is the counting behind Counters.
+// counterSet holds the counters that Counters copies.
 type counterSet struct {
 	callerCalls atomic.Uint64
 	gateCalls   atomic.Uint64
@@ -62,30 +63,30 @@
 	retries     atomic.Uint64
 	aborted     atomic.Uint64
 	startWaits  atomic.Uint64
-	// ahead are the calls that ran ahead of their turn, aheadDepth the most that
-	// did on one connection at a time.
+	// ranAhead counts the calls that ran before their turn; aheadDepth is the maximum number
+	// that did so at a time on one connection.
 	ranAhead   atomic.Uint64
 	aheadDepth atomic.Int64
-	// answered are the calls that the back end answered well.
+	// succeeded counts the calls that the back end answered without a server error.
 	succeeded atomic.Uint64
 	refusals  [codeCount]atomic.Uint64
-	// backendEnds are the ends of the back end under calls.
+	// backendEnds counts the ends of the back end during calls.
 	backendEnds atomic.Uint64
-	// isolated are the calls that ran alone since their request was suspected.
+	// isolatedCalls counts the calls that ran alone because their request was suspected.
 	isolatedCalls atomic.Uint64
-	// hungCalls are the calls that the back end was found never to answer.
+	// hungCalls counts the calls found to hang at the back end.
 	hungCalls atomic.Uint64
-	// abandoned are the attempts that were ended before their answer.
+	// abandoned counts the attempts that were abandoned before their answer.
 	abandoned abandonedCounts
 }
 
-func (t *counterSet) recordRefusal(code result.Code) {
+func (c *counterSet) recordRefusal(code result.Code) {
 	if code >= 0 && int(code) < codeCount {
-		t.refusals[code].Add(1)
+		c.refusals[code].Add(1)
 	}
 }
 
-// Counters returns the present counts.
+// Counters returns the current counts.
 func (p *Proxy) Counters() Counters {
 	counters := Counters{
 		CallerCalls:   p.counters.callerCalls.Load(),
--- a/internal/proxy/division.go
+++ b/internal/proxy/division.go
@@ -9,87 +9,87 @@
 	"github.com/springstack/springstack/internal/core/rollout"
 )
 
-// Split says how the back ends of one service are divided: those of the target version
-// get what the stage allows.
+// VersionSplit divides the calls to one service between the back ends of the target software
+// version and the others, which are stable, by the stage of a roll-out.
 type VersionSplit struct {
 	Target string
 	Stage  rollout.Stage
-	// CanaryShare is the share of calls that canaries get.
+	// CanaryShare is the fraction of calls that canaries get in the canary stage.
 	CanaryShare float64
 }
 
-// Splits are the divisions of services; those not named are not divided.
+// VersionSplits holds the splits by service. The calls to other services are not divided.
 type VersionSplits map[resource.ServiceRef]VersionSplit
 
-// sampledPart divides the calls of canaries: one part goes to any back end of the
-// target version, so that each is seen to work, the others to a few at full load.
+// allCanariesDivisor is the reciprocal of the fraction of canary calls that are spread over all
+// back ends of the target version, so that each gets some calls. The other canary calls go to a few
+// of these back ends, which thus run at full load.
 const allCanariesDivisor = 4
 
-// canary is the share of calls that a target version gets, and where. The zero value
-// is none.
+// canary sends a share of the calls to the target version. The zero value sends none.
 type canary struct {
 	share float64
-	// few are as many back ends as the share loads like the stable ones; every one is
-	// all of the target version.
+	// fullLoad holds as many back ends as the share of calls loads like the stable ones,
+	// allTargets all those of the target version.
 	fullLoad   *endpoint.Set
 	allTargets *endpoint.Set
 }
 
-// pool is where calls go in general, and the canaries that a share of them goes to instead.
-// The set is that of all endpoints while no roll-out divides them.
+// pool holds the endpoints that calls are sent to, and the canaries that a share of the calls is
+// sent to instead. Without a roll-out the set contains all endpoints.
 type pool struct {
 	set    *endpoint.Set
 	canary canary
 }
 
-// divide sets which endpoints calls go to by the stage of a roll-out.
+// applySplit sets the endpoints that calls are sent to by the stage of a roll-out.
 func (s *service) applySplit(split VersionSplit) {
 	s.set = s.allEndpoints
 	if split.Target == "" {
 		return
 	}
-	target := s.allEndpoints.Filter(func(one *endpoint.Endpoint) bool { return one.Software == split.Target })
-	stable := s.allEndpoints.Filter(func(one *endpoint.Endpoint) bool { return one.Software != split.Target })
+	targetSet := s.allEndpoints.Filter(func(candidate *endpoint.Endpoint) bool { return candidate.Software == split.Target })
+	stableSet := s.allEndpoints.Filter(func(candidate *endpoint.Endpoint) bool { return candidate.Software != split.Target })
 	switch split.Stage {
 	case rollout.StageHeld:
-		if stable.UsableCount() > 0 {
-			s.set = stable
+		if stableSet.UsableCount() > 0 {
+			s.set = stableSet
 		}
 	case rollout.StageCanary:
-		if stable.UsableCount() > 0 {
-			s.set = stable
-			s.canary = newCanary(target, stable.UsableCount(), split.CanaryShare)
+		if stableSet.UsableCount() > 0 {
+			s.set = stableSet
+			s.canary = newCanary(targetSet, stableSet.UsableCount(), split.CanaryShare)
 		}
 	case rollout.StageShift, rollout.StageCompleted:
-		if target.UsableCount() > 0 {
-			s.set = target
+		if targetSet.UsableCount() > 0 {
+			s.set = targetSet
 		}
 	case rollout.StageHalted, rollout.StageRolledBack:
-		s.set = stable
+		s.set = stableSet
 	}
 }
 
-// newCanary chooses the canaries, the same on all daemons that know the same back ends.
-func newCanary(target *endpoint.Set, stable int, share float64) canary {
-	ranked := slices.Clone(target.All)
+// newCanary chooses the canaries. All daemons that know the same back ends choose the same ones.
+func newCanary(targetSet *endpoint.Set, stableCount int, share float64) canary {
+	ranked := slices.Clone(targetSet.All)
 	slices.SortFunc(ranked, func(a, b *endpoint.Endpoint) int { return rollout.CompareCanaries(a.Backend, b.Backend) })
-	ranked = slices.DeleteFunc(ranked, func(one *endpoint.Endpoint) bool { return !one.State.AcceptsCalls() })
-	count := max(1, int(share*float64(stable)))
+	ranked = slices.DeleteFunc(ranked, func(candidate *endpoint.Endpoint) bool { return !candidate.State.AcceptsCalls() })
+	count := max(1, int(share*float64(stableCount)))
 	chosen := ranked[:min(count, len(ranked))]
 	return canary{
 		share:      share,
-		fullLoad:   target.Filter(func(one *endpoint.Endpoint) bool { return slices.Contains(chosen, one) }),
-		allTargets: target,
+		fullLoad:   targetSet.Filter(func(candidate *endpoint.Endpoint) bool { return slices.Contains(chosen, candidate) }),
+		allTargets: targetSet,
 	}
 }
 
-// choose picks a canary for a share of the calls, and nil for the others. Both numbers
-// are uniform random ones.
+// choose returns a canary for the canary share of the calls, and nil for the others. Both draw and
+// random must be uniform random numbers.
 func (c canary) choose(now time.Duration, draw, random uint64) *endpoint.Endpoint {
 	if c.fullLoad == nil || c.fullLoad.UsableCount() == 0 {
 		return nil
 	}
-	point := float64(draw>>11) / (1 << 53) // 53 bits are a float64's fraction
+	point := float64(draw>>11) / (1 << 53) // a float64 has 53 bits of precision
 	if point >= c.share {
 		return nil
 	}
@@ -99,7 +99,7 @@
 	return c.fullLoad.Choose(now, random, nil)
 }
 
-// CountAnswers has the gate count the answers of its back end, or ends that.
+// SetAnswerCounting starts or stops counting the back end's answers at the gate.
 func (p *Proxy) SetAnswerCounting(count bool) {
 	if count {
 		p.rolloutAnswers.Start()
@@ -108,7 +108,8 @@
 	p.rolloutAnswers.Stop()
 }
 
-// Answers is what the gate has counted, and the calls that run or wait there.
+// AnswerEvidence returns the back end's answers as counted by the gate, and the number of calls
+// that run or wait there.
 func (p *Proxy) AnswerEvidence() (evidence rollout.Evidence, outstanding int) {
 	if p.gate == nil {
 		return nil, 0
--- a/internal/proxy/division_test.go
+++ b/internal/proxy/division_test.go
@@ -13,19 +13,20 @@
 	"github.com/springstack/springstack/internal/core/rollout"
 )
 
-// versionedSet is a set of back ends of the old and the new version.
-func newVersionedSet(old, target int) *endpoint.Set {
-	return newVersionedSetFor(endpoint.Locality{}, old, target)
+// newVersionedSet returns a set of back ends: stableCount of version v1, targetCount of version v2.
+func newVersionedSet(stableCount, targetCount int) *endpoint.Set {
+	return newVersionedSetFor(endpoint.Locality{}, stableCount, targetCount)
 }
 
-// versionedSetIn is the same for a chooser somewhere; the versions have a zone each.
-func newVersionedSetFor(self endpoint.Locality, old, target int) *endpoint.Set {
+// newVersionedSetFor is like newVersionedSet for a choosing daemon with the given locality. The
+// back ends of v1 are in zone old, those of v2 in zone new.
+func newVersionedSetFor(self endpoint.Locality, stableCount, targetCount int) *endpoint.Set {
 	var members []protocol.Member
 	var backends []resource.Backend
-	for index := range old + target {
+	for index := range stableCount + targetCount {
 		name := fmt.Sprintf("b%d", index)
 		software, zone := "v1", "old"
-		if index >= old {
+		if index >= stableCount {
 			software, zone = "v2", "new"
 		}
 		members = append(members, protocol.Member{
@@ -37,14 +38,15 @@
 	return endpoint.Build(nil, self, backends, members, 0)
 }
 
-// sentTo counts where calls go by version, and at how many back ends of the new one.
-func countByVersion(divided *service, calls int) (byVersion map[string]int, targets map[string]int) {
+// countByVersion chooses endpoints for calls to a service and counts the calls by version, and those
+// to v2 by back end.
+func countByVersion(calledService *service, calls int) (byVersion map[string]int, byTarget map[string]int) {
 	random := rand.New(rand.NewPCG(1, 2))
-	byVersion, targets = map[string]int{}, map[string]int{}
+	byVersion, byTarget = map[string]int{}, map[string]int{}
 	for range calls {
-		chosen := divided.canary.choose(0, random.Uint64(), random.Uint64())
+		chosen := calledService.canary.choose(0, random.Uint64(), random.Uint64())
 		if chosen == nil {
-			chosen = divided.set.Choose(0, random.Uint64(), nil)
+			chosen = calledService.set.Choose(0, random.Uint64(), nil)
 		}
 		if chosen == nil {
 			byVersion["none"]++
@@ -52,42 +54,44 @@
 		}
 		byVersion[chosen.Software]++
 		if chosen.Software == "v2" {
-			targets[chosen.Backend]++
+			byTarget[chosen.Backend]++
 		}
 	}
-	return byVersion, targets
+	return byVersion, byTarget
 }
 
-func newSplitService(old, target int, stage rollout.Stage) *service {
-	made := &service{allEndpoints: newVersionedSet(old, target)}
-	made.applySplit(VersionSplit{Target: "v2", Stage: stage, CanaryShare: 0.07})
-	return made
+// newSplitService returns a service whose calls are split between v1 and the target version v2 in the
+// given stage, with a canary share of 7 %.
+func newSplitService(stableCount, targetCount int, stage rollout.Stage) *service {
+	split := &service{allEndpoints: newVersionedSet(stableCount, targetCount)}
+	split.applySplit(VersionSplit{Target: "v2", Stage: stage, CanaryShare: 0.07})
+	return split
 }
 
-// Canaries get their share and no more, most of it at as many back ends as it loads like
-// the others, and each back end gets some.
+// Canaries must get the canary share of the calls and no more. Most of it must go to a few back ends
+// at full load, and each back end of the target version must get some calls.
 func TestCanariesGetTheirShare(t *testing.T) {
 	check := is.New(t)
 	const calls = 20000
-	byVersion, targets := countByVersion(newSplitService(40, 40, rollout.StageCanary), calls)
+	byVersion, byTarget := countByVersion(newSplitService(40, 40, rollout.StageCanary), calls)
 	check.True(byVersion["v2"] > calls*6/100)
 	check.True(byVersion["v2"] < calls*8/100)
-	check.Equal(len(targets), 40)
-	many := 0
-	for _, count := range targets {
+	check.Equal(len(byTarget), 40)
+	fullLoadCount := 0
+	for _, count := range byTarget {
 		if count > calls*2/100 {
-			many++
+			fullLoadCount++
 		}
 	}
-	check.Equal(many, 2) // 0.07 of 40
+	check.Equal(fullLoadCount, 2) // 0.07 of 40
 }
 
 func TestRolloutStageSelectsVersion(t *testing.T) {
 	check := is.New(t)
-	for _, given := range []struct {
-		stage       rollout.Stage
-		old, target int
-		wanted      string
+	for _, test := range []struct {
+		stage                    rollout.Stage
+		stableCount, targetCount int
+		wanted                   string
 	}{
 		{rollout.StageHeld, 4, 4, "v1"}, {rollout.StageHeld, 0, 4, "v2"},
 		{rollout.StageCanary, 0, 4, "v2"}, {rollout.StageCanary, 4, 0, "v1"},
@@ -96,17 +100,17 @@
 		{rollout.StageRolledBack, 4, 4, "v1"}, {rollout.StageRolledBack, 0, 4, "none"},
 		{rollout.StageCompleted, 4, 4, "v2"}, {rollout.StageCompleted, 4, 0, "v1"},
 	} {
-		byVersion, _ := countByVersion(newSplitService(given.old, given.target, given.stage), 100)
-		check.Equal(byVersion, map[string]int{given.wanted: 100}) // stage by stage
+		byVersion, _ := countByVersion(newSplitService(test.stableCount, test.targetCount, test.stage), 100)
+		check.Equal(byVersion, map[string]int{test.wanted: 100}) // the version that the stage selects
 	}
 }
 
-// A service without an order is not divided.
+// Without a target version calls must go to the back ends of both versions.
 func TestServiceWithoutTargetVersionIsNotSplit(t *testing.T) {
 	check := is.New(t)
-	made := &service{allEndpoints: newVersionedSet(3, 3)}
-	made.applySplit(VersionSplit{})
-	check.True(made.set == made.allEndpoints)
-	byVersion, _ := countByVersion(made, 600)
+	unsplit := &service{allEndpoints: newVersionedSet(3, 3)}
+	unsplit.applySplit(VersionSplit{})
+	check.True(unsplit.set == unsplit.allEndpoints)
+	byVersion, _ := countByVersion(unsplit, 600)
 	check.True(byVersion["v2"] > 200)
 }
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -16,15 +16,17 @@
 	errDrainBound = errors.ConstError("the hard bound of the drain has passed")
 )
 
-// drain is the state of leaving.
+// drain is the state of the proxy's drain.
 type drain struct {
 	started atomic.Bool
-	// cutAt is when calls that still run are cut, on the clock.
+	// cutAt is the deadline of the drain, at which the calls still running are cancelled, on the
+	// proxy's clock.
 	cutAt atomic.Int64
-	// refusing is set once callers have had the linger to go elsewhere.
+	// refusing is set after Limits.DrainLinger; callers' requests are refused from then on.
 	refusing atomic.Bool
-	// idle is signalled when the last call ends.
+	// idle receives a value when the last running call ends.
 	idle chan struct{}
+	// done is closed when the drain has ended.
 	done chan struct{}
 }
 
@@ -32,10 +34,10 @@
 	return drain{idle: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// StartDrain refuses new work at the gate at once, or after the linger with
-// Limits.GateLingers, and lets what runs end. The
-// callers' side serves on for the linger, asking callers to close their
-// connections, and then refuses with Draining.
+// StartDrain starts a drain, during which running calls may end. The gate refuses new calls at
+// once or, with Limits.GateLingers, after Limits.DrainLinger. The callers' side serves calls for
+// DrainLinger, asking callers to close their connections, and then refuses them with
+// result.Draining.
 func (p *Proxy) StartDrain() {
 	p.drain.cutAt.CompareAndSwap(0, int64(p.config.Clock()+p.limits.DrainBound))
 	if !p.drain.started.CompareAndSwap(false, true) {
@@ -53,21 +55,23 @@
 	}
 }
 
-// Drained is closed when a drain has ended: the linger has passed and no call
-// runs any more, or the calls that ran past the hard bound have been cut.
+// Drained returns a channel that is closed when a drain has ended: DrainLinger has passed and no
+// call is running, or the calls still running at the drain's deadline have been cancelled.
 func (p *Proxy) Drained() <-chan struct{} { return p.drain.done }
 
-// timeUntilCut bounds the time of a call that comes while the daemon drains: gates are
-// told no more than that, and refuse at once what can't end by then.
+// limitTimeoutByDrain limits the timeout of a call to the time left until the deadline of a
+// running drain. The limited timeout is sent to gates, which refuse at once calls that can't end
+// in time.
 func (p *Proxy) limitTimeoutByDrain(timeout time.Duration) time.Duration {
 	now := p.config.Clock()
 	return max(0, p.limitDeadlineByDrain(now+timeout)-now)
 }
 
-// untilCut is the earlier of a time and the drain's hard bound, both on the clock. The gate
-// admits calls by it while the daemon drains, so that one which can't end by then goes
-// elsewhere rather than wait here. It does not end the call: what is cut at the bound is
-// repeated elsewhere if it may be, and its back end is not blamed.
+// limitDeadlineByDrain returns the earlier of a deadline and the deadline of a running drain, both
+// on the proxy's clock. While the daemon drains, the gate uses the result for admission, so that a
+// call that can't end in time is sent elsewhere instead of waiting here. The call's own deadline
+// stays: a call that the drain cancels can be repeated elsewhere if that is allowed, and is not
+// counted as a failure of its back end.
 func (p *Proxy) limitDeadlineByDrain(deadline time.Duration) time.Duration {
 	if !p.drain.started.Load() {
 		return deadline
@@ -76,24 +80,24 @@
 }
 
 func (p *Proxy) runDrain() {
-	linger := time.NewTimer(p.limits.DrainLinger)
-	defer linger.Stop()
-	bound := time.NewTimer(p.limits.DrainBound)
-	defer bound.Stop()
+	lingerTimer := time.NewTimer(p.limits.DrainLinger)
+	defer lingerTimer.Stop()
+	deadlineTimer := time.NewTimer(p.limits.DrainBound)
+	defer deadlineTimer.Stop()
 	defer close(p.drain.done)
 	select {
-	case <-linger.C:
-	case <-bound.C:
+	case <-lingerTimer.C:
+	case <-deadlineTimer.C:
 	case <-p.closed:
 		return
 	}
 	p.drain.refusing.Store(true)
-	p.starting.wakeAll() // what waits for the start is refused now
+	p.starting.wakeAll() // wakes calls that wait for the daemon's start, to be refused
 	p.closeGate()
 	for p.runningCalls() > 0 {
 		select {
 		case <-p.drain.idle:
-		case <-bound.C:
+		case <-deadlineTimer.C:
 			p.logEvent("drain_bound")
 			p.connections.cancelAll(errDrainBound)
 			return
@@ -107,7 +111,8 @@
 	return p.runningCallerCalls.Load() + p.runningGateCalls.Load()
 }
 
-// leave counts the end of a call.
+// endCall decrements a counter of running calls, and signals idle if the daemon drains and no
+// call is left.
 func (p *Proxy) endCall(counter *atomic.Int64) {
 	counter.Add(-1)
 	if p.drain.started.Load() && p.runningCalls() == 0 {
@@ -118,28 +123,28 @@
 	}
 }
 
-// connections are the open connections of both listeners. They are entered and
-// left once a connection, not once a call.
+// connectionContexts holds the cancel functions of the contexts of all open connections. It is
+// updated per connection, not per call.
 type connectionContexts struct {
 	cancels sync.Map // of net.Conn to context.CancelCauseFunc
 }
 
-// open returns the context of a connection, which cut cancels.
+// addConn returns the context of a new connection, which cancelAll cancels.
 func (c *connectionContexts) addConn(ctx context.Context, conn net.Conn) context.Context {
-	bounded, cancel := context.WithCancelCause(ctx)
+	cancellable, cancel := context.WithCancelCause(ctx)
 	c.cancels.Store(conn, cancel)
-	bound := context.WithValue(bounded, connKey{}, conn)
-	if counted, known := conn.(*countedConn); known && counted.pipelined != nil {
-		counted.pipelined.Bind(bound)
+	connContext := context.WithValue(cancellable, connKey{}, conn)
+	if counted, ok := conn.(*countedConn); ok && counted.pipelined != nil {
+		counted.pipelined.Bind(connContext)
 	}
-	return bound
+	return connContext
 }
 
-// change follows the state of a connection.
+// onStateChange handles a state change of a connection.
 func (c *connectionContexts) onStateChange(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateIdle:
-		if counted, known := conn.(*countedConn); known {
+		if counted, ok := conn.(*countedConn); ok {
 			counted.endCall()
 		}
 	case http.StateClosed, http.StateHijacked:
@@ -149,7 +154,7 @@
 	}
 }
 
-// cut cancels the calls on all connections.
+// cancelAll cancels the calls on all connections.
 func (c *connectionContexts) cancelAll(cause error) {
 	c.cancels.Range(func(_, cancel any) bool {
 		cancel.(context.CancelCauseFunc)(cause)
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -26,29 +26,29 @@
 	backend := newBlockingBackend()
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{limits: Limits{DrainLinger: time.Millisecond}}, backend.spec(), countingBackend(&runs))
-	running := make(chan callResult)
+	results := make(chan callResult)
 	started := 0
 	for entered := false; !entered; started++ {
-		go func() { running <- mesh.call(t, "POST", "/", "x") }()
+		go func() { results <- mesh.call(t, "POST", "/", "x") }()
 		select {
 		case <-backend.entered:
 			entered = true
-		case <-running: // it went to the other one
+		case <-results: // the other back end answered it
 		}
 	}
 	mesh.gates[0].StartDrain()
-	before := runs.Load()
+	runsBefore := runs.Load()
 	for range 20 {
-		check.Equal(mesh.call(t, "POST", "/", "x").body, "x") // goes to the other, untold
+		check.Equal(mesh.call(t, "POST", "/", "x").body, "x") // sent to the other gate, though the members still show this one as ready
 	}
-	check.Equal(runs.Load()-before, int64(20))
+	check.Equal(runs.Load()-runsBefore, int64(20))
 	select {
 	case <-mesh.gates[0].Drained():
 		t.Fatal("drained while a call runs")
 	default:
 	}
 	close(backend.release)
-	check.Equal((<-running).body, "done")
+	check.Equal((<-results).body, "done")
 	<-mesh.gates[0].Drained()
 }
 
@@ -57,12 +57,12 @@
 	backend := newBlockingBackend()
 	limits := Limits{DrainLinger: time.Millisecond, DrainBound: 20 * time.Millisecond}
 	mesh := startMesh(t, meshOptions{limits: limits}, backend.spec())
-	running := make(chan callResult)
-	go func() { running <- mesh.call(t, "POST", "/", "x") }()
+	results := make(chan callResult)
+	go func() { results <- mesh.call(t, "POST", "/", "x") }()
 	<-backend.entered
 	mesh.gates[0].StartDrain()
 	<-mesh.gates[0].Drained()
-	expectRefusal(check, <-running, result.DrainBound, result.RanUnknown)
+	expectRefusal(check, <-results, result.DrainBound, result.RanUnknown)
 	mesh.caller.StartDrain()
 	<-mesh.caller.Drained()
 	expectRefusal(check, mesh.call(t, "POST", "/", "x"), result.Draining, result.RanNo)
@@ -95,18 +95,18 @@
 	draining.Store(true)
 	check.Equal(<-states, protocol.EndpointDraining)
 	expectRefusal(check, mesh.call(t, "POST", "/", "x"), result.Draining, result.RanNo)
-	own, _ := mesh.gates[0].health.backendLoad()
-	check.Equal(own, 2.5)
+	reportedLoad, _ := mesh.gates[0].health.backendLoad()
+	check.Equal(reportedLoad, 2.5)
 	draining.Store(false)
 	check.Equal(<-states, protocol.EndpointReady)
-	mesh.members[0].Sequence++ // the daemon's newer word ends what its refusal said
+	mesh.members[0].Sequence++ // the daemon's newer member record supersedes its earlier refusal
 	mesh.caller.PublishMembers(mesh.members)
 	check.Equal(mesh.call(t, "POST", "/", "x").status, http.StatusOK)
 	check.Equal(runs.Load(), int64(2))
 }
 
-// TestIdleConnectionIsRetiredTruly: a server that stops announces the close on
-// idle connections, and runs nothing that was still sent on them.
+// A server that stops must announce the close on idle connections, and must not run requests that
+// are sent on them afterwards.
 func TestShutdownRunsNothingOnIdleConnection(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -134,14 +134,14 @@
 	check.Equal(announced.StatusCode, http.StatusRequestTimeout)
 	check.Equal(announced.Header.Get(headerRan), "no")
 	check.Equal(announced.Header.Get(headerCode), "405")
-	_, _ = io.WriteString(conn, call) // as if it had been on its way
+	_, _ = io.WriteString(conn, call) // like a request that was sent before the announcement arrived
 	check.NoErr(<-stopped)
 	check.Equal(<-served, http.ErrServerClosed)
 	check.Equal(runs.Load(), int64(1))
 }
 
-// TestStopUnderLoadLeavesNoDoubt stops servers under calls that may not be
-// repeated. Each is answered, or refused as not run: none is in doubt.
+// When a server stops under a load of calls that must not be repeated, each call must be answered
+// or refused as not run, so that no outcome is unknown.
 func TestShutdownUnderLoadLeavesNoCallUnknown(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -150,7 +150,7 @@
 		listener := listenLoopback(t)
 		server := NewServer(mesh.caller.CallerHandler(), Limits{})
 		go func() { _ = server.Serve(listener) }()
-		var answered, doubtful atomic.Int64
+		var answered, unknown atomic.Int64
 		var group sync.WaitGroup
 		for range 8 {
 			group.Go(func() {
@@ -160,38 +160,38 @@
 					answer, err := client.Post("http://"+listener.Addr().String(), "", strings.NewReader("x"))
 					var failed *net.OpError
 					if errors.As(err, &failed) && failed.Op == "dial" {
-						return // certain not to have run
+						return // the request can't have run
 					}
 					if err != nil || answer.StatusCode != http.StatusOK && answer.Header.Get(headerRan) != "no" {
 						t.Log(err, answer)
-						doubtful.Add(1)
+						unknown.Add(1)
 						return
 					}
 					_, _ = io.Copy(io.Discard, answer.Body)
 					_ = answer.Body.Close()
 					if answer.StatusCode != http.StatusOK {
-						return // told to come back later
+						return // refused as not run
 					}
 					answered.Add(1)
 				}
 			})
 		}
-		for answered.Load() < 50 && doubtful.Load() == 0 {
+		for answered.Load() < 50 && unknown.Load() == 0 {
 			runtime.Gosched()
 		}
 		check.NoErr(server.Shutdown(t.Context()))
 		group.Wait()
-		check.Equal(doubtful.Load(), int64(0))
+		check.Equal(unknown.Load(), int64(0))
 	}
 }
 
-// TestADrainingGateAdmitsByItsBound: a call that would wait at a gate beyond the bound
-// of its drain is refused there as not run, though it has time left, and goes elsewhere.
+// The admission deadline of a call at a draining gate must not be later than the drain's deadline.
+// A call that would wait longer is then refused as not run and can be sent elsewhere.
 func TestDrainingGateLimitsAdmissionDeadline(t *testing.T) {
 	check := is.New(t)
-	const bound = 2 * time.Second
+	const drainBound = 2 * time.Second
 	backend := newBlockingBackend()
-	limits := Limits{GateLingers: true, DrainLinger: time.Second, DrainBound: bound}
+	limits := Limits{GateLingers: true, DrainLinger: time.Second, DrainBound: drainBound}
 	mesh := startMesh(t, meshOptions{slots: 1, limits: limits}, backend.spec())
 	gate := mesh.gates[0]
 	newTicket := func() *admission.Ticket {
@@ -199,51 +199,51 @@
 		call := &gateCall{proxy: gate, request: request, deadline: testClock() + time.Minute}
 		return call.newTicket()
 	}
-	check.True(newTicket().Deadline > testClock()+bound)
+	check.True(newTicket().Deadline > testClock()+drainBound)
 	gate.StartDrain()
-	check.True(newTicket().Deadline <= testClock()+bound)
+	check.True(newTicket().Deadline <= testClock()+drainBound)
 }
 
-// drainedUnder has a call run at a gate that drains, and returns what the caller gets when
-// the gate's bound has passed. Failed counts what the back ends are blamed for.
+// callCutByDrain returns the result of a call that runs at a draining gate until the drain's
+// deadline cuts it. failed counts the failures that the gates report of their back ends.
 func callCutByDrain(t *testing.T, failed *atomic.Int64) callResult {
 	t.Helper()
 	limits := Limits{GateLingers: true, DrainLinger: 200 * time.Millisecond, DrainBound: 300 * time.Millisecond}
-	began := make(chan struct{}, 9)
-	slow := backendSpec{handler: func(_ http.ResponseWriter, request *http.Request) {
-		began <- struct{}{}
+	started := make(chan struct{}, 9)
+	blocking := backendSpec{handler: func(_ http.ResponseWriter, request *http.Request) {
+		started <- struct{}{}
 		<-request.Context().Done()
 	}}
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{limits: limits}, slow, countingBackend(&runs))
+	mesh := startMesh(t, meshOptions{limits: limits}, blocking, countingBackend(&runs))
 	for _, gate := range mesh.gates {
 		gate.config.OnBackendFailed = func(protocol.BackendStart, uint64) { failed.Add(1) }
 	}
 	mesh.gates[0].StartDrain()
 	for {
-		got := make(chan callResult, 1)
-		go func() { got <- mesh.call(t, "GET", "/", "") }()
+		results := make(chan callResult, 1)
+		go func() { results <- mesh.call(t, "GET", "/", "") }()
 		select {
-		case one := <-got:
-			if one.status != http.StatusOK {
-				t.Fatal(one)
+		case outcome := <-results:
+			if outcome.status != http.StatusOK {
+				t.Fatal(outcome)
 			}
-		case <-began:
-			return await(t, got, "an answer")
+		case <-started:
+			return await(t, results, "an answer")
 		}
 	}
 }
 
-// What a draining gate cuts at its bound, though the call has time left, may be repeated:
-// it is no deadline of the call's.
+// A call that a draining gate cuts at the drain's deadline must be retried if it has time left: its
+// own deadline has not passed.
 func TestCallCutByDrainingGateIsRetried(t *testing.T) {
 	var failed atomic.Int64
-	got := callCutByDrain(t, &failed)
-	t.Log(got.status, got.code(), got.ran(), got.body)
-	is.New(t).Equal(got.status, http.StatusOK)
+	outcome := callCutByDrain(t, &failed)
+	t.Log(outcome.status, outcome.code(), outcome.ran(), outcome.body)
+	is.New(t).Equal(outcome.status, http.StatusOK)
 }
 
-// A back end is not blamed for what the gate's own drain has cut.
+// A call that the gate's drain cuts must not be counted as a failure of its back end.
 func TestDrainCutIsNotABackendFailure(t *testing.T) {
 	var failed atomic.Int64
 	_ = callCutByDrain(t, &failed)
--- a/internal/proxy/edge.go
+++ b/internal/proxy/edge.go
@@ -11,40 +11,39 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Edge names the headers and conventions by which callers and back ends of a
-// foreign platform speak HTTP. With an Edge the proxy carries requests on byte
-// for byte: method, path, query and body are those of the caller. All header
-// names are in canonical form.
+// Edge describes the HTTP headers and conventions of the callers and back ends of a foreign
+// platform. With an Edge the proxy forwards method, path, query and body of a request unchanged.
+// All header names are in canonical form.
 type Edge struct {
-	// RequestID identifies one request of a caller. Back ends echo it, so an
-	// answer that names another id belongs to another request.
+	// RequestID identifies one request of a caller. Back ends echo it, so an answer with another
+	// id belongs to another request.
 	RequestID string
-	// Deadline is what is left of a request's time, in whole milliseconds.
+	// Deadline is the time left for a request, in whole milliseconds.
 	Deadline string
-	// Signature is on every genuine answer of success.
+	// Signature is present on every genuine answer with a success status.
 	Signature string
-	// ExpectedInstance names the instance that alone may run the request.
+	// ExpectedInstance names the only instance that may run the request.
 	ExpectedInstance string
-	// NotExecuted is on an answer by which a back end says that it did not run
-	// the request.
+	// NotExecuted is present on an answer by which a back end states that it did not run the
+	// request.
 	NotExecuted string
-	// Load is on answers of back ends that tell what they hold: the calls that run, those that
-	// wait, and the slots, separated by commas.
+	// Load is present on answers of back ends that report their load: the numbers of running
+	// calls, of queued calls and of slots, separated by commas.
 	Load string
-	// CallerService is the header for Service.
+	// CallerService is the name of the header whose value is Service.
 	CallerService string
-	// Service is the name of the service on this machine. It is put on every
-	// request that starts here, whatever its sender wrote.
+	// Service is the name of the service on this machine. It replaces the value on every request
+	// that a caller sends to this daemon.
 	Service string
 }
 
-// Reasons for which an answer of a back end is not taken.
+// Reasons for rejecting an answer of a back end.
 const (
 	errAnswerIDMismatch = errors.ConstError("the answer names another request")
 	errUnsignedAnswer   = errors.ConstError("the answer of success is not signed")
 )
 
-// statedDeadline reads what a caller says is left of its time.
+// parseTimeLeft parses the Deadline header; false means that it is missing or invalid.
 func (e *Edge) parseTimeLeft(header http.Header) (time.Duration, bool) {
 	milliseconds, err := strconv.ParseInt(header.Get(e.Deadline), 10, 32)
 	if err != nil || milliseconds < 0 {
@@ -53,17 +52,17 @@
 	return time.Duration(milliseconds) * time.Millisecond, true
 }
 
-// checkAnswer refuses an answer that can't be that of the request.
+// checkAnswer returns an error if the answer can't belong to the sent request.
 func (e *Edge) checkAnswer(sent http.Header, answer *http.Response) error {
-	wanted := sent.Get(e.RequestID)
-	echoed := answer.Header.Get(e.RequestID)
+	sentID := sent.Get(e.RequestID)
+	echoedID := answer.Header.Get(e.RequestID)
 	switch {
 	case e.isNotExecuted(answer):
-		if echoed != "" && echoed != wanted {
+		if echoedID != "" && echoedID != sentID {
 			return errAnswerIDMismatch
 		}
 		return nil
-	case wanted != "" && echoed != wanted:
+	case sentID != "" && echoedID != sentID:
 		return errAnswerIDMismatch
 	case isSuccess(answer.StatusCode) && answer.Header.Get(e.Signature) == "":
 		return errUnsignedAnswer
@@ -71,8 +70,7 @@
 	return nil
 }
 
-// notExecuted tells whether an answer is the back end's word that it did not
-// run the request.
+// isNotExecuted reports whether an answer states that the back end did not run the request.
 func (e *Edge) isNotExecuted(answer *http.Response) bool {
 	return answer.Header.Get(e.NotExecuted) != "" || answer.StatusCode == http.StatusMisdirectedRequest
 }
@@ -81,8 +79,8 @@
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// HeldCalls reads how many calls a back end says to hold, of the header Load; false when it
-// does not tell.
+// ParseHeldCalls parses the value of the Load header and returns the number of running and queued
+// calls; false means that the value is missing or invalid.
 func ParseHeldCalls(text string) (int, bool) {
 	const fields = 3
 	parts := strings.Split(text, ",")
@@ -100,8 +98,8 @@
 	return held, true
 }
 
-// status is the HTTP status of a refusal towards callers of the platform, to
-// whom 503 promises that the request has not run and never will.
+// refusalStatus returns the HTTP status of a refusal to callers of the platform, for whom 503
+// guarantees that the request has not run and never will.
 func (e *Edge) refusalStatus(refusal Refusal) int {
 	if refusal.Status != 0 {
 		return refusal.Status
@@ -132,14 +130,13 @@
 	return request.URL.RequestURI()
 }
 
-// verbatimPath is the path of a request target, as it was sent.
+// verbatimPath returns the path of a request target as it was sent.
 func verbatimPath(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// verbatimHost is the host that routes are matched by: in lower case and
-// without a port.
+// routingHost returns the host that routes are matched by: in lower case and without port.
 func routingHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
--- a/internal/proxy/ended.go
+++ b/internal/proxy/ended.go
@@ -17,47 +17,49 @@
 )
 
 const (
-	// endDialTimeout bounds one connection to a back end on the same machine, which takes
-	// connections or refuses them within a millisecond.
+	// endDialTimeout limits one attempt to connect to a back end on the same machine, which
+	// accepts or refuses connections within a millisecond.
 	endDialTimeout = 50 * time.Millisecond
-	// endDialTries and endDialPause are how often and how far apart a back end is asked that
-	// still takes connections or has not answered in time: an ending process may close its
-	// connections before its port.
+	// endDialTries and endDialPause are the maximum number of attempts to connect and the pause
+	// between them. A second attempt follows if the first succeeded or timed out: an ending
+	// process may close its connections before its port.
 	endDialTries = 2
 	endDialPause = 3 * time.Millisecond
-	// endGather is how long calls are gathered that were at work on a back end as it ended.
-	// Their connections break in the same moment; it allows for the scheduling of the
-	// goroutines that read them.
+	// endGatherTime is how long the calls that an end has interrupted are collected. Their
+	// connections break at the same moment; the time is for the scheduling of the goroutines
+	// that read them.
 	endGatherTime = 5 * time.Millisecond
 )
 
-// backendEnds finds out whether the back end has ended when connections to it break under
-// calls, and which calls were at work there.
+// backendEnds detects whether the back end has ended when connections to it break during calls,
+// and collects the calls that were interrupted.
 type backendEnds struct {
 	mutex sync.Mutex
-	// newest is the last moment at which calls broke; nil for none.
+	// newest is the last backendEnd; nil if there is none or the instance had not ended.
 	newest *backendEnd
-	// answeredBefore is how many calls were answered well before the software version came
-	// that runs now.
+	// succeededBeforeVersion is the value of counterSet.succeeded when the current software
+	// version of the back end was first reported.
 	succeededBeforeVersion atomic.Uint64
 }
 
-// backendEnd is one moment at which connections to an instance broke.
+// backendEnd is the possible end of an instance: a moment at which connections to it broke.
 type backendEnd struct {
-	// start is the start of the instance, which may start again under its name.
+	// start identifies the start of the instance, which may start again with the same name.
 	start protocol.BackendStart
-	// settled is closed when ended is known and all calls have been gathered.
+	// resolved is closed when ended is known and all interrupted calls have been collected.
 	resolved chan struct{}
 	ended    bool
-	// atWork are the calls whose connections broke; guarded by the mutex until settled.
+	// interruptedCalls are the calls whose connections broke; guarded by backendEnds.mutex, and
+	// nil once resolved is closed.
 	interruptedCalls []*gateCall
-	// suspected are the requests that the end is put down to.
+	// suspectedRequests are the requests that may have caused the end.
 	suspectedRequests map[quarantine.Signature]bool
 }
 
-// awaitEnd waits, after the connection of the call broke before an answer, until it is known
-// whether the instance has ended: some 5 ms, endDialTimeout where nothing answers. It
-// returns the start if it has and this call is suspected of it, and else nothing.
+// awaitSuspectedEnd is called after the connection of the call broke before its answer. It waits
+// until it is known whether the instance has ended: about 5 ms, or up to the timeouts of all
+// attempts to connect if the instance doesn't respond. It returns the start of the instance if
+// it has ended and this call's request may have caused that, else the empty string.
 func (c *gateCall) awaitSuspectedEnd() string {
 	end := c.proxy.addInterruptedCall(c)
 	<-end.resolved
@@ -68,7 +70,8 @@
 	return end.start.String()
 }
 
-// gatherEnd adds a call to the moment at which its connection broke.
+// addInterruptedCall adds a call whose connection broke to the backendEnd of its instance. If there
+// is none yet, it creates one and starts resolveEnd for it.
 func (p *Proxy) addInterruptedCall(call *gateCall) *backendEnd {
 	p.backendEnds.mutex.Lock()
 	end := p.backendEnds.newest
@@ -93,7 +96,8 @@
 	}
 }
 
-// settleEnd finds out whether an instance has ended.
+// resolveEnd determines whether an instance has ended, and attributes the end. While the gate
+// drains, broken connections are not taken for an end.
 func (p *Proxy) resolveEnd(end *backendEnd) {
 	ended := p.gate.RefusalCode() != result.Draining && refusesConnections(p.connectToBackend)
 	if ended {
@@ -107,22 +111,21 @@
 		p.attributeEnd(end)
 		p.logEnd(end)
 	} else {
-		p.backendEnds.newest = nil // the next broken call asks anew
+		p.backendEnds.newest = nil // the next interrupted call starts another check
 	}
-	end.interruptedCalls = nil // their requests and bodies are not kept for it
+	end.interruptedCalls = nil // releases their requests and bodies
 	close(end.resolved)
 }
 
-// suspectOf puts an end down to the requests that were at work; which of them did it follows
-// from all ends that they were at work at (quarantine.Table). A software version that has
-// never answered anything here may be unable to, whatever it runs: its ends speak of no
-// request.
+// attributeEnd records an end for the requests of the interrupted calls. quarantine.Table infers
+// from all ends which of them is harmful. A software version that has not answered any call here
+// may fail whatever it runs, so its ends are recorded for no request.
 func (p *Proxy) attributeEnd(end *backendEnd) {
 	end.suspectedRequests = map[quarantine.Signature]bool{}
 	if !p.hasVersionAnswered() {
 		return
 	}
-	unknown := false
+	hasUnidentified := false
 	trials := map[quarantine.Signature]uint32{}
 	for _, call := range end.interruptedCalls {
 		signature, signed := call.signature()
@@ -130,29 +133,30 @@
 			end.suspectedRequests[signature] = true
 			trials[signature] = max(trials[signature], call.trial)
 		}
-		unknown = unknown || !signed
+		hasUnidentified = hasUnidentified || !signed
 	}
-	if unknown {
+	if hasUnidentified {
 		p.harmful.recordUnidentified(end.start.String())
 	}
 	p.harmful.recordEndInTrials(trials, end.start.String(), lo.Keys(end.suspectedRequests)...)
 }
 
-// softwareHasAnswered tells whether the software version that runs, or ran last, has answered
-// a call well at this gate.
+// hasVersionAnswered reports whether the software version that runs, or ran last, has answered a
+// call without a server error at this gate.
 func (p *Proxy) hasVersionAnswered() bool {
 	return p.counters.succeeded.Load() > p.backendEnds.succeededBeforeVersion.Load()
 }
 
-// refusesConnections tells whether nothing listens where a connection is opened and closed. A
-// reset connection, a lost answer and a back end that is silent or full are no end of it. One
-// try that takes too long says nothing: this process itself may have been without processor.
-func refusesConnections(connect func() error) bool {
+// refusesConnections reports whether connections are refused because no process listens, which
+// means that the instance has ended. A reset connection, a lost answer or a back end that is
+// silent or full doesn't mean that. An attempt that times out is inconclusive: this process
+// itself may have got no processor time.
+func refusesConnections(dial func() error) bool {
 	for try := range endDialTries {
 		if try > 0 {
 			time.Sleep(endDialPause)
 		}
-		err := connect()
+		err := dial()
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return true
@@ -164,8 +168,8 @@
 }
 
 func isTimeout(err error) bool {
-	var failure net.Error
-	return errors.As(err, &failure) && failure.Timeout()
+	var netError net.Error
+	return errors.As(err, &netError) && netError.Timeout()
 }
 
 // connectToBackend opens and closes a connection to the back end.
@@ -177,7 +181,7 @@
 	return conn.Close()
 }
 
-// logEnd writes that an instance has ended, and a line for each call that was at work there.
+// logEnd logs the end of an instance and each call that it interrupted.
 func (p *Proxy) logEnd(end *backendEnd) {
 	p.logEvent("backend_ended", textField("backend", end.start.Instance), bornField(end.start), textField("at_work", formatInt(len(end.interruptedCalls))))
 	for _, call := range end.interruptedCalls {
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -18,7 +18,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// atWorkOn is the end of an instance beside a proxy under calls of some targets.
+// newBackendEnd returns the end of an instance that interrupted one call to each target.
 func newBackendEnd(proxy *Proxy, instance string, targets ...string) *backendEnd {
 	end := &backendEnd{start: protocol.BackendStart{Instance: instance}, resolved: make(chan struct{})}
 	for _, target := range targets {
@@ -27,29 +27,33 @@
 	return end
 }
 
+// newGetRequest returns a GET request to a target as a gate receives it.
 func newGetRequest(target string) *http.Request {
 	request, err := http.NewRequest(http.MethodGet, "http://app.example"+target, nil)
 	if err != nil {
-		panic(err) // targets are the tests' own
+		panic(err) // the test passed an invalid target
 	}
 	request.RequestURI = target
 	return request
 }
 
+// signatureOf returns the signature that a gate computes for a GET request to a target.
 func signatureOf(proxy *Proxy, target string) quarantine.Signature {
 	signature, _ := (&gateCall{proxy: proxy, request: newGetRequest(target)}).signature()
 	return signature
 }
 
-// beliefsAfter are the beliefs of some targets after an end.
+// statesAfterEnd attributes an end and returns the resulting quarantine states of the requests to
+// the targets, separated by spaces.
 func statesAfterEnd(proxy *Proxy, end *backendEnd, targets ...string) string {
 	proxy.attributeEnd(end)
-	beliefs := lo.Map(targets, func(target string, _ int) string {
+	states := lo.Map(targets, func(target string, _ int) string {
 		return proxy.HarmfulBelief(signatureOf(proxy, target)).String()
 	})
-	return strings.Join(beliefs, " ")
+	return strings.Join(states, " ")
 }
 
+// newProxyWithAnswers returns a proxy whose back end counts as having answered a call.
 func newProxyWithAnswers(t *testing.T) *Proxy {
 	t.Helper()
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
@@ -58,8 +62,8 @@
 	return proxy
 }
 
-// An end may be of any request that was at work; once one explains enough of them, the
-// others are trusted again.
+// An end makes every interrupted request suspected. Once one request explains enough ends, it is
+// held and the others are trusted again.
 func TestEndIsAttributedToInterruptedRequests(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
@@ -68,8 +72,8 @@
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "3", "/a"), "/a", "/b", "/c"), "held trusted trusted")
 }
 
-// A software version that has answered nothing may be unable to, so that its ends speak of
-// no request, until it has.
+// A software version that has not answered any call may be faulty itself, so its ends must not make
+// requests suspected until it has answered one.
 func TestEndsOfVersionWithoutAnswersSuspectNoRequest(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
@@ -79,7 +83,7 @@
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a"), "/a"), "suspected")
 }
 
-// A back end that takes connections, or says nothing, has not ended.
+// A back end whose port accepts connections has not ended; one without a listener has.
 func TestRefusesConnectionsOnlyWithoutListener(t *testing.T) {
 	check := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,31 +93,32 @@
 	check.True(refusesConnections((&Proxy{config: Config{BackendAddress: listener.Addr().String()}}).connectToBackend))
 }
 
-// What others know of a request in addition reaches those who have heard of its first end.
+// A daemon whose back end has answered a request before must publish that, as Familiar, when it
+// receives the record of an end, and must publish a later answer as urgent.
 func TestFamiliarRequestIsReportedToPeers(t *testing.T) {
 	check := is.New(t)
-	told := make(chan bool, 8)
-	one := newProxyWithAnswers(t)
-	other := New(Config{Clock: testClock, NodeID: "other", OnHarmful: func(urgent bool) { told <- urgent }})
-	t.Cleanup(other.Close)
-	other.harmful.recordAnswered(signatureOf(other, "/often"))
-	one.attributeEnd(newBackendEnd(one, "i", "/often"))
-	check.Equal(other.MergeHarmful(one.UntoldHarmful(), false), 0)
-	check.Equal(<-told, false)
-	records := other.UntoldHarmful()
+	notified := make(chan bool, 8)
+	gate := newProxyWithAnswers(t)
+	peer := New(Config{Clock: testClock, NodeID: "other", OnHarmful: func(urgent bool) { notified <- urgent }})
+	t.Cleanup(peer.Close)
+	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
+	gate.attributeEnd(newBackendEnd(gate, "i", "/often"))
+	check.Equal(peer.MergeHarmful(gate.UntoldHarmful(), false), 0)
+	check.Equal(<-notified, false)
+	records := peer.UntoldHarmful()
 	check.Equal(len(records), 1)
 	check.True(records[0].Familiar)
-	check.Equal(len(other.UntoldHarmful()), 0) // told once
-	one.MergeHarmful(records, false)
-	check.Equal(one.HarmfulSum(), other.HarmfulSum())
-	other.harmful.recordAnswered(signatureOf(other, "/often"))
-	check.Equal(<-told, true)
-	one.MergeHarmful(other.UntoldHarmful(), false)
-	check.Equal(one.HarmfulBelief(signatureOf(one, "/often")), quarantine.Trusted)
+	check.Equal(len(peer.UntoldHarmful()), 0) // each record is returned once
+	gate.MergeHarmful(records, false)
+	check.Equal(gate.HarmfulSum(), peer.HarmfulSum())
+	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
+	check.Equal(<-notified, true)
+	gate.MergeHarmful(peer.UntoldHarmful(), false)
+	check.Equal(gate.HarmfulBelief(signatureOf(gate, "/often")), quarantine.Trusted)
 }
 
-// BenchmarkUnsuspected is what a call pays at its entry and its gate while nothing is known
-// of any request, and what its gate remembers of its answer.
+// BenchmarkUnsuspected measures the quarantine checks of a call at its entry and its gate, and the
+// recording of its answer at the gate, while no request is suspected.
 func BenchmarkUnsuspected(b *testing.B) {
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
 	b.Cleanup(proxy.Close)
@@ -134,7 +139,8 @@
 	})
 }
 
-// Two harmful requests that wait for their turn at one gate run one after the other.
+// Suspected calls must run one at a time at a gate, and one whose request is held while it waits
+// must be refused.
 func TestSuspectedCallsRunOneAtATime(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
@@ -150,44 +156,44 @@
 	}()
 	select {
 	case <-started:
-		t.Fatal("both run at a time")
+		t.Fatal("both suspected calls run at the same time")
 	case <-time.After(20 * time.Millisecond):
 	}
 	for _, instance := range []string{"2", "3"} {
-		proxy.harmful.recordEnd(instance, signatureOf(proxy, "/b")) // it is held meanwhile
+		proxy.harmful.recordEnd(instance, signatureOf(proxy, "/b")) // after these ends the request is held
 	}
 	first.releaseSuspectTurn()
 	check.True(!<-started)
 }
 
 func TestRefusesConnectionsByDialResult(t *testing.T) {
-	late := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
+	timeout := &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}
 	refused := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
-	for _, given := range []struct {
+	for _, test := range []struct {
 		name  string
 		tries [endDialTries]error
 		ended bool
 	}{
 		{"refused", [endDialTries]error{refused}, true},
 		{"taken, then refused", [endDialTries]error{nil, refused}, true},
-		{"late, then refused", [endDialTries]error{late, refused}, true},
+		{"late, then refused", [endDialTries]error{timeout, refused}, true},
 		{"taken", [endDialTries]error{nil, nil}, false},
-		{"late", [endDialTries]error{late, late}, false},
+		{"late", [endDialTries]error{timeout, timeout}, false},
 		{"reset", [endDialTries]error{reset, refused}, false},
 	} {
-		t.Run(given.name, func(t *testing.T) {
-			asked := 0
+		t.Run(test.name, func(t *testing.T) {
+			dials := 0
 			ended := refusesConnections(func() error {
-				asked++
-				return given.tries[asked-1]
+				dials++
+				return test.tries[dials-1]
 			})
-			is.New(t).Equal(ended, given.ended)
+			is.New(t).Equal(ended, test.ended)
 		})
 	}
 }
 
-// newSlotsProxy is a proxy whose gate has some slots.
+// newProxyWithSlots returns a proxy whose gate has three slots.
 func newProxyWithSlots(t *testing.T) *Proxy {
 	t.Helper()
 	proxy := newProxyWithAnswers(t)
@@ -196,7 +202,7 @@
 	return proxy
 }
 
-// slotOf has a call hold a slot of its gate.
+// admitToSlot has the gate admit a call, which then occupies a slot.
 func admitToSlot(t *testing.T, call *gateCall) *gateCall {
 	t.Helper()
 	call.deadline = call.proxy.config.Clock() + time.Minute
@@ -205,8 +211,8 @@
 	return call
 }
 
-// A request that may be held at its next end runs alone, so that this end costs no other call
-// and speaks against no other request.
+// A suspected request whose next end may put it into quarantine must run alone, so that this end
+// interrupts no other call and makes no other request suspected.
 func TestCallOneEndFromQuarantineRunsAlone(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithSlots(t)
@@ -214,7 +220,7 @@
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a", "/b"), "/a"), "suspected")
 	suspected := admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/a"), context: t.Context()})
 	_, passed := suspected.isolate()
-	check.True(passed) // one end may be of any other request
+	check.True(passed) // after one end it may still run alongside others
 	check.Equal(proxy.counters.isolatedCalls.Load(), uint64(0))
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a", "/c"), "/a"), "suspected")
 	started := make(chan bool)
@@ -224,24 +230,25 @@
 	}()
 	select {
 	case <-started:
-		t.Fatal("it runs beside another call")
+		t.Fatal("the call runs alongside another call")
 	case <-time.After(20 * time.Millisecond):
 	}
 	proxy.gate.Done(proxy.config.Clock(), other.ticket, true)
 	check.True(<-started)
 	check.Equal(proxy.counters.isolatedCalls.Load(), uint64(1))
 	check.True(!proxy.gate.HasFreeSlot())
-	suspected.endIsolation() // it has its answer, or is given up while the back end hangs
+	suspected.endIsolation() // called when the call is answered or abandoned
 	check.True(proxy.gate.HasFreeSlot())
 }
 
-// A request that is at enough ends to be held, but was never at work alone, is refused where a
-// back end is kept busy by others, and one that was found harmful as it waited is not sent.
+// A request with enough ends to be held, each shared with another request, must run alone. It must be
+// refused if the back end stays busy with other calls, and refused as quarantined if it becomes held
+// in the meantime.
 func TestCallThatMustRunAloneIsRefusedWhenGateIsBusy(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithSlots(t)
-	for instance, beside := range map[string]string{"1": "/b", "2": "/c", "3": "/d"} {
-		check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, instance, "/a", beside), "/a"), "suspected")
+	for instance, otherTarget := range map[string]string{"1": "/b", "2": "/c", "3": "/d"} {
+		check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, instance, "/a", otherTarget), "/a"), "suspected")
 	}
 	admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/other"), context: t.Context()})
 	suspected := admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/a"), context: t.Context()})
--- a/internal/proxy/evacuation_test.go
+++ b/internal/proxy/evacuation_test.go
@@ -21,18 +21,18 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The gate is the second line: an entry that has not heard of the order is refused there and
-// sends its call elsewhere.
+// A callers' side that has not received an evacuation order yet must send the calls that the
+// evacuated gate refuses to another gate.
 func TestCallsRefusedByEvacuatedGateAreRetried(t *testing.T) {
 	check := is.New(t)
-	var emptied, others atomic.Int64
-	mesh := startMesh(t, meshOptions{}, countingBackend(&emptied), countingBackend(&others))
+	var evacuatedRuns, otherRuns atomic.Int64
+	mesh := startMesh(t, meshOptions{}, countingBackend(&evacuatedRuns), countingBackend(&otherRuns))
 	mesh.gates[0].gate.Evacuate()
 	for range 20 {
 		check.Equal(mesh.call(t, "POST", "/", "x").status, http.StatusOK)
 	}
-	check.Equal(emptied.Load(), int64(0))
-	check.Equal(others.Load(), int64(20))
+	check.Equal(evacuatedRuns.Load(), int64(0))
+	check.Equal(otherRuns.Load(), int64(20))
 }
 
 func TestOnlyGateInEvacuatedZoneRefuses(t *testing.T) {
@@ -44,38 +44,38 @@
 	check.Equal(runs.Load(), int64(0))
 }
 
-// Without a back end elsewhere a call is refused before anything is sent.
+// If all back ends are in evacuated zones, a call must be refused without an attempt.
 func TestCallsWithOnlyEvacuatedZonesAreRefusedUnsent(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs), countingBackend(&runs))
 	mesh.caller.PublishState(MeshState{Members: mesh.members, Evacuations: evacuation.NewOrders(position.Position{Revision: 1}, []string{"z"})})
-	got := mesh.call(t, "POST", "/", "x")
-	expectRefusal(check, got, result.ZoneEvacuated, result.RanNo)
-	check.Equal(got.header.Get("Retry-After"), "1")
+	refused := mesh.call(t, "POST", "/", "x")
+	expectRefusal(check, refused, result.ZoneEvacuated, result.RanNo)
+	check.Equal(refused.header.Get("Retry-After"), "1")
 	check.Equal(mesh.caller.counters.attempts.Load(), uint64(0))
 	mesh.caller.PublishState(MeshState{Members: mesh.members})
 	check.Equal(mesh.call(t, "POST", "/", "x").status, http.StatusOK)
 }
 
-// The weights of a route hold while the zones of one part are empty: its calls are refused, not
-// moved to the other part.
+// The weights of a route must stay in force while all zones of one destination are evacuated: its
+// calls are refused, not sent to the other destination.
 func TestRoutePartWithEvacuatedZonesIsRefused(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	emptied := resource.ServiceRef{Partner: "k", Name: "emptied"}
+	evacuated := resource.ServiceRef{Partner: "k", Name: "emptied"}
 	mesh := startMesh(t, meshOptions{changeRoute: func(route *resource.Route) {
-		route.Split = append(route.Split, resource.Destination{Service: emptied, Weight: 1})
+		route.Split = append(route.Split, resource.Destination{Service: evacuated, Weight: 1})
 	}}, countingBackend(&runs))
-	held := *mesh.snapshot
-	held.Services, held.Backends = maps.Clone(held.Services), maps.Clone(held.Backends)
-	held.Services[emptied] = resource.Service{Partner: emptied.Partner, Name: emptied.Name}
-	held.Backends[emptied] = []resource.Backend{{Partner: "k", Name: "b", Service: emptied.Name, Zone: "other", Slots: 6}}
+	snap := *mesh.snapshot
+	snap.Services, snap.Backends = maps.Clone(snap.Services), maps.Clone(snap.Backends)
+	snap.Services[evacuated] = resource.Service{Partner: evacuated.Partner, Name: evacuated.Name}
+	snap.Backends[evacuated] = []resource.Backend{{Partner: "k", Name: "b", Service: evacuated.Name, Zone: "other", Slots: 6}}
 	members := append(mesh.members, protocol.Member{
 		ID: "gate-b", Incarnation: 7, Sequence: 1, State: protocol.MemberAlive, DataAddress: "127.0.0.1:1", Zone: "other",
-		Service: emptied, Backend: "b", Endpoint: protocol.EndpointReady, Slots: 6,
+		Service: evacuated, Backend: "b", Endpoint: protocol.EndpointReady, Slots: 6,
 	})
-	mesh.caller.Swap(&held)
+	mesh.caller.Swap(&snap)
 	mesh.caller.PublishState(MeshState{Members: members, Evacuations: evacuation.NewOrders(position.Position{Revision: 1}, []string{"other"})})
 	const calls = 200
 	refused := 0
@@ -85,11 +85,12 @@
 			refused++
 		}
 	}
-	check.True(refused > calls*35/100 && refused < calls*65/100) // half, by chance
+	check.True(refused > calls*35/100 && refused < calls*65/100) // about half: the weights are equal
 	check.Equal(int(runs.Load()), calls-refused)
 }
 
-// A call that runs when the zone is emptied ends in peace, one that waits runs elsewhere.
+// When a zone is evacuated, running calls must end normally, and queued calls must be refused as not
+// run, so that they can be sent elsewhere.
 func TestEvacuationKeepsRunningAndRefusesQueuedCalls(t *testing.T) {
 	check := is.New(t)
 	backend := newBlockingBackend()
@@ -107,7 +108,7 @@
 	check.Equal((<-running).body, "done")
 }
 
-// A body that the gate is taking in when the zone is emptied reaches no back end there.
+// A call whose body the gate is receiving when the zone is evacuated must not reach the back end.
 func TestEvacuationRefusesCallDuringBodyTransfer(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -115,7 +116,7 @@
 	gate := mesh.gates[0]
 	body := &pausingReader{parts: []string{strings.Repeat("x", largeBodyBytes), strings.Repeat("y", largeBodyBytes)}, pause: func() {
 		for len(gate.transfers.turns) == 0 {
-			runtime.Gosched() // the gate has yet to begin
+			runtime.Gosched() // until the gate starts to receive the body
 		}
 		gate.gate.Evacuate()
 	}}
@@ -131,7 +132,7 @@
 	check.Equal(runs.Load(), int64(0))
 }
 
-// pausingReader calls a function before the second of its parts.
+// pausingReader returns its parts one after another, and calls pause before the second one.
 type pausingReader struct {
 	parts []string
 	pause func()
@@ -153,15 +154,15 @@
 	return count, nil
 }
 
-// Canaries in a zone that is to be empty get nothing; the calls go to the other version.
+// Canaries in an evacuated zone must get no calls; all go to the stable version.
 func TestCanariesInEvacuatedZoneGetNoCalls(t *testing.T) {
 	check := is.New(t)
-	made := &service{allEndpoints: newVersionedSet(10, 10)}
-	made.applySplit(VersionSplit{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
-	before, _ := countByVersion(made, 1000)
+	normal := &service{allEndpoints: newVersionedSet(10, 10)}
+	normal.applySplit(VersionSplit{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
+	before, _ := countByVersion(normal, 1000)
 	check.True(before["v2"] > 0)
-	emptied := &service{allEndpoints: newVersionedSetFor(endpoint.Locality{Evacuations: evacuation.NewOrders(position.Position{Revision: 1}, []string{"new"})}, 10, 10)}
-	emptied.applySplit(VersionSplit{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
-	after, _ := countByVersion(emptied, 1000)
+	evacuated := &service{allEndpoints: newVersionedSetFor(endpoint.Locality{Evacuations: evacuation.NewOrders(position.Position{Revision: 1}, []string{"new"})}, 10, 10)}
+	evacuated.applySplit(VersionSplit{Target: "v2", Stage: rollout.StageCanary, CanaryShare: 0.5})
+	after, _ := countByVersion(evacuated, 1000)
 	check.Equal(after, map[string]int{"v1": 1000})
 }
--- a/internal/proxy/excess_test.go
+++ b/internal/proxy/excess_test.go
@@ -18,7 +18,7 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// testEdge is how a foreign platform speaks in these tests.
+// testEdge returns the header names of a foreign platform for tests.
 func testEdge() *Edge {
 	return &Edge{
 		RequestID: "Id", Deadline: "Left", Signature: "Signed",
@@ -26,7 +26,7 @@
 	}
 }
 
-// useEdge has both sides speak as a foreign platform does; nothing was called yet.
+// useEdge sets testEdge on the callers' side and all gates. It must be called before the first call.
 func (m *mesh) useEdge() {
 	m.caller.config.Edge = testEdge()
 	for _, gate := range m.gates {
@@ -34,31 +34,33 @@
 	}
 }
 
+// signedAnswer returns the text of a genuine success answer to the request with the given id.
 func signedAnswer(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nSigned: s\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// excessive is a back end that sends an answer in excess in the place of the second one
-// due, 50 ms after that run began, and ends the run 100 ms later unless it is cut by then.
-// From then on it turns all requests away, as one that is full does.
-func excessAnswerBackend(cut *atomic.Bool) backendSpec {
+// excessAnswerBackend is a back end that, 50 ms after the start of every request but the first on a
+// connection, sends an extra answer that names the first request. It sends the right answer 100 ms
+// later. If the connection is closed before that, it sets cancelled, and from then on it refuses all
+// requests.
+func excessAnswerBackend(cancelled *atomic.Bool) backendSpec {
 	return backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		for number := 0; ; number++ {
-			request, fine := readRequest(reader)
-			if !fine {
+			request, ok := readRequest(reader)
+			if !ok {
 				return
 			}
 			id := request.Header.Get("Id")
-			if cut.Load() {
+			if cancelled.Load() {
 				_, _ = io.WriteString(conn, "HTTP/1.1 503 Full\r\nId: "+id+"\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				continue
 			}
 			if number > 0 {
-				time.Sleep(50 * time.Millisecond) // at work
+				time.Sleep(50 * time.Millisecond) // the request runs
 				_, _ = io.WriteString(conn, signedAnswer("first", "excess"))
 				_ = conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 				if _, err := reader.Peek(1); err == io.EOF {
-					cut.Store(true)
+					cancelled.Store(true)
 					return
 				}
 				_ = conn.SetReadDeadline(time.Time{})
@@ -68,28 +70,27 @@
 	}}
 }
 
-// An answer in excess may arrive late, in the place where the next one is due; the id
-// tells them apart. The run whose place it takes is at work all the same: it is not cut,
-// and its own answer is delivered.
+// An excess answer may arrive while the next request on the connection runs; the id tells them
+// apart. That request must not be cancelled, and its own answer must be delivered.
 func TestExcessAnswerDoesNotCancelNextCall(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
 			check := is.New(t)
-			var cut atomic.Bool
-			mesh := startMesh(t, meshOptions{slots: 1}, excessAnswerBackend(&cut))
+			var cancelled atomic.Bool
+			mesh := startMesh(t, meshOptions{slots: 1}, excessAnswerBackend(&cancelled))
 			mesh.useEdge()
 			check.Equal(mesh.call(t, method, "/", "", "Id", "first").body, "first")
-			mesh.caller.StartDrain() // as around a stop
-			got := mesh.call(t, method, "/", "", "Id", "second")
-			t.Log(got.status, got.body, "cut", cut.Load())
-			check.True(!cut.Load()) // the gate cut the run
-			check.Equal(got.status, http.StatusOK)
-			check.Equal(got.body, "second")
+			mesh.caller.StartDrain() // as while the daemon stops
+			result := mesh.call(t, method, "/", "", "Id", "second")
+			t.Log(result.status, result.body, "cut", cancelled.Load())
+			check.True(!cancelled.Load()) // otherwise the gate cancelled the request
+			check.Equal(result.status, http.StatusOK)
+			check.Equal(result.body, "second")
 		})
 	}
 }
 
-// pieces reads text in pieces of drawn sizes.
+// pieceReader reads text in pieces whose maximum sizes are drawn.
 type pieceReader struct {
 	text []byte
 	draw func() int
@@ -104,30 +105,31 @@
 	return count, nil
 }
 
+// chunkedAnswer returns the text of an error answer with a chunked body of the given length.
 func chunkedAnswer(id string, length int) string {
 	body := strings.Repeat("y", length)
 	return fmt.Sprintf("HTTP/1.1 500 No\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", id, length, body)
 }
 
-// Whatever answers of other requests come first, however the bytes are cut, what is passed
-// on begins with the own answer and is unchanged from there.
+// The filter must drop the answers of earlier requests and pass the rest unchanged, however the
+// bytes are divided among reads.
 func TestSurplusFilterPassesOwnAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
-		foreign := ""
+		earlierAnswers := ""
 		for number := range rapid.IntRange(0, 3).Draw(t, "foreign") {
 			id, length := fmt.Sprint("other-", number), rapid.SampledFrom([]int{0, 5, 3000, 9000}).Draw(t, "length")
 			if length > 0 && rapid.Bool().Draw(t, "chunked") {
-				foreign += chunkedAnswer(id, length)
+				earlierAnswers += chunkedAnswer(id, length)
 				continue
 			}
-			foreign += signedAnswer(id, strings.Repeat("x", length))
+			earlierAnswers += signedAnswer(id, strings.Repeat("x", length))
 		}
-		own := signedAnswer("mine", strings.Repeat("z", rapid.SampledFrom([]int{0, 7, 9000}).Draw(t, "own")))
+		ownAnswer := signedAnswer("mine", strings.Repeat("z", rapid.SampledFrom([]int{0, 7, 9000}).Draw(t, "own")))
 		if rapid.IntRange(0, 4).Draw(t, "interim") == 0 {
-			own = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + own
+			ownAnswer = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + ownAnswer
 		}
-		source := &pieceReader{text: []byte(foreign + own), draw: func() int {
+		source := &pieceReader{text: []byte(earlierAnswers + ownAnswer), draw: func() int {
 			return rapid.SampledFrom([]int{1, 30, 500, 4096}).Draw(t, "piece")
 		}}
 		filter := &surplusFilter{source: source}
@@ -136,21 +138,21 @@
 		}
 		filter.recordRequest("mine")
 		attempt := &attemptGuard{answerID: "mine", answerHeader: "Id"}
-		var passed bytes.Buffer
+		var output bytes.Buffer
 		buffer := make([]byte, rapid.SampledFrom([]int{100, 4096}).Draw(t, "buffer"))
 		for {
 			count, err := filter.read(buffer, func() *attemptGuard { return attempt })
-			passed.Write(buffer[:count])
+			output.Write(buffer[:count])
 			if err != nil {
 				break
 			}
 		}
-		check.Equal(passed.String(), own)
+		check.Equal(output.String(), ownAnswer)
 	})
 }
 
-// An answer that names no request of its connection, and one that only its connection ends,
-// are left to whoever checks answers.
+// The filter must pass on unchanged what it can't identify as the answer to an earlier request of the
+// connection, or whose end it can't find. Edge.checkAnswer or net/http then rejects it.
 func TestSurplusFilterPassesUnidentifiedAnswers(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n",
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -11,34 +11,32 @@
 	"github.com/juju/errors"
 )
 
-// errNoLength refuses an answer whose end can't be told from its being cut.
+// errNoContentLength rejects an answer whose end can't be distinguished from a broken connection.
 const errNoContentLength = errors.ConstError("the answer states no length, so that its end can't be told from a break")
 
-// errUpgraded refuses an answer that leaves HTTP.
+// errProtocolSwitch rejects an answer that switches to another protocol.
 const errProtocolSwitch = errors.ConstError("the answer switches protocols")
 
-// exchange is one request sent to one address and what came of it.
+// exchange is one request sent to one address, with its answer or error.
 type exchange struct {
-	// answer is the head of the answer, with its body to read; nil on failure.
+	// answer is the answer, whose body may still have to be read; nil on failure.
 	answer *http.Response
-	// err is why there is no answer.
+	// err is the reason why there is no answer.
 	err error
-	// unsent is set when it is certain that not a byte was written.
+	// unsent is set on failure if it is certain that not a byte of the request was written.
 	unsent bool
-	// collected is set once the answer was read as far as it is held; whole when that is
-	// all of it.
+	// collected is set once collect has read the answer up to its limit, complete if that was
+	// the whole answer.
 	collected bool
 	complete  bool
 	guard     *attemptGuard
 	cancel    context.CancelFunc
 }
 
-// send makes one exchange. The outgoing request is written on one connection
-// at most. The caller must call close.
-// An answer that edge, if given, does not take for that of the request fails
-// the exchange.
+// send makes one exchange, which the caller must close. The outgoing request is written on at most
+// one connection. If edge is not nil, an answer that edge.checkAnswer rejects fails the exchange.
 func (u *upstream) send(ctx context.Context, outgoing *http.Request, relay *interimRelay, edge *Edge) *exchange {
-	attempt, cancel := context.WithCancel(ctx)
+	attemptContext, cancel := context.WithCancel(ctx)
 	guard := &attemptGuard{cancel: cancel}
 	guard.deadline, _ = ctx.Deadline()
 	if edge != nil {
@@ -51,7 +49,7 @@
 		}
 	}
 	outgoing.GetBody = nil
-	answer, err := u.transport.RoundTrip(outgoing.WithContext(httptrace.WithClientTrace(attempt, trace)))
+	answer, err := u.transport.RoundTrip(outgoing.WithContext(httptrace.WithClientTrace(attemptContext, trace)))
 	if relay != nil {
 		relay.stop()
 	}
@@ -61,66 +59,69 @@
 	if err == nil && edge != nil {
 		err = edge.checkAnswer(outgoing.Header, answer)
 	}
-	made := &exchange{answer: answer, err: err, guard: guard, cancel: cancel}
+	sent := &exchange{answer: answer, err: err, guard: guard, cancel: cancel}
 	if err != nil {
-		made.unsent = guard.seal()
-		made.dropAnswer()
-		return made
+		sent.unsent = guard.seal()
+		sent.dropAnswer()
+		return sent
 	}
 	answer.Body = &watchedBody{ReadCloser: answer.Body, guard: guard}
-	return made
+	return sent
 }
 
-// checkAnswer refuses answers that can't be passed on whole.
-func checkAnswer(answer *http.Response, takesUnframed bool) error {
+// checkAnswer returns an error if the answer switches protocols or, unless acceptsUnframed is set,
+// if only the end of the connection would mark its end: a truncated answer could then be taken
+// for a complete one.
+func checkAnswer(answer *http.Response, acceptsUnframed bool) error {
 	if answer.StatusCode == http.StatusSwitchingProtocols {
 		return errProtocolSwitch
 	}
-	untilClose := answer.ContentLength < 0 && len(answer.TransferEncoding) == 0
-	if untilClose && !takesUnframed && answer.Request.Method != http.MethodHead {
+	endsAtClose := answer.ContentLength < 0 && len(answer.TransferEncoding) == 0
+	if endsAtClose && !acceptsUnframed && answer.Request.Method != http.MethodHead {
 		return errNoContentLength
 	}
 	return nil
 }
 
-// collect reads an answer of at most limit bytes whole, so that one that breaks
-// off fails here, before anything of it was passed on. A longer one stays to
-// be streamed.
+// collect reads the whole body of an answer of at most limit bytes, so that an answer that breaks
+// off fails the exchange before anything of it was sent on. A longer answer remains to be
+// streamed.
 func (e *exchange) collect(limit int) {
 	if e.answer == nil || e.collected || limit <= 0 || e.answer.ContentLength > int64(limit) || e.answer.Header.Get("Trailer") != "" {
 		return
 	}
 	e.collected = true
-	var head bytes.Buffer
+	var body bytes.Buffer
 	if e.answer.ContentLength > 0 {
-		head.Grow(int(e.answer.ContentLength) + bytes.MinRead)
+		body.Grow(int(e.answer.ContentLength) + bytes.MinRead)
 	}
-	_, err := io.Copy(&head, io.LimitReader(e.answer.Body, int64(limit)+1))
+	_, err := io.Copy(&body, io.LimitReader(e.answer.Body, int64(limit)+1))
 	if err != nil {
 		e.err = err
 		e.dropAnswer()
 		return
 	}
-	if head.Len() > limit {
-		rest := io.MultiReader(&head, e.answer.Body)
-		e.answer.Body = collectedBody{Reader: rest, Closer: e.answer.Body}
+	if body.Len() > limit {
+		whole := io.MultiReader(&body, e.answer.Body)
+		e.answer.Body = collectedBody{Reader: whole, Closer: e.answer.Body}
 		return
 	}
 	if !e.hasNoBody() {
-		e.answer.ContentLength = int64(head.Len())
+		e.answer.ContentLength = int64(body.Len())
 	}
-	e.answer.Body = collectedBody{Reader: &head, Closer: e.answer.Body}
+	e.answer.Body = collectedBody{Reader: &body, Closer: e.answer.Body}
 	e.complete = true
 }
 
-// hasNoBody tells whether the length of the answer speaks of a body that is
-// not sent.
+// hasNoBody reports whether the answer has no body, so that its Content-Length, if any, describes
+// a body that is not sent.
 func (e *exchange) hasNoBody() bool {
 	return e.answer.Request.Method == http.MethodHead || e.answer.StatusCode == http.StatusNotModified ||
 		e.answer.StatusCode == http.StatusNoContent
 }
 
-// joinedBody reads what was collected and closes what it came from.
+// collectedBody reads the collected bytes, followed by the rest if any, and closes the original
+// body.
 type collectedBody struct {
 	io.Reader
 	io.Closer
@@ -133,7 +134,7 @@
 	}
 }
 
-// close ends the exchange. An answer not read to its end costs the connection.
+// close ends the exchange. If the answer has not been read to its end, its connection is closed.
 func (e *exchange) close() {
 	if e.answer != nil {
 		_ = e.answer.Body.Close()
@@ -141,11 +142,11 @@
 	e.cancel()
 }
 
-// running is closed when the other side has ended the exchange, after close;
-// nil means that it had ended by then.
+// peerDone is called after close. It returns a channel that is closed when the other side has
+// ended the exchange, or nil if it has ended already.
 func (e *exchange) peerDone() <-chan struct{} { return e.guard.peerDone() }
 
-// watchedBody tells the guard when an answer was read to its end.
+// watchedBody is the body of an answer that informs the guard when it has been read to its end.
 type watchedBody struct {
 	io.ReadCloser
 	guard *attemptGuard
