--- a/internal/pipeline/ahead.go
+++ b/internal/pipeline/ahead.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// chunkBytes is how much is read ahead at a time.
+// readAheadBytes is the size of the buffer for reading ahead.
 const readAheadBytes = 4 << 10
 
-// readAhead reads on until the connection fails or the read deadline passes. It
-// returns no bytes: they are kept for when the server reads the next request.
+// readAhead reads from the socket until the connection fails or the read deadline
+// passes, and starts the requests that it finds. It returns no bytes: they are stored
+// until the server reads the next request.
 func (c *Conn) readAhead(probe []byte) (int, error) {
 	into := probe
 	for {
@@ -29,7 +30,7 @@
 	}
 }
 
-// awaitRoom waits while as much is unread as may be.
+// awaitRoom blocks while the unread bytes have reached Config.InputBytes.
 func (c *Conn) awaitRoom() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// keep keeps what was read ahead, or that the client has left.
+// storeRead appends bytes that were read ahead to the unread bytes, and fails the
+// connection on an error other than a timeout.
 func (c *Conn) storeRead(text []byte, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -63,7 +65,8 @@
 	return known && timeout.Timeout()
 }
 
-// fail drops all that runs ahead; the lock is held.
+// failRead drops the calls that run ahead and the unread bytes, and makes later reads
+// fail with an error. The lock is held.
 func (c *Conn) failRead(err error) {
 	if c.readErr == nil {
 		c.readErr = err
@@ -77,7 +80,8 @@
 	c.changed.Broadcast()
 }
 
-// startCalls starts the requests that have come behind the current one.
+// startCalls starts the complete requests among the unread bytes, up to the first one
+// that must wait for its turn.
 func (c *Conn) startCalls() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -101,7 +105,8 @@
 	}
 }
 
-// newCall returns the call of a request, or nil when it must wait for its turn.
+// newCall returns the call for the request with the given head, or nil if the request
+// must wait for its turn.
 func (c *Conn) newCall(head []byte) *Call {
 	if form := readFraming(head); !form.known || form.bodyLength > 0 {
 		return nil
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -10,31 +10,32 @@
 	"github.com/juju/errors"
 )
 
-// errDropped is what a handler reads whose answer nobody will take.
+// errDropped is returned to a handler that writes an answer which will not be delivered.
 const errDropped = errors.ConstError("the connection has ended before the answer's turn")
 
-// interim is an answer of status 1xx.
+// interim is an interim answer, one with a status 1xx.
 type interim struct {
 	status int
 	header http.Header
 }
 
-// answer is the answer of a call: held until its turn, and passed on from then.
-// It is the http.ResponseWriter of the handler.
+// answer is the http.ResponseWriter of a call's handler. It buffers the answer until the
+// answer's turn and passes writes through from then on.
 type answer struct {
 	maxBytes int
 	budget   *ByteBudget
-	// header is the handler's own.
+	// header is the map that the handler changes.
 	header http.Header
 
 	mutex   sync.Mutex
 	changed sync.Cond
 	interim []interim
-	// status is 0 until the head is made; head is what it then was.
+	// status is 0 until the handler writes the head; head is a copy of header at that
+	// moment.
 	status int
 	head   http.Header
 	body   []byte
-	// writer is the server's; nil before the answer's turn.
+	// writer is the server's writer; nil while the answer is buffered.
 	writer          http.ResponseWriter
 	handlerReturned bool
 	complete        bool
@@ -47,10 +48,10 @@
 	return made
 }
 
-// Header returns the handler's header.
+// Header returns the header that the handler changes.
 func (a *answer) Header() http.Header { return a.header }
 
-// WriteHeader makes the head.
+// WriteHeader writes an interim answer or the head.
 func (a *answer) WriteHeader(status int) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -70,8 +71,8 @@
 	a.changed.Broadcast()
 }
 
-// Write holds bytes of the body, or passes them on. It waits for the answer's
-// turn when no more may be held.
+// Write buffers bytes of the body or, in the answer's turn, passes them on. It blocks
+// until that turn if the bytes would exceed the limits of the buffer.
 func (a *answer) Write(text []byte) (int, error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -91,7 +92,7 @@
 	return writer.Write(text)
 }
 
-// hold keeps bytes if they are within the bounds.
+// tryBuffer buffers bytes if the limits allow it.
 func (a *answer) tryBuffer(text []byte) bool {
 	if len(a.body)+len(text) > a.maxBytes || !a.budget.tryReserve(len(text)) {
 		return false
@@ -100,7 +101,7 @@
 	return true
 }
 
-// FlushError passes on what the server buffers.
+// FlushError flushes the server's writer; it does nothing before the answer's turn.
 func (a *answer) FlushError() error {
 	a.mutex.Lock()
 	writer := a.writer
@@ -111,7 +112,8 @@
 	return http.NewResponseController(writer).Flush()
 }
 
-// SetWriteDeadline bounds the next write, once the answer's turn has come.
+// SetWriteDeadline sets the deadline of the server's writer; it does nothing before the
+// answer's turn.
 func (a *answer) SetWriteDeadline(deadline time.Time) error {
 	a.mutex.Lock()
 	writer := a.writer
@@ -122,7 +124,7 @@
 	return http.NewResponseController(writer).SetWriteDeadline(deadline)
 }
 
-// end notes that the handler has returned; whole is false when it broke off.
+// finish records that the handler has returned; complete is false if it panicked.
 func (a *answer) finish(whole bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -134,7 +136,7 @@
 	a.changed.Broadcast()
 }
 
-// drop gives up the answer.
+// drop discards the answer and makes the handler's next write fail.
 func (a *answer) drop() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -143,22 +145,22 @@
 	a.changed.Broadcast()
 }
 
-// release gives back what is held.
+// releaseBuffer empties the buffer and returns its bytes to the budget.
 func (a *answer) releaseBuffer() {
 	a.budget.release(len(a.body))
 	a.body = nil
 }
 
-// replay writes the answer and waits for its end. It answers false when the
-// answer broke off. It never writes under the lock, for a client that reads
-// nothing must not keep anyone from dropping the answer.
+// replay writes the answer and waits for its end. It returns false if the answer broke
+// off. It does not write under the lock, so that the answer can be dropped while a write
+// to a slow client blocks.
 func (a *answer) replay(writer http.ResponseWriter) bool {
 	if !a.awaitHead() {
 		return false
 	}
 	a.replayHead(writer)
 	for body := a.takeBuffered(writer); len(body) > 0; body = a.takeBuffered(writer) {
-		// A failed write is found by the server, which then closes the connection.
+		// The server detects a failed write and then closes the connection.
 		_, _ = writer.Write(body)
 	}
 	if !a.awaitEnd() {
@@ -168,7 +170,7 @@
 	return true
 }
 
-// awaitHead waits for the head; false means that there will be none.
+// awaitHead waits for the head; false means that none will follow.
 func (a *answer) awaitHead() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -178,7 +180,7 @@
 	return a.status != 0 && !a.dropped
 }
 
-// awaitEnd waits for the handler; false means that the answer is not whole.
+// awaitEnd waits for the handler to return; false means that the answer is incomplete.
 func (a *answer) awaitEnd() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -188,9 +190,9 @@
 	return a.complete && !a.dropped
 }
 
-// passHead writes interim answers and the head, which does not change any
-// more. Whether the connection is kept is for the writer to say, not for the
-// handler that ran ahead.
+// replayHead writes the interim answers and the head. The Connection header is that of
+// the writer, not of the handler that ran ahead: the server decides whether the
+// connection is kept.
 func (a *answer) replayHead(writer http.ResponseWriter) {
 	header := writer.Header()
 	connection, stated := header["Connection"]
@@ -207,8 +209,8 @@
 	writer.WriteHeader(a.status)
 }
 
-// takeHeld takes what is held. When nothing is, the handler writes to the
-// writer from then on.
+// takeBuffered returns the buffered bytes and empties the buffer. If there are none, the
+// handler writes to the writer from then on.
 func (a *answer) takeBuffered(writer http.ResponseWriter) []byte {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -221,7 +223,7 @@
 	return body
 }
 
-// passTrailers passes on what the handler has set behind the body.
+// replayTrailers copies the trailers that the handler has set to a header.
 func (a *answer) replayTrailers(header http.Header) {
 	for name, values := range a.header {
 		if strings.HasPrefix(name, http.TrailerPrefix) {
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -12,7 +12,7 @@
 // Call is a request that runs ahead of its turn.
 type Call struct {
 	request *http.Request
-	// size is the length of its head, in bytes.
+	// headSize is the length of the request's head, in bytes.
 	headSize  int
 	arrivedAt time.Time
 	cancel    context.CancelFunc
@@ -30,7 +30,8 @@
 	}
 }
 
-// runs tells whether a request that the server has parsed is the one that runs.
+// matches reports whether a request that the server has parsed is the request of this
+// call.
 func (c *Call) matches(request *http.Request) bool {
 	return request.Method == c.request.Method &&
 		request.RequestURI == c.request.RequestURI &&
@@ -38,8 +39,8 @@
 		maps.EqualFunc(request.Header, c.request.Header, slices.Equal)
 }
 
-// run runs the handler. As in the server, a handler that panics breaks its
-// answer and nothing else.
+// run runs the handler. As in the server, a handler that panics breaks off its own
+// answer and affects nothing else.
 func (c *Call) run(handler http.Handler) {
 	defer c.cancel()
 	whole := false
@@ -53,33 +54,34 @@
 	whole = true
 }
 
-// drop cancels a call whose answer nobody will take.
+// drop cancels a call whose answer will not be delivered.
 func (c *Call) drop() {
 	c.cancel()
 	c.answer.drop()
 }
 
-// Await waits until the answer has a head, or is known to have none.
+// AwaitHead waits until the answer has a head or it is certain that none will follow.
 func (c *Call) AwaitHead() { c.answer.awaitHead() }
 
-// Replay gives the answer to the server's writer, as far as it is held, and the
-// rest as it comes. It panics with http.ErrAbortHandler when the answer breaks.
+// Replay writes the buffered part of the answer to the server's writer, then waits while
+// the handler writes the rest there. It panics with http.ErrAbortHandler if the answer
+// breaks off.
 func (c *Call) Replay(writer http.ResponseWriter) {
 	if !c.answer.replay(writer) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Held bounds the bytes that are held by all connections together.
+// ByteBudget limits the bytes that all connections together buffer for answers.
 type ByteBudget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// NewHeld returns a bound, in bytes.
+// NewByteBudget returns a budget with a limit in bytes.
 func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
-// Bytes is what is held now.
+// Used returns how many bytes are buffered now.
 func (h *ByteBudget) Used() int64 { return h.used.Load() }
 
 func (h *ByteBudget) tryReserve(count int) bool {
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -8,98 +8,100 @@
 	"time"
 )
 
-// Config is what the connections of a server share.
+// Config is the configuration that the connections of a server share.
 type Config struct {
-	// Calls bounds the requests of one connection that run ahead of their turn.
+	// Calls limits how many requests of one connection run ahead of their turn at a time.
 	Calls int
-	// InputBytes bounds what is read of a connection beyond the request that is
-	// served. It also bounds the head of a request that runs ahead.
+	// InputBytes limits the bytes that are read from a connection beyond the current
+	// request. It also limits the head of a request that runs ahead.
 	InputBytes int
-	// AnswerBytes bounds what is held of one answer. The handler of a longer one
-	// waits for its turn.
+	// AnswerBytes limits the buffered bytes of one answer. The handler of a longer answer
+	// blocks until the answer's turn.
 	AnswerBytes int
-	// Held counts and bounds the held bytes of all connections.
+	// Held counts and limits the buffered bytes of all connections.
 	Held *ByteBudget
 	// Handler runs requests ahead of their turn.
 	Handler http.Handler
-	// MayRunAhead tells whether a request may be repeated and run now. It must not
+	// MayRunAhead reports whether a request may be repeated and may run now. It must not
 	// block.
 	MayRunAhead func(*http.Request) bool
-	// OnStart is told that a request runs ahead, with how many of its connection
-	// then do. It must not block. Nil means that nobody listens.
+	// OnStart is called when a request starts to run ahead, with the number of queued
+	// requests of its connection. It must not block. It may be nil.
 	OnStart func(depth int)
 }
 
-// The positions of a connection between two requests.
+// position is the place in the byte stream that the server has read up to.
 type position int
 
 const (
-	// inHead: the server has yet to read the end of a head.
+	// inHead: the server has not read the head of the next request to its end.
 	inHead position = iota
-	// inBody: the server has yet to read a part of a body of stated length.
+	// inBody: the server has not read all of a body with a Content-Length.
 	inBody
-	// served: the server holds a whole request.
+	// requestComplete: the server has read all of the current request.
 	requestComplete
-	// unknown: where requests end is the server's own knowledge, from here on.
+	// notFramed: from here on Conn does not know where requests end; nothing runs ahead.
 	notFramed
 )
 
-// Conn is a connection whose waiting requests are run ahead of their turn. The
-// server reads it; Begin and End tell it of the requests that the server serves.
+// Conn is a connection whose waiting requests run ahead of their turn. The server reads
+// from it; the server's handler must call BeginRequest and EndRequest for each request.
 type Conn struct {
 	net.Conn
 	config *Config
 
 	mutex sync.Mutex
-	// changed is signalled when a reader that waits must look again.
+	// changed is signalled when the condition of a waiting reader may have changed.
 	changed sync.Cond
-	// base is the context of the requests that run ahead.
+	// baseContext is the parent context of the requests that run ahead.
 	baseContext context.Context
 	position    position
-	// ended is set when the handler of the current request has returned.
+	// handlerReturned is set once the handler of the current request has returned.
 	handlerReturned bool
-	// partial holds the current head until it is complete.
+	// partialHead holds the bytes of the current head until it is complete.
 	partialHead []byte
-	// bodyLeft is what the server has yet to read of the current body.
+	// bodyRemaining is how many bytes of the current body the server has not read yet.
 	bodyRemaining int
-	// unread was taken from the socket and not yet read by the server. Its first bytes
-	// are the heads of queue; read is how much of the first one the server has.
+	// unread holds bytes from the socket that the server has not read yet. It begins with
+	// the heads of the calls in queue, queuedBytes in all. firstHeadRead is how many bytes
+	// of the first head the server has read already; these are no longer in unread.
 	unread        []byte
 	queue         []*Call
 	queuedBytes   int
 	firstHeadRead int
-	// barred is set when the request behind the queue must wait for its turn.
+	// blocked is set if the request after the queue must wait for its turn.
 	blocked bool
-	// readAt is when the last bytes of unread came; arrived is when those of the
-	// current request did, and zero if the server itself waited for them.
+	// unreadAt is when the last bytes of unread were received. arrivedAt is when the
+	// current request was, or zero if the server was waiting for it.
 	unreadAt  time.Time
 	arrivedAt time.Time
-	// current is the call of the request that the server has read, serving that of
-	// the request whose handler runs; nil for those that did not run ahead.
+	// current is the call of the request that the server has read, serving the call of the
+	// request whose handler runs. Each is nil if its request did not run ahead.
 	current *Call
 	serving *Call
-	// interrupted is set while the read deadline has passed.
+	// deadlinePassed is set if the last read deadline was already past when it was set. The
+	// server sets such a deadline to interrupt a read.
 	deadlinePassed bool
 	readErr        error
 }
 
-// Wrap returns a connection of a server. Bind must be called before the server
-// reads it.
+// Wrap returns the Conn for a connection of a server. Bind must be called before the
+// server reads from it.
 func Wrap(conn net.Conn, config *Config) *Conn {
 	made := &Conn{Conn: conn, config: config, baseContext: context.Background()}
 	made.changed.L = &made.mutex
 	return made
 }
 
-// Bind gives the context of the connection's requests.
+// Bind sets the parent context of the connection's requests.
 func (c *Conn) Bind(ctx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.baseContext = ctx
 }
 
-// Begin is called when the handler of a request starts. It returns the call that
-// has run the request ahead, or nil, and how long the request has waited for
+// BeginRequest must be called when the handler of a request starts. It returns the call
+// in which the request has run ahead, or nil, and how long the request has waited for
 // its turn.
 func (c *Conn) BeginRequest(request *http.Request) (*Call, time.Duration) {
 	c.mutex.Lock()
@@ -118,7 +120,7 @@
 	return call, waited
 }
 
-// End is called when the handler of a request has returned.
+// EndRequest must be called when the handler of a request has returned.
 func (c *Conn) EndRequest() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -129,15 +131,15 @@
 	}
 }
 
-// Pending tells whether requests behind the current one run or have run ahead,
-// so that their answers are owed.
+// HasPendingAnswers reports whether requests after the current one run or have run ahead,
+// so that their answers are still to be sent.
 func (c *Conn) HasPendingAnswers() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.queue) > 0 || c.current != nil
 }
 
-// Read reads for the server.
+// Read implements net.Conn for the server.
 func (c *Conn) Read(into []byte) (int, error) {
 	if c.isDisconnectProbe(into) {
 		return c.readAhead(into)
@@ -145,8 +147,8 @@
 	return c.readRequest(into)
 }
 
-// watches tells whether the server reads only to see the client leave. It does
-// so, one byte at a time, while a handler runs.
+// isDisconnectProbe reports whether the server reads only to detect that the client
+// disconnects. The server does so, one byte at a time, while a handler runs.
 func (c *Conn) isDisconnectProbe(into []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -160,8 +162,8 @@
 	return true
 }
 
-// readNext reads a part of the next request: never beyond its end, as far as
-// that is known.
+// readRequest reads a part of the next request. It does not return bytes beyond the end
+// of that request, unless the end is unknown.
 func (c *Conn) readRequest(into []byte) (int, error) {
 	if count, found, err := c.readUnread(into); found {
 		return count, err
@@ -177,13 +179,13 @@
 	if used < count {
 		c.unread = append(c.unread, into[used:count]...)
 		c.unreadAt = time.Now()
-		err = nil // the next reading finds it again
+		err = nil // the next read meets it again
 	}
 	return used, err
 }
 
-// readKept reads from what was taken from the socket before; found is false when
-// there is nothing.
+// readUnread reads from the unread bytes; found is false if there are none and the
+// connection has not failed.
 func (c *Conn) readUnread(into []byte) (count int, found bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -203,8 +205,8 @@
 	return used, true, nil
 }
 
-// advance moves the position over bytes for the server and returns how many of
-// them it may have. The lock is held.
+// advance moves the position over bytes that the server reads and returns how many of
+// them it may get. The lock is held.
 func (c *Conn) advance(text []byte) int {
 	switch {
 	case c.position == notFramed:
@@ -222,7 +224,7 @@
 	return c.advanceHead(text)
 }
 
-// advanceQueued moves over the head of the first call of the queue.
+// advanceQueued is advance for the head of the first call in the queue.
 func (c *Conn) advanceQueued(text []byte) int {
 	first := c.queue[0]
 	used := min(len(text), first.headSize-c.firstHeadRead)
@@ -239,8 +241,8 @@
 	return used
 }
 
-// advanceHead moves over a head of unknown length and, with a body of stated
-// length, over what has come of it.
+// advanceHead is advance for a head whose end has not been found yet, and for the part of
+// its body that follows in text.
 func (c *Conn) advanceHead(text []byte) int {
 	head := text
 	if len(c.partialHead) > 0 {
@@ -273,7 +275,7 @@
 	return used + c.advance(text[used:])
 }
 
-// completed notes that the server has a whole request.
+// markComplete records that the server has read all of the current request.
 func (c *Conn) markComplete() {
 	c.position = requestComplete
 	if c.handlerReturned {
@@ -281,13 +283,13 @@
 	}
 }
 
-// leaveToServer gives up following where requests end, for good.
+// stopFraming permanently stops tracking where requests end.
 func (c *Conn) stopFraming() {
 	c.position = notFramed
 	c.partialHead = nil
 }
 
-// SetReadDeadline sets the deadline of reading. One in the past wakes the reader.
+// SetReadDeadline sets the read deadline. A deadline in the past wakes a blocked reader.
 func (c *Conn) SetReadDeadline(deadline time.Time) error {
 	passed := !deadline.IsZero() && time.Until(deadline) <= 0
 	c.mutex.Lock()
@@ -299,8 +301,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// CloseWrite ends the sending side, which the server does when no further answer
-// will be given.
+// CloseWrite drops the calls that run ahead and closes the sending side. The server does
+// this when it will send no further answer.
 func (c *Conn) CloseWrite() error {
 	c.DropCalls()
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
@@ -309,13 +311,13 @@
 	return nil
 }
 
-// Close closes the connection and drops all that runs ahead.
+// Close closes the connection and drops the calls that run ahead.
 func (c *Conn) Close() error {
 	c.DropCalls()
 	return c.Conn.Close()
 }
 
-// Abandon drops all that runs ahead: no answer will be given any more.
+// DropCalls drops the calls that run ahead, since no further answer will be sent.
 func (c *Conn) DropCalls() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/pipeline/doc.go
+++ b/internal/pipeline/doc.go
@@ -1,16 +1,16 @@
-// Package pipeline runs requests that a client has sent one behind another on
-// an HTTP/1.1 connection side by side. The server of net/http takes the requests
-// of a connection in turn: it parses one, runs its handler, and only then looks
-// at the next. Conn stands between that server and the socket. While a handler
-// runs, it reads on, starts the handlers of the requests that wait, and holds
-// their answers. When the server comes to such a request, the held answer is
-// replayed. Order, framing and the life of the connection stay the library's.
+// Package pipeline runs the pipelined requests of an HTTP/1.1 connection concurrently.
+// The server of net/http handles the requests of a connection one after another: it
+// parses one, runs its handler, and only then reads the next. Conn sits between that
+// server and the socket. While a handler runs, Conn reads on, starts the handlers of
+// the requests that follow, and buffers their answers. When the server reaches such a
+// request, the buffered answer is replayed. The order of answers, their framing and the
+// lifetime of the connection remain under the library's control.
 //
-// Only requests that may be repeated are run ahead of their turn, for a client
-// whose connection closes takes those behind the last answer for unread and sends
-// them again. Such a request ends the looking ahead until its own turn comes, and so does
-// one with a body or with anything unusual in its head.
+// Only requests that may be repeated run ahead of their turn: a client whose connection
+// closes assumes that the requests after the last answer were not processed, and sends
+// them again. A request that may not be repeated, has a body or has anything unusual in
+// its head waits for its turn. Until then no request after it starts.
 //
-// Reading on also shows that the client has left while requests wait, which
-// the server alone sees only when none does.
+// Reading on also detects that the client has disconnected while requests wait. The
+// server alone detects this only when no request waits.
 package pipeline
--- a/internal/pipeline/framing.go
+++ b/internal/pipeline/framing.go
@@ -7,18 +7,18 @@
 	"strconv"
 )
 
-// framing is what a request's head tells about where the request ends.
+// framing describes where a request ends, as far as its head states it.
 type framing struct {
-	// known is false when only the server can tell where the request ends, or
-	// whether another one may follow.
+	// known is false if only the server can determine where the request ends or whether
+	// another request may follow it.
 	known bool
-	// body is the length of the body that follows the head, in bytes.
+	// bodyLength is the length of the body that follows the head, in bytes.
 	bodyLength int
 }
 
-// headEnd returns the length of the head at the start of text, its empty line
-// included, or -1 when the head is not complete. Lines may end without a
-// carriage return, as the server allows.
+// headLength returns the length of the head at the start of text, including its empty
+// line, or -1 if the head is not complete. Lines may end without a carriage return, as
+// the server allows.
 func headLength(text []byte) int {
 	for from := 0; ; {
 		newline := bytes.IndexByte(text[from:], '\n')
@@ -36,8 +36,9 @@
 	}
 }
 
-// readFraming reads the framing from a complete head. Whatever is not plain is
-// left to the server.
+// readFraming parses the framing from a complete head. The framing is unknown if the head
+// has an unusual request line, or a header other than a single Content-Length that may
+// affect where the request ends or whether the connection is kept.
 func readFraming(head []byte) framing {
 	first, rest, _ := bytes.Cut(head, []byte("\n"))
 	if !isPlainRequestLine(first) {
@@ -55,7 +56,7 @@
 		value = bytes.TrimSpace(value)
 		switch {
 		case line[0] == ' ' || line[0] == '\t':
-			return framing{} // the rest of the line before
+			return framing{} // a continuation of the previous line
 		case equalFold(name, "Content-Length"):
 			length, err := strconv.ParseUint(string(value), 10, 31)
 			if err != nil || stated {
@@ -74,8 +75,8 @@
 	return made
 }
 
-// plainRequestLine tells whether a request line names a path and HTTP/1.1.
-// Requests for other targets may be answered without a handler.
+// isPlainRequestLine reports whether a request line has a path as its target and the
+// version HTTP/1.1. The server may answer requests for other targets without a handler.
 func isPlainRequestLine(line []byte) bool {
 	method, rest, found := bytes.Cut(line, []byte(" "))
 	if !found || len(method) == 0 || method[0] < 'A' || method[0] > 'Z' {
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -22,8 +22,8 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// echo answers with what it was asked: a status, a length, after some yielding,
-// and with trailers or an interim answer if wanted.
+// echo answers as the query says: with a status, a length, a number of yields before the
+// answer, chunks with a trailer, an interim answer, or an answer that breaks off.
 func echo(writer http.ResponseWriter, request *http.Request) {
 	for range queryInt(request, "yield") {
 		runtime.Gosched()
@@ -64,7 +64,7 @@
 	}
 }
 
-// drawRequest draws the bytes of one request.
+// drawRequest draws the bytes of one random request.
 func drawRequest(t *rapid.T, index int) []byte {
 	query := fmt.Sprintf("/%d?yield=%d&length=%d&hint=%d", index,
 		rapid.IntRange(0, 30).Draw(t, "yield"),
@@ -105,7 +105,7 @@
 	return []byte("GET " + query + host + "Connection: keep-alive\r\n\r\n")
 }
 
-// cut draws how bytes are cut into writes.
+// drawPieces cuts bytes into pieces of random sizes, one for each write.
 func drawPieces(t *rapid.T, text []byte) [][]byte {
 	var pieces [][]byte
 	for len(text) > 0 {
@@ -116,8 +116,8 @@
 	return pieces
 }
 
-// TestAnswersAreThoseOfASerialServer compares all bytes that come back with those
-// of the library alone.
+// TestAnswersAreThoseOfASerialServer compares the answers to random pipelined requests
+// with those of the net/http server alone.
 func TestAnswersAreThoseOfASerialServer(t *testing.T) {
 	serial, ahead := newTestServer(t, true, echo), newTestServer(t, false, echo)
 	rapid.Check(t, func(t *rapid.T) {
@@ -137,22 +137,23 @@
 	check.Equal(ahead.budget.Used(), int64(0))
 }
 
-// sizes are the lengths of pieces.
+// pieceSizes returns the lengths of pieces.
 func pieceSizes(pieces [][]byte) []int {
 	return lo.Map(pieces, func(piece []byte, _ int) int { return len(piece) })
 }
 
-// shorten leaves most of the bodies out.
+// abbreviate replaces the repetitive parts of bodies, for readable failure messages.
 func abbreviate(text []byte) []byte {
 	return bytes.ReplaceAll(text, bytes.Repeat([]byte("abcdefghij"), 10), []byte("~"))
 }
 
-// sameAnswers compares answers. One that breaks off may do so earlier or later.
+// sameAnswers reports whether two streams have equal complete answers. An answer that
+// breaks off may have been cut at different places.
 func sameAnswers(wanted, got []byte) bool {
 	return bytes.Equal(wanted, got) || slices.Equal(readAnswers(wanted), readAnswers(got))
 }
 
-// readAnswers reads whole answers as text.
+// readAnswers returns the complete answers of a stream as text.
 func readAnswers(text []byte) (answers []string) {
 	reader := bufio.NewReader(bytes.NewReader(text))
 	for {
@@ -169,10 +170,10 @@
 	}
 }
 
-// get is a request that may be repeated.
+// getRequest returns the text of a request that may be repeated.
 func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
-// read reads one answer and returns its body.
+// readAnswerBody reads one answer and returns its body.
 func readAnswerBody(t testing.TB, reader *bufio.Reader) string {
 	t.Helper()
 	answer, err := http.ReadResponse(reader, nil)
@@ -186,7 +187,8 @@
 	return string(body)
 }
 
-// gated is a handler whose requests wait until the test lets them go on.
+// blockingHandler is a handler that blocks each request until the test closes the release
+// channel of its path. It reports the paths of started and cancelled requests.
 type blockingHandler struct {
 	mutex     sync.Mutex
 	releases  map[string]chan struct{}
@@ -238,9 +240,8 @@
 	check.Equal(readAnswerBody(t, reader), "/c")
 }
 
-// TestUnsafeWaitsForEveryAnswerAhead: a request that may not be repeated is not
-// run while an answer ahead of it could still close the connection, whether it has a
-// body or not.
+// TestUnsafeRequestWaitsForEarlierAnswers: a request that may not be repeated, with or
+// without a body, does not run while an earlier answer could still close the connection.
 func TestUnsafeRequestWaitsForEarlierAnswers(t *testing.T) {
 	for name, body := range map[string]string{"body": "hi", "none": ""} {
 		t.Run(name, func(t *testing.T) { testUnsafeWaits(t, body) })
@@ -261,18 +262,18 @@
 	close(handler.release("/a"))
 	reader := bufio.NewReader(conn)
 	check.Equal(readAnswerBody(t, reader), "/a")
-	check.Equal(len(handler.started), 0) // the answer of /b has not gone yet
+	check.Equal(len(handler.started), 0) // the answer of /b has not been sent yet
 	check.Equal(readAnswerBody(t, reader), "/b")
 	begun := map[string]bool{<-handler.started: true, <-handler.started: true}
-	check.Equal(begun, map[string]bool{"/pay": true, "/c": true}) // side by side
+	check.Equal(begun, map[string]bool{"/pay": true, "/c": true}) // concurrently
 	close(handler.release("/pay"))
 	check.Equal(readAnswerBody(t, reader), "/pay")
 	close(handler.release("/c"))
 	check.Equal(readAnswerBody(t, reader), "/c")
 }
 
-// TestAClosingAnswerDropsWhatIsBehindIt: nothing behind it is answered, and what
-// runs is cancelled.
+// TestClosingAnswerCancelsLaterRequests: after an answer that closes the connection, no
+// later request is answered, and those that run are cancelled.
 func TestClosingAnswerCancelsLaterRequests(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
@@ -297,8 +298,8 @@
 	check.True(gone[0] != gone[1])
 }
 
-// TestNoMoreAnswersMeansNoMoreCalls: when the server ends its sending side, what runs
-// ahead is cancelled at once, though the connection is closed later.
+// TestCloseWriteCancelsPendingCalls: when the server closes its sending side, requests that
+// run ahead are cancelled at once, although the connection is closed only later.
 func TestCloseWriteCancelsPendingCalls(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
@@ -316,8 +317,9 @@
 	check.True(!wrapped.HasPendingAnswers())
 }
 
-// TestALeavingClientIsSeenWhileRequestsWait: also behind a request that must
-// wait for its turn, and with more requests than may run.
+// TestDisconnectIsDetectedWhileRequestsWait: a request is cancelled when its client
+// disconnects, also if requests that must wait, an incomplete request, or more requests
+// than may run ahead follow it.
 func TestDisconnectIsDetectedWhileRequestsWait(t *testing.T) {
 	for name, behind := range map[string]string{
 		"none":    "",
@@ -343,8 +345,8 @@
 	}
 }
 
-// TestWhatIsHeldIsBounded: a handler whose answer is longer than may be held
-// waits for its turn, and the connection is read no further than its bound.
+// TestBufferedAnswersAreBounded: a handler whose answer exceeds the buffer waits for its
+// turn, and the connection is read no further than Config.InputBytes.
 func TestBufferedAnswersAreBounded(t *testing.T) {
 	check := is.New(t)
 	open := make(chan struct{})
@@ -372,7 +374,7 @@
 		runtime.Gosched()
 	}
 	check.Equal(rig.budget.Used(), written.Load())
-	check.Equal(len(sent), 0) // not all of it was read
+	check.Equal(len(sent), 0) // the server has not read all of it
 	close(open)
 	reader := bufio.NewReader(conn)
 	check.Equal(len(readAnswerBody(t, reader)), 0)
@@ -381,8 +383,8 @@
 	check.Equal(rig.budget.Used(), int64(0))
 }
 
-// TestTimeBehindOthersIsKnown: the time of a request counts from its arrival,
-// whether it runs ahead or waits for its turn.
+// TestTurnWaitCountsFromArrival: the wait of a request for its turn counts from its
+// arrival and is 0 for a request that arrives on an idle connection.
 func TestTurnWaitCountsFromArrival(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
@@ -408,8 +410,8 @@
 	check.Equal(readAnswerBody(t, reader), "/pay")
 }
 
-// FuzzHead holds the looking for a head's end and its framing to the library: what
-// is said to be a whole request without a body is one.
+// FuzzHead compares headLength and readFraming with http.ReadRequest: a head with a known
+// framing ends at the same byte and has the same body length.
 func FuzzHead(f *testing.F) {
 	f.Add([]byte(getRequest("/a")))
 	f.Add([]byte("GET / HTTP/1.1\nHost: a\n\n"))
--- a/internal/pipeline/rig_test.go
+++ b/internal/pipeline/rig_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// pipes is a listener of connections in memory.
+// pipeListener is a listener for in-memory connections.
 type pipeListener struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -39,28 +39,28 @@
 
 func (p *pipeListener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe"} }
 
-// rig is a server whose connections run ahead, or do not.
+// testServer is a server on a pipeListener, with or without requests that run ahead.
 type testServer struct {
 	listener *pipeListener
 	server   *http.Server
 	config   *Config
 	budget   *ByteBudget
-	// wrapped receives each connection that runs ahead.
+	// conns receives the first connection whose requests run ahead.
 	conns chan *Conn
-	// waits receives how long each request has waited for its turn.
+	// turnWaits receives how long each request has waited for its turn.
 	turnWaits chan time.Duration
-	// started counts the requests that ran ahead.
+	// aheadCount counts the requests that ran ahead.
 	aheadCount atomic.Int64
 }
 
 type connKey struct{}
 
-// safe tells whether a request may be repeated.
+// isRepeatable reports whether a request may be repeated.
 func isRepeatable(request *http.Request) bool {
 	return request.Method == http.MethodGet || request.Method == http.MethodHead
 }
 
-// newRig serves a handler; with serial set the library alone does.
+// newTestServer serves a handler. With serial set, it uses net/http without this package.
 func newTestServer(t testing.TB, serial bool, handler http.HandlerFunc) *testServer {
 	made := &testServer{listener: newPipeListener(), budget: NewByteBudget(64 << 10), conns: make(chan *Conn, 1), turnWaits: make(chan time.Duration, 16)}
 	made.config = &Config{
@@ -98,7 +98,7 @@
 	return made
 }
 
-// wrapping wraps the connections of a listener.
+// wrappingListener wraps each accepted connection in a Conn.
 type wrappingListener struct {
 	net.Listener
 	server *testServer
@@ -123,7 +123,7 @@
 	return client
 }
 
-// exchange sends pieces on one connection and returns all that came back.
+// exchange sends pieces on one connection and returns all bytes that the server sent.
 func (r *testServer) exchange(pieces [][]byte) []byte {
 	conn := r.dial()
 	defer conn.Close()
@@ -138,7 +138,7 @@
 	return answered
 }
 
-// number reads one of the numbers of a test's query.
+// queryInt returns an integer of the request's query; 0 if it is missing.
 func queryInt(request *http.Request, name string) int {
 	value, err := strconv.Atoi(request.URL.Query().Get(name))
 	if err != nil {
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -11,8 +11,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// TestHopBetweenDaemonsTakesTLS serves a gate by mutual TLS: calls pass with a
-// certificate, and without one nothing runs and that is known.
+// TestGateRequiresMutualTLS: with mutual TLS at a gate, calls from a daemon with a
+// certificate run. Calls from a daemon without one are refused as not run.
 func TestGateRequiresMutualTLS(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -11,26 +11,28 @@
 	"github.com/springstack/springstack/internal/pipeline"
 )
 
-// answerLimit is the write deadline that the server sets at the start of each
-// request; handlers set a nearer one before each write.
+// serverWriteTimeout is the write deadline that the server sets at the start of each
+// request. Handlers set a shorter one before each write.
 const serverWriteTimeout = 10 * time.Minute
 
-// side is one side of a proxy as a handler. It knows the connections that it
-// is served on, so that a drain's hard bound can end their calls.
+// sideHandler is the HTTP handler of one side of a proxy: the callers' side or the gate.
+// NewServer takes the proxy from it, so that the proxy can cut the calls on the server's
+// connections at the hard bound of a drain.
 type sideHandler struct {
 	proxy *Proxy
 	serve func(http.ResponseWriter, *http.Request)
-	// callers is set for the callers' side.
+	// isCallerSide is set for the callers' side.
 	isCallerSide bool
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP handles one call.
 func (s *sideHandler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	s.serve(writer, request)
 }
 
-// onLiveConn runs a handler only on connections that are not retired. The answer
-// of a request that has run ahead of its turn is replayed.
+// withConnChecks wraps a handler with the checks of the request's connection: it aborts
+// calls on retired connections, replays the answers of requests that have run ahead of
+// their turn, and refuses calls while the server stops.
 func withConnChecks(handler http.Handler, limits Limits) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		conn, counted := request.Context().Value(connKey{}).(*countedConn)
@@ -61,7 +63,7 @@
 	})
 }
 
-// refuseLeaving refuses a call because the server stops.
+// refuseStopping refuses a call because the server stops.
 func refuseStopping(writer http.ResponseWriter, request *http.Request, limits Limits) {
 	writer.Header().Set("Connection", "close")
 	control := http.NewResponseController(writer)
@@ -70,19 +72,20 @@
 	writeRefusal(writer, body, stoppingRefusal(0), limits.StallTimeout)
 }
 
-// discardRetired reads a little of a call that comes on a retired connection,
-// so that closing it does not reset it before the caller has read why.
+// discardRetiredCall reads a limited part of a call that arrives on a retired connection.
+// Closing a connection with unread bytes resets it, and the caller could then lose the
+// announcement of the close.
 func discardRetiredCall(writer http.ResponseWriter, request *http.Request) {
 	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(discardWait))
 	_, _ = io.Copy(io.Discard, io.LimitReader(request.Body, discardBytes))
 }
 
-// Server serves one handler within limits.
+// Server serves the handler of one side of a proxy within limits.
 type Server struct {
 	httpServer *http.Server
 	limits     Limits
 	tlsConfig  *tls.Config
-	// ahead is nil when requests run in their turn only.
+	// pipelineConfig is nil if no request runs ahead of its turn.
 	pipelineConfig *pipeline.Config
 
 	mutex     sync.Mutex
@@ -90,8 +93,9 @@
 	stopping  bool
 }
 
-// NewServer returns a server for a handler of a proxy. Its limits bound
-// headers, connections and the time that either may take.
+// NewServer returns a server for a handler of a proxy. The limits apply to the size of
+// headers, the number of connections, and the time that headers and idle connections may
+// take.
 func NewServer(handler http.Handler, limits Limits) *Server {
 	limits = limits.withDefaults()
 	inner := &http.Server{
@@ -121,15 +125,15 @@
 	return server
 }
 
-// Secure has the server take TLS only; nil leaves it in the clear. It is
-// called before Serve.
+// SetTLS makes the server accept only TLS connections, or unencrypted ones if config is
+// nil. It must be called before Serve. It returns the server.
 func (s *Server) SetTLS(config *tls.Config) *Server {
 	s.tlsConfig = config
 	return s
 }
 
-// Serve takes connections until the server is closed; it returns
-// http.ErrServerClosed then.
+// Serve accepts connections until the server is closed or shut down, and then returns
+// http.ErrServerClosed.
 func (s *Server) Serve(listener net.Listener) error {
 	bounded := newBoundedListener(listener, s.limits.Connections)
 	bounded.tlsConfig = s.tlsConfig
@@ -161,7 +165,7 @@
 	return s.stopping
 }
 
-// stop marks the server as stopping and returns its listeners.
+// markStopping marks the server as stopping and returns its listeners.
 func (s *Server) markStopping() []*boundedListener {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -169,7 +173,7 @@
 	return s.listeners
 }
 
-// Close ends all connections at once.
+// Close closes all connections at once.
 func (s *Server) Close() error {
 	s.markStopping()
 	return s.httpServer.Close()
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -8,35 +8,35 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The stages of a listener that stops. HTTP/1.1 has no way to close a kept
-// connection without a moment in which the caller may be sending on it, and
-// such a call would be in doubt. So every connection gets its chance to carry
-// one more call, which is refused as not run; those that stay idle get the
-// close announced; and only then are they closed.
+// The stages of a listener that stops. A server can't close an idle HTTP/1.1 connection
+// without the risk that the caller is sending a call on it, and the caller could not tell
+// whether that call has run. So the server first waits for one more call on each
+// connection, which it refuses as not run. It then announces the close on connections
+// that are still idle, and only then closes them.
 const (
-	// stageServing: calls are served.
+	// stageServing: calls are handled.
 	stageServing = iota
-	// stageRefusing: calls are refused as not run, and their connections closed.
+	// stageRefusing: calls are refused as not run, and their connections are closed.
 	stageRefusing
-	// stageRetiring: idle connections are retired, new ones refused.
+	// stageRetiring: idle connections are retired, and new ones are refused.
 	stageRetiring
 )
 
 const (
-	// refusingWait bounds stageRefusing.
+	// maxRefusingTime limits the duration of stageRefusing.
 	maxRefusingTime = 250 * time.Millisecond
-	// retireWait is how long retired connections are kept for what was on its
-	// way when they were retired: more than a round trip.
+	// retiredConnWait is how long retired connections are kept open for calls that were in
+	// transit when they were retired; longer than a round trip.
 	retiredConnWait = 100 * time.Millisecond
-	// backlogWait is how long the last connections that the system has taken
-	// may need to be handed out.
+	// backlogWait is how long Accept may need to return the connections that the operating
+	// system has already accepted.
 	backlogWait = 5 * time.Millisecond
-	// stagePoll is how often a stage looks whether it can end early.
+	// stagePollInterval is how often a stage checks whether it can end early.
 	stagePollInterval = 5 * time.Millisecond
 )
 
-// Shutdown stops taking calls, ends the connections without a call so that
-// none is in doubt, and waits for the calls that run.
+// Shutdown stops accepting calls, closes idle connections so that every caller knows
+// whether its call has run, and waits for the calls that run.
 func (s *Server) Shutdown(ctx context.Context) error {
 	listeners := s.markStopping()
 	for _, listener := range listeners {
@@ -56,7 +56,7 @@
 	return s.httpServer.Shutdown(ctx)
 }
 
-// awaitConns waits until no connection is open, but not longer than a bound.
+// awaitConnsClosed waits until no connection is open, for at most the given time.
 func awaitConnsClosed(ctx context.Context, listeners []*boundedListener, wait time.Duration) {
 	bound := time.NewTimer(wait)
 	defer bound.Stop()
@@ -73,7 +73,8 @@
 	}
 }
 
-// awaitRefused waits for the refusals of the last connections.
+// awaitRefusals waits until the refusals of new connections have been sent, for at most
+// refusedWait.
 func awaitRefusals(ctx context.Context, listeners []*boundedListener) {
 	bounded, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
@@ -84,8 +85,9 @@
 	}
 }
 
-// awaitOwed waits until no connection owes answers to requests behind its current
-// one: the library closes connections after the current answer.
+// awaitPendingAnswers waits until no connection has pending answers to requests after its
+// current one: once its Shutdown is called, the library closes connections after the
+// current answer.
 func awaitPendingAnswers(ctx context.Context, listeners []*boundedListener) {
 	poll := time.NewTicker(stagePollInterval)
 	defer poll.Stop()
@@ -118,7 +120,7 @@
 	return false
 }
 
-// retireIdle retires the connections that carry no call.
+// retireIdle retires the connections without a running call.
 func (l *boundedListener) retireIdle() {
 	l.conns.Range(func(conn, _ any) bool {
 		conn.(*countedConn).retire()
@@ -126,9 +128,9 @@
 	})
 }
 
-// closeEmpty closes the listener once the connections that the system has
-// already taken have been handed out and refused. Closing it before would
-// reset them.
+// closeAfterBacklog closes the listener once Accept has returned the connections that the
+// operating system has already accepted, and they are being refused. Closing it earlier
+// would reset them.
 func (l *boundedListener) closeAfterBacklog() {
 	if deadline, can := l.Listener.(interface{ SetDeadline(time.Time) error }); can {
 		if deadline.SetDeadline(time.Now().Add(backlogWait)) == nil {
@@ -138,7 +140,7 @@
 	_ = l.Close()
 }
 
-// leavingRefusal is what is said on a connection that takes no call any more.
+// stoppingRefusal returns the refusal for a connection on which no call runs any more.
 func stoppingRefusal(status int) Refusal {
 	return Refusal{
 		Code:       result.Draining,
@@ -148,14 +150,14 @@
 	}
 }
 
-// retire ends a connection that carries no call. The caller may be sending one
-// at this very moment, and a bare close would leave it in doubt; so the close
-// is announced by an answer that says that nothing more has run, and that
-// holds for whatever is still sent. An idle caller takes an answer with this
-// status for the close that it is (RFC 9110, 15.5.9).
+// retire announces the close of a connection without a running call. The caller may be
+// sending a call at this moment and could not tell from a bare close whether it has run.
+// So retire sends an answer which states that nothing since the last answer has run; this
+// remains true for calls that are still in transit. A caller that is idle interprets the
+// status 408 as the close of its connection (RFC 9110, 15.5.9).
 func (c *countedConn) retire() {
 	if c.hasPendingAnswers() {
-		return // finished retires it
+		return // finished retires it later
 	}
 	if !c.phase.CompareAndSwap(phaseIdle, phaseRetired) {
 		return
--- a/internal/proxy/signature.go
+++ b/internal/proxy/signature.go
@@ -6,8 +6,9 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
-// headOf is what a request asks in the name of a caller, as both sides see it: the target
-// is the one that is sent on.
+// hashRequestHead returns the hash of a request's head, which is equal on the callers'
+// side and at the gate. The target is the one that is sent to the back end, and caller
+// the service that made the call.
 func hashRequestHead(request *http.Request, target, caller string) quarantine.Hash {
 	head := quarantine.Head{
 		Method: request.Method, Host: routingHost(request.Host), Target: target, Caller: caller,
@@ -15,7 +16,8 @@
 	return head.Sum()
 }
 
-// signature is that of a call at the gate whose body has come; false when it has not.
+// signature returns the signature of the call, or false if the bytes of the body that it
+// depends on have not been received.
 func (c *gateCall) signature() (quarantine.Signature, bool) {
 	body, came := c.body.signatureHash()
 	return quarantine.Signature{Head: c.headHash(), Body: body}, came
@@ -25,7 +27,7 @@
 	return hashRequestHead(c.request, verbatimTarget(c.request), c.callerService())
 }
 
-// caller is the service that made the call, where that is known.
+// callerService returns the service that made the call; empty if unknown.
 func (c *gateCall) callerService() string {
 	if edge := c.proxy.config.Edge; edge != nil {
 		return c.request.Header.Get(edge.CallerService)
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// silenceWait is how long a gate may owe an answer, and answer nobody, before
-	// the daemon is asked whether it is there at all. Where the route states a
-	// target it is targetShare of that, if longer: among hundreds of daemons each
-	// meets a gate so seldom that one answer says nothing of the next, and most
-	// calls that take long would have their daemons asked (78 questions in 10 s at
-	// each of 295 daemons, half of all messages between them).
+	// minSilence is how long a gate may answer no call of this daemon while an attempt waits
+	// there, before Config.OnSilent requests a check of the gate's daemon. If the route has a
+	// target, the limit is at least silenceTargetShare of it: among hundreds of daemons each
+	// calls a gate so rarely that one answer says little about the next, and most long calls
+	// would cause a check (78 checks in 10 s at each of 295 daemons, half of all messages
+	// between daemons).
 	minSilence         = 120 * time.Millisecond
 	silenceTargetShare = 0.5
-	// silencePause is the least time between two such questions.
+	// silenceCheckInterval is the minimum time between two such checks of one daemon.
 	silenceCheckInterval = 250 * time.Millisecond
 )
 
-// silenceOf is how long a gate may owe the answer of a call whose route states a
-// target, which is 0 for none.
+// silenceLimit returns how long a gate may be silent while a call waits there. The target
+// is that of the call's route; 0 means none.
 func silenceLimit(target time.Duration) time.Duration {
 	return max(minSilence, time.Duration(float64(target)*silenceTargetShare))
 }
 
-// silence watches for a gate that answers nothing: one that is cut off, paused
-// or without power looks like one that is busy.
+// silenceMonitor detects that a gate answers nothing. A gate that is disconnected, paused
+// or without power can't be told from a busy one by its connections alone.
 type silenceMonitor struct {
-	// heardAt is when the gate last answered, askedAt when it was last asked
-	// for, on the clock.
+	// answeredAt is when the gate last answered a call, checkedAt when a check of its daemon
+	// was last requested, both in nanoseconds on the clock.
 	answeredAt atomic.Int64
 	checkedAt  atomic.Int64
 
 	mutex sync.Mutex
-	// waiting are the attempts that may be made elsewhere, with what gives them up.
+	// hedgeable holds the waiting attempts that may be hedged, each with the function that
+	// hedges it.
 	hedgeable map[*attempt]func()
 }
 
-// watch asks for the daemon of an endpoint if the gate stays silent for a time while
-// an attempt waits. What it returns must be called when the attempt has ended.
+// watchSilence requests a check of an endpoint's daemon if its gate stays silent for the
+// given time while an attempt waits. The returned function must be called when the attempt
+// has ended.
 func (p *Proxy) watchSilence(path *upstream, chosen *endpoint.Endpoint, wait time.Duration) (stop func()) {
 	if p.config.OnSilent == nil {
 		return func() {}
@@ -61,8 +63,8 @@
 	}
 }
 
-// lookAfter asks for the daemon of a gate that has been silent for a time, and
-// returns when to look again.
+// checkSilence requests a check of the daemon if its gate has been silent for the given
+// time, and returns after what time to call checkSilence again.
 func (p *Proxy) checkSilence(path *upstream, node protocol.NodeID, wait time.Duration) time.Duration {
 	now := p.config.Clock()
 	if silentFor := now - time.Duration(path.silence.answeredAt.Load()); silentFor < wait {
@@ -75,14 +77,14 @@
 	return max(silenceCheckInterval, wait)
 }
 
-// heard notes that a gate has answered.
+// recordGateAnswer records that a gate has answered a call.
 func (p *Proxy) recordGateAnswer(path *upstream) {
 	path.silence.answeredAt.Store(int64(p.config.Clock()))
 }
 
-// hold keeps an attempt that may be hedged once its gate is found to be unreachable or tells
-// that it hangs.
-// What gives it up is called under the lock, so never after release.
+// addHedgeable adds an attempt that may be hedged. The function giveUp hedges it; it is
+// called when the gate's daemon is found to be unreachable, or the gate reports that the
+// attempt hangs. It is called under the lock, so never after removeHedgeable.
 func (s *silenceMonitor) addHedgeable(made *attempt, giveUp func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -98,7 +100,7 @@
 	delete(s.hedgeable, made)
 }
 
-// giveUpOn gives up one attempt if it may be made elsewhere.
+// hedge hedges one attempt if it may be hedged.
 func (s *silenceMonitor) hedge(made *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -107,7 +109,7 @@
 	}
 }
 
-// giveUp gives up the attempts that may be made elsewhere.
+// hedgeAll hedges all attempts that may be hedged.
 func (s *silenceMonitor) hedgeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -116,9 +118,9 @@
 	}
 }
 
-// SetReachable says whether a daemon answers its peers. New calls to one that does
-// not go elsewhere. The idle connections to it are closed, so that calls that come
-// to it all the same find out before they send anything.
+// SetReachable records whether a daemon answers its peers. New calls avoid a daemon that
+// does not. The idle connections to its gate are closed, so that calls which are still
+// sent there fail to connect instead of being lost on a dead connection.
 func (p *Proxy) SetReachable(node protocol.NodeID, reachable bool) {
 	p.forEachEndpoint(node, func(candidate *endpoint.Endpoint, path *upstream) {
 		candidate.SetReachable(reachable)
@@ -128,8 +130,8 @@
 	})
 }
 
-// RenewConnections closes the idle connections to gates and to the back end, so that the next calls
-// are sent over new ones.
+// RenewConnections closes the idle connections to gates and to the back end, so that the
+// next calls are sent over new connections.
 func (p *Proxy) RenewConnections() {
 	for _, path := range p.view.Load().upstreams {
 		path.closeIdle()
@@ -139,8 +141,8 @@
 	}
 }
 
-// GiveUp has attempts at a daemon that doesn't answer hedged by others. It breaks
-// none of them off.
+// GiveUp hedges the attempts at a daemon that does not answer, as far as the retry budget
+// allows: each is followed by another attempt elsewhere. It cancels none of them.
 func (p *Proxy) GiveUp(node protocol.NodeID) {
 	p.forEachEndpoint(node, func(_ *endpoint.Endpoint, path *upstream) {
 		if path != nil {
@@ -149,8 +151,8 @@
 	})
 }
 
-// eachEndpoint visits the endpoints beside a daemon, with their connections, which
-// may be nil.
+// forEachEndpoint calls visit for each endpoint of a daemon, with the connections to it,
+// which may be nil.
 func (p *Proxy) forEachEndpoint(node protocol.NodeID, visit func(*endpoint.Endpoint, *upstream)) {
 	current := p.view.Load()
 	for _, one := range current.services {
--- a/internal/proxy/silence_test.go
+++ b/internal/proxy/silence_test.go
@@ -17,8 +17,8 @@
 	check.Equal(silenceLimit(time.Second), 500*time.Millisecond)
 }
 
-// A gate that has owed an answer for less than its route allows is not asked for; one
-// that has answered another call meanwhile is waited for again.
+// TestSilentGateIsReportedAfterItsLimit: OnSilent is called only after a gate has been
+// silent for the time that the route allows. An answer to another call restarts that time.
 func TestSilentGateIsReportedAfterItsLimit(t *testing.T) {
 	check := is.New(t)
 	now := time.Minute
@@ -40,8 +40,8 @@
 	check.Equal(caller.checkSilence(path, "n", wait), wait)
 	check.Equal(asked, 1)
 	now += 100 * time.Millisecond
-	caller.checkSilence(path, "n", minSilence) // another call, within silencePause
+	caller.checkSilence(path, "n", minSilence) // another call, within silenceCheckInterval
 	check.Equal(asked, 1)
-	caller.watchSilence(path, &endpoint.Endpoint{}, wait)() // ended before its wait
+	caller.watchSilence(path, &endpoint.Endpoint{}, wait)() // an attempt that ends before its limit
 	check.Equal(asked, 1)
 }
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -10,21 +10,23 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// startPart is the part of a call's time, one in so many, for which it may wait while its
-// daemon starts: with a quarter gone, it can still be sent elsewhere and answered in time.
+// startWaitDivisor divides the total time of a call into the part that it may wait while
+// the daemon starts. After a quarter of its time, a call can still be sent elsewhere and
+// answered in time.
 const startWaitDivisor = 4
 
-// starting lets calls wait that come to a daemon which has just started and does not know yet
-// where to send them. After a loss of all machines callers return before configuration and
-// members have come, which takes some tenths of a second: to refuse them at once sends them
-// to other daemons that know no more.
+// startWaiters wakes the calls that wait because the daemon has just started and does not
+// know yet where to send them. When all machines restart, callers return some tenths of a
+// second before the configuration and the members are known. Refusing their calls at once
+// would only send them to other daemons in the same state.
 type startWaiters struct {
 	mutex sync.Mutex
-	// changed is closed by the next publish; nil while no call waits.
+	// viewChanged is closed by the next wakeAll; nil while no call waits.
 	viewChanged chan struct{}
 }
 
-// nextView is closed when the next view is in force, or none will be of use.
+// nextView returns a channel that is closed once the next view is in force or the daemon
+// refuses all calls.
 func (s *startWaiters) nextView() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -34,7 +36,8 @@
 	return s.viewChanged
 }
 
-// publish wakes the calls that wait: a view has come, or none will be of use.
+// wakeAll wakes the waiting calls. It is called when a view is published, and when the
+// daemon begins to refuse all calls.
 func (s *startWaiters) wakeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -44,7 +47,7 @@
 	}
 }
 
-// acceptWhenStarted accepts a call, which waits while the daemon starts.
+// acceptWhenStarted accepts or refuses a call; while the daemon starts, the call may wait.
 func (p *Proxy) acceptWhenStarted(request *http.Request, body *upload) (*callerCall, Refusal, bool) {
 	if p.config.Clock()-p.startedAt >= p.limits.StartWait {
 		return p.acceptCall(request)
@@ -52,8 +55,9 @@
 	return p.acceptDuringStart(request, body)
 }
 
-// acceptStarting accepts a call as acceptCall does. While the daemon starts, it waits for a
-// view by which the call can be sent, for a part of the call's time at most.
+// acceptDuringStart is acceptCall for the time of the daemon's start: it waits for a view
+// with which the call can be sent, until 1/startWaitDivisor of the call's time or
+// Limits.StartWait is over.
 func (p *Proxy) acceptDuringStart(request *http.Request, body *upload) (*callerCall, Refusal, bool) {
 	came := p.config.Clock()
 	for {
@@ -73,8 +77,8 @@
 	}
 }
 
-// wholeTime is what a call that has waited for the start may take in all; a nil call was
-// refused.
+// totalTimeout returns the time that a call may take, including the time that it has waited
+// for the start. A nil call is one that was refused.
 func (p *Proxy) totalTimeout(request *http.Request, call *callerCall, waited time.Duration) time.Duration {
 	if call != nil {
 		return call.timeout + waited
@@ -86,14 +90,14 @@
 	return max(stated-turnWait(request), 0)
 }
 
-// lacks tells whether a call that was weighed by this view, or by a newer one, can't be sent
-// because this view knows too little yet.
+// isIncompleteFor reports whether this view lacks the data to send a call, given the result
+// of acceptCall with this view or a newer one.
 func (v *view) isIncompleteFor(call *callerCall, refusal Refusal, accepted bool) bool {
 	switch {
 	case refusal.Code == result.NotServing:
 		return v.snapshot == nil
 	case refusal.Code == result.RegionNotAllowed:
-		return len(v.mesh.Members) <= 1 // nobody but itself
+		return len(v.mesh.Members) <= 1 // only this daemon
 	case !accepted:
 		return false
 	}
@@ -101,19 +105,19 @@
 	return shared == nil || shared.set.UsableCount() == 0 && !shared.set.BlockedByEvacuation()
 }
 
-// readSmall reads a body that is not large before its call waits: the server sees that a
-// caller has left only once its request has been read.
+// preloadSmallBody reads a body that is not large before its call waits: the server detects
+// that a caller has disconnected only after the whole request has been read.
 func (p *Proxy) preloadSmallBody(request *http.Request, body *upload, most time.Duration) {
 	if body.isLarge() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), most)
 	defer cancel()
-	_ = body.preload(ctx, nil) // the body keeps the failure, for which the call is refused
+	_ = body.preload(ctx, nil) // the body stores the error, and the call is refused later
 }
 
-// awaitView waits for the next view or a bound; false means that the caller has left or the
-// proxy is closed.
+// awaitView waits for the next view, for at most the given time. It returns false if the
+// caller has disconnected or the proxy is closed.
 func (p *Proxy) awaitView(request *http.Request, changed <-chan struct{}, most time.Duration) bool {
 	p.counters.startWaits.Add(1)
 	bound := time.NewTimer(most)
--- a/internal/proxy/starting_test.go
+++ b/internal/proxy/starting_test.go
@@ -18,7 +18,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// startLate makes a callers' side of a mesh that knows nothing yet.
+// startEmptyCaller starts a second callers' side for a mesh. It has no configuration and no
+// members yet.
 func startEmptyCaller(t *testing.T, made *mesh, clock func() time.Duration) *mesh {
 	t.Helper()
 	limits := Limits{StartWait: time.Hour, DrainLinger: time.Millisecond}
@@ -30,8 +31,8 @@
 	return &late
 }
 
-// callAndWait makes a call and returns, once it waits for the daemon's start, where its answer
-// will come.
+// startWaitingCall makes a call and blocks until the call waits for the daemon's start. It
+// returns the channel of the call's answer.
 func (m *mesh) startWaitingCall(t *testing.T) <-chan callResult {
 	t.Helper()
 	answer := make(chan callResult, 1)
@@ -40,7 +41,7 @@
 	return answer
 }
 
-// awaitWait waits until a call waits for the daemon's start.
+// awaitStartWait blocks until a call waits for the daemon's start.
 func (m *mesh) awaitStartWait(t *testing.T) {
 	t.Helper()
 	for began := time.Now(); m.caller.Counters().StartWaits == 0; runtime.Gosched() {
@@ -109,7 +110,8 @@
 	check.Equal(late.caller.Counters().StartWaits, uint64(0))
 }
 
-// A call that has a quarter of its time behind it is left no more than the rest.
+// TestUnsuccessfulStartWaitReducesTimeout: a call that was not sent after its wait of a
+// quarter of its time has at most the remaining three quarters left.
 func TestUnsuccessfulStartWaitReducesTimeout(t *testing.T) {
 	check := is.New(t)
 	late := startEmptyCaller(t, startMesh(t, meshOptions{}), testClock)
@@ -121,7 +123,8 @@
 	check.True(call.timeout <= 300*time.Millisecond)
 }
 
-// A call that states no time has that of its route.
+// TestStartWaitIsBoundedByRouteTimeout: a call without a timeout header has the timeout of
+// its route.
 func TestStartWaitIsBoundedByRouteTimeout(t *testing.T) {
 	check := is.New(t)
 	options := meshOptions{changeRoute: func(route *resource.Route) { route.Timeout = 200 * time.Millisecond }}
@@ -134,8 +137,9 @@
 	check.NoErr(ctx.Err())
 }
 
-// The first view may come while a call is weighed. What the call was refused for is judged by
-// the view from before, so that it is weighed again.
+// TestViewPublishedDuringAcceptIsNotMissed: the first view may be published while a call is
+// being accepted. The refusal is then compared with the earlier view, so that the call is
+// accepted again with the new one.
 func TestViewPublishedDuringAcceptIsNotMissed(t *testing.T) {
 	check := is.New(t)
 	made := startMesh(t, meshOptions{})
@@ -146,7 +150,8 @@
 	check.True(!late.caller.view.Load().isIncompleteFor(nil, Refusal{Code: result.NotServing}, false))
 }
 
-// A caller that leaves ends its wait, also one whose request has a body.
+// TestCallerDisconnectEndsStartWait: a call no longer waits once its caller has
+// disconnected, also if its request has a body.
 func TestCallerDisconnectEndsStartWait(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -167,7 +172,8 @@
 	check.Equal(runs.Load(), int64(0))
 }
 
-// Before any other daemon is known, no region has a back end.
+// TestRegionBoundCallWaitsForMembersDuringStart: before any other daemon is known, no region
+// has a back end. A call that is restricted to regions waits instead of being refused.
 func TestRegionBoundCallWaitsForMembersDuringStart(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -180,7 +186,7 @@
 	check.Equal(runs.Load(), int64(1))
 }
 
-// A stop is not held up by calls that wait for the start.
+// TestStopRefusesCallsThatWaitForStart: calls that wait for the start do not delay a drain.
 func TestStopRefusesCallsThatWaitForStart(t *testing.T) {
 	check := is.New(t)
 	late := startEmptyCaller(t, startMesh(t, meshOptions{}), testClock)
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -19,7 +19,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// patterned is a body of a given length that depends on the place.
+// patternReader is a body of a given length whose bytes depend on their position. It hashes
+// the bytes that were read.
 type patternReader struct {
 	remaining int
 	hash      *xxhash.Digest
@@ -45,8 +46,8 @@
 	return stats.HeapAlloc
 }
 
-// TestLargeUploadStreams sends 64 MiB, with and without a stated length. While
-// the back end does not read, nothing but bounded buffers may fill up.
+// TestLargeUploadStreams sends 64 MiB, with and without a Content-Length. While the back end
+// does not read, the heap must not grow by more than the proxy's bounded buffers.
 func TestLargeUploadStreams(t *testing.T) {
 	const size = 64 << 20
 	const heapBound = 16 << 20
@@ -80,8 +81,9 @@
 	}
 }
 
-// TestRefusedUploadGoesElsewhereUnread: a body too large to be kept waits for
-// the gate's leave, so a gate that drains costs nothing.
+// TestUnsentUploadIsRetriedAfterRefusal: a body that is too large to be kept is sent only
+// after the gate's status 100 (Continue), so it can be sent elsewhere after a draining gate
+// has refused the call.
 func TestUnsentUploadIsRetriedAfterRefusal(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -94,8 +96,8 @@
 	check.Equal(runs.Load(), int64(6))
 }
 
-// TestAnswerAndRequestStreamTogether: each part of the answer comes before the
-// next part of the request is sent.
+// TestAnswerAndRequestStreamTogether: the back end answers each part of the request before
+// the caller sends the next part.
 func TestAnswerAndRequestStreamTogether(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
@@ -125,7 +127,7 @@
 	check.NoErr(writer.Close())
 }
 
-// TestEarlyAnswerEndsTheUpload: the back end answers without reading.
+// TestAnswerBeforeEndOfUploadIsDelivered: the back end answers without reading the body.
 func TestAnswerBeforeEndOfUploadIsDelivered(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
@@ -140,8 +142,8 @@
 	mesh.awaitIdle()
 }
 
-// TestRestOfARefusedBodyIsNoRequest: the refusal comes at once, and what is
-// sent of the body afterwards is never taken for the next request.
+// TestRefusedBodyIsNotParsedAsRequest: a body over the limit is refused at once, and the
+// connection is closed so that the rest of the body is not parsed as the next request.
 func TestRefusedBodyIsNotParsedAsRequest(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -160,7 +162,7 @@
 	_, err = io.Copy(io.Discard, answer.Body)
 	check.NoErr(err)
 	_, err = reader.ReadByte()
-	check.Equal(err, io.EOF) // closed, though the caller did not close it
+	check.Equal(err, io.EOF) // closed by the proxy
 	check.Equal(runs.Load(), int64(0))
 }
 
@@ -169,7 +171,7 @@
 	limits := Limits{StallTimeout: 50 * time.Millisecond, HeaderTimeout: 50 * time.Millisecond}
 	mesh := startMesh(t, meshOptions{limits: limits}, newBlockingBackend().spec())
 	for framing, ran := range map[string]string{
-		"Content-Length: 9\r\n\r\nx":               "no", // read before it is sent on
+		"Content-Length: 9\r\n\r\nx":               "no", // read completely before the first attempt
 		"Transfer-Encoding: chunked\r\n\r\n1\r\nx": "unknown",
 	} {
 		text := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHost: h\r\n"+framing)
@@ -201,7 +203,7 @@
 	defer conn.Close()
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	check.NoErr(err)
-	<-ended // the back end's answer broke, though nobody hung up
+	<-ended // the proxy cut the answer, although the caller did not disconnect
 	mesh.awaitIdle()
 }
 
@@ -210,13 +212,14 @@
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	mesh.address = startServer(t, mesh.caller.CallerHandler(), Limits{Connections: 1})
-	check.Equal(mesh.call(t, "GET", "/", "").status, http.StatusOK) // kept open
+	check.Equal(mesh.call(t, "GET", "/", "").status, http.StatusOK) // its connection stays open
 	text := mesh.sendRaw(t, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	check.True(strings.Contains(text, "Springstack-Code: 302\r\n"))
 	check.True(strings.Contains(text, "Retry-After: 1\r\n"))
 }
 
-// TestQueueIsFullAtOnce: the refusal comes at once and says when to come back.
+// TestQueueIsFullAtOnce: a call that finds the queue full is refused at once, with a
+// Retry-After header.
 func TestQueueIsFullAtOnce(t *testing.T) {
 	check := is.New(t)
 	backend := newBlockingBackend()
--- a/internal/proxy/surplus.go
+++ b/internal/proxy/surplus.go
@@ -8,48 +8,51 @@
 	"slices"
 )
 
-// headLimit bounds the head of an answer that is looked at, in bytes; a longer one is left to
-// the library, which refuses it by its own limit.
+// answerHeadLimit limits the head of an answer that is examined, in bytes. A longer one is
+// passed on to the library, which has its own limit.
 const answerHeadLimit = 16 << 10
 
-// readSize is how much of a head is read at a time, in bytes: the library's own buffer.
+// headReadSize is the number of bytes of a head that are read at a time, the size of the
+// library's own buffer.
 const headReadSize = 4 << 10
 
-// earlierLimit is how many requests of a connection are remembered: an answer in excess
-// belongs to the last one, or one of the last few where it comes late.
+// rememberedRequests is how many requests of a connection are remembered: a surplus answer
+// belongs to the last one or, if it is late, to one of the last few.
 const rememberedRequests = 4
 
-// headEnding ends the head of an answer.
+// headTerminator is the end of the head of an answer.
 var headTerminator = []byte("\r\n\r\n")
 
-// surplusFilter reads past answers that a back end sends in excess on a kept connection.
-// One that comes late stands in the place of the answer that is due, whose run is at work:
-// to close the connection would cut that run and fail its caller. Answers are told
-// apart by the id that back ends echo. The library reads a connection in one goroutine, so
-// the filter takes no lock.
+// surplusFilter skips surplus answers: those that a back end sends on a kept connection to
+// a request that it has already answered. A late one arrives in place of the answer to the
+// current request. Closing the connection would cut that request, which is running, and
+// fail its caller. Answers are identified by the request id that back ends echo. The
+// library reads a connection in one goroutine, so the filter needs no lock.
 type surplusFilter struct {
 	source io.Reader
-	// attempt is the one whose answer is looked for or was found.
+	// attempt is the current attempt on the connection.
 	attempt *attemptGuard
-	// found is set once its answer has begun: all bytes are passed on then.
+	// ownAnswerFound is set once the answer to attempt has begun; from then on all bytes are
+	// passed on.
 	ownAnswerFound bool
-	// ready was read and is passed on next.
+	// buffered holds bytes that were read and are passed on next.
 	buffered []byte
-	// earlier are the ids of the last requests sent before the attempt's, in turn, of sent
-	// in all.
+	// earlierIDs is a ring of the ids of the last requests, including that of attempt.
+	// sentCount is the number of all requests sent.
 	earlierIDs [rememberedRequests]string
 	sentCount  int
 }
 
-// begin notes that a request is sent. It is called before any byte of it goes out, when no
-// other one is under way.
+// recordRequest records the id of a request. It must be called before any byte of the
+// request is sent, while no other request is in progress.
 func (f *surplusFilter) recordRequest(id string) {
 	f.earlierIDs[f.sentCount%rememberedRequests] = id
 	f.sentCount++
 }
 
-// read reads for the library. The owner is asked for once bytes have come, since the library
-// reads a connection before the next attempt is sent on it.
+// read reads for the library. It calls owner for the current attempt only after bytes have
+// been received, since the library starts to read a connection before the next attempt is
+// sent on it.
 func (f *surplusFilter) read(into []byte, owner func() *attemptGuard) (int, error) {
 	if len(f.buffered) == 0 {
 		count, err := f.source.Read(into)
@@ -61,7 +64,7 @@
 			return count, err
 		}
 		if f.beginsWithOwnAnswer(into[:count]) {
-			f.ownAnswerFound = true // the usual case, in which nothing is copied or parsed twice
+			f.ownAnswerFound = true // the usual case, without copying or parsing the bytes
 			return count, nil
 		}
 		f.buffered = append(f.buffered, into[:count]...)
@@ -74,8 +77,8 @@
 	return count, nil
 }
 
-// skipForeign reads until the attempt's own answer has begun, or an interim one, or something
-// that it can't read, which is left to the library.
+// skipSurplus skips surplus answers until the attempt's own answer has begun. Anything that
+// is no surplus answer, or that it can't parse, is passed on to the library.
 func (f *surplusFilter) skipSurplus() error {
 	for {
 		if err := f.fillHead(); err != nil {
@@ -103,14 +106,14 @@
 	}
 }
 
-// beginsOwn tells whether bytes begin with the whole head of an answer that names the
-// attempt.
+// beginsWithOwnAnswer reports whether text begins with the complete head of an answer that
+// contains the id of the attempt.
 func (f *surplusFilter) beginsWithOwnAnswer(text []byte) bool {
 	head, _, complete := bytes.Cut(text, headTerminator)
 	return complete && bytes.Contains(head, []byte(f.attempt.answerID))
 }
 
-// fillHead reads until a whole head is there, or as much as is looked at.
+// fillHead reads until a complete head or answerHeadLimit bytes are buffered.
 func (f *surplusFilter) fillHead() error {
 	for !bytes.Contains(f.buffered, headTerminator) && len(f.buffered) < answerHeadLimit {
 		held := len(f.buffered)
@@ -124,8 +127,8 @@
 	return nil
 }
 
-// skippable tells whether an answer names an earlier request of the connection and has an
-// end of its own.
+// isSkippable reports whether an answer names an earlier request of the connection and
+// states where it ends.
 func (f *surplusFilter) isSkippable(answer *http.Response) bool {
 	ends := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 	named := answer.Header.Get(f.attempt.answerHeader)
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -8,21 +8,23 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// endsOfCall is how many instances may end under the attempts of one call before it is given
-// up: what ran beside a harmful request is saved by its second attempt, and a third one
-// would mostly save what ends a third back end.
+// maxEndsPerCall is the number of instances that may end under the attempts of one call
+// before it is refused. A call that merely ran alongside a harmful request is saved by its
+// second attempt; a third attempt would mostly let a harmful request end a third back end.
 const maxEndsPerCall = 2
 
 const (
-	// isolationWait bounds how long a back end takes no other calls before one that is to run
-	// alone, and isolationPart is the part of the call's time that it may wait so.
+	// maxIsolationWait limits how long a back end gets no new calls while a call waits to
+	// run alone. The wait is also limited to 1/isolationWaitDivisor of the call's remaining
+	// time.
 	maxIsolationWait     = 500 * time.Millisecond
 	isolationWaitDivisor = 2
 )
 
-// awaitTurn keeps a call that is suspected to end its back end apart from others that are:
-// one runs at a time, so that the next end is of that one alone, and the others do not end
-// further back ends before that is known. A call that is held is refused.
+// awaitSuspectTurn waits until a suspected call may run: the gate runs one suspected call
+// at a time. The next end of the back end is then due to at most one of them, and the
+// others do not end further back ends before this is known. A call whose request is held
+// is refused.
 func (c *gateCall) awaitSuspectTurn() (Refusal, bool) {
 	belief, refusal := c.quarantineState()
 	if belief == quarantine.Suspected {
@@ -32,14 +34,15 @@
 		case <-c.context.Done():
 			return Refusal{Code: c.cancellationCode()}, false
 		}
-		belief, refusal = c.quarantineState() // the one before may have settled it
+		belief, refusal = c.quarantineState() // the previous suspected call may have changed it
 	}
 	return refusal, belief != quarantine.Held
 }
 
-// isolate has a call that holds a slot run alone where one end more may hold its request, so
-// that the end is of no other request and costs no other call. It refuses a call that was found
-// harmful while it waited, and one that may run alone only where others keep the back end busy.
+// isolate makes a call that holds a slot run alone if one more end may cause its request to
+// be held: such an end is then due to no other request and breaks no other call. It refuses
+// a call whose request was held while the call waited, and a call that must run alone if
+// other calls keep the back end busy.
 func (c *gateCall) isolate() (Refusal, bool) {
 	view := c.proxy.harmful.view.Load()
 	if view.Empty() || !view.HasHead(c.headHash()) {
@@ -66,8 +69,8 @@
 	return Refusal{}, true
 }
 
-// awaitAlone keeps other calls from starting and waits until those that run have ended; false
-// when they take too long.
+// awaitAlone prevents other calls from starting and waits until those that run have ended.
+// It returns false if this takes too long or another call is isolated already.
 func (c *gateCall) awaitAlone() bool {
 	alone := c.proxy.gate.Isolate(c.ticket)
 	if alone == nil {
@@ -87,23 +90,24 @@
 	return false
 }
 
-// endIsolation lets other calls start once a call that ran alone has its answer or none comes any
-// more. The back end may still be at work on it, for as long as it hangs.
+// endIsolation lets other calls start. It is called once a call that ran alone has an answer
+// or will get none; the back end may still be running it if it hangs.
 func (c *gateCall) endIsolation() {
 	if c.runsAlone {
 		c.proxy.gate.EndIsolation(c.proxy.config.Clock(), c.ticket)
 	}
 }
 
-// endTurn lets the next suspected call run.
+// releaseSuspectTurn lets the next suspected call run.
 func (c *gateCall) releaseSuspectTurn() {
 	if c.holdsSuspectTurn {
 		<-c.proxy.suspectTurn
 	}
 }
 
-// belief is what to believe of the call, and the refusal if it is held. A call under whose
-// earlier attempt an instance has ended is suspected before the news of that has come.
+// quarantineState returns the quarantine state of the call's request, and the refusal if it
+// is held. A call is at least suspected if its sender states that an instance has ended
+// under an earlier attempt, since the record of that end may not have arrived here yet.
 func (c *gateCall) quarantineState() (quarantine.State, Refusal) {
 	least := quarantine.Trusted
 	if c.request.Header.Get(headerEnded) != "" {
@@ -127,8 +131,8 @@
 	return belief, Refusal{Code: result.Quarantined, RetryAfter: held}
 }
 
-// noteAnswered notes that the back end has answered the call well. An answer of failure
-// clears no request: its run may have ended before it did harm.
+// recordSuccess records that the back end has answered the call, unless the status is a
+// server error: such a run may have ended before the request could do harm.
 func (c *gateCall) recordSuccess(status int) {
 	if status >= http.StatusInternalServerError {
 		return
@@ -138,17 +142,18 @@
 	}
 }
 
-// suspicion is what the callers' side knows of a call that may be harmful.
+// suspicion holds what the callers' side knows about whether a call is harmful.
 type suspicion struct {
-	// signature is known once signed is set.
+	// signature is valid if signed is set.
 	signature quarantine.Signature
 	signed    bool
-	// ends counts the instances that have ended under the call's attempts.
+	// instanceEnds counts the instances that have ended under the call's attempts.
 	instanceEnds int
 }
 
-// belief is what to believe of the call, and the refusal if it is held. What its own attempts
-// have met counts before the news of that has come.
+// quarantineState returns the quarantine state of the call's request, and the refusal if it
+// is held. It counts the ends under the call's own attempts at once, since their records
+// may not have arrived here yet.
 func (c *callerCall) quarantineState() (quarantine.State, Refusal) {
 	if c.suspicion.instanceEnds >= maxEndsPerCall {
 		return quarantine.Held, Refusal{Code: result.Quarantined}
@@ -160,8 +165,8 @@
 	return belief, refusal
 }
 
-// beliefOfAll is what the daemon believes of the call's request. Its body is looked at only
-// where something is known of its head.
+// sharedQuarantineState returns the quarantine state of the call's request by the records
+// that daemons share. The body is not read unless there is a record with the same head.
 func (c *callerCall) sharedQuarantineState() (quarantine.State, Refusal) {
 	view := c.proxy.harmful.view.Load()
 	if view.Empty() {
@@ -176,7 +181,7 @@
 	return c.proxy.quarantineState(view, c.suspicion.signature)
 }
 
-// head is that of the call as its gate sees it.
+// headHash returns the hash of the call's head, equal to the one that its gate computes.
 func (c *callerCall) headHash() quarantine.Hash {
 	sent := c.proxy.targetURL("", c.request, c.hostPath.path)
 	target := sent.Opaque
@@ -190,7 +195,8 @@
 	return hashRequestHead(c.request, target, caller)
 }
 
-// sign makes the signature of the call, for which the first bytes of its body must come.
+// ensureSignature computes the signature of the call if need be, which waits for the first
+// bytes of the body. It returns false if they can't be read.
 func (c *callerCall) ensureSignature() bool {
 	if c.suspicion.signed {
 		return true
@@ -202,8 +208,8 @@
 	return signed
 }
 
-// noteEnded takes a gate's word that an instance has ended and that the call is suspected
-// of it.
+// recordInstanceEnd records a gate's report that an instance has ended and that the call is
+// suspected of having caused this. The name of the instance is empty if none has ended.
 func (c *callerCall) recordInstanceEnd(instance string) {
 	if instance != "" && c.ensureSignature() {
 		c.suspicion.instanceEnds++
--- a/internal/proxy/target.go
+++ b/internal/proxy/target.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// formatTarget writes headerTarget: what is left until an answer is late, which
-// may be negative, in milliseconds.
+// formatTarget returns the value of headerTarget: the time left until an answer is late,
+// in milliseconds. It is negative if that time has passed.
 func formatTarget(left time.Duration) string {
 	return strconv.FormatInt(left.Milliseconds(), 10)
 }
 
-// parseTarget reads headerTarget; false means that no target is stated.
+// parseTarget parses the value of headerTarget; stated is false if there is no valid one.
 func parseTarget(text string) (left time.Duration, stated bool) {
 	milliseconds, err := strconv.ParseInt(text, 10, 32)
 	if err != nil {
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -11,35 +11,37 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Trace takes the decisions that touch single requests. It must not block.
+// Tracer logs decisions about single requests. Its methods must not block.
 type Tracer interface {
-	// Wants tells whether an event is to be written now. Its fields are put
-	// together only then.
+	// Wants reports whether an event with the given name is to be written now. The fields of
+	// the event are collected only if so.
 	Wants(event string) bool
-	// Write takes an event that is wanted.
+	// Write writes an event for which Wants returned true.
 	Write(Event)
 }
 
-// Timings take how long things took, for histograms. They must not block.
+// Timings are functions that receive durations, for histograms. They must not block; each
+// may be nil.
 type Timings struct {
-	// Caller is the whole time of a caller's request.
+	// Caller receives the total time of a caller's request.
 	Caller func(time.Duration)
-	// Turn is the wait of a caller's request behind others of its connection.
+	// Turn receives the wait of a caller's request for earlier ones on its connection.
 	Turn func(time.Duration)
-	// Queue is the wait for a slot at the gate.
+	// Queue receives the time from a call's arrival at the gate until it gets a slot.
 	Queue func(time.Duration)
-	// Backend is the time from the sending to the back end until its answer.
+	// Backend receives the time from when a call gets its slot until the back end has
+	// answered it or it has failed.
 	Backend func(time.Duration)
 }
 
-// observe passes a duration on, if somebody listens.
+// observeDuration calls a function of Timings unless it is nil.
 func observeDuration(to func(time.Duration), took time.Duration) {
 	if to != nil {
 		to(took)
 	}
 }
 
-// traced writes an event about a request; fields are made only if it is wanted.
+// trace writes an event about a request. It calls fields only if the event is wanted.
 func (p *Proxy) trace(event string, fields func() []EventField) {
 	if p.config.Trace == nil || !p.config.Trace.Wants(event) {
 		return
@@ -47,8 +49,8 @@
 	p.config.Trace.Write(Event{Name: event, Fields: fields()})
 }
 
-// requestID is the name of a request in logs: that of the caller with an Edge,
-// and else of the attempt.
+// requestID returns the id of a request in logs: the caller's own id if there is an Edge,
+// and otherwise the id of the attempt.
 func (p *Proxy) requestID(header http.Header) string {
 	if p.config.Edge != nil {
 		return header.Get(p.config.Edge.RequestID)
@@ -56,8 +58,8 @@
 	return header.Get(headerRequest)
 }
 
-// sampled tells whether a request that went well has a line of its own. The
-// same requests are chosen on all daemons.
+// isSampled reports whether a successful request is logged. The choice depends only on the
+// id, so that all daemons log the same requests.
 func isSampled(id string) bool {
 	const share = 128
 	sum := uint32(2166136261)
@@ -75,8 +77,8 @@
 
 func textField(key, value string) EventField { return EventField{Key: key, Value: value} }
 
-// traceAttempt writes what became of an attempt that did not go well, what was
-// known of its endpoint, and what follows.
+// traceAttempt logs the outcome of a failed attempt, the state of its endpoint and the next
+// step.
 func (c *callerCall) traceAttempt(tried *attempt, step retry.Step) {
 	if tried.outcome.Kind == retry.Answered && !tried.outcome.Failed {
 		return
@@ -101,7 +103,7 @@
 	})
 }
 
-// identity is what every line about a call begins with.
+// identityFields returns the fields that every event about a call begins with.
 func (c *callerCall) identityFields() []EventField {
 	fields := []EventField{
 		textField("request", c.proxy.requestID(c.request.Header)),
@@ -114,7 +116,7 @@
 	return fields
 }
 
-// endpointFields are what was known of an endpoint and how old that was.
+// endpointFields returns the known state of an endpoint and its age.
 func endpointFields(chosen *endpoint.Endpoint, now time.Duration) []EventField {
 	if chosen == nil {
 		return []EventField{textField("endpoint", "none")}
@@ -144,7 +146,7 @@
 	retry.Refuse:  "refuse",
 }
 
-// traceRefusal writes the final refusal of a call.
+// traceRefusal logs the final refusal of a call.
 func (c *callerCall) traceRefusal(refusal Refusal) {
 	c.proxy.trace("request_refused", func() []EventField {
 		now := c.proxy.config.Clock()
@@ -165,12 +167,13 @@
 	})
 }
 
-// drainField tells whether this daemon has begun to drain.
+// drainField returns whether this daemon has begun to drain.
 func (p *Proxy) drainField() EventField {
 	return textField("draining", strconv.FormatBool(p.drain.started.Load()))
 }
 
-// traceTurnedAway writes the refusal of a request before it became a call.
+// traceEarlyRefusal logs the refusal of a request that was not accepted as a call, or whose
+// body could not be read before the first attempt.
 func (p *Proxy) traceEarlyRefusal(request *http.Request, refusal Refusal) {
 	p.trace("request_turned_away", func() []EventField {
 		fields := []EventField{
@@ -187,7 +190,7 @@
 	})
 }
 
-// versionFields tell by which version a decision was made, and how fresh that is.
+// versionFields returns the configuration version in force and its freshness.
 func (p *Proxy) versionFields() []EventField {
 	var fields []EventField
 	if held := p.view.Load().snapshot; held != nil {
@@ -203,8 +206,8 @@
 	return textField("version", strconv.FormatUint(uint64(version), 10))
 }
 
-// traceAnswer writes the end of a call that was answered, if it failed, was cut
-// or is one of the sample.
+// traceAnswer logs the end of an answered call if it failed, took several attempts or is
+// sampled. The error is the one that cut the answer short, or nil.
 func (c *callerCall) traceAnswer(tried *attempt, err error) {
 	status := tried.exchange.answer.StatusCode
 	failed := err != nil || status >= http.StatusInternalServerError || len(c.triedEndpoints) > 1
@@ -229,8 +232,8 @@
 	c.proxy.trace("request_answered", fields)
 }
 
-// traceGate writes what the gate did with a call that it refused, that failed
-// at the back end, or that is one of the sample.
+// traceGate logs the result of a call at the gate if the gate refused it, it failed at the
+// back end, or it is sampled.
 func (c *gateCall) traceGate(event string, outcome result.Code, status int, waited, ran time.Duration) {
 	id := c.proxy.requestID(c.request.Header)
 	ordinary := outcome == result.OK && status < http.StatusInternalServerError
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -12,41 +12,45 @@
 )
 
 const (
-	// transferLimit bounds the large bodies that a gate receives at a time. More at
-	// once would not come sooner, and all else that comes to the machine, such as
-	// news of a configuration, would queue behind them on a slow link.
+	// transferLimit is the number of large bodies that a gate receives at a time. More
+	// would not arrive sooner, and everything else that is sent to the machine, such as a
+	// configuration update, would queue behind them on a slow link.
 	transferLimit = 2
-	// transferShare is the most of a call's remaining time that its body may be
-	// expected to wait before it is sent.
+	// maxTransferWaitShare is the maximum share of a call's remaining time that its body may
+	// be expected to wait for its turn.
 	maxTransferWaitShare = 0.3
-	// transferIdle is how long a body may stand still before it gives its turn to the next
-	// one. One that flows brings a packet every few milliseconds, also on a link of some
-	// Mbit/s; the rest is for a sender whose processor is spent.
+	// transferIdleTimeout is how long a body may stall before it loses its turn to the next
+	// one. A body in progress brings a packet every few milliseconds, even on a link of a few
+	// Mbit/s; the rest allows for a sender that is short of processor time.
 	transferIdleTimeout = 250 * time.Millisecond
-	// thousand is the whole of a share in thousandths.
+	// perMille is the factor between a ratio and thousandths.
 	perMille = 1000
-	// excessLimit bounds by how much a wait is believed to exceed what is expected, in
-	// thousandths: one stall of the link tells little of the next one.
+	// maxExcess limits the recorded ratio by which a wait exceeds the expected one, in
+	// thousandths: one stall of the link says little about the next one.
 	maxExcess = 2 * perMille
-	// excessLife is how long it is believed after the last body that waited. If it has every
-	// body refused that would wait, nothing else tells that the link is free again.
+	// excessLifetime is how long the recorded excess remains in use after the last body that
+	// waited. If the excess causes every further body to be refused, no wait can show that the
+	// link is free again.
 	excessLifetime = 2 * time.Second
-	// transferWeight is the weight of a new value in the mean time of a transfer.
+	// transferMeanWeight is the weight of a new value in the moving means.
 	transferMeanWeight = 1.0 / 8
 )
 
-// transfers lets large bodies come to a gate a few at a time. Their senders wait
-// with the body until they are told to continue.
+// transferQueue limits how many large bodies a gate receives at a time. It hands out
+// transferLimit turns; a sender waits with the body until it gets the status 100
+// (Continue), which the gate sends when the body's turn begins.
 type transferQueue struct {
-	// tokens holds one for each body that comes, waiting is how many wait for one.
+	// turns holds an element for each turn in use; waiting is how many bodies wait for a
+	// turn.
 	turns   chan struct{}
 	waiting atomic.Int64
-	// mean is the moving mean of the time that a body takes, in nanoseconds.
+	// meanNanos is the moving mean of the time that it takes to receive a body, in
+	// nanoseconds.
 	meanNanos atomic.Int64
-	// excess is the moving mean of how much longer than expected bodies have waited, as a share
-	// of what was expected, in thousandths: others share the link.
+	// excessPerMille is the moving mean of the ratio by which the waits of bodies exceeded
+	// queueWait, in thousandths. Waits exceed it if the link carries other traffic.
 	excessPerMille atomic.Int64
-	// excessAt is when it was last learned, on the clock, in nanoseconds.
+	// excessUpdatedAt is when excessPerMille was last updated, in nanoseconds on the clock.
 	excessUpdatedAt atomic.Int64
 }
 
@@ -54,17 +58,17 @@
 	return &transferQueue{turns: make(chan struct{}, transferLimit)}
 }
 
-// meanTime is how long a body takes.
+// meanTime returns the mean time that it takes to receive a body; 0 if unknown.
 func (t *transferQueue) meanTime() time.Duration { return time.Duration(t.meanNanos.Load()) }
 
-// expectedWait is how long one more body is expected to wait: until the first of those
-// that come has come, for those ahead of it, and for what else is on the link.
+// expectedWait returns how long one more body is expected to wait for its turn: queueWait,
+// increased by the current excess.
 func (t *transferQueue) expectedWait(now time.Duration) time.Duration {
 	queue := t.queueWait()
 	return queue + queue*time.Duration(t.currentExcess(now))/perMille
 }
 
-// excessNow is the excess that is believed now.
+// currentExcess returns the excess in thousandths; 0 if it is older than excessLifetime.
 func (t *transferQueue) currentExcess(now time.Duration) int64 {
 	if now-time.Duration(t.excessUpdatedAt.Load()) > excessLifetime {
 		return 0
@@ -72,20 +76,22 @@
 	return t.excessPerMille.Load()
 }
 
-// queueWait is how long one more body is expected to wait for those at this gate alone.
+// queueWait returns how long one more body is expected to wait for the bodies at this gate,
+// without other traffic on the link.
 func (t *transferQueue) queueWait() time.Duration {
 	mean := t.meanNanos.Load()
 	wait := t.waiting.Load() * mean / transferLimit
 	if len(t.turns) == transferLimit {
-		wait += mean / (transferLimit + 1) // the first of so many to end
+		wait += mean / (transferLimit + 1) // the expected time until one of transferLimit turns ends
 	}
 	return time.Duration(wait)
 }
 
-// learnWait learns how long a body has waited, against what queueWait had told.
+// recordWait updates the excess with how long a body has waited for its turn. The expected
+// wait is what queueWait returned when the body arrived.
 func (t *transferQueue) recordWait(now, expected, waited time.Duration) {
 	if expected <= 0 || expected < t.meanTime()/transferLimit {
-		return // so short a wait tells little
+		return // too short for a meaningful ratio
 	}
 	ratio := min(max(int64((waited-expected)*perMille/expected), 0), maxExcess)
 	old := t.currentExcess(now)
@@ -93,8 +99,9 @@
 	t.excessPerMille.Store(old + int64(float64(ratio-old)*transferMeanWeight))
 }
 
-// asQueued is the number of calls that would make the next one wait for a slot as
-// long as it would wait for its body: what the gate reports as its load.
+// equivalentQueueLength returns the number of queued calls that would make the next call
+// wait for a slot as long as it would wait for its body's turn. The gate adds it to the
+// queue length that it reports.
 func (t *transferQueue) equivalentQueueLength(now time.Duration, slots int, service time.Duration) int {
 	waiting := int(t.waiting.Load())
 	if service <= 0 {
@@ -103,7 +110,7 @@
 	return max(waiting, int(t.expectedWait(now)*time.Duration(slots)/service))
 }
 
-// await waits until a body may come; false means that ctx has ended before.
+// acquireTurn waits for a turn; it returns false if ctx ends before.
 func (t *transferQueue) acquireTurn(ctx context.Context) bool {
 	t.waiting.Add(1)
 	defer t.waiting.Add(-1)
@@ -115,10 +122,10 @@
 	}
 }
 
-// pass gives the turn to the next body.
+// releaseTurn frees a turn for the next body.
 func (t *transferQueue) releaseTurn() { <-t.turns }
 
-// done ends a transfer that took a time.
+// completeTurn frees the turn of a body that took the given time and updates the mean time.
 func (t *transferQueue) completeTurn(took time.Duration) {
 	t.releaseTurn()
 	mean := t.meanNanos.Load()
@@ -129,16 +136,16 @@
 	t.meanNanos.Store(next)
 }
 
-// transferTurn is the turn of one body. A body that stands still, for instance since its
-// sender's machine is gone, passes it on and goes on without one if it flows again: that it
-// is slow is no reason to end its call.
+// transferTurn is the turn of one body. A body that stalls for transferIdleTimeout, for
+// instance since its sender's machine has failed, loses its turn. If it continues later, it
+// is received without a turn: a stall alone is no reason to end its call.
 type transferTurn struct {
 	queue     *transferQueue
 	idleTimer *time.Timer
 	released  atomic.Bool
 }
 
-// begin begins the turn of a body that await has let in.
+// startTurn starts the turn of a body after acquireTurn.
 func (t *transferQueue) startTurn() *transferTurn {
 	turn := &transferTurn{queue: t}
 	turn.idleTimer = time.AfterFunc(transferIdleTimeout, func() {
@@ -149,15 +156,15 @@
 	return turn
 }
 
-// flows notes that a part of the body has come.
+// recordProgress records that a part of the body has arrived.
 func (t *transferTurn) recordProgress() {
 	if !t.released.Load() {
 		t.idleTimer.Reset(transferIdleTimeout)
 	}
 }
 
-// end ends the turn after a time. Only a body that came whole within its turn tells how
-// long bodies take.
+// end ends the turn after the given time. Only a body that arrived complete within its turn
+// counts for the mean time.
 func (t *transferTurn) end(took time.Duration, whole bool) {
 	t.idleTimer.Stop()
 	switch {
@@ -169,8 +176,9 @@
 	}
 }
 
-// lateAfter is by how much a call is expected to miss its target because its body waits; 0 when
-// it is not, or hardly waits. While the body has not been sent, going elsewhere costs little.
+// expectedLateness returns by how much a call is expected to miss its target because its
+// body waits. It returns 0 if the call is expected in time, has no target, or waits no longer
+// than one body takes. Before the body has been sent, a retry elsewhere costs little.
 func (c *gateCall) expectedLateness(now, wait time.Duration) time.Duration {
 	if c.ticket.Target <= 0 || wait <= c.proxy.transfers.meanTime() {
 		return 0
@@ -179,9 +187,10 @@
 	return max(now+wait+c.proxy.transfers.meanTime()+service-c.ticket.Target, 0)
 }
 
-// besideMe is the endpoint beside this daemon if it is expected to answer a large body in
-// time, and else nil. A body crosses no link on its way there, and the links of back ends
-// that take uploads are full before their slots are.
+// localEndpoint returns the endpoint of this daemon's own back end if the call has a large
+// body and is expected to be answered there in time, and otherwise nil. The body then
+// crosses no link, and the links of back ends that receive uploads are saturated before
+// their slots are.
 func (c *callerCall) localEndpoint(set *endpoint.Set, now time.Duration) *endpoint.Endpoint {
 	gate := c.proxy.gate
 	if !c.body.isLarge() || gate == nil || !gate.HasFreeSlot() {
@@ -194,15 +203,17 @@
 	return set.ChooseOnNode(now, c.proxy.config.NodeID, c.triedEndpoints)
 }
 
-// isOwn tells whether the call comes from this daemon itself: by its id, whose last part has
-// no hyphen. The name of another daemon may begin with that of this one.
+// isFromThisDaemon reports whether this daemon itself has sent the call. The id of such a
+// call is requestPrefix and a count without a hyphen; a prefix alone is not enough, since the
+// id of another daemon may begin with the same characters.
 func (c *gateCall) isFromThisDaemon() bool {
 	count, found := strings.CutPrefix(c.request.Header.Get(headerRequest), c.proxy.requestIDPrefix)
 	return found && !strings.Contains(count, "-")
 }
 
-// receive takes in a large body whole before the call asks for a slot, so that a
-// slow link holds no slot. It refuses the call when that would take too long.
+// receiveBody reads a large body completely before the call asks for a slot, so that no
+// slot is occupied while a slow link transfers it. It refuses the call if the body would
+// arrive too late.
 func (c *gateCall) receiveBody() (Refusal, bool) {
 	if !c.body.isLarge() {
 		return Refusal{}, true
@@ -233,7 +244,7 @@
 	return Refusal{}, true
 }
 
-// receiveOwn takes in a large body from this daemon itself, which needs no turn.
+// receiveLocalBody reads a large body that this daemon itself sends, which needs no turn.
 func (c *gateCall) receiveLocalBody() (Refusal, bool) {
 	if err := c.body.preload(c.context, nil); err != nil {
 		return bodyRefusal(c.context, err), false
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -18,8 +18,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// TestLargeBodiesComeFewAtATime: a gate tells only some senders at once to go on,
-// and small calls pass by those that wait.
+// TestConcurrentLargeBodiesAreLimited: a gate receives at most transferLimit large bodies at
+// a time, and small calls overtake those that wait.
 func TestConcurrentLargeBodiesAreLimited(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -41,7 +41,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	check.Equal(mesh.call(t, "POST", "/", "small").body, "small")
-	check.Equal(runs.Load(), int64(1)) // no large one holds a slot
+	check.Equal(runs.Load(), int64(1)) // no call with a large body has a slot
 	check.True(strings.HasPrefix(mesh.gates[0].loadHeaderValue(), "0 3 "))
 	transfers.completeTurn(time.Millisecond)
 	for range 3 {
@@ -67,19 +67,19 @@
 	return conn
 }
 
-// statusLine reads the first line of an answer; empty when none comes.
+// statusLine reads the first line of an answer; it is empty if there is no answer.
 func statusLine(conn net.Conn) string {
 	line, _ := bufio.NewReader(conn).ReadString('\n')
 	return strings.TrimSpace(line)
 }
 
-// A gate once took no large body for 15 s, since the senders of those whose turn it was had
-// gone with their machines. A body that stands still holds no other one up; when it flows
-// again its call goes on.
+// TestStalledBodyDoesNotBlockOthers: when the machines of senders fail during their turns, a
+// gate without transferIdleTimeout receives no other large body for 15 s. A stalled body
+// loses its turn, and its call still succeeds if the body continues later.
 func TestStalledBodyDoesNotBlockOthers(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{changeCaller: func(config *Config) {
-		config.Limits.ReplayBytes = 1 << 10 // bodies are passed on as they come
+		config.Limits.ReplayBytes = 1 << 10 // large bodies are streamed, not preloaded
 	}}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
 	}})
@@ -94,7 +94,7 @@
 	ended := make(chan callResult, 1)
 	go func() { ended <- mesh.call(t, "POST", "/", strings.Repeat("x", largeBodyBytes)) }()
 	check.Equal(await(t, ended, "an answer beside bodies that stand still").status, http.StatusOK)
-	check.True(transfers.meanTime() < transferIdleTimeout) // what stood still tells nothing of the link
+	check.True(transfers.meanTime() < transferIdleTimeout) // stalled bodies do not count for the mean
 	for _, conn := range still {
 		_, _ = io.WriteString(conn, strings.Repeat("x", largeBodyBytes-len("first")))
 		check.Equal(statusLine(conn), "HTTP/1.1 200 OK")
@@ -102,16 +102,17 @@
 	check.Equal(len(transfers.turns), 0)
 }
 
-// A body is waited for as long as its call has time, and no longer.
+// TestStalledBodyEndsAtCallDeadline: a call whose body does not arrive in time is refused
+// without having run.
 func TestStalledBodyEndsAtCallDeadline(t *testing.T) {
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	conn := slowUpload(t, mesh, "Springstack-Timeout-Ms: 100\r\n")
-	is.New(t).Equal(statusLine(conn), "HTTP/1.1 504 Gateway Timeout") // not run
+	is.New(t).Equal(statusLine(conn), "HTTP/1.1 504 Gateway Timeout")
 }
 
-// Large bodies that come to the daemon beside a back end cross no link to reach it, and wait
-// for none that do. Small ones go where they are answered sooner.
+// TestLargeBodyPrefersLocalBackEnd: a daemon sends large bodies to its own back end, without
+// waiting for bodies that arrive over the link. It distributes small bodies by load.
 func TestLargeBodyPrefersLocalBackEnd(t *testing.T) {
 	check := is.New(t)
 	var beside, elsewhere atomic.Int64
@@ -119,7 +120,7 @@
 		config.NodeID, config.Incarnation, config.Backend, config.Slots = "gate-a", 7, "a", 6
 	}}, countingBackend(&beside), countingBackend(&elsewhere))
 	for range transferLimit {
-		check.True(mesh.gates[0].transfers.acquireTurn(t.Context())) // bodies that cross the link
+		check.True(mesh.gates[0].transfers.acquireTurn(t.Context())) // as for bodies from other daemons
 	}
 	large := strings.Repeat("x", largeBodyBytes)
 	for range 20 {
@@ -132,8 +133,9 @@
 	check.True(elsewhere.Load() > 0)
 }
 
-// Where other things share the link, bodies wait for longer than those ahead of them make
-// expect; a gate that doesn't learn that takes in what it answers late.
+// TestExpectedWaitFollowsObservedWaits: if the link carries other traffic, bodies wait longer
+// than the bodies ahead of them explain. A gate that ignores this accepts calls that it then
+// answers late.
 func TestExpectedWaitFollowsObservedWaits(t *testing.T) {
 	check := is.New(t)
 	waits := newTransferQueue()
@@ -142,7 +144,7 @@
 	for range transferLimit {
 		check.True(waits.acquireTurn(t.Context()))
 	}
-	check.Equal(waits.expectedWait(0), 30*time.Millisecond) // until the first one has come
+	check.Equal(waits.expectedWait(0), 30*time.Millisecond) // until the first turn ends
 	waits.waiting.Add(4)
 	check.Equal(waits.expectedWait(0), 210*time.Millisecond)
 	for range 100 {
@@ -161,7 +163,8 @@
 	check.True(waits.expectedWait(0) < 220*time.Millisecond)
 }
 
-// A daemon whose name begins with that of another one is another one.
+// TestNodeIDPrefixIsNotSameDaemon: a call from a daemon is not mistaken for one from another
+// daemon whose request prefix is a prefix of its own.
 func TestNodeIDPrefixIsNotSameDaemon(t *testing.T) {
 	check := is.New(t)
 	own := New(Config{Clock: testClock, NodeID: "gate", Incarnation: 7})
@@ -173,7 +176,8 @@
 	}
 }
 
-// What was learned in a crowded moment may refuse all that would tell that it has passed.
+// TestExcessWaitExpires: a large excess may cause every body to be refused whose wait could
+// show that the link is free again. So it must expire.
 func TestExcessWaitExpires(t *testing.T) {
 	check := is.New(t)
 	waits := newTransferQueue()
@@ -184,8 +188,8 @@
 	check.Equal(waits.expectedWait(time.Second+excessLifetime+1), waits.queueWait())
 }
 
-// TestABodyThatWouldComeTooLateIsRefusedUnsent: at once, as not run; too late for
-// its deadline, or for its route's target.
+// TestBodyThatWouldArriveTooLateIsRefusedUnsent: a call whose body would arrive too late for
+// its deadline, or for its route's target, is refused at once as not run.
 func TestBodyThatWouldArriveTooLateIsRefusedUnsent(t *testing.T) {
 	for name, route := range map[string]func(*resource.Route){
 		"deadline": nil,
@@ -203,7 +207,7 @@
 	transfers.waiting.Add(4)
 	transfers.meanNanos.Store(int64(time.Minute))
 	if route != nil {
-		transfers.meanNanos.Store(int64(800 * time.Millisecond)) // within the deadline's share
+		transfers.meanNanos.Store(int64(800 * time.Millisecond)) // within maxTransferWaitShare of the deadline
 	}
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+mesh.address+"/",
 		strings.NewReader(strings.Repeat("x", largeBodyBytes)))
@@ -217,7 +221,8 @@
 	check.Equal(runs.Load(), int64(0))
 }
 
-// A gate that takes no more work says so before it takes a large body in.
+// TestDrainedGateReceivesNoLargeBody: a drained gate refuses a call before it receives the
+// call's large body.
 func TestDrainedGateReceivesNoLargeBody(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -231,5 +236,5 @@
 	}
 	got := mesh.call(t, "POST", "/", string(body))
 	check.Equal(got.code(), itoa(int(result.Draining)))
-	check.Equal(mesh.gates[0].transfers.meanTime(), time.Duration(0)) // a body was taken in
+	check.Equal(mesh.gates[0].transfers.meanTime(), time.Duration(0)) // no body was received
 }
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -21,58 +21,62 @@
 	errBodyNotReplayable = errors.ConstError("the request's body can't be sent again")
 )
 
-// largeBody is the length, in bytes, from which on a body is large: it is sent to a
-// gate only when that takes it, and its call's target is not heeded there. To be
-// refused and sent on costs its bytes once more, mostly between zones, which is
-// dearer than that the answer comes late.
+// largeBodyBytes is the minimum length of a large body, in bytes. A large body is sent to a
+// gate only after the gate has asked for it, and then no longer refused because of the
+// call's target: sending the bytes once more, mostly between zones, costs more than a late
+// answer.
 const largeBodyBytes = 16 << 10
 
 const (
-	// signReadBytes is how much is read at a time of a body whose signature is needed.
+	// signatureReadBytes is how much of a body is read at a time for its signature.
 	signatureReadBytes = 8 << 10
-	// discardWait and discardBytes bound the rest of a body that nobody wants;
-	// it is read so that closing its connection does not reset it before the
+	// discardWait and discardBytes limit how much is read and discarded of a body whose call
+	// has been answered. Closing a connection with unread bytes would reset it before the
 	// caller has read the answer.
 	discardWait  = 250 * time.Millisecond
 	discardBytes = 256 << 10
-	// arrivedWait bounds the reading of a short body before a refusal. It has
-	// usually arrived with its headers, and the connection can then be kept.
+	// arrivedBodyWait and arrivedBodyBytes limit the reading of a short body before a
+	// refusal. Such a body has usually arrived with its headers, and the connection can then
+	// be kept.
 	arrivedBodyWait  = 2 * time.Millisecond
 	arrivedBodyBytes = 64 << 10
 )
 
-// upload is the body of a caller's request as its attempts read it: streamed,
-// with its first bytes kept so that it can be sent again as long as no more
-// than those were read.
+// upload is the body of a request as its attempts read it. It is streamed; the first bytes
+// are kept so that the body can be sent again until more than keepLimit bytes have been
+// read.
 type upload struct {
-	// mutex is this call's own: an attempt that was given up may still read
-	// while the next one begins.
+	// mutex is not shared between calls. It is needed because an earlier attempt may still
+	// read while the next one begins.
 	mutex        sync.Mutex
 	source       io.ReadCloser
 	control      *http.ResponseController
 	stallTimeout time.Duration
 	maxBytes     int64
 	keepLimit    int
-	// kept holds all that was read, until it would exceed keep.
+	// kept holds all bytes read until they exceed keepLimit. Then overflow is set and kept is
+	// dropped.
 	kept     []byte
 	overflow bool
-	// signs has the first bytes hashed before they are dropped; firstHash is their hash then.
+	// needsHash is set if the first bytes must be hashed before they are dropped; prefixHash
+	// is that hash.
 	needsHash  bool
 	prefixHash quarantine.Hash
 	readCount  int64
-	// failure is how the source ended, io.EOF included.
+	// readErr is the error with which reading ended, including io.EOF.
 	readErr error
-	// declared is the stated length, or -1.
+	// declaredLength is the Content-Length, or -1 if there is none.
 	declaredLength int64
-	// expects is set while the caller waits for leave to send the body.
+	// awaitsContinue is set if the request has an Expect header: the sender may wait for
+	// the status 100 (Continue) before it sends the body.
 	awaitsContinue bool
-	// until is when the reading ends; zero for no bound but the stall.
+	// readUntil is the time limit of preload; zero otherwise.
 	readUntil time.Time
-	// closing is set once the caller was told that its connection ends.
+	// closeAnnounced is set once the answer's head announces the close of the connection.
 	closeAnnounced bool
 }
 
-// newUpload returns the upload of a request, or nil when it has no body.
+// newUpload returns the upload of a request, or nil if the request has no body.
 func newUpload(request *http.Request, control *http.ResponseController, limits Limits) *upload {
 	if request.ContentLength == 0 || request.Body == nil || request.Body == http.NoBody {
 		return nil
@@ -92,7 +96,7 @@
 	}
 }
 
-// open returns a reader from the body's start; it answers nil for no body.
+// newReader returns a reader from the start of the body, or nil if there is no body.
 func (u *upload) newReader() io.ReadCloser {
 	if u == nil {
 		return nil
@@ -100,10 +104,10 @@
 	return &uploadReader{upload: u}
 }
 
-// preload reads a body of a stated length that can be kept whole, before the
-// first attempt. A slow sender then holds no slot, and a call that did not run
-// can always be sent again. It is read until the call's time is over, and flows, unless
-// nil, is told of each part that comes.
+// preload reads a body whose declared length is within keepLimit, before the first attempt.
+// A slow sender then occupies no slot, and a call that did not run can always be sent again.
+// It reads until the deadline of ctx, and calls onProgress, unless nil, for each part that
+// arrives.
 func (u *upload) preload(ctx context.Context, flows func()) error {
 	if u == nil || u.declaredLength < 0 || u.declaredLength > int64(u.keepLimit) {
 		return nil
@@ -114,7 +118,7 @@
 	defer func() { u.readUntil = time.Time{} }()
 	buffer := make([]byte, u.declaredLength+1)
 	for u.readErr == nil && ctx.Err() == nil {
-		count, _ := u.read(buffer) // keeps what it reads, and how it ended
+		count, _ := u.read(buffer) // stores the bytes and the error
 		if count > 0 && flows != nil {
 			flows()
 		}
@@ -128,13 +132,13 @@
 	return cmp.Or(u.readErr, ctx.Err())
 }
 
-// isLarge tells whether the body is large or of unknown length.
+// isLarge reports whether the body is large or of unknown length.
 func (u *upload) isLarge() bool {
 	return u != nil && (u.declaredLength < 0 || u.declaredLength >= largeBodyBytes)
 }
 
-// replayable tells whether the body can be read from its start. It can't while
-// an attempt that was given up is still reading.
+// isReplayable reports whether the body can be read from its start. It returns false while
+// an earlier attempt is still reading.
 func (u *upload) isReplayable() bool {
 	if u == nil {
 		return true
@@ -146,7 +150,7 @@
 	return !u.overflow && (u.readErr == nil || u.readErr == io.EOF)
 }
 
-// problem is why the body could not be read, or nil.
+// readFailure returns the error with which reading the body failed, or nil.
 func (u *upload) readFailure() error {
 	if u == nil || !u.mutex.TryLock() {
 		return nil
@@ -158,10 +162,9 @@
 	return u.readErr
 }
 
-// beforeAnswer is called before the head of an answer is written. A caller
-// whose body has not been read to its end is told that the connection closes
-// after the answer, for what is left of the body would be taken for the next
-// request.
+// announceClose must be called before the head of an answer is written. If the body has not
+// been read to its end, the answer announces that the connection closes, since the rest of
+// the body would otherwise be parsed as the next request.
 func (u *upload) announceClose(header http.Header) {
 	if u != nil && !u.isFullyRead() {
 		u.closeAnnounced = true
@@ -169,8 +172,8 @@
 	}
 }
 
-// ended tells whether the body was read to its end. It is not while an attempt
-// still reads.
+// isFullyRead reports whether the body was read to its end. It is false while an attempt is
+// reading.
 func (u *upload) isFullyRead() bool {
 	if !u.mutex.TryLock() {
 		return false
@@ -179,7 +182,7 @@
 	return u.readErr == io.EOF
 }
 
-// takeArrived reads a short body that has arrived already, before a refusal.
+// readArrived reads and discards a short body that has arrived already, before a refusal.
 func (u *upload) readArrived() {
 	if u == nil || u.awaitsContinue || u.declaredLength < 0 || u.declaredLength > arrivedBodyBytes || !u.mutex.TryLock() {
 		return
@@ -188,7 +191,8 @@
 	u.discard(arrivedBodyWait)
 }
 
-// discard reads on without keeping anything; the lock is held.
+// discard reads at most discardBytes within the given time and drops them and the kept
+// bytes. The lock is held.
 func (u *upload) discard(wait time.Duration) {
 	if u.readErr != nil {
 		return
@@ -203,14 +207,15 @@
 	}
 }
 
-// finish ends the reading, whoever reads, at the end of the handler. The
-// answer is sent first, so nobody waits for what the caller still sends.
+// finish must be called at the end of the handler. It flushes the answer, limits further
+// reading to discardWait, also by an attempt, and discards a limited part of the rest of the
+// body. It aborts the connection if no answer was begun.
 func (u *upload) finish() {
 	if u == nil || u.isFullyRead() {
 		return
 	}
 	if !u.closeAnnounced {
-		// No answer was begun: the connection is about to be broken.
+		// No answer was begun, so the connection must be aborted.
 		panic(http.ErrAbortHandler)
 	}
 	_ = u.control.Flush()
@@ -222,14 +227,14 @@
 	}
 }
 
-// uploadReader is one attempt's view of the body.
+// uploadReader reads the body for one attempt.
 type uploadReader struct {
 	upload   *upload
 	offset   int
 	detached atomic.Bool
 }
 
-// Read returns bytes kept from an earlier attempt or else read from the caller.
+// Read returns kept bytes if there are any after the offset, or else reads from the source.
 func (r *uploadReader) Read(bytes []byte) (int, error) {
 	r.upload.mutex.Lock()
 	defer r.upload.mutex.Unlock()
@@ -249,13 +254,14 @@
 	return count, err
 }
 
-// Close detaches the attempt; it does not wait for a read in progress.
+// Close makes further reads fail; it does not wait for a read in progress.
 func (r *uploadReader) Close() error {
 	r.detached.Store(true)
 	return nil
 }
 
-// read reads on from the caller, within the stall limit.
+// read reads the next bytes from the source within stallTimeout and readUntil. The lock is
+// held.
 func (u *upload) read(bytes []byte) (int, error) {
 	if u.readErr != nil {
 		return 0, u.readErr
@@ -276,13 +282,13 @@
 		u.readErr = err
 	}
 	if err == io.EOF {
-		// From here on the server itself watches for the caller hanging up.
+		// From here on the server detects by itself that the caller disconnects.
 		_ = u.control.SetReadDeadline(time.Time{})
 	}
 	return count, err
 }
 
-// stalled tells whether an error is that of a peer that was too slow.
+// isStallError reports whether an error means that a peer was too slow.
 func isStallError(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded)
 }
--- a/internal/proxy/uploadsignature.go
+++ b/internal/proxy/uploadsignature.go
@@ -22,7 +22,8 @@
 	u.kept = append(u.kept, bytes...)
 }
 
-// sign has the first bytes of a body hashed, whatever its length.
+// requireHash makes the first bytes of the body be hashed, also if the body is too long to
+// be kept.
 func (u *upload) requireHash() {
 	if u == nil {
 		return
@@ -32,8 +33,8 @@
 	u.needsHash = true
 }
 
-// signed is the hash of the body's first bytes; false while they have not come, or when
-// the body was discarded.
+// signatureHash returns the hash of the body's first bytes. It returns false if they have
+// not been read or were dropped without being hashed, and while an attempt is reading.
 func (u *upload) signatureHash() (quarantine.Hash, bool) {
 	if u == nil {
 		return quarantine.Hash{}, true
@@ -48,11 +49,12 @@
 	return quarantine.SumBody(u.kept), u.readErr == io.EOF || len(u.kept) == u.signatureBytes()
 }
 
-// signedBytes is how much of the body counts for the signature: what can be kept of it.
+// signatureBytes returns how many bytes of the body count for the signature, at most those
+// that can be kept.
 func (u *upload) signatureBytes() int { return min(u.keepLimit, quarantine.BodyBytes) }
 
-// awaitSigned reads the body's first bytes, which are kept, as far as they count for the
-// signature. It does not while an attempt that was given up still reads.
+// awaitSignatureBytes reads and keeps the first bytes of the body, those that count for the
+// signature. It returns at once while an attempt is reading.
 func (u *upload) awaitSignatureBytes(ctx context.Context) {
 	if u == nil || !u.mutex.TryLock() {
 		return
@@ -61,6 +63,6 @@
 	u.needsHash = true
 	buffer := make([]byte, signatureReadBytes)
 	for u.readErr == nil && !u.overflow && ctx.Err() == nil && len(u.kept) < u.signatureBytes() {
-		_, _ = u.read(buffer[:min(len(buffer), u.signatureBytes()-len(u.kept))]) // keeps what it reads, and how it ended
+		_, _ = u.read(buffer[:min(len(buffer), u.signatureBytes()-len(u.kept))]) // stores the bytes and the error
 	}
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -10,54 +10,53 @@
 )
 
 const (
-	// continueWait is how long a large body waits for the gate's leave; the
-	// call's deadline ends it earlier.
+	// continueWait is how long a large body waits for the gate's status 100 (Continue). It
+	// exceeds any call's deadline, which ends the wait earlier.
 	continueWait = time.Hour
-	// spareLife is how long a connection opened ahead may wait for its first
-	// call, but not longer than half of what a server of ours waits for a
-	// request: the other side closes connections without one.
+	// maxSpareAge is how long a spare connection may wait for its first call, at most half of
+	// Limits.HeaderTimeout: the other side closes connections on which no request arrives.
 	maxSpareAge = 4 * time.Second
-	// spareLimit bounds the connections opened ahead to one address.
+	// maxSpares limits the spare connections to one address.
 	maxSpares = 8
 )
 
-// keepAlive finds connections to machines without power or behind a cut, so
-// that no call is sent on one of them after the machine is back.
+// keepAliveConfig detects connections to machines that are without power or unreachable, so
+// that no call is sent on such a connection after the machine has returned.
 var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2}
 
-// upstream is the connections to one address: of a gate, or of the back end.
+// upstream manages the connections to one address, that of a gate or of the back end.
 type upstream struct {
 	address string
-	// linger is how long a cancelled call may take to end; see guardedConn.
+	// cancelLinger is how long a cancelled call may take to end; see guardedConn.
 	cancelLinger time.Duration
-	// secure is for TLS; nil connects in the clear.
+	// tlsConfig is nil for unencrypted connections.
 	tlsConfig *tls.Config
 	transport *http.Transport
 	dialer    net.Dialer
-	// roundTrip tells how long peers take to answer; nil knows nothing of it. dialLimit
-	// bounds what it may make of the time to connect.
+	// roundTrip returns how long peers take to answer, which extends the time to connect up
+	// to dialLimit; it may be nil.
 	roundTrip   func() time.Duration
 	dialLimit   time.Duration
 	spares      chan spare
 	maxSpareAge time.Duration
-	// takesUnframed takes answers whose end is that of their connection.
+	// acceptsUnframed is set if answers may end with their connection instead of stating
+	// their length.
 	acceptsUnframed bool
-	// noSpares opens no connections ahead of calls.
+	// noSpares disables spare connections.
 	noSpares      bool
 	openingSpares atomic.Int64
-	// incarnation is that of the daemon at the address; connections to an
-	// earlier one are dead.
+	// incarnation is the incarnation of the daemon at the address; connections to an earlier
+	// incarnation are dead.
 	incarnation atomic.Uint64
 	silence     silenceMonitor
-	// open are its connections where they are counted, as those to the back end are; nil for
-	// a gate's.
+	// openConns counts the connections to the back end; nil for those to a gate.
 	openConns *openConns
-	// context ends when the upstream is given up.
+	// context ends when the upstream is closed.
 	context context.Context
 	cancel  context.CancelFunc
 }
 
-// spare is a connection opened ahead of its first call.
+// spare is a connection that was opened before a call needed it.
 type spare struct {
 	conn     net.Conn
 	openedAt time.Time
@@ -89,8 +88,7 @@
 	return made
 }
 
-// dial hands out a connection opened ahead, or opens one; either way it sees
-// to it that another one is ready.
+// dial returns a spare connection or opens one, and starts to open the next spare.
 func (u *upstream) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	if err := u.reserveConn(ctx); err != nil {
 		return nil, err
@@ -116,7 +114,8 @@
 	}
 }
 
-// reserve takes the place of a connection, and waits for it no longer than for the connection.
+// reserveConn reserves a connection within the limit of openConns. It waits at most
+// dialTimeout for one.
 func (u *upstream) reserveConn(ctx context.Context) error {
 	if u.openConns == nil {
 		return nil
@@ -126,20 +125,20 @@
 	return u.openConns.reserve(bounded, u.transport.CloseIdleConnections)
 }
 
-// guard has a connection that was opened carry calls.
+// newGuarded returns the guardedConn for a connection that was opened, and counts it.
 func (u *upstream) newGuarded(conn net.Conn) *guardedConn {
 	made := newGuardedConn(conn, u.cancelLinger)
 	u.openConns.add(made)
 	return made
 }
 
-// retire gives up the connections that carry no call, and the others when their calls have ended.
+// retire closes the idle connections, and the others once their calls have ended.
 func (u *upstream) retire() {
 	u.openConns.retire()
 	u.closeIdle()
 }
 
-// connect opens a connection, ready for calls.
+// connect opens a connection, including the TLS handshake if there is one.
 func (u *upstream) connect(ctx context.Context) (net.Conn, error) {
 	timeout := u.dialTimeout()
 	bounded, cancel := context.WithTimeout(ctx, timeout)
@@ -158,7 +157,7 @@
 	return guarded, nil
 }
 
-// dialTimeout is how long connecting may take now.
+// dialTimeout returns how long connecting may take now.
 func (u *upstream) dialTimeout() time.Duration {
 	if u.roundTrip == nil {
 		return u.dialer.Timeout
@@ -166,7 +165,7 @@
 	return min(max(u.roundTrip(), u.dialer.Timeout), u.dialLimit)
 }
 
-// openAhead opens connections in the background for calls to come.
+// openSpares opens spare connections in the background, up to maxSpares.
 func (u *upstream) openSpares(count int) {
 	for range count {
 		if u.noSpares || u.openConns.isLimited() || u.context.Err() != nil || int(u.openingSpares.Load())+len(u.spares) >= maxSpares {
@@ -181,7 +180,7 @@
 	defer u.openingSpares.Add(-1)
 	conn, err := u.connect(u.context)
 	if err != nil {
-		return // the call that needs one meets the error itself
+		return // the next call dials itself and gets the error
 	}
 	select {
 	case u.spares <- spare{conn: conn, openedAt: time.Now()}:
@@ -204,13 +203,14 @@
 	}
 }
 
-// closeIdle gives up the connections that carry no call.
+// closeIdle closes the connections without a call.
 func (u *upstream) closeIdle() {
 	u.dropSpares()
 	u.transport.CloseIdleConnections()
 }
 
-// close gives up all connections once their calls have ended.
+// close closes the idle connections and stops opening spares. The other connections are
+// closed once their calls have ended.
 func (u *upstream) close() {
 	u.cancel()
 	u.closeIdle()
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -12,47 +12,48 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// view is everything that a call reads, immutable and replaced whole.
+// view is an immutable snapshot of the data by which calls are routed. It is replaced as a
+// whole.
 type view struct {
-	// snapshot is nil until the first one was put in force.
+	// snapshot is nil until the first configuration is in force.
 	snapshot *snapshot.Snapshot
 	routes   *routing.Table
 	mesh     MeshState
 	services map[resource.ServiceRef]*service
-	// upstreams are the connections by address of a gate.
+	// upstreams holds the connections by gate address.
 	upstreams map[string]*upstream
 }
 
-// service is what calls to one service share.
+// service is the data that calls to one service share.
 type service struct {
 	name string
-	// all holds every endpoint.
+	// allEndpoints holds every endpoint of the service.
 	allEndpoints *endpoint.Set
-	// pool is where calls go that may run in any region, restricted where others go, by
-	// the regions that the routes of the view allow.
+	// pool holds the endpoints for calls that may run in any region, restricted those for
+	// other calls, by the region restrictions of the view's routes.
 	pool
 	restricted  []restrictedPool
 	retryBudget *retry.Budget
 }
 
-// MeshState is what a daemon knows of the others, apart from the configuration.
+// MeshState is what a daemon knows about the mesh besides the configuration.
 type MeshState struct {
 	Members []protocol.Member
-	// Splits say how the back ends of services are divided among versions.
+	// Splits are the divisions of services' back ends by software version during roll-outs.
 	Splits VersionSplits
-	// Evacuations are the zones to be empty.
+	// Evacuations are the zones that must receive no calls.
 	Evacuations evacuation.Orders
 }
 
-// find returns the route of a request, or nil.
+// findRoute returns the route of a request, or nil.
 func (v *view) findRoute(request *http.Request, located hostPath) *routing.Route {
 	return v.routes.Find(routing.Query{
 		Method: request.Method, Host: located.host, Path: located.path, Header: request.Header.Get,
 	})
 }
 
-// buildView makes the view of a snapshot and the state of the mesh. Counts, budgets
-// and connections carry over from the previous view.
+// buildView returns the view for a configuration snapshot and the state of the mesh.
+// Endpoint statistics, retry budgets and connections carry over from the previous view.
 func (p *Proxy) buildView(previous *view, held *snapshot.Snapshot, state MeshState) *view {
 	next := &view{
 		snapshot:  held,
@@ -94,7 +95,7 @@
 	return next
 }
 
-// compile makes the table of a snapshot's routes, which at an edge match hosts and
+// compileRoutes returns the routing table of a snapshot. With an Edge, it matches hosts and
 // paths as they were sent.
 func (p *Proxy) compileRoutes(held *snapshot.Snapshot) *routing.Table {
 	if p.config.Edge != nil {
@@ -103,7 +104,8 @@
 	return routing.Compile(held)
 }
 
-// retryLimits are the limits of each budget among a number of daemons.
+// retryLimits returns the limits of each retry budget in a mesh of the given number of
+// daemons.
 func (p *Proxy) retryLimits(daemons int) retry.Limits {
 	if p.config.RetryBudget == nil {
 		return retry.DefaultLimits()
@@ -111,8 +113,8 @@
 	return p.config.RetryBudget(daemons)
 }
 
-// backendsOf lists the back ends of each service: those that the snapshot
-// declares or, where back ends report themselves, those of the member records.
+// backendsOf returns the back ends of each service: those that the snapshot declares or, if
+// back ends report themselves, those in the member records.
 func (p *Proxy) backendsOf(held *snapshot.Snapshot, members []protocol.Member) map[resource.ServiceRef][]resource.Backend {
 	if !p.config.Reported {
 		return held.Backends
@@ -137,7 +139,8 @@
 	return backends
 }
 
-// connect gives every endpoint of a set its connections.
+// assignUpstreams sets the upstream of every endpoint of a set in the next view: the one of
+// the previous view or, for a new address, a new one.
 func (p *Proxy) assignUpstreams(previous, next *view, set *endpoint.Set) {
 	for _, one := range set.All {
 		if one.Address == "" || next.upstreams[one.Address] != nil {
@@ -159,7 +162,8 @@
 	}
 }
 
-// publish puts a view in force and then gives up what it no longer needs.
+// publishView puts a view in force, wakes the calls that wait for it, and then closes
+// connections that are no longer needed.
 func (p *Proxy) publishView(next *view) {
 	previous := p.view.Swap(next)
 	p.starting.wakeAll()
@@ -173,8 +177,8 @@
 	}
 }
 
-// closeLeaving gives up idle connections to daemons that are leaving, so that
-// no call is sent on one while the other side closes it.
+// closeIdleToStopping closes the idle connections to endpoints that drain or are down, so
+// that no call is sent on a connection while the other side closes it.
 func (p *Proxy) closeIdleToStopping(next *view, set *endpoint.Set) {
 	for _, one := range set.All {
 		if one.State == protocol.EndpointDraining || one.State == protocol.EndpointDown {
--- a/internal/proxy/warmth_test.go
+++ b/internal/proxy/warmth_test.go
@@ -13,7 +13,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// statesARate is a service whose cold back ends bear two calls a second.
+// coldRateOptions describes a service with a warm-up rate of two calls per second at a cold
+// back end.
 var coldRateOptions = meshOptions{service: resource.Service{WarmUp: resource.WarmUp{PerSecond: 2}}}
 
 func TestCallIsRefusedWhenAllBackEndsAreCold(t *testing.T) {
@@ -29,7 +30,7 @@
 		check.True(seconds >= 1 && seconds <= 2)
 	}
 	check.Equal(runs.Load(), int64(0))
-	check.Equal(asked(), uint64(2)) // the first call asked both, the others none
+	check.Equal(asked(), uint64(2)) // the first call tried both gates, the others none
 	check.True(mesh.gates[0].Counters().Cold)
 }
 
@@ -53,13 +54,14 @@
 	check.True(!mesh.gates[0].Counters().Cold)
 }
 
-// hasRefused has the callers' side know that a gate has refused a call of a priority as cold.
+// recordColdRefusal records at the callers' side that a gate has refused a call of the given
+// priority because its back end is cold.
 func (m *mesh) recordColdRefusal(gate int, priority resource.Priority) {
 	set := m.caller.view.Load().services[testService].allEndpoints
 	set.All[gate].RecordColdRefusal(testClock(), time.Second, int(priority))
 }
 
-// statesARateForUrgentCalls is the same service, of which all calls are urgent.
+// urgentColdRateOptions is coldRateOptions with a route that makes all calls urgent.
 func urgentColdRateOptions() meshOptions {
 	options := coldRateOptions
 	options.changeRoute = func(route *resource.Route) { route.Priority = resource.PriorityHigh }
@@ -70,7 +72,7 @@
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, urgentColdRateOptions(), countingBackend(&runs))
-	mesh.gates[0].SetColdUntil(0) // it has a start
+	mesh.gates[0].SetColdUntil(0) // warm: accepts the call
 	mesh.recordColdRefusal(0, resource.PriorityLow)
 	check.Equal(mesh.call(t, http.MethodPost, "/", "body").status, http.StatusOK)
 	mesh.recordColdRefusal(0, resource.PriorityHigh)
@@ -82,7 +84,7 @@
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, urgentColdRateOptions(), countingBackend(&runs), countingBackend(&runs))
-	mesh.gates[1].SetColdUntil(0) // it has a start; the first gate has none
+	mesh.gates[1].SetColdUntil(0) // warm: accepts the call, which the first gate refuses
 	mesh.recordColdRefusal(1, resource.PriorityLow)
 	check.Equal(mesh.call(t, http.MethodPost, "/", "body").status, http.StatusOK)
 	check.Equal(runs.Load(), int64(1))
