--- a/internal/pipeline/ahead.go
+++ b/internal/pipeline/ahead.go
@@ -13,19 +13,19 @@
 // passes, and starts the requests that it finds. It returns no bytes: they are stored
 // until the server reads the next request.
 func (c *Conn) readAhead(probe []byte) (int, error) {
-	into := probe
+	buffer := probe
 	for {
 		c.startCalls()
 		if err := c.awaitRoom(); err != nil {
 			return 0, err
 		}
-		count, err := c.Conn.Read(into)
-		c.storeRead(into[:count], err)
+		count, err := c.Conn.Read(buffer)
+		c.storeRead(buffer[:count], err)
 		if err != nil {
 			return 0, err
 		}
-		if len(into) < readAheadBytes {
-			into = make([]byte, readAheadBytes)
+		if len(buffer) < readAheadBytes {
+			buffer = make([]byte, readAheadBytes)
 		}
 	}
 }
@@ -61,12 +61,12 @@
 }
 
 func isTimeout(err error) bool {
-	timeout, known := err.(net.Error)
-	return known && timeout.Timeout()
+	netErr, ok := err.(net.Error)
+	return ok && netErr.Timeout()
 }
 
-// failRead drops the calls that run ahead and the unread bytes, and makes later reads
-// fail with an error. The lock is held.
+// failRead drops all calls and the unread bytes, and makes later reads fail with the given
+// error or an earlier one. The lock is held.
 func (c *Conn) failRead(err error) {
 	if c.readErr == nil {
 		c.readErr = err
@@ -108,7 +108,7 @@
 // newCall returns the call for the request with the given head, or nil if the request
 // must wait for its turn.
 func (c *Conn) newCall(head []byte) *Call {
-	if form := readFraming(head); !form.known || form.bodyLength > 0 {
+	if parsed := readFraming(head); !parsed.known || parsed.bodyLength > 0 {
 		return nil
 	}
 	request, err := parseHead(head)
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -42,10 +42,10 @@
 	dropped         bool
 }
 
-func newAnswer(limit int, held *ByteBudget) *answer {
-	made := &answer{maxBytes: limit, budget: held, header: http.Header{}}
-	made.changed.L = &made.mutex
-	return made
+func newAnswer(maxBytes int, budget *ByteBudget) *answer {
+	created := &answer{maxBytes: maxBytes, budget: budget, header: http.Header{}}
+	created.changed.L = &created.mutex
+	return created
 }
 
 // Header returns the header that the handler changes.
@@ -125,14 +125,14 @@
 }
 
 // finish records that the handler has returned; complete is false if it panicked.
-func (a *answer) finish(whole bool) {
+func (a *answer) finish(complete bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if whole {
+	if complete {
 		a.writeHead(http.StatusOK)
 	}
 	a.handlerReturned = true
-	a.complete = whole
+	a.complete = complete
 	a.changed.Broadcast()
 }
 
@@ -195,15 +195,15 @@
 // connection is kept.
 func (a *answer) replayHead(writer http.ResponseWriter) {
 	header := writer.Header()
-	connection, stated := header["Connection"]
-	for _, one := range a.interim {
-		maps.Copy(header, one.header)
-		writer.WriteHeader(one.status)
+	connection, hasConnection := header["Connection"]
+	for _, early := range a.interim {
+		maps.Copy(header, early.header)
+		writer.WriteHeader(early.status)
 		clear(header)
 	}
 	maps.Copy(header, a.head)
 	delete(header, "Connection")
-	if stated {
+	if hasConnection {
 		header["Connection"] = connection
 	}
 	writer.WriteHeader(a.status)
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -19,11 +19,11 @@
 	answer    *answer
 }
 
-func newCall(base context.Context, request *http.Request, size int, config *Config) *Call {
-	ctx, cancel := context.WithCancel(base)
+func newCall(baseContext context.Context, request *http.Request, headSize int, config *Config) *Call {
+	ctx, cancel := context.WithCancel(baseContext)
 	return &Call{
 		request:   request.WithContext(ctx),
-		headSize:  size,
+		headSize:  headSize,
 		arrivedAt: time.Now(),
 		cancel:    cancel,
 		answer:    newAnswer(config.AnswerBytes, config.Held),
@@ -43,15 +43,15 @@
 // answer and affects nothing else.
 func (c *Call) run(handler http.Handler) {
 	defer c.cancel()
-	whole := false
+	complete := false
 	defer func() {
-		if !whole {
+		if !complete {
 			_ = recover()
 		}
-		c.answer.finish(whole)
+		c.answer.finish(complete)
 	}()
 	handler.ServeHTTP(c.answer, c.request)
-	whole = true
+	complete = true
 }
 
 // drop cancels a call whose answer will not be delivered.
@@ -82,14 +82,14 @@
 func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
 // Used returns how many bytes are buffered now.
-func (h *ByteBudget) Used() int64 { return h.used.Load() }
+func (b *ByteBudget) Used() int64 { return b.used.Load() }
 
-func (h *ByteBudget) tryReserve(count int) bool {
-	if h.used.Add(int64(count)) <= h.limit {
+func (b *ByteBudget) tryReserve(count int) bool {
+	if b.used.Add(int64(count)) <= b.limit {
 		return true
 	}
-	h.used.Add(-int64(count))
+	b.used.Add(-int64(count))
 	return false
 }
 
-func (h *ByteBudget) release(count int) { h.used.Add(-int64(count)) }
+func (b *ByteBudget) release(count int) { b.used.Add(-int64(count)) }
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -72,7 +72,7 @@
 	// blocked is set if the request after the queue must wait for its turn.
 	blocked bool
 	// unreadAt is when the last bytes of unread were received. arrivedAt is when the
-	// current request was, or zero if the server was waiting for it.
+	// current request was received; it is zero if the server was waiting for the request.
 	unreadAt  time.Time
 	arrivedAt time.Time
 	// current is the call of the request that the server has read, serving the call of the
@@ -88,9 +88,9 @@
 // Wrap returns the Conn for a connection of a server. Bind must be called before the
 // server reads from it.
 func Wrap(conn net.Conn, config *Config) *Conn {
-	made := &Conn{Conn: conn, config: config, baseContext: context.Background()}
-	made.changed.L = &made.mutex
-	return made
+	wrapped := &Conn{Conn: conn, config: config, baseContext: context.Background()}
+	wrapped.changed.L = &wrapped.mutex
+	return wrapped
 }
 
 // Bind sets the parent context of the connection's requests.
@@ -140,22 +140,22 @@
 }
 
 // Read implements net.Conn for the server.
-func (c *Conn) Read(into []byte) (int, error) {
-	if c.isDisconnectProbe(into) {
-		return c.readAhead(into)
+func (c *Conn) Read(buffer []byte) (int, error) {
+	if c.isDisconnectProbe(buffer) {
+		return c.readAhead(buffer)
 	}
-	return c.readRequest(into)
+	return c.readRequest(buffer)
 }
 
 // isDisconnectProbe reports whether the server reads only to detect that the client
 // disconnects. The server does so, one byte at a time, while a handler runs.
-func (c *Conn) isDisconnectProbe(into []byte) bool {
+func (c *Conn) isDisconnectProbe(buffer []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.position != requestComplete {
 		return false
 	}
-	if len(into) > 1 {
+	if len(buffer) > 1 {
 		c.position = inHead // the request was answered without a handler
 		return false
 	}
@@ -164,29 +164,29 @@
 
 // readRequest reads a part of the next request. It does not return bytes beyond the end
 // of that request, unless the end is unknown.
-func (c *Conn) readRequest(into []byte) (int, error) {
-	if count, found, err := c.readUnread(into); found {
+func (c *Conn) readRequest(buffer []byte) (int, error) {
+	if count, found, err := c.readUnread(buffer); found {
 		return count, err
 	}
-	count, err := c.Conn.Read(into)
+	count, err := c.Conn.Read(buffer)
 	if count == 0 {
 		return 0, err
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.arrivedAt = time.Time{}
-	used := c.advance(into[:count])
+	used := c.advance(buffer[:count])
 	if used < count {
-		c.unread = append(c.unread, into[used:count]...)
+		c.unread = append(c.unread, buffer[used:count]...)
 		c.unreadAt = time.Now()
-		err = nil // the next read meets it again
+		err = nil // the next read returns it again
 	}
 	return used, err
 }
 
 // readUnread reads from the unread bytes; found is false if there are none and the
 // connection has not failed.
-func (c *Conn) readUnread(into []byte) (count int, found bool, err error) {
+func (c *Conn) readUnread(buffer []byte) (count int, found bool, err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.readErr != nil {
@@ -197,9 +197,9 @@
 		return 0, false, nil
 	}
 	c.arrivedAt = c.unreadAt
-	text := c.unread[:min(len(into), len(c.unread))]
+	text := c.unread[:min(len(buffer), len(c.unread))]
 	used := c.advance(text)
-	copy(into, text[:used])
+	copy(buffer, text[:used])
 	c.unread = c.unread[used:]
 	c.changed.Broadcast()
 	return used, true, nil
@@ -258,20 +258,20 @@
 		return len(text)
 	}
 	used := size - len(c.partialHead)
-	form := readFraming(head[:size])
-	if !form.known {
+	parsed := readFraming(head[:size])
+	if !parsed.known {
 		c.stopFraming()
 		return len(text)
 	}
 	c.partialHead = nil
 	c.blocked = false
 	c.handlerReturned = false
-	if form.bodyLength == 0 {
+	if parsed.bodyLength == 0 {
 		c.markComplete()
 		return used
 	}
 	c.position = inBody
-	c.bodyRemaining = form.bodyLength
+	c.bodyRemaining = parsed.bodyLength
 	return used + c.advance(text[used:])
 }
 
@@ -279,7 +279,7 @@
 func (c *Conn) markComplete() {
 	c.position = requestComplete
 	if c.handlerReturned {
-		c.position = inHead // its handler did not wait for the rest of the body
+		c.position = inHead // the handler returned before the whole body was read
 	}
 }
 
@@ -291,10 +291,10 @@
 
 // SetReadDeadline sets the read deadline. A deadline in the past wakes a blocked reader.
 func (c *Conn) SetReadDeadline(deadline time.Time) error {
-	passed := !deadline.IsZero() && time.Until(deadline) <= 0
+	isPast := !deadline.IsZero() && time.Until(deadline) <= 0
 	c.mutex.Lock()
-	c.deadlinePassed = passed
-	if passed {
+	c.deadlinePassed = isPast
+	if isPast {
 		c.changed.Broadcast()
 	}
 	c.mutex.Unlock()
@@ -305,8 +305,8 @@
 // this when it will send no further answer.
 func (c *Conn) CloseWrite() error {
 	c.DropCalls()
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
--- a/internal/pipeline/framing.go
+++ b/internal/pipeline/framing.go
@@ -20,18 +20,18 @@
 // line, or -1 if the head is not complete. Lines may end without a carriage return, as
 // the server allows.
 func headLength(text []byte) int {
-	for from := 0; ; {
-		newline := bytes.IndexByte(text[from:], '\n')
+	for lineStart := 0; ; {
+		newline := bytes.IndexByte(text[lineStart:], '\n')
 		if newline < 0 {
 			return -1
 		}
-		from += newline + 1
-		rest := text[from:]
+		lineStart += newline + 1
+		rest := text[lineStart:]
 		switch {
 		case bytes.HasPrefix(rest, []byte("\n")):
-			return from + 1
+			return lineStart + 1
 		case bytes.HasPrefix(rest, []byte("\r\n")):
-			return from + 2
+			return lineStart + 2
 		}
 	}
 }
@@ -44,8 +44,8 @@
 	if !isPlainRequestLine(first) {
 		return framing{}
 	}
-	made := framing{known: true}
-	stated := false
+	parsed := framing{known: true}
+	hasLength := false
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
@@ -59,11 +59,11 @@
 			return framing{} // a continuation of the previous line
 		case equalFold(name, "Content-Length"):
 			length, err := strconv.ParseUint(string(value), 10, 31)
-			if err != nil || stated {
+			if err != nil || hasLength {
 				return framing{}
 			}
-			made.bodyLength = int(length)
-			stated = true
+			parsed.bodyLength = int(length)
+			hasLength = true
 		case equalFold(name, "Connection"):
 			if !equalFold(value, "keep-alive") {
 				return framing{}
@@ -72,7 +72,7 @@
 			return framing{}
 		}
 	}
-	return made
+	return parsed
 }
 
 // isPlainRequestLine reports whether a request line has a path as its target and the
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -127,9 +127,9 @@
 		}
 		text = append(text, "GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"...)
 		pieces := drawPieces(t, text)
-		wanted, got := serial.exchange(pieces), ahead.exchange(pieces)
-		if !sameAnswers(wanted, got) {
-			t.Fatalf("sent %q in pieces %d\nserial %q\nahead  %q", text, pieceSizes(pieces), abbreviate(wanted), abbreviate(got))
+		expected, got := serial.exchange(pieces), ahead.exchange(pieces)
+		if !sameAnswers(expected, got) {
+			t.Fatalf("sent %q in pieces %d\nserial %q\nahead  %q", text, pieceSizes(pieces), abbreviate(expected), abbreviate(got))
 		}
 	})
 	check := is.New(t)
@@ -149,8 +149,8 @@
 
 // sameAnswers reports whether two streams have equal complete answers. An answer that
 // breaks off may have been cut at different places.
-func sameAnswers(wanted, got []byte) bool {
-	return bytes.Equal(wanted, got) || slices.Equal(readAnswers(wanted), readAnswers(got))
+func sameAnswers(expected, got []byte) bool {
+	return bytes.Equal(expected, got) || slices.Equal(readAnswers(expected), readAnswers(got))
 }
 
 // readAnswers returns the complete answers of a stream as text.
@@ -200,24 +200,24 @@
 	return &blockingHandler{releases: map[string]chan struct{}{}, started: make(chan string, 64), cancelled: make(chan string, 64)}
 }
 
-func (g *blockingHandler) release(path string) chan struct{} {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if g.releases[path] == nil {
-		g.releases[path] = make(chan struct{})
+func (h *blockingHandler) release(path string) chan struct{} {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.releases[path] == nil {
+		h.releases[path] = make(chan struct{})
 	}
-	return g.releases[path]
+	return h.releases[path]
 }
 
-func (g *blockingHandler) serve(writer http.ResponseWriter, request *http.Request) {
+func (h *blockingHandler) serve(writer http.ResponseWriter, request *http.Request) {
 	path := request.URL.Path
 	_, _ = io.Copy(io.Discard, request.Body)
-	g.started <- path
+	h.started <- path
 	select {
-	case <-g.release(path):
+	case <-h.release(path):
 		_, _ = io.WriteString(writer, path)
 	case <-request.Context().Done():
-		g.cancelled <- path
+		h.cancelled <- path
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -229,8 +229,8 @@
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b")+getRequest("/c"))
 	check.NoErr(err)
-	begun := map[string]bool{<-handler.started: true, <-handler.started: true, <-handler.started: true}
-	check.Equal(begun, map[string]bool{"/a": true, "/b": true, "/c": true})
+	startedPaths := map[string]bool{<-handler.started: true, <-handler.started: true, <-handler.started: true}
+	check.Equal(startedPaths, map[string]bool{"/a": true, "/b": true, "/c": true})
 	close(handler.release("/c"))
 	close(handler.release("/b"))
 	close(handler.release("/a"))
@@ -264,8 +264,8 @@
 	check.Equal(readAnswerBody(t, reader), "/a")
 	check.Equal(len(handler.started), 0) // the answer of /b has not been sent yet
 	check.Equal(readAnswerBody(t, reader), "/b")
-	begun := map[string]bool{<-handler.started: true, <-handler.started: true}
-	check.Equal(begun, map[string]bool{"/pay": true, "/c": true}) // concurrently
+	startedPaths := map[string]bool{<-handler.started: true, <-handler.started: true}
+	check.Equal(startedPaths, map[string]bool{"/pay": true, "/c": true}) // concurrently
 	close(handler.release("/pay"))
 	check.Equal(readAnswerBody(t, reader), "/pay")
 	close(handler.release("/c"))
@@ -277,13 +277,13 @@
 func TestClosingAnswerCancelsLaterRequests(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
-	rig := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
+	server := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/last" {
 			writer.Header().Set("Connection", "close")
 		}
 		handler.serve(writer, request)
 	})
-	conn := rig.dial()
+	conn := server.dial()
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/last")+getRequest("/b")+getRequest("/c"))
 	check.NoErr(err)
@@ -291,11 +291,11 @@
 		<-handler.started
 	}
 	close(handler.release("/last"))
-	answered, err := io.ReadAll(conn)
+	answers, err := io.ReadAll(conn)
 	check.NoErr(err)
-	check.Equal(strings.Count(string(answered), "HTTP/1.1"), 1)
-	gone := []string{<-handler.cancelled, <-handler.cancelled}
-	check.True(gone[0] != gone[1])
+	check.Equal(strings.Count(string(answers), "HTTP/1.1"), 1)
+	cancelledPaths := []string{<-handler.cancelled, <-handler.cancelled}
+	check.True(cancelledPaths[0] != cancelledPaths[1])
 }
 
 // TestCloseWriteCancelsPendingCalls: when the server closes its sending side, requests that
@@ -303,25 +303,25 @@
 func TestCloseWriteCancelsPendingCalls(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
-	rig := newTestServer(t, false, handler.serve)
-	conn := rig.dial()
+	server := newTestServer(t, false, handler.serve)
+	conn := server.dial()
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b"))
 	check.NoErr(err)
 	<-handler.started
 	<-handler.started
-	wrapped := <-rig.conns
-	check.True(wrapped.HasPendingAnswers())
-	check.NoErr(wrapped.CloseWrite())
+	serverConn := <-server.conns
+	check.True(serverConn.HasPendingAnswers())
+	check.NoErr(serverConn.CloseWrite())
 	check.Equal(<-handler.cancelled, "/b")
-	check.True(!wrapped.HasPendingAnswers())
+	check.True(!serverConn.HasPendingAnswers())
 }
 
 // TestDisconnectIsDetectedWhileRequestsWait: a request is cancelled when its client
 // disconnects, also if requests that must wait, an incomplete request, or more requests
 // than may run ahead follow it.
 func TestDisconnectIsDetectedWhileRequestsWait(t *testing.T) {
-	for name, behind := range map[string]string{
+	for name, laterRequests := range map[string]string{
 		"none":    "",
 		"safe":    getRequest("/b"),
 		"unsafe":  "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi",
@@ -332,7 +332,7 @@
 			check := is.New(t)
 			handler := newBlockingHandler()
 			conn := newTestServer(t, false, handler.serve).dial()
-			_, err := io.WriteString(conn, getRequest("/a")+behind)
+			_, err := io.WriteString(conn, getRequest("/a")+laterRequests)
 			check.NoErr(err)
 			check.NoErr(conn.Close())
 			for path := <-handler.cancelled; path != "/a"; path = <-handler.cancelled {
@@ -349,11 +349,11 @@
 // turn, and the connection is read no further than Config.InputBytes.
 func TestBufferedAnswersAreBounded(t *testing.T) {
 	check := is.New(t)
-	open := make(chan struct{})
+	releaseFirst := make(chan struct{})
 	var written atomic.Int64
-	rig := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
+	server := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/a" {
-			<-open
+			<-releaseFirst
 			return
 		}
 		for range 64 {
@@ -363,24 +363,24 @@
 			written.Add(1 << 10)
 		}
 	})
-	conn := rig.dial()
+	conn := server.dial()
 	defer conn.Close()
-	sent := make(chan error, 1)
+	writeDone := make(chan error, 1)
 	go func() {
 		_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b")+getRequest("/c")+strings.Repeat("x", 64<<10))
-		sent <- err
+		writeDone <- err
 	}()
-	for written.Load() < 2*int64(rig.config.AnswerBytes) {
+	for written.Load() < 2*int64(server.config.AnswerBytes) {
 		runtime.Gosched()
 	}
-	check.Equal(rig.budget.Used(), written.Load())
-	check.Equal(len(sent), 0) // the server has not read all of it
-	close(open)
+	check.Equal(server.budget.Used(), written.Load())
+	check.Equal(len(writeDone), 0) // the server has not read all of it
+	close(releaseFirst)
 	reader := bufio.NewReader(conn)
 	check.Equal(len(readAnswerBody(t, reader)), 0)
 	check.Equal(len(readAnswerBody(t, reader)), 64<<10)
 	check.Equal(len(readAnswerBody(t, reader)), 64<<10)
-	check.Equal(rig.budget.Used(), int64(0))
+	check.Equal(server.budget.Used(), int64(0))
 }
 
 // TestTurnWaitCountsFromArrival: the wait of a request for its turn counts from its
@@ -388,24 +388,24 @@
 func TestTurnWaitCountsFromArrival(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
-	rig := newTestServer(t, false, handler.serve)
-	conn := rig.dial()
+	server := newTestServer(t, false, handler.serve)
+	conn := server.dial()
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/a"))
 	check.NoErr(err)
 	check.Equal(<-handler.started, "/a")
-	wrapped := <-rig.conns
-	check.True(!wrapped.HasPendingAnswers())
+	serverConn := <-server.conns
+	check.True(!serverConn.HasPendingAnswers())
 	_, err = io.WriteString(conn, "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi")
 	check.NoErr(err)
-	came := time.Now()
+	sentAt := time.Now()
 	close(handler.release("/a"))
 	reader := bufio.NewReader(conn)
 	check.Equal(readAnswerBody(t, reader), "/a")
 	check.Equal(<-handler.started, "/pay")
-	check.True(<-rig.turnWaits == 0)
-	waited := <-rig.turnWaits
-	check.True(waited > 0 && waited <= time.Since(came)+time.Second)
+	check.True(<-server.turnWaits == 0)
+	waited := <-server.turnWaits
+	check.True(waited > 0 && waited <= time.Since(sentAt)+time.Second)
 	close(handler.release("/pay"))
 	check.Equal(readAnswerBody(t, reader), "/pay")
 }
@@ -424,19 +424,19 @@
 		if size < 0 {
 			return
 		}
-		form := readFraming(text[:size])
+		parsed := readFraming(text[:size])
 		reader := bufio.NewReader(bytes.NewReader(text))
 		request, err := http.ReadRequest(reader)
-		if !form.known || err != nil {
+		if !parsed.known || err != nil {
 			return // the server decides, and closes on an error
 		}
 		consumed := len(text) - reader.Buffered()
 		if len(text) <= 4096 && consumed != size {
 			t.Fatalf("the head of %q ends at %d, not at %d", text, consumed, size)
 		}
-		if request.ContentLength != int64(form.bodyLength) || len(request.TransferEncoding) > 0 || request.Close {
+		if request.ContentLength != int64(parsed.bodyLength) || len(request.TransferEncoding) > 0 || request.Close {
 			t.Fatalf("%q: body %d, encoded %v, close %v; said to have %d",
-				text, request.ContentLength, request.TransferEncoding, request.Close, form.bodyLength)
+				text, request.ContentLength, request.TransferEncoding, request.Close, parsed.bodyLength)
 		}
 	})
 }
--- a/internal/pipeline/rig_test.go
+++ b/internal/pipeline/testserver_test.go
@@ -62,18 +62,18 @@
 
 // newTestServer serves a handler. With serial set, it uses net/http without this package.
 func newTestServer(t testing.TB, serial bool, handler http.HandlerFunc) *testServer {
-	made := &testServer{listener: newPipeListener(), budget: NewByteBudget(64 << 10), conns: make(chan *Conn, 1), turnWaits: make(chan time.Duration, 16)}
-	made.config = &Config{
-		Calls: 4, InputBytes: 4 << 10, AnswerBytes: 2 << 10, Held: made.budget,
-		Handler: handler, MayRunAhead: isRepeatable, OnStart: func(int) { made.aheadCount.Add(1) },
+	created := &testServer{listener: newPipeListener(), budget: NewByteBudget(64 << 10), conns: make(chan *Conn, 1), turnWaits: make(chan time.Duration, 16)}
+	created.config = &Config{
+		Calls: 4, InputBytes: 4 << 10, AnswerBytes: 2 << 10, Held: created.budget,
+		Handler: handler, MayRunAhead: isRepeatable, OnStart: func(int) { created.aheadCount.Add(1) },
 	}
-	made.server = &http.Server{Handler: handler, ErrorLog: nil}
+	created.server = &http.Server{Handler: handler, ErrorLog: nil}
 	if !serial {
-		made.server.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		created.server.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			conn := request.Context().Value(connKey{}).(*Conn)
 			call, waited := conn.BeginRequest(request)
 			select {
-			case made.turnWaits <- waited:
+			case created.turnWaits <- waited:
 			default:
 			}
 			defer conn.EndRequest()
@@ -83,22 +83,23 @@
 			}
 			handler(writer, request)
 		})
-		made.server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
+		created.server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 			ctx = context.WithValue(ctx, connKey{}, conn)
 			conn.(*Conn).Bind(ctx)
 			return ctx
 		}
 	}
-	var listener net.Listener = made.listener
+	var listener net.Listener = created.listener
 	if !serial {
-		listener = &wrappingListener{Listener: made.listener, server: made}
+		listener = &wrappingListener{Listener: created.listener, server: created}
 	}
-	go func() { _ = made.server.Serve(listener) }()
-	t.Cleanup(func() { _ = made.server.Close() })
-	return made
+	go func() { _ = created.server.Serve(listener) }()
+	t.Cleanup(func() { _ = created.server.Close() })
+	return created
 }
 
-// wrappingListener wraps each accepted connection in a Conn.
+// wrappingListener wraps each accepted connection in a Conn, and sends the first one to the
+// channel conns of the server.
 type wrappingListener struct {
 	net.Listener
 	server *testServer
@@ -109,23 +110,23 @@
 	if err != nil {
 		return nil, err
 	}
-	made := Wrap(conn, w.server.config)
+	wrapped := Wrap(conn, w.server.config)
 	select {
-	case w.server.conns <- made:
+	case w.server.conns <- wrapped:
 	default:
 	}
-	return made, nil
+	return wrapped, nil
 }
 
-func (r *testServer) dial() net.Conn {
+func (s *testServer) dial() net.Conn {
 	client, server := net.Pipe()
-	r.listener.accepted <- server
+	s.listener.accepted <- server
 	return client
 }
 
 // exchange sends pieces on one connection and returns all bytes that the server sent.
-func (r *testServer) exchange(pieces [][]byte) []byte {
-	conn := r.dial()
+func (s *testServer) exchange(pieces [][]byte) []byte {
+	conn := s.dial()
 	defer conn.Close()
 	go func() {
 		for _, piece := range pieces {
@@ -134,8 +135,8 @@
 			}
 		}
 	}()
-	answered, _ := io.ReadAll(conn)
-	return answered
+	answers, _ := io.ReadAll(conn)
+	return answers
 }
 
 // queryInt returns an integer of the request's query; 0 if it is missing.
--- a/internal/proxy/secure_test.go
+++ b/internal/proxy/secure_test.go
@@ -17,9 +17,9 @@
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
-	borrowed := httptest.NewTLSServer(http.NotFoundHandler())
-	t.Cleanup(borrowed.Close)
-	certificates := borrowed.TLS.Certificates
+	tlsServer := httptest.NewTLSServer(http.NotFoundHandler())
+	t.Cleanup(tlsServer.Close)
+	certificates := tlsServer.TLS.Certificates
 	listener := listenLoopback(t)
 	server := NewServer(mesh.gates[0].GateHandler(), Limits{}).SetTLS(&tls.Config{
 		Certificates: certificates, ClientAuth: tls.RequireAnyClientCert, MaxVersion: tls.VersionTLS12,
@@ -27,10 +27,10 @@
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 	mesh.members[0].DataAddress = listener.Addr().String()
-	for _, given := range [][]tls.Certificate{certificates, nil} {
+	for _, clientCertificates := range [][]tls.Certificate{certificates, nil} {
 		caller := New(Config{
 			Clock: testClock, NodeID: "caller", Region: "r", Zone: "z",
-			PeerTLS: &tls.Config{Certificates: given, RootCAs: borrowed.Client().Transport.(*http.Transport).TLSClientConfig.RootCAs, ServerName: "example.com"},
+			PeerTLS: &tls.Config{Certificates: clientCertificates, RootCAs: tlsServer.Client().Transport.(*http.Transport).TLSClientConfig.RootCAs, ServerName: "example.com"},
 		})
 		t.Cleanup(caller.Close)
 		caller.PublishMembers(mesh.members)
@@ -38,7 +38,7 @@
 		caller.ExtendServing(1 << 62)
 		mesh.address = startServer(t, caller.CallerHandler(), Limits{})
 		answer := mesh.call(t, "POST", "/", "x")
-		if given != nil {
+		if clientCertificates != nil {
 			check.Equal(answer.body, "x")
 			continue
 		}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -35,8 +35,8 @@
 // their turn, and refuses calls while the server stops.
 func withConnChecks(handler http.Handler, limits Limits) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		conn, counted := request.Context().Value(connKey{}).(*countedConn)
-		if !counted {
+		conn, isCounted := request.Context().Value(connKey{}).(*countedConn)
+		if !isCounted {
 			handler.ServeHTTP(writer, request)
 			return
 		}
@@ -47,10 +47,10 @@
 		if conn.pipelined != nil {
 			call, waited := conn.pipelined.BeginRequest(request)
 			defer conn.pipelined.EndRequest()
-			callers := handler.(*sideHandler)
-			callers.recordTurnWait(request, waited, call != nil)
+			side := handler.(*sideHandler)
+			side.recordTurnWait(request, waited, call != nil)
 			if call != nil {
-				callers.replayAnswer(writer, request, call)
+				side.replayAnswer(writer, request, call)
 				return
 			}
 			request = withTurnWait(request, waited)
@@ -98,7 +98,7 @@
 // take.
 func NewServer(handler http.Handler, limits Limits) *Server {
 	limits = limits.withDefaults()
-	inner := &http.Server{
+	httpServer := &http.Server{
 		Handler:           withConnChecks(handler, limits),
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		WriteTimeout:      serverWriteTimeout,
@@ -106,21 +106,21 @@
 		MaxHeaderBytes:    limits.HeaderBytes,
 		ErrorLog:          discardLog,
 	}
-	open := &connectionContexts{}
-	tracked, known := handler.(*sideHandler)
-	if known {
-		open = &tracked.proxy.connections
+	contexts := &connectionContexts{}
+	side, isSide := handler.(*sideHandler)
+	if isSide {
+		contexts = &side.proxy.connections
 	}
-	inner.ConnContext = open.addConn
-	inner.ConnState = func(conn net.Conn, state http.ConnState) {
-		if tracked != nil && tracked.isCallerSide {
-			tracked.proxy.updateIdleTimer(conn, state)
+	httpServer.ConnContext = contexts.addConn
+	httpServer.ConnState = func(conn net.Conn, state http.ConnState) {
+		if side != nil && side.isCallerSide {
+			side.proxy.updateIdleTimer(conn, state)
 		}
-		open.onStateChange(conn, state)
+		contexts.onStateChange(conn, state)
 	}
-	server := &Server{httpServer: inner, limits: limits}
-	if tracked != nil && tracked.isCallerSide {
-		server.pipelineConfig = tracked.proxy.pipelineConfig()
+	server := &Server{httpServer: httpServer, limits: limits}
+	if side != nil && side.isCallerSide {
+		server.pipelineConfig = side.proxy.pipelineConfig()
 	}
 	return server
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -56,16 +56,16 @@
 	return s.httpServer.Shutdown(ctx)
 }
 
-// awaitConnsClosed waits until no connection is open, for at most the given time.
-func awaitConnsClosed(ctx context.Context, listeners []*boundedListener, wait time.Duration) {
-	bound := time.NewTimer(wait)
-	defer bound.Stop()
+// awaitConnsClosed waits until no connection is open or the timeout has passed.
+func awaitConnsClosed(ctx context.Context, listeners []*boundedListener, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	poll := time.NewTicker(stagePollInterval)
 	defer poll.Stop()
 	for hasOpenConns(listeners) {
 		select {
 		case <-poll.C:
-		case <-bound.C:
+		case <-timer.C:
 			return
 		case <-ctx.Done():
 			return
@@ -74,7 +74,7 @@
 }
 
 // awaitRefusals waits until the refusals of new connections have been sent, for at most
-// refusedWait.
+// refusalTimeout.
 func awaitRefusals(ctx context.Context, listeners []*boundedListener) {
 	bounded, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
@@ -86,8 +86,8 @@
 }
 
 // awaitPendingAnswers waits until no connection has pending answers to requests after its
-// current one: once its Shutdown is called, the library closes connections after the
-// current answer.
+// current one. The Shutdown of net/http would close the connection after the current
+// answer.
 func awaitPendingAnswers(ctx context.Context, listeners []*boundedListener) {
 	poll := time.NewTicker(stagePollInterval)
 	defer poll.Stop()
@@ -101,14 +101,14 @@
 }
 
 func hasPendingAnswers(listeners []*boundedListener) bool {
-	owed := false
+	pending := false
 	for _, listener := range listeners {
 		listener.conns.Range(func(conn, _ any) bool {
-			owed = owed || conn.(*countedConn).hasPendingAnswers()
-			return !owed
+			pending = pending || conn.(*countedConn).hasPendingAnswers()
+			return !pending
 		})
 	}
-	return owed
+	return pending
 }
 
 func hasOpenConns(listeners []*boundedListener) bool {
@@ -132,8 +132,8 @@
 // operating system has already accepted, and they are being refused. Closing it earlier
 // would reset them.
 func (l *boundedListener) closeAfterBacklog() {
-	if deadline, can := l.Listener.(interface{ SetDeadline(time.Time) error }); can {
-		if deadline.SetDeadline(time.Now().Add(backlogWait)) == nil {
+	if listener, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
+		if listener.SetDeadline(time.Now().Add(backlogWait)) == nil {
 			<-l.acceptEnded
 		}
 	}
@@ -157,7 +157,7 @@
 // status 408 as the close of its connection (RFC 9110, 15.5.9).
 func (c *countedConn) retire() {
 	if c.hasPendingAnswers() {
-		return // finished retires it later
+		return // endCall retires it later
 	}
 	if !c.phase.CompareAndSwap(phaseIdle, phaseRetired) {
 		return
--- a/internal/proxy/signature.go
+++ b/internal/proxy/signature.go
@@ -19,8 +19,8 @@
 // signature returns the signature of the call, or false if the bytes of the body that it
 // depends on have not been received.
 func (c *gateCall) signature() (quarantine.Signature, bool) {
-	body, came := c.body.signatureHash()
-	return quarantine.Signature{Head: c.headHash(), Body: body}, came
+	body, received := c.body.signatureHash()
+	return quarantine.Signature{Head: c.headHash(), Body: body}, received
 }
 
 func (c *gateCall) headHash() quarantine.Hash {
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -22,14 +22,14 @@
 	silenceCheckInterval = 250 * time.Millisecond
 )
 
-// silenceLimit returns how long a gate may be silent while a call waits there. The target
-// is that of the call's route; 0 means none.
+// silenceLimit returns how long a gate may be silent while a call waits there. The target is
+// the latency target of the call's route; 0 means none.
 func silenceLimit(target time.Duration) time.Duration {
 	return max(minSilence, time.Duration(float64(target)*silenceTargetShare))
 }
 
-// silenceMonitor detects that a gate answers nothing. A gate that is disconnected, paused
-// or without power can't be told from a busy one by its connections alone.
+// silenceMonitor detects that a gate answers nothing. The connections alone don't show
+// whether such a gate is busy or whether it is disconnected, paused or without power.
 type silenceMonitor struct {
 	// answeredAt is when the gate last answered a call, checkedAt when a check of its daemon
 	// was last requested, both in nanoseconds on the clock.
@@ -42,10 +42,10 @@
 	hedgeable map[*attempt]func()
 }
 
-// watchSilence requests a check of an endpoint's daemon if its gate stays silent for the
-// given time while an attempt waits. The returned function must be called when the attempt
-// has ended.
-func (p *Proxy) watchSilence(path *upstream, chosen *endpoint.Endpoint, wait time.Duration) (stop func()) {
+// watchSilence requests a check of an endpoint's daemon if its gate is silent for longer
+// than the limit while an attempt waits there. The returned function must be called when
+// the attempt has ended.
+func (p *Proxy) watchSilence(gateUpstream *upstream, gateEndpoint *endpoint.Endpoint, limit time.Duration) (stop func()) {
 	if p.config.OnSilent == nil {
 		return func() {}
 	}
@@ -53,68 +53,69 @@
 	var timer *time.Timer
 	timer = time.AfterFunc(time.Hour, func() {
 		if !ended.Load() {
-			timer.Reset(p.checkSilence(path, chosen.Node, wait))
+			timer.Reset(p.checkSilence(gateUpstream, gateEndpoint.Node, limit))
 		}
 	})
-	timer.Reset(wait)
+	timer.Reset(limit)
 	return func() {
 		ended.Store(true)
 		timer.Stop()
 	}
 }
 
-// checkSilence requests a check of the daemon if its gate has been silent for the given
-// time, and returns after what time to call checkSilence again.
-func (p *Proxy) checkSilence(path *upstream, node protocol.NodeID, wait time.Duration) time.Duration {
+// checkSilence requests a check of the daemon if its gate has been silent for the limit or
+// longer. It returns the time until checkSilence must be called again.
+func (p *Proxy) checkSilence(gateUpstream *upstream, node protocol.NodeID, limit time.Duration) time.Duration {
 	now := p.config.Clock()
-	if silentFor := now - time.Duration(path.silence.answeredAt.Load()); silentFor < wait {
-		return wait - silentFor
+	if silentFor := now - time.Duration(gateUpstream.silence.answeredAt.Load()); silentFor < limit {
+		return limit - silentFor
 	}
-	asked := path.silence.checkedAt.Load()
-	if now-time.Duration(asked) >= silenceCheckInterval && path.silence.checkedAt.CompareAndSwap(asked, int64(now)) {
+	lastCheck := gateUpstream.silence.checkedAt.Load()
+	if now-time.Duration(lastCheck) >= silenceCheckInterval && gateUpstream.silence.checkedAt.CompareAndSwap(lastCheck, int64(now)) {
 		p.config.OnSilent(node)
 	}
-	return max(silenceCheckInterval, wait)
+	return max(silenceCheckInterval, limit)
 }
 
 // recordGateAnswer records that a gate has answered a call.
-func (p *Proxy) recordGateAnswer(path *upstream) {
-	path.silence.answeredAt.Store(int64(p.config.Clock()))
+func (p *Proxy) recordGateAnswer(gateUpstream *upstream) {
+	gateUpstream.silence.answeredAt.Store(int64(p.config.Clock()))
 }
 
-// addHedgeable adds an attempt that may be hedged. The function giveUp hedges it; it is
-// called when the gate's daemon is found to be unreachable, or the gate reports that the
-// attempt hangs. It is called under the lock, so never after removeHedgeable.
-func (s *silenceMonitor) addHedgeable(made *attempt, giveUp func()) {
+// addHedgeable adds a waiting attempt that may be hedged, with the function that hedges it.
+// That function is called when the gate's daemon is found to be unreachable, or the gate
+// reports that the attempt hangs. It is called under the lock, so never after
+// removeHedgeable.
+func (s *silenceMonitor) addHedgeable(waiting *attempt, hedge func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.hedgeable == nil {
 		s.hedgeable = map[*attempt]func(){}
 	}
-	s.hedgeable[made] = giveUp
+	s.hedgeable[waiting] = hedge
 }
 
-func (s *silenceMonitor) removeHedgeable(made *attempt) {
+func (s *silenceMonitor) removeHedgeable(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.hedgeable, made)
+	delete(s.hedgeable, waiting)
 }
 
-// hedge hedges one attempt if it may be hedged.
-func (s *silenceMonitor) hedge(made *attempt) {
+// hedge hedges one attempt if it is in hedgeable.
+func (s *silenceMonitor) hedge(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if giveUp := s.hedgeable[made]; giveUp != nil {
-		giveUp()
+	if startHedge := s.hedgeable[waiting]; startHedge != nil {
+		startHedge()
 	}
 }
 
-// hedgeAll hedges all attempts that may be hedged.
+// hedgeAll hedges all attempts in hedgeable.
 func (s *silenceMonitor) hedgeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, giveUp := range s.hedgeable {
-		giveUp()
+	for _, startHedge := range s.hedgeable {
+		startHedge()
 	}
 }
 
@@ -122,10 +123,10 @@
 // does not. The idle connections to its gate are closed, so that calls which are still
 // sent there fail to connect instead of being lost on a dead connection.
 func (p *Proxy) SetReachable(node protocol.NodeID, reachable bool) {
-	p.forEachEndpoint(node, func(candidate *endpoint.Endpoint, path *upstream) {
+	p.forEachEndpoint(node, func(candidate *endpoint.Endpoint, gateUpstream *upstream) {
 		candidate.SetReachable(reachable)
-		if path != nil && !reachable {
-			path.closeIdle()
+		if gateUpstream != nil && !reachable {
+			gateUpstream.closeIdle()
 		}
 	})
 }
@@ -133,20 +134,20 @@
 // RenewConnections closes the idle connections to gates and to the back end, so that the
 // next calls are sent over new connections.
 func (p *Proxy) RenewConnections() {
-	for _, path := range p.view.Load().upstreams {
-		path.closeIdle()
+	for _, gateUpstream := range p.view.Load().upstreams {
+		gateUpstream.closeIdle()
 	}
 	if p.backend != nil {
 		p.backend.closeIdle()
 	}
 }
 
-// GiveUp hedges the attempts at a daemon that does not answer, as far as the retry budget
-// allows: each is followed by another attempt elsewhere. It cancels none of them.
+// GiveUp hedges the attempts at a daemon that does not answer: as far as the retry budget
+// allows, each call makes another attempt elsewhere while the first one continues.
 func (p *Proxy) GiveUp(node protocol.NodeID) {
-	p.forEachEndpoint(node, func(_ *endpoint.Endpoint, path *upstream) {
-		if path != nil {
-			path.silence.hedgeAll()
+	p.forEachEndpoint(node, func(_ *endpoint.Endpoint, gateUpstream *upstream) {
+		if gateUpstream != nil {
+			gateUpstream.silence.hedgeAll()
 		}
 	})
 }
@@ -155,8 +156,8 @@
 // which may be nil.
 func (p *Proxy) forEachEndpoint(node protocol.NodeID, visit func(*endpoint.Endpoint, *upstream)) {
 	current := p.view.Load()
-	for _, one := range current.services {
-		for _, candidate := range one.set.All {
+	for _, service := range current.services {
+		for _, candidate := range service.set.All {
 			if candidate.Node == node {
 				visit(candidate, current.upstreams[candidate.Address])
 			}
--- a/internal/proxy/silence_test.go
+++ b/internal/proxy/silence_test.go
@@ -22,26 +22,26 @@
 func TestSilentGateIsReportedAfterItsLimit(t *testing.T) {
 	check := is.New(t)
 	now := time.Minute
-	asked := 0
-	path := &upstream{}
+	checks := 0
+	gateUpstream := &upstream{}
 	caller := &Proxy{config: Config{
 		Clock:    func() time.Duration { return now },
-		OnSilent: func(protocol.NodeID) { asked++ },
+		OnSilent: func(protocol.NodeID) { checks++ },
 	}}
-	const wait = 400 * time.Millisecond
-	caller.recordGateAnswer(path)
+	const limit = 400 * time.Millisecond
+	caller.recordGateAnswer(gateUpstream)
 	now += 300 * time.Millisecond
-	check.Equal(caller.checkSilence(path, "n", wait), 100*time.Millisecond)
-	check.Equal(asked, 0)
-	caller.recordGateAnswer(path)
+	check.Equal(caller.checkSilence(gateUpstream, "n", limit), 100*time.Millisecond)
+	check.Equal(checks, 0)
+	caller.recordGateAnswer(gateUpstream)
 	now += 100 * time.Millisecond
-	check.Equal(caller.checkSilence(path, "n", wait), 300*time.Millisecond)
+	check.Equal(caller.checkSilence(gateUpstream, "n", limit), 300*time.Millisecond)
 	now += 300 * time.Millisecond
-	check.Equal(caller.checkSilence(path, "n", wait), wait)
-	check.Equal(asked, 1)
+	check.Equal(caller.checkSilence(gateUpstream, "n", limit), limit)
+	check.Equal(checks, 1)
 	now += 100 * time.Millisecond
-	caller.checkSilence(path, "n", minSilence) // another call, within silenceCheckInterval
-	check.Equal(asked, 1)
-	caller.watchSilence(path, &endpoint.Endpoint{}, wait)() // an attempt that ends before its limit
-	check.Equal(asked, 1)
+	caller.checkSilence(gateUpstream, "n", minSilence) // another call, within silenceCheckInterval
+	check.Equal(checks, 1)
+	caller.watchSilence(gateUpstream, &endpoint.Endpoint{}, limit)() // an attempt that ends before its limit
+	check.Equal(checks, 1)
 }
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -16,9 +16,9 @@
 const startWaitDivisor = 4
 
 // startWaiters wakes the calls that wait because the daemon has just started and does not
-// know yet where to send them. When all machines restart, callers return some tenths of a
-// second before the configuration and the members are known. Refusing their calls at once
-// would only send them to other daemons in the same state.
+// know yet where to send them. After a restart of all machines, the first calls arrive some
+// tenths of a second before the configuration and the members are known. If they were
+// refused at once, callers would only repeat them at other daemons in the same state.
 type startWaiters struct {
 	mutex sync.Mutex
 	// viewChanged is closed by the next wakeAll; nil while no call waits.
@@ -59,19 +59,19 @@
 // with which the call can be sent, until 1/startWaitDivisor of the call's time or
 // Limits.StartWait is over.
 func (p *Proxy) acceptDuringStart(request *http.Request, body *upload) (*callerCall, Refusal, bool) {
-	came := p.config.Clock()
+	arrivedAt := p.config.Clock()
 	for {
-		changed := p.starting.nextView()
-		known := p.view.Load()
+		viewChanged := p.starting.nextView()
+		current := p.view.Load()
 		now := p.config.Clock()
-		call, refusal, accepted := p.acceptCall(withTurnWait(request, turnWait(request)+now-came))
-		whole := p.totalTimeout(request, call, now-came)
-		bound := min(p.startedAt+p.limits.StartWait, came+whole/startWaitDivisor)
-		if now >= bound || !known.isIncompleteFor(call, refusal, accepted) {
+		call, refusal, accepted := p.acceptCall(withTurnWait(request, turnWait(request)+now-arrivedAt))
+		total := p.totalTimeout(request, call, now-arrivedAt)
+		latest := min(p.startedAt+p.limits.StartWait, arrivedAt+total/startWaitDivisor)
+		if now >= latest || !current.isIncompleteFor(call, refusal, accepted) {
 			return call, refusal, accepted
 		}
-		p.preloadSmallBody(request, body, came+whole-now)
-		if !p.awaitView(request, changed, bound-p.config.Clock()) {
+		p.preloadSmallBody(request, body, arrivedAt+total-now)
+		if !p.awaitView(request, viewChanged, latest-p.config.Clock()) {
 			return call, refusal, accepted
 		}
 	}
@@ -90,8 +90,8 @@
 	return max(stated-turnWait(request), 0)
 }
 
-// isIncompleteFor reports whether this view lacks the data to send a call, given the result
-// of acceptCall with this view or a newer one.
+// isIncompleteFor reports whether a call can't be sent because this view still lacks data.
+// The arguments are the result of acceptCall with this view or a newer one.
 func (v *view) isIncompleteFor(call *callerCall, refusal Refusal, accepted bool) bool {
 	switch {
 	case refusal.Code == result.NotServing:
@@ -101,31 +101,31 @@
 	case !accepted:
 		return false
 	}
-	shared := v.services[call.service]
-	return shared == nil || shared.set.UsableCount() == 0 && !shared.set.BlockedByEvacuation()
+	service := v.services[call.service]
+	return service == nil || service.set.UsableCount() == 0 && !service.set.BlockedByEvacuation()
 }
 
 // preloadSmallBody reads a body that is not large before its call waits: the server detects
 // that a caller has disconnected only after the whole request has been read.
-func (p *Proxy) preloadSmallBody(request *http.Request, body *upload, most time.Duration) {
+func (p *Proxy) preloadSmallBody(request *http.Request, body *upload, timeout time.Duration) {
 	if body.isLarge() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(request.Context(), most)
+	ctx, cancel := context.WithTimeout(request.Context(), timeout)
 	defer cancel()
 	_ = body.preload(ctx, nil) // the body stores the error, and the call is refused later
 }
 
-// awaitView waits for the next view, for at most the given time. It returns false if the
-// caller has disconnected or the proxy is closed.
-func (p *Proxy) awaitView(request *http.Request, changed <-chan struct{}, most time.Duration) bool {
+// awaitView waits for the next view or the timeout. It returns false if the caller has
+// disconnected or the proxy is closed.
+func (p *Proxy) awaitView(request *http.Request, viewChanged <-chan struct{}, timeout time.Duration) bool {
 	p.counters.startWaits.Add(1)
-	bound := time.NewTimer(most)
-	defer bound.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-changed:
+	case <-viewChanged:
 		return true
-	case <-bound.C:
+	case <-timer.C:
 		return true
 	case <-request.Context().Done():
 	case <-p.closed:
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -51,8 +51,8 @@
 func TestLargeUploadStreams(t *testing.T) {
 	const size = 64 << 20
 	const heapBound = 16 << 20
-	for _, stated := range []int64{size, -1} {
-		t.Run(fmt.Sprint(stated), func(t *testing.T) {
+	for _, contentLength := range []int64{size, -1} {
+		t.Run(fmt.Sprint(contentLength), func(t *testing.T) {
 			check := is.New(t)
 			stalled := make(chan struct{})
 			resume := make(chan struct{})
@@ -65,17 +65,17 @@
 				_, _ = io.Copy(hash, request.Body)
 				sum <- hash.Sum64()
 			}})
-			before := heapBytes()
+			heapBefore := heapBytes()
 			body := &patternReader{remaining: size, hash: xxhash.New()}
 			request, err := http.NewRequest("PUT", "http://"+mesh.address+"/label", body)
 			check.NoErr(err)
-			request.ContentLength = stated
-			done := make(chan callResult)
-			go func() { done <- mesh.send(t, request) }()
+			request.ContentLength = contentLength
+			results := make(chan callResult)
+			go func() { results <- mesh.send(t, request) }()
 			<-stalled
-			check.True(heapBytes() < before+heapBound)
+			check.True(heapBytes() < heapBefore+heapBound)
 			close(resume)
-			check.Equal((<-done).status, http.StatusOK)
+			check.Equal((<-results).status, http.StatusOK)
 			check.Equal(<-sum, body.hash.Sum64())
 		})
 	}
@@ -179,18 +179,18 @@
 		check.True(strings.Contains(text, "Springstack-Code: 416\r\n"))
 		check.True(strings.Contains(text, "Springstack-Ran: "+ran+"\r\n"))
 	}
-	neverWhole := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHos")
-	check.True(strings.Contains(neverWhole, "Springstack-Code: 411\r\n"))
-	check.True(strings.Contains(neverWhole, "Springstack-Ran: no\r\n"))
+	incompleteHead := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHos")
+	check.True(strings.Contains(incompleteHead, "Springstack-Code: 411\r\n"))
+	check.True(strings.Contains(incompleteHead, "Springstack-Ran: no\r\n"))
 	mesh.awaitIdle()
 }
 
 func TestSlowReaderIsCutOff(t *testing.T) {
 	check := is.New(t)
 	limits := Limits{StallTimeout: 50 * time.Millisecond}
-	ended := make(chan struct{})
+	answerCut := make(chan struct{})
 	mesh := startMesh(t, meshOptions{limits: limits}, backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
-		defer close(ended)
+		defer close(answerCut)
 		block := bytes.Repeat([]byte("x"), 1<<20)
 		for {
 			if _, err := writer.Write(block); err != nil {
@@ -203,7 +203,7 @@
 	defer conn.Close()
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	check.NoErr(err)
-	<-ended // the proxy cut the answer, although the caller did not disconnect
+	<-answerCut // the proxy cut the answer, although the caller did not disconnect
 	mesh.awaitIdle()
 }
 
@@ -225,9 +225,9 @@
 	backend := newBlockingBackend()
 	options := meshOptions{slots: 1, limits: Limits{QueueLength: 1}, changeRoute: func(route *resource.Route) { route.Timeout = time.Hour }}
 	mesh := startMesh(t, options, backend.spec())
-	done := make(chan callResult, 2)
+	results := make(chan callResult, 2)
 	for range 2 {
-		go func() { done <- mesh.call(t, "POST", "/", "x") }()
+		go func() { results <- mesh.call(t, "POST", "/", "x") }()
 	}
 	<-backend.entered
 	for mesh.gates[0].gate.Load().Queued == 0 {
@@ -237,6 +237,6 @@
 	expectRefusal(check, refused, result.QueueFull, result.RanNo)
 	check.Equal(refused.header.Get("Retry-After"), "1")
 	close(backend.release)
-	check.Equal((<-done).body, "done")
-	check.Equal((<-done).body, "done")
+	check.Equal((<-results).body, "done")
+	check.Equal((<-results).body, "done")
 }
--- a/internal/proxy/surplus.go
+++ b/internal/proxy/surplus.go
@@ -23,11 +23,11 @@
 // headTerminator is the end of the head of an answer.
 var headTerminator = []byte("\r\n\r\n")
 
-// surplusFilter skips surplus answers: those that a back end sends on a kept connection to
-// a request that it has already answered. A late one arrives in place of the answer to the
-// current request. Closing the connection would cut that request, which is running, and
-// fail its caller. Answers are identified by the request id that back ends echo. The
-// library reads a connection in one goroutine, so the filter needs no lock.
+// surplusFilter skips surplus answers on a kept connection: further answers to a request
+// that the back end has already answered. A late one arrives in place of the answer to the
+// current request. Closing the connection would cancel the current request, which is
+// already running, and fail its call. Answers are identified by the request id that back
+// ends echo. The library reads a connection in one goroutine, so the filter needs no lock.
 type surplusFilter struct {
 	source io.Reader
 	// attempt is the current attempt on the connection.
@@ -50,9 +50,9 @@
 	f.sentCount++
 }
 
-// read reads for the library. It calls owner for the current attempt only after bytes have
-// been received, since the library starts to read a connection before the next attempt is
-// sent on it.
+// read is Read of the connection, without surplus answers. It calls owner for the current
+// attempt only after bytes have been received, since the library starts to read a
+// connection before the next attempt is sent on it.
 func (f *surplusFilter) read(into []byte, owner func() *attemptGuard) (int, error) {
 	if len(f.buffered) == 0 {
 		count, err := f.source.Read(into)
@@ -88,8 +88,8 @@
 			f.ownAnswerFound = true
 			return nil
 		}
-		held := bytes.NewReader(f.buffered)
-		reader := bufio.NewReader(io.MultiReader(held, f.source))
+		unread := bytes.NewReader(f.buffered)
+		reader := bufio.NewReader(io.MultiReader(unread, f.source))
 		answer, err := http.ReadResponse(reader, nil)
 		if err != nil || !f.isSkippable(answer) {
 			f.ownAnswerFound = true
@@ -102,7 +102,7 @@
 		if err != nil {
 			return err
 		}
-		f.buffered = append(bytes.Clone(rest), f.buffered[len(f.buffered)-held.Len():]...)
+		f.buffered = append(bytes.Clone(rest), f.buffered[len(f.buffered)-unread.Len():]...)
 	}
 }
 
@@ -116,10 +116,10 @@
 // fillHead reads until a complete head or answerHeadLimit bytes are buffered.
 func (f *surplusFilter) fillHead() error {
 	for !bytes.Contains(f.buffered, headTerminator) && len(f.buffered) < answerHeadLimit {
-		held := len(f.buffered)
-		f.buffered = slices.Grow(f.buffered, headReadSize)[:held+headReadSize]
-		count, err := f.source.Read(f.buffered[held:])
-		f.buffered = f.buffered[:held+count]
+		length := len(f.buffered)
+		f.buffered = slices.Grow(f.buffered, headReadSize)[:length+headReadSize]
+		count, err := f.source.Read(f.buffered[length:])
+		f.buffered = f.buffered[:length+count]
 		if err != nil {
 			return err
 		}
@@ -130,7 +130,7 @@
 // isSkippable reports whether an answer names an earlier request of the connection and
 // states where it ends.
 func (f *surplusFilter) isSkippable(answer *http.Response) bool {
-	ends := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
-	named := answer.Header.Get(f.attempt.answerHeader)
-	return ends && named != "" && named != f.attempt.answerID && slices.Contains(f.earlierIDs[:], named)
+	statesEnd := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
+	answerID := answer.Header.Get(f.attempt.answerHeader)
+	return statesEnd && answerID != "" && answerID != f.attempt.answerID && slices.Contains(f.earlierIDs[:], answerID)
 }
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -21,40 +21,40 @@
 	isolationWaitDivisor = 2
 )
 
-// awaitSuspectTurn waits until a suspected call may run: the gate runs one suspected call
-// at a time. The next end of the back end is then due to at most one of them, and the
-// others do not end further back ends before this is known. A call whose request is held
-// is refused.
+// awaitSuspectTurn waits until a suspected call may run: the gate runs one suspected call at
+// a time. If the back end then ends, only one suspected call can have caused this, and the
+// others do not end further back ends before this is known. A call whose request is held is
+// refused.
 func (c *gateCall) awaitSuspectTurn() (Refusal, bool) {
-	belief, refusal := c.quarantineState()
-	if belief == quarantine.Suspected {
+	state, refusal := c.quarantineState()
+	if state == quarantine.Suspected {
 		select {
 		case c.proxy.suspectTurn <- struct{}{}:
 			c.holdsSuspectTurn = true
 		case <-c.context.Done():
 			return Refusal{Code: c.cancellationCode()}, false
 		}
-		belief, refusal = c.quarantineState() // the previous suspected call may have changed it
+		state, refusal = c.quarantineState() // the previous suspected call may have changed it
 	}
-	return refusal, belief != quarantine.Held
+	return refusal, state != quarantine.Held
 }
 
-// isolate makes a call that holds a slot run alone if one more end may cause its request to
-// be held: such an end is then due to no other request and breaks no other call. It refuses
-// a call whose request was held while the call waited, and a call that must run alone if
-// other calls keep the back end busy.
+// isolate makes a call that has a slot run alone if one more end may cause its request to be
+// held: no other request can then have caused that end, and no other call is broken by it.
+// It refuses a call whose request has been held since awaitSuspectTurn, and a call that must
+// run alone but can't because other calls keep the back end busy.
 func (c *gateCall) isolate() (Refusal, bool) {
 	view := c.proxy.harmful.view.Load()
 	if view.Empty() || !view.HasHead(c.headHash()) {
 		c.trial = 1
 		return Refusal{}, true
 	}
-	signature, signed := c.signature()
-	if !signed {
+	signature, known := c.signature()
+	if !known {
 		return Refusal{}, true
 	}
-	belief, refusal := c.proxy.quarantineState(view, signature)
-	if belief == quarantine.Held {
+	state, refusal := c.proxy.quarantineState(view, signature)
+	if state == quarantine.Held {
 		return refusal, false
 	}
 	c.trial = view.LastTrial(signature) + 1
@@ -76,15 +76,15 @@
 	if alone == nil {
 		return false
 	}
-	left := c.deadline - c.proxy.config.Clock()
-	patience := time.NewTimer(min(maxIsolationWait, left/isolationWaitDivisor))
-	defer patience.Stop()
+	remaining := c.deadline - c.proxy.config.Clock()
+	timer := time.NewTimer(min(maxIsolationWait, remaining/isolationWaitDivisor))
+	defer timer.Stop()
 	select {
 	case <-alone:
 		c.proxy.counters.isolatedCalls.Add(1)
 		c.runsAlone = true
 		return true
-	case <-patience.C:
+	case <-timer.C:
 	case <-c.context.Done():
 	}
 	return false
@@ -109,26 +109,26 @@
 // is held. A call is at least suspected if its sender states that an instance has ended
 // under an earlier attempt, since the record of that end may not have arrived here yet.
 func (c *gateCall) quarantineState() (quarantine.State, Refusal) {
-	least := quarantine.Trusted
+	minState := quarantine.Trusted
 	if c.request.Header.Get(headerEnded) != "" {
-		least = quarantine.Suspected
+		minState = quarantine.Suspected
 	}
 	view := c.proxy.harmful.view.Load()
 	if view.Empty() || !view.HasHead(c.headHash()) {
-		return least, Refusal{}
+		return minState, Refusal{}
 	}
 	c.body.awaitSignatureBytes(c.context)
-	signature, signed := c.signature()
-	if !signed {
-		return least, Refusal{}
+	signature, known := c.signature()
+	if !known {
+		return minState, Refusal{}
 	}
-	belief, refusal := c.proxy.quarantineState(view, signature)
-	return max(least, belief), refusal
+	state, refusal := c.proxy.quarantineState(view, signature)
+	return max(minState, state), refusal
 }
 
 func (p *Proxy) quarantineState(view *quarantine.View, signature quarantine.Signature) (quarantine.State, Refusal) {
-	belief, held := view.State(p.config.Clock(), signature)
-	return belief, Refusal{Code: result.Quarantined, RetryAfter: held}
+	state, holdRemaining := view.State(p.config.Clock(), signature)
+	return state, Refusal{Code: result.Quarantined, RetryAfter: holdRemaining}
 }
 
 // recordSuccess records that the back end has answered the call, unless the status is a
@@ -137,7 +137,7 @@
 	if status >= http.StatusInternalServerError {
 		return
 	}
-	if signature, signed := c.signature(); signed {
+	if signature, known := c.signature(); known {
 		c.proxy.harmful.recordAnswered(signature)
 	}
 }
@@ -158,11 +158,11 @@
 	if c.suspicion.instanceEnds >= maxEndsPerCall {
 		return quarantine.Held, Refusal{Code: result.Quarantined}
 	}
-	belief, refusal := c.sharedQuarantineState()
-	if belief == quarantine.Trusted && c.suspicion.instanceEnds > 0 {
-		belief = quarantine.Suspected
+	state, refusal := c.sharedQuarantineState()
+	if state == quarantine.Trusted && c.suspicion.instanceEnds > 0 {
+		state = quarantine.Suspected
 	}
-	return belief, refusal
+	return state, refusal
 }
 
 // sharedQuarantineState returns the quarantine state of the call's request by the records
@@ -183,10 +183,10 @@
 
 // headHash returns the hash of the call's head, equal to the one that its gate computes.
 func (c *callerCall) headHash() quarantine.Hash {
-	sent := c.proxy.targetURL("", c.request, c.hostPath.path)
-	target := sent.Opaque
+	url := c.proxy.targetURL("", c.request, c.hostPath.path)
+	target := url.Opaque
 	if target == "" {
-		target = sent.RequestURI()
+		target = url.RequestURI()
 	}
 	caller := ""
 	if edge := c.proxy.config.Edge; edge != nil {
@@ -202,10 +202,10 @@
 		return true
 	}
 	c.body.awaitSignatureBytes(c.context)
-	body, signed := c.body.signatureHash()
+	body, known := c.body.signatureHash()
 	c.suspicion.signature = quarantine.Signature{Head: c.headHash(), Body: body}
-	c.suspicion.signed = signed
-	return signed
+	c.suspicion.signed = known
+	return known
 }
 
 // recordInstanceEnd records a gate's report that an instance has ended and that the call is
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -34,10 +34,10 @@
 	Backend func(time.Duration)
 }
 
-// observeDuration calls a function of Timings unless it is nil.
-func observeDuration(to func(time.Duration), took time.Duration) {
-	if to != nil {
-		to(took)
+// observeDuration calls a function of Timings with a duration unless the function is nil.
+func observeDuration(receive func(time.Duration), duration time.Duration) {
+	if receive != nil {
+		receive(duration)
 	}
 }
 
@@ -58,15 +58,15 @@
 	return header.Get(headerRequest)
 }
 
-// isSampled reports whether a successful request is logged. The choice depends only on the
-// id, so that all daemons log the same requests.
+// isSampled reports whether a successful request is logged: one in sampleDivisor, chosen by
+// an FNV-1a hash of the id, so that all daemons log the same requests.
 func isSampled(id string) bool {
-	const share = 128
+	const sampleDivisor = 128
 	sum := uint32(2166136261)
 	for index := range len(id) {
 		sum = (sum ^ uint32(id[index])) * 16777619
 	}
-	return sum%share == 0
+	return sum%sampleDivisor == 0
 }
 
 func formatInt(value int) string { return strconv.Itoa(value) }
@@ -110,13 +110,13 @@
 		textField("route", c.route.Resource.Name),
 		textField("service", c.service.Name),
 	}
-	if held := c.proxy.view.Load().snapshot; held != nil {
-		fields = append(fields, versionField(held.Version))
+	if current := c.proxy.view.Load().snapshot; current != nil {
+		fields = append(fields, versionField(current.Version))
 	}
 	return fields
 }
 
-// endpointFields returns the known state of an endpoint and its age.
+// endpointFields returns the fields for the known state of an endpoint and its age.
 func endpointFields(chosen *endpoint.Endpoint, now time.Duration) []EventField {
 	if chosen == nil {
 		return []EventField{textField("endpoint", "none")}
@@ -167,7 +167,7 @@
 	})
 }
 
-// drainField returns whether this daemon has begun to drain.
+// drainField returns the field that states whether this daemon has begun to drain.
 func (p *Proxy) drainField() EventField {
 	return textField("draining", strconv.FormatBool(p.drain.started.Load()))
 }
@@ -190,11 +190,11 @@
 	})
 }
 
-// versionFields returns the configuration version in force and its freshness.
+// versionFields returns the fields for the configuration version in force and its freshness.
 func (p *Proxy) versionFields() []EventField {
 	var fields []EventField
-	if held := p.view.Load().snapshot; held != nil {
-		fields = append(fields, versionField(held.Version))
+	if current := p.view.Load().snapshot; current != nil {
+		fields = append(fields, versionField(current.Version))
 	}
 	if p.config.Freshness != nil {
 		fields = append(fields, p.config.Freshness()...)
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -29,8 +29,8 @@
 	// thousandths: one stall of the link says little about the next one.
 	maxExcess = 2 * perMille
 	// excessLifetime is how long the recorded excess remains in use after the last body that
-	// waited. If the excess causes every further body to be refused, no wait can show that the
-	// link is free again.
+	// waited. Without it, an excess that causes all further bodies to be refused would last
+	// forever, since no wait could then show that the link is free again.
 	excessLifetime = 2 * time.Second
 	// transferMeanWeight is the weight of a new value in the moving means.
 	transferMeanWeight = 1.0 / 8
@@ -64,8 +64,8 @@
 // expectedWait returns how long one more body is expected to wait for its turn: queueWait,
 // increased by the current excess.
 func (t *transferQueue) expectedWait(now time.Duration) time.Duration {
-	queue := t.queueWait()
-	return queue + queue*time.Duration(t.currentExcess(now))/perMille
+	queueWait := t.queueWait()
+	return queueWait + queueWait*time.Duration(t.currentExcess(now))/perMille
 }
 
 // currentExcess returns the excess in thousandths; 0 if it is older than excessLifetime.
@@ -79,10 +79,10 @@
 // queueWait returns how long one more body is expected to wait for the bodies at this gate,
 // without other traffic on the link.
 func (t *transferQueue) queueWait() time.Duration {
-	mean := t.meanNanos.Load()
-	wait := t.waiting.Load() * mean / transferLimit
+	meanNanos := t.meanNanos.Load()
+	wait := t.waiting.Load() * meanNanos / transferLimit
 	if len(t.turns) == transferLimit {
-		wait += mean / (transferLimit + 1) // the expected time until one of transferLimit turns ends
+		wait += meanNanos / (transferLimit + 1) // the expected time until one of transferLimit turns ends
 	}
 	return time.Duration(wait)
 }
@@ -94,9 +94,9 @@
 		return // too short for a meaningful ratio
 	}
 	ratio := min(max(int64((waited-expected)*perMille/expected), 0), maxExcess)
-	old := t.currentExcess(now)
+	previous := t.currentExcess(now)
 	t.excessUpdatedAt.Store(int64(now))
-	t.excessPerMille.Store(old + int64(float64(ratio-old)*transferMeanWeight))
+	t.excessPerMille.Store(previous + int64(float64(ratio-previous)*transferMeanWeight))
 }
 
 // equivalentQueueLength returns the number of queued calls that would make the next call
@@ -126,14 +126,14 @@
 func (t *transferQueue) releaseTurn() { <-t.turns }
 
 // completeTurn frees the turn of a body that took the given time and updates the mean time.
-func (t *transferQueue) completeTurn(took time.Duration) {
+func (t *transferQueue) completeTurn(duration time.Duration) {
 	t.releaseTurn()
-	mean := t.meanNanos.Load()
-	next := int64(took)
-	if mean > 0 {
-		next = mean + int64(float64(next-mean)*transferMeanWeight)
+	meanNanos := t.meanNanos.Load()
+	newMean := int64(duration)
+	if meanNanos > 0 {
+		newMean = meanNanos + int64(float64(newMean-meanNanos)*transferMeanWeight)
 	}
-	t.meanNanos.Store(next)
+	t.meanNanos.Store(newMean)
 }
 
 // transferTurn is the turn of one body. A body that stalls for transferIdleTimeout, for
@@ -165,12 +165,12 @@
 
 // end ends the turn after the given time. Only a body that arrived complete within its turn
 // counts for the mean time.
-func (t *transferTurn) end(took time.Duration, whole bool) {
+func (t *transferTurn) end(duration time.Duration, complete bool) {
 	t.idleTimer.Stop()
 	switch {
 	case !t.released.CompareAndSwap(false, true):
-	case whole:
-		t.queue.completeTurn(took)
+	case complete:
+		t.queue.completeTurn(duration)
 	default:
 		t.queue.releaseTurn()
 	}
@@ -189,8 +189,8 @@
 
 // localEndpoint returns the endpoint of this daemon's own back end if the call has a large
 // body and is expected to be answered there in time, and otherwise nil. The body then
-// crosses no link, and the links of back ends that receive uploads are saturated before
-// their slots are.
+// crosses no network link. The link of a back end that receives uploads is saturated before
+// its slots are all in use.
 func (c *callerCall) localEndpoint(set *endpoint.Set, now time.Duration) *endpoint.Endpoint {
 	gate := c.proxy.gate
 	if !c.body.isLarge() || gate == nil || !gate.HasFreeSlot() {
@@ -203,9 +203,9 @@
 	return set.ChooseOnNode(now, c.proxy.config.NodeID, c.triedEndpoints)
 }
 
-// isFromThisDaemon reports whether this daemon itself has sent the call. The id of such a
-// call is requestPrefix and a count without a hyphen; a prefix alone is not enough, since the
-// id of another daemon may begin with the same characters.
+// isFromThisDaemon reports whether this daemon itself has sent the call. The request id of
+// such a call consists of requestIDPrefix and a count without a hyphen. The prefix alone is
+// not enough, since the request ids of another daemon may begin with it.
 func (c *gateCall) isFromThisDaemon() bool {
 	count, found := strings.CutPrefix(c.request.Header.Get(headerRequest), c.proxy.requestIDPrefix)
 	return found && !strings.Contains(count, "-")
@@ -223,21 +223,21 @@
 	}
 	transfers := c.proxy.transfers
 	now := c.proxy.config.Clock()
-	queue, wait := transfers.queueWait(), transfers.expectedWait(now)
+	queueWait, wait := transfers.queueWait(), transfers.expectedWait(now)
 	if float64(wait) > maxTransferWaitShare*float64(c.deadline-now) {
 		return Refusal{Code: result.QueueFull, RetryAfter: wait}, false
 	}
-	if late := c.expectedLateness(now, wait); late > 0 {
-		return Refusal{Code: result.QueueFull, RetryAfter: late}, false
+	if lateness := c.expectedLateness(now, wait); lateness > 0 {
+		return Refusal{Code: result.QueueFull, RetryAfter: lateness}, false
 	}
 	if !transfers.acquireTurn(c.context) {
 		return Refusal{Code: c.cancellationCode()}, false
 	}
-	began := c.proxy.config.Clock()
-	transfers.recordWait(began, queue, began-now)
+	startedAt := c.proxy.config.Clock()
+	transfers.recordWait(startedAt, queueWait, startedAt-now)
 	turn := transfers.startTurn()
 	err := c.body.preload(c.context, turn.recordProgress)
-	turn.end(c.proxy.config.Clock()-began, err == nil)
+	turn.end(c.proxy.config.Clock()-startedAt, err == nil)
 	if err != nil {
 		return bodyRefusal(c.context, err), false
 	}
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -33,9 +33,9 @@
 		check.True(transfers.acquireTurn(t.Context()))
 	}
 	large := strings.Repeat("x", largeBodyBytes)
-	ended := make(chan callResult, 3)
+	results := make(chan callResult, 3)
 	for range 3 {
-		go func() { ended <- mesh.call(t, "POST", "/", large) }()
+		go func() { results <- mesh.call(t, "POST", "/", large) }()
 	}
 	for transfers.waiting.Load() < 3 {
 		time.Sleep(time.Millisecond)
@@ -45,7 +45,7 @@
 	check.True(strings.HasPrefix(mesh.gates[0].loadHeaderValue(), "0 3 "))
 	transfers.completeTurn(time.Millisecond)
 	for range 3 {
-		check.True((<-ended).body == large)
+		check.True((<-results).body == large)
 	}
 	transfers.completeTurn(time.Millisecond)
 	check.Equal(len(transfers.turns), 0)
@@ -84,18 +84,18 @@
 		_, _ = io.Copy(writer, request.Body)
 	}})
 	transfers := mesh.gates[0].transfers
-	var still []net.Conn
+	var stalledConns []net.Conn
 	for range transferLimit {
-		still = append(still, slowUpload(t, mesh, ""))
+		stalledConns = append(stalledConns, slowUpload(t, mesh, ""))
 	}
 	for len(transfers.turns) < transferLimit {
 		time.Sleep(time.Millisecond)
 	}
-	ended := make(chan callResult, 1)
-	go func() { ended <- mesh.call(t, "POST", "/", strings.Repeat("x", largeBodyBytes)) }()
-	check.Equal(await(t, ended, "an answer beside bodies that stand still").status, http.StatusOK)
+	results := make(chan callResult, 1)
+	go func() { results <- mesh.call(t, "POST", "/", strings.Repeat("x", largeBodyBytes)) }()
+	check.Equal(await(t, results, "an answer while other bodies stall").status, http.StatusOK)
 	check.True(transfers.meanTime() < transferIdleTimeout) // stalled bodies do not count for the mean
-	for _, conn := range still {
+	for _, conn := range stalledConns {
 		_, _ = io.WriteString(conn, strings.Repeat("x", largeBodyBytes-len("first")))
 		check.Equal(statusLine(conn), "HTTP/1.1 200 OK")
 	}
@@ -115,10 +115,10 @@
 // waiting for bodies that arrive over the link. It distributes small bodies by load.
 func TestLargeBodyPrefersLocalBackEnd(t *testing.T) {
 	check := is.New(t)
-	var beside, elsewhere atomic.Int64
+	var localRuns, otherRuns atomic.Int64
 	mesh := startMesh(t, meshOptions{changeCaller: func(config *Config) {
 		config.NodeID, config.Incarnation, config.Backend, config.Slots = "gate-a", 7, "a", 6
-	}}, countingBackend(&beside), countingBackend(&elsewhere))
+	}}, countingBackend(&localRuns), countingBackend(&otherRuns))
 	for range transferLimit {
 		check.True(mesh.gates[0].transfers.acquireTurn(t.Context())) // as for bodies from other daemons
 	}
@@ -126,11 +126,11 @@
 	for range 20 {
 		check.Equal(mesh.call(t, "POST", "/", large).status, http.StatusOK)
 	}
-	check.Equal(beside.Load(), int64(20))
+	check.Equal(localRuns.Load(), int64(20))
 	for range 20 {
 		mesh.call(t, "POST", "/", "small")
 	}
-	check.True(elsewhere.Load() > 0)
+	check.True(otherRuns.Load() > 0)
 }
 
 // TestExpectedWaitFollowsObservedWaits: if the link carries other traffic, bodies wait longer
@@ -138,75 +138,75 @@
 // answers late.
 func TestExpectedWaitFollowsObservedWaits(t *testing.T) {
 	check := is.New(t)
-	waits := newTransferQueue()
-	waits.meanNanos.Store(int64(90 * time.Millisecond))
-	check.Equal(waits.expectedWait(0), time.Duration(0)) // a turn is free
+	queue := newTransferQueue()
+	queue.meanNanos.Store(int64(90 * time.Millisecond))
+	check.Equal(queue.expectedWait(0), time.Duration(0)) // a turn is free
 	for range transferLimit {
-		check.True(waits.acquireTurn(t.Context()))
+		check.True(queue.acquireTurn(t.Context()))
 	}
-	check.Equal(waits.expectedWait(0), 30*time.Millisecond) // until the first turn ends
-	waits.waiting.Add(4)
-	check.Equal(waits.expectedWait(0), 210*time.Millisecond)
+	check.Equal(queue.expectedWait(0), 30*time.Millisecond) // until the first turn ends
+	queue.waiting.Add(4)
+	check.Equal(queue.expectedWait(0), 210*time.Millisecond)
 	for range 100 {
-		waits.recordWait(0, 200*time.Millisecond, 300*time.Millisecond)
+		queue.recordWait(0, 200*time.Millisecond, 300*time.Millisecond)
 	}
-	check.True(waits.expectedWait(0) > 300*time.Millisecond)
+	check.True(queue.expectedWait(0) > 300*time.Millisecond)
 	for range 100 {
-		waits.recordWait(0, 200*time.Millisecond, time.Minute) // a stall
+		queue.recordWait(0, 200*time.Millisecond, time.Minute) // a stall
 	}
-	check.True(waits.expectedWait(0) <= 3*210*time.Millisecond)
-	waits.recordWait(0, 0, time.Minute) // nothing was expected
+	check.True(queue.expectedWait(0) <= 3*210*time.Millisecond)
+	queue.recordWait(0, 0, time.Minute) // nothing was expected
 	for range 100 {
-		waits.recordWait(0, 200*time.Millisecond, 100*time.Millisecond)
+		queue.recordWait(0, 200*time.Millisecond, 100*time.Millisecond)
 	}
-	check.Equal(waits.queueWait(), 210*time.Millisecond)
-	check.True(waits.expectedWait(0) < 220*time.Millisecond)
+	check.Equal(queue.queueWait(), 210*time.Millisecond)
+	check.True(queue.expectedWait(0) < 220*time.Millisecond)
 }
 
-// TestNodeIDPrefixIsNotSameDaemon: a call from a daemon is not mistaken for one from another
-// daemon whose request prefix is a prefix of its own.
+// TestNodeIDPrefixIsNotSameDaemon: the daemon "gate" does not mistake calls of the daemon
+// "gate-7" for its own, although their request ids begin with its own prefix.
 func TestNodeIDPrefixIsNotSameDaemon(t *testing.T) {
 	check := is.New(t)
-	own := New(Config{Clock: testClock, NodeID: "gate", Incarnation: 7})
-	other := New(Config{Clock: testClock, NodeID: "gate-7", Incarnation: 7})
-	for _, sender := range []*Proxy{own, other} {
+	gate := New(Config{Clock: testClock, NodeID: "gate", Incarnation: 7})
+	gate7 := New(Config{Clock: testClock, NodeID: "gate-7", Incarnation: 7})
+	for _, sender := range []*Proxy{gate, gate7} {
 		request := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/", nil)
 		request.Header.Set(headerRequest, sender.nextRequestID())
-		check.Equal((&gateCall{proxy: own, request: request}).isFromThisDaemon(), sender == own)
+		check.Equal((&gateCall{proxy: gate, request: request}).isFromThisDaemon(), sender == gate)
 	}
 }
 
-// TestExcessWaitExpires: a large excess may cause every body to be refused whose wait could
-// show that the link is free again. So it must expire.
+// TestExcessWaitExpires: a large excess may cause all further bodies to be refused. No wait
+// can then show that the link is free again, so the excess must expire.
 func TestExcessWaitExpires(t *testing.T) {
 	check := is.New(t)
-	waits := newTransferQueue()
-	waits.meanNanos.Store(int64(90 * time.Millisecond))
-	waits.waiting.Add(4)
-	waits.recordWait(time.Second, 200*time.Millisecond, time.Minute)
-	check.True(waits.expectedWait(time.Second+excessLifetime) > waits.queueWait())
-	check.Equal(waits.expectedWait(time.Second+excessLifetime+1), waits.queueWait())
+	queue := newTransferQueue()
+	queue.meanNanos.Store(int64(90 * time.Millisecond))
+	queue.waiting.Add(4)
+	queue.recordWait(time.Second, 200*time.Millisecond, time.Minute)
+	check.True(queue.expectedWait(time.Second+excessLifetime) > queue.queueWait())
+	check.Equal(queue.expectedWait(time.Second+excessLifetime+1), queue.queueWait())
 }
 
 // TestBodyThatWouldArriveTooLateIsRefusedUnsent: a call whose body would arrive too late for
 // its deadline, or for its route's target, is refused at once as not run.
 func TestBodyThatWouldArriveTooLateIsRefusedUnsent(t *testing.T) {
-	for name, route := range map[string]func(*resource.Route){
+	for name, changeRoute := range map[string]func(*resource.Route){
 		"deadline": nil,
-		"target":   func(route *resource.Route) { route.Target = time.Second },
+		"target":   func(changeRoute *resource.Route) { changeRoute.Target = time.Second },
 	} {
-		t.Run(name, func(t *testing.T) { expectRefusedUnsent(t, route) })
+		t.Run(name, func(t *testing.T) { expectRefusedUnsent(t, changeRoute) })
 	}
 }
 
-func expectRefusedUnsent(t *testing.T, route func(*resource.Route)) {
+func expectRefusedUnsent(t *testing.T, changeRoute func(*resource.Route)) {
 	check := is.New(t)
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{changeRoute: route}, countingBackend(&runs))
+	mesh := startMesh(t, meshOptions{changeRoute: changeRoute}, countingBackend(&runs))
 	transfers := mesh.gates[0].transfers
 	transfers.waiting.Add(4)
 	transfers.meanNanos.Store(int64(time.Minute))
-	if route != nil {
+	if changeRoute != nil {
 		transfers.meanNanos.Store(int64(800 * time.Millisecond)) // within maxTransferWaitShare of the deadline
 	}
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+mesh.address+"/",
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -22,9 +22,9 @@
 )
 
 // largeBodyBytes is the minimum length of a large body, in bytes. A large body is sent to a
-// gate only after the gate has asked for it, and then no longer refused because of the
-// call's target: sending the bytes once more, mostly between zones, costs more than a late
-// answer.
+// gate only after the gate has asked for it. From then on the gate does not refuse the call
+// because of its target: sending the bytes once more, mostly between zones, costs more than
+// a late answer.
 const largeBodyBytes = 16 << 10
 
 const (
@@ -36,8 +36,8 @@
 	discardWait  = 250 * time.Millisecond
 	discardBytes = 256 << 10
 	// arrivedBodyWait and arrivedBodyBytes limit the reading of a short body before a
-	// refusal. Such a body has usually arrived with its headers, and the connection can then
-	// be kept.
+	// refusal. Such a body has usually arrived with its headers. Once it is read, the
+	// connection can be kept.
 	arrivedBodyWait  = 2 * time.Millisecond
 	arrivedBodyBytes = 64 << 10
 )
@@ -108,7 +108,7 @@
 // A slow sender then occupies no slot, and a call that did not run can always be sent again.
 // It reads until the deadline of ctx, and calls onProgress, unless nil, for each part that
 // arrives.
-func (u *upload) preload(ctx context.Context, flows func()) error {
+func (u *upload) preload(ctx context.Context, onProgress func()) error {
 	if u == nil || u.declaredLength < 0 || u.declaredLength > int64(u.keepLimit) {
 		return nil
 	}
@@ -119,8 +119,8 @@
 	buffer := make([]byte, u.declaredLength+1)
 	for u.readErr == nil && ctx.Err() == nil {
 		count, _ := u.read(buffer) // stores the bytes and the error
-		if count > 0 && flows != nil {
-			flows()
+		if count > 0 && onProgress != nil {
+			onProgress()
 		}
 	}
 	switch {
@@ -266,11 +266,11 @@
 	if u.readErr != nil {
 		return 0, u.readErr
 	}
-	latest := time.Now().Add(u.stallTimeout)
-	if !u.readUntil.IsZero() && u.readUntil.Before(latest) {
-		latest = u.readUntil
+	deadline := time.Now().Add(u.stallTimeout)
+	if !u.readUntil.IsZero() && u.readUntil.Before(deadline) {
+		deadline = u.readUntil
 	}
-	_ = u.control.SetReadDeadline(latest)
+	_ = u.control.SetReadDeadline(deadline)
 	count, err := u.source.Read(bytes)
 	u.readCount += int64(count)
 	if u.readCount > u.maxBytes {
--- a/internal/proxy/uploadsignature.go
+++ b/internal/proxy/uploadsignature.go
@@ -7,6 +7,8 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
+// keepBytes appends bytes to those that are kept. If they exceed keepLimit, it drops all of
+// them, after hashing the first ones if needsHash is set. The lock is held.
 func (u *upload) keepBytes(bytes []byte) {
 	if u.overflow {
 		return
@@ -22,8 +24,7 @@
 	u.kept = append(u.kept, bytes...)
 }
 
-// requireHash makes the first bytes of the body be hashed, also if the body is too long to
-// be kept.
+// requireHash makes keepBytes hash the first bytes of a body that is too long to be kept.
 func (u *upload) requireHash() {
 	if u == nil {
 		return
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	// continueWait is how long a large body waits for the gate's status 100 (Continue). It
-	// exceeds any call's deadline, which ends the wait earlier.
+	// continueWait is how long a large body waits for the gate's status 100 (Continue). The
+	// deadline of the call ends the wait earlier.
 	continueWait = time.Hour
-	// maxSpareAge is how long a spare connection may wait for its first call, at most half of
-	// Limits.HeaderTimeout: the other side closes connections on which no request arrives.
+	// maxSpareAge is how long a spare connection may wait for its first call. It is reduced to
+	// half of Limits.HeaderTimeout if that is shorter, since the other side closes connections
+	// on which no request arrives.
 	maxSpareAge = 4 * time.Second
 	// maxSpares limits the spare connections to one address.
 	maxSpares = 8
@@ -64,7 +65,7 @@
 
 func newUpstream(address string, limits Limits, idle time.Duration) *upstream {
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &upstream{
+	created := &upstream{
 		context: ctx,
 		cancel:  cancel,
 		address: address,
@@ -76,8 +77,8 @@
 		maxSpareAge: min(maxSpareAge, limits.HeaderTimeout/2),
 		noSpares:    limits.NoSpares,
 	}
-	made.transport = &http.Transport{
-		DialContext:            made.dial,
+	created.transport = &http.Transport{
+		DialContext:            created.dial,
 		DisableCompression:     true,
 		MaxConnsPerHost:        limits.UpstreamConnections,
 		MaxIdleConnsPerHost:    limits.UpstreamConnections,
@@ -85,7 +86,7 @@
 		ExpectContinueTimeout:  continueWait,
 		MaxResponseHeaderBytes: int64(limits.HeaderBytes),
 	}
-	return made
+	return created
 }
 
 // dial returns a spare connection or opens one, and starts to open the next spare.
@@ -95,12 +96,12 @@
 	}
 	for {
 		select {
-		case ready := <-u.spares:
-			if time.Since(ready.openedAt) < u.maxSpareAge {
+		case spareConn := <-u.spares:
+			if time.Since(spareConn.openedAt) < u.maxSpareAge {
 				u.openSpares(1)
-				return u.newGuarded(ready.conn), nil
+				return u.newGuarded(spareConn.conn), nil
 			}
-			_ = ready.conn.Close()
+			_ = spareConn.conn.Close()
 			continue
 		default:
 		}
@@ -114,8 +115,7 @@
 	}
 }
 
-// reserveConn reserves a connection within the limit of openConns. It waits at most
-// dialTimeout for one.
+// reserveConn waits until openConns allows one more connection, for at most dialTimeout.
 func (u *upstream) reserveConn(ctx context.Context) error {
 	if u.openConns == nil {
 		return nil
@@ -125,11 +125,11 @@
 	return u.openConns.reserve(bounded, u.transport.CloseIdleConnections)
 }
 
-// newGuarded returns the guardedConn for a connection that was opened, and counts it.
+// newGuarded wraps an open connection in a guardedConn and counts it.
 func (u *upstream) newGuarded(conn net.Conn) *guardedConn {
-	made := newGuardedConn(conn, u.cancelLinger)
-	u.openConns.add(made)
-	return made
+	guarded := newGuardedConn(conn, u.cancelLinger)
+	u.openConns.add(guarded)
+	return guarded
 }
 
 // retire closes the idle connections, and the others once their calls have ended.
@@ -149,12 +149,12 @@
 	if err != nil || u.tlsConfig == nil {
 		return conn, err
 	}
-	guarded := tls.Client(conn, u.tlsConfig)
-	if err := guarded.HandshakeContext(bounded); err != nil {
+	tlsConn := tls.Client(conn, u.tlsConfig)
+	if err := tlsConn.HandshakeContext(bounded); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return guarded, nil
+	return tlsConn, nil
 }
 
 // dialTimeout returns how long connecting may take now.
@@ -195,8 +195,8 @@
 func (u *upstream) dropSpares() {
 	for {
 		select {
-		case ready := <-u.spares:
-			_ = ready.conn.Close()
+		case spareConn := <-u.spares:
+			_ = spareConn.conn.Close()
 		default:
 			return
 		}
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -29,8 +29,8 @@
 	name string
 	// allEndpoints holds every endpoint of the service.
 	allEndpoints *endpoint.Set
-	// pool holds the endpoints for calls that may run in any region, restricted those for
-	// other calls, by the region restrictions of the view's routes.
+	// pool holds the endpoints for calls that may run in any region; restricted holds the
+	// pools for the region restrictions of the view's routes.
 	pool
 	restricted  []restrictedPool
 	retryBudget *retry.Budget
@@ -46,89 +46,89 @@
 }
 
 // findRoute returns the route of a request, or nil.
-func (v *view) findRoute(request *http.Request, located hostPath) *routing.Route {
+func (v *view) findRoute(request *http.Request, place hostPath) *routing.Route {
 	return v.routes.Find(routing.Query{
-		Method: request.Method, Host: located.host, Path: located.path, Header: request.Header.Get,
+		Method: request.Method, Host: place.host, Path: place.path, Header: request.Header.Get,
 	})
 }
 
 // buildView returns the view for a configuration snapshot and the state of the mesh.
 // Endpoint statistics, retry budgets and connections carry over from the previous view.
-func (p *Proxy) buildView(previous *view, held *snapshot.Snapshot, state MeshState) *view {
+func (p *Proxy) buildView(previous *view, snap *snapshot.Snapshot, state MeshState) *view {
 	next := &view{
-		snapshot:  held,
+		snapshot:  snap,
 		routes:    previous.routes,
 		mesh:      state,
 		services:  map[resource.ServiceRef]*service{},
 		upstreams: map[string]*upstream{},
 	}
-	if held == nil {
+	if snap == nil {
 		return next
 	}
-	if held != previous.snapshot {
-		next.routes = p.compileRoutes(held)
+	if snap != previous.snapshot {
+		next.routes = p.compileRoutes(snap)
 	}
 	now := p.config.Clock()
-	budget := p.retryLimits(len(state.Members))
-	index := endpoint.NewMemberIndex(state.Members)
-	self := endpoint.Locality{
+	budgetLimits := p.retryLimits(len(state.Members))
+	members := endpoint.NewMemberIndex(state.Members)
+	locality := endpoint.Locality{
 		Region: p.config.Region, Zone: p.config.Zone, TrustStates: p.config.Reported, Spill: p.config.Spill,
 		Evacuations: state.Evacuations,
 	}
-	for reference, backends := range p.backendsOf(held, state.Members) {
-		made := &service{name: reference.String()}
-		var oldSet *endpoint.Set
-		if old := previous.services[reference]; old != nil {
-			oldSet = old.allEndpoints
-			made.retryBudget = old.retryBudget
-			made.retryBudget.SetMinimumRetries(budget.Part)
+	for reference, backends := range p.backendsOf(snap, state.Members) {
+		built := &service{name: reference.String()}
+		var previousSet *endpoint.Set
+		if previousService := previous.services[reference]; previousService != nil {
+			previousSet = previousService.allEndpoints
+			built.retryBudget = previousService.retryBudget
+			built.retryBudget.SetMinimumRetries(budgetLimits.Part)
 		} else {
-			made.retryBudget = retry.NewBudgetWithLimits(budget)
+			built.retryBudget = retry.NewBudgetWithLimits(budgetLimits)
 		}
-		self.ColdRate = held.Services[reference].WarmUp.PerSecond
-		made.allEndpoints = endpoint.BuildIndexed(oldSet, self, backends, index, now)
-		made.applySplit(state.Splits[reference])
-		made.buildRestrictedPools(next.routes.RestrictionsOf(reference))
-		next.services[reference] = made
-		p.assignUpstreams(previous, next, made.allEndpoints)
+		locality.ColdRate = snap.Services[reference].WarmUp.PerSecond
+		built.allEndpoints = endpoint.BuildIndexed(previousSet, locality, backends, members, now)
+		built.applySplit(state.Splits[reference])
+		built.buildRestrictedPools(next.routes.RestrictionsOf(reference))
+		next.services[reference] = built
+		p.assignUpstreams(previous, next, built.allEndpoints)
 	}
 	return next
 }
 
 // compileRoutes returns the routing table of a snapshot. With an Edge, it matches hosts and
 // paths as they were sent.
-func (p *Proxy) compileRoutes(held *snapshot.Snapshot) *routing.Table {
+func (p *Proxy) compileRoutes(snap *snapshot.Snapshot) *routing.Table {
 	if p.config.Edge != nil {
-		return routing.CompileVerbatim(held)
+		return routing.CompileVerbatim(snap)
 	}
-	return routing.Compile(held)
+	return routing.Compile(snap)
 }
 
 // retryLimits returns the limits of each retry budget in a mesh of the given number of
 // daemons.
-func (p *Proxy) retryLimits(daemons int) retry.Limits {
+func (p *Proxy) retryLimits(daemonCount int) retry.Limits {
 	if p.config.RetryBudget == nil {
 		return retry.DefaultLimits()
 	}
-	return p.config.RetryBudget(daemons)
+	return p.config.RetryBudget(daemonCount)
 }
 
 // backendsOf returns the back ends of each service: those that the snapshot declares or, if
 // back ends report themselves, those in the member records.
-func (p *Proxy) backendsOf(held *snapshot.Snapshot, members []protocol.Member) map[resource.ServiceRef][]resource.Backend {
+func (p *Proxy) backendsOf(snap *snapshot.Snapshot, members []protocol.Member) map[resource.ServiceRef][]resource.Backend {
 	if !p.config.Reported {
-		return held.Backends
+		return snap.Backends
 	}
-	counts := make(map[resource.ServiceRef]int, len(held.Services))
+	counts := make(map[resource.ServiceRef]int, len(snap.Services))
 	for index := range members {
 		counts[members[index].Service]++
 	}
-	backends := make(map[resource.ServiceRef][]resource.Backend, len(held.Services))
-	for reference := range held.Services {
+	backends := make(map[resource.ServiceRef][]resource.Backend, len(snap.Services))
+	for reference := range snap.Services {
 		backends[reference] = make([]resource.Backend, 0, counts[reference])
 	}
 	for _, member := range members {
-		if _, known := held.Services[member.Service]; !known || member.Backend == "" {
+		if _, known := snap.Services[member.Service]; !known || member.Backend == "" {
 			continue
 		}
 		backends[member.Service] = append(backends[member.Service], resource.Backend{
@@ -142,23 +142,23 @@
 // assignUpstreams sets the upstream of every endpoint of a set in the next view: the one of
 // the previous view or, for a new address, a new one.
 func (p *Proxy) assignUpstreams(previous, next *view, set *endpoint.Set) {
-	for _, one := range set.All {
-		if one.Address == "" || next.upstreams[one.Address] != nil {
+	for _, candidate := range set.All {
+		if candidate.Address == "" || next.upstreams[candidate.Address] != nil {
 			continue
 		}
-		kept := previous.upstreams[one.Address]
-		if kept == nil {
-			kept = newUpstream(one.Address, p.limits, p.limits.UpstreamIdle)
-			kept.tlsConfig = p.config.PeerTLS
-			kept.roundTrip = p.config.RoundTrip
-			if !p.config.Reported && one.Zone == p.config.Zone && one.Region == p.config.Region {
-				kept.openSpares(1)
+		gateUpstream := previous.upstreams[candidate.Address]
+		if gateUpstream == nil {
+			gateUpstream = newUpstream(candidate.Address, p.limits, p.limits.UpstreamIdle)
+			gateUpstream.tlsConfig = p.config.PeerTLS
+			gateUpstream.roundTrip = p.config.RoundTrip
+			if !p.config.Reported && candidate.Zone == p.config.Zone && candidate.Region == p.config.Region {
+				gateUpstream.openSpares(1)
 			}
 		}
-		if before := kept.incarnation.Swap(uint64(one.Incarnation)); before != 0 && before != uint64(one.Incarnation) {
-			kept.closeIdle()
+		if earlier := gateUpstream.incarnation.Swap(uint64(candidate.Incarnation)); earlier != 0 && earlier != uint64(candidate.Incarnation) {
+			gateUpstream.closeIdle()
 		}
-		next.upstreams[one.Address] = kept
+		next.upstreams[candidate.Address] = gateUpstream
 	}
 }
 
@@ -172,18 +172,18 @@
 			old.close()
 		}
 	}
-	for _, one := range next.services {
-		p.closeIdleToStopping(next, one.allEndpoints)
+	for _, service := range next.services {
+		p.closeIdleToStopping(next, service.allEndpoints)
 	}
 }
 
 // closeIdleToStopping closes the idle connections to endpoints that drain or are down, so
 // that no call is sent on a connection while the other side closes it.
 func (p *Proxy) closeIdleToStopping(next *view, set *endpoint.Set) {
-	for _, one := range set.All {
-		if one.State == protocol.EndpointDraining || one.State == protocol.EndpointDown {
-			if leaving := next.upstreams[one.Address]; leaving != nil {
-				leaving.closeIdle()
+	for _, candidate := range set.All {
+		if candidate.State == protocol.EndpointDraining || candidate.State == protocol.EndpointDown {
+			if gateUpstream := next.upstreams[candidate.Address]; gateUpstream != nil {
+				gateUpstream.closeIdle()
 			}
 		}
 	}
--- a/internal/proxy/warmth.go
+++ b/internal/proxy/warmth.go
@@ -7,14 +7,14 @@
 )
 
 // updateColdLimit limits calls to a cold back end to the warm-up rate of its service.
-func (p *Proxy) updateColdLimit(held *snapshot.Snapshot) {
-	if p.gate == nil || held == nil {
+func (p *Proxy) updateColdLimit(snap *snapshot.Snapshot) {
+	if p.gate == nil || snap == nil {
 		return
 	}
-	stated := held.Services[p.config.Service].WarmUp
+	warmUp := snap.Services[p.config.Service].WarmUp
 	// The gate of a back end that reports itself is closed until the first report.
 	opened := !p.config.Reported || p.reported.current.Load() != nil
-	p.gate.SetColdLimit(p.config.Clock(), p.config.WarmUp.Limit(stated.PerSecond), opened)
+	p.gate.SetColdLimit(p.config.Clock(), p.config.WarmUp.Limit(warmUp.PerSecond), opened)
 }
 
 // SetColdUntil sets the time on the clock until which the back end is cold. Before the first
--- a/internal/proxy/warmth_test.go
+++ b/internal/proxy/warmth_test.go
@@ -21,7 +21,7 @@
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, coldRateOptions, countingBackend(&runs), countingBackend(&runs))
-	asked := func() uint64 { return mesh.gates[0].Counters().GateCalls + mesh.gates[1].Counters().GateCalls }
+	gateCalls := func() uint64 { return mesh.gates[0].Counters().GateCalls + mesh.gates[1].Counters().GateCalls }
 	for range 3 {
 		got := mesh.call(t, http.MethodPost, "/", "body")
 		expectRefusal(check, got, result.WarmingUp, result.RanNo)
@@ -30,20 +30,20 @@
 		check.True(seconds >= 1 && seconds <= 2)
 	}
 	check.Equal(runs.Load(), int64(0))
-	check.Equal(asked(), uint64(2)) // the first call tried both gates, the others none
+	check.Equal(gateCalls(), uint64(2)) // the first call tried both gates, the others none
 	check.True(mesh.gates[0].Counters().Cold)
 }
 
 func TestCallRefusedByColdGateRunsAtWarmGate(t *testing.T) {
 	check := is.New(t)
-	var atCold, atWarm atomic.Int64
-	mesh := startMesh(t, coldRateOptions, countingBackend(&atCold), countingBackend(&atWarm))
+	var coldRuns, warmRuns atomic.Int64
+	mesh := startMesh(t, coldRateOptions, countingBackend(&coldRuns), countingBackend(&warmRuns))
 	mesh.gates[1].SetColdUntil(0)
 	for range 20 {
 		check.Equal(mesh.call(t, http.MethodPost, "/", "body").status, http.StatusOK)
 	}
-	check.Equal(atCold.Load(), int64(0))
-	check.Equal(atWarm.Load(), int64(20))
+	check.Equal(coldRuns.Load(), int64(0))
+	check.Equal(warmRuns.Load(), int64(20))
 }
 
 func TestServiceWithoutWarmUpRateIsNotLimited(t *testing.T) {
