--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -16,8 +16,8 @@
 const serverWriteTimeout = 10 * time.Minute
 
 // sideHandler is the HTTP handler of one side of a proxy: the callers' side or the gate.
-// NewServer takes the proxy from it, so that the proxy can cut the calls on the server's
-// connections at the hard bound of a drain.
+// NewServer gets the proxy from it, so that the proxy can cancel the calls on the server's
+// connections at the end of a drain.
 type sideHandler struct {
 	proxy *Proxy
 	serve func(http.ResponseWriter, *http.Request)
--- a/internal/proxy/signature.go
+++ b/internal/proxy/signature.go
@@ -6,9 +6,9 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
-// hashRequestHead returns the hash of a request's head, which is equal on the callers'
-// side and at the gate. The target is the one that is sent to the back end, and caller
-// the service that made the call.
+// hashRequestHead returns the hash of a request's head, which is equal on the callers' side
+// and at the gate. The target is the path and query as they are sent to the back end; caller
+// is the service that made the call.
 func hashRequestHead(request *http.Request, target, caller string) quarantine.Hash {
 	head := quarantine.Head{
 		Method: request.Method, Host: routingHost(request.Host), Target: target, Caller: caller,
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -88,7 +88,7 @@
 }
 
 // recordWait updates the excess with how long a body has waited for its turn. The expected
-// wait is what queueWait returned when the body arrived.
+// wait is the one that queueWait returned before.
 func (t *transferQueue) recordWait(now, expected, waited time.Duration) {
 	if expected <= 0 || expected < t.meanTime()/transferLimit {
 		return // too short for a meaningful ratio
@@ -102,12 +102,12 @@
 // equivalentQueueLength returns the number of queued calls that would make the next call
 // wait for a slot as long as it would wait for its body's turn. The gate adds it to the
 // queue length that it reports.
-func (t *transferQueue) equivalentQueueLength(now time.Duration, slots int, service time.Duration) int {
+func (t *transferQueue) equivalentQueueLength(now time.Duration, slots int, serviceTime time.Duration) int {
 	waiting := int(t.waiting.Load())
-	if service <= 0 {
+	if serviceTime <= 0 {
 		return waiting
 	}
-	return max(waiting, int(t.expectedWait(now)*time.Duration(slots)/service))
+	return max(waiting, int(t.expectedWait(now)*time.Duration(slots)/serviceTime))
 }
 
 // acquireTurn waits for a turn; it returns false if ctx ends before.
@@ -183,8 +183,8 @@
 	if c.ticket.Target <= 0 || wait <= c.proxy.transfers.meanTime() {
 		return 0
 	}
-	service := c.proxy.gate.CautiousServiceTime(&c.ticket.Call)
-	return max(now+wait+c.proxy.transfers.meanTime()+service-c.ticket.Target, 0)
+	serviceTime := c.proxy.gate.CautiousServiceTime(&c.ticket.Call)
+	return max(now+wait+c.proxy.transfers.meanTime()+serviceTime-c.ticket.Target, 0)
 }
 
 // localEndpoint returns the endpoint of this daemon's own back end if the call has a large
@@ -196,8 +196,8 @@
 	if !c.body.isLarge() || gate == nil || !gate.HasFreeSlot() {
 		return nil
 	}
-	service := gate.CautiousServiceTime(&admission.Call{Class: c.route.Class})
-	if c.route.Resource.Target > 0 && now+service > c.targetTime {
+	serviceTime := gate.CautiousServiceTime(&admission.Call{Class: c.route.Class})
+	if c.route.Resource.Target > 0 && now+serviceTime > c.targetTime {
 		return nil
 	}
 	return set.ChooseOnNode(now, c.proxy.config.NodeID, c.triedEndpoints)
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -46,8 +46,8 @@
 // are kept so that the body can be sent again until more than keepLimit bytes have been
 // read.
 type upload struct {
-	// mutex is not shared between calls. It is needed because an earlier attempt may still
-	// read while the next one begins.
+	// mutex is private to the call, so that calls don't contend for it. It is needed because
+	// an earlier attempt may still read while the next one begins.
 	mutex        sync.Mutex
 	source       io.ReadCloser
 	control      *http.ResponseController
