--- a/internal/pipeline/framing.go
+++ b/internal/pipeline/framing.go
@@ -7,44 +7,45 @@
 	"strconv"
 )
 
-// framing is what a request's head tells about where the request ends.
+// framing describes where a request ends, as far as its head states it.
 type framing struct {
-	// known is false when only the server can tell where the request ends, or
-	// whether another one may follow.
+	// known is false if only the server can determine where the request ends or whether
+	// another request may follow it.
 	known bool
-	// body is the length of the body that follows the head, in bytes.
+	// bodyLength is the length of the body that follows the head, in bytes.
 	bodyLength int
 }
 
-// headEnd returns the length of the head at the start of text, its empty line
-// included, or -1 when the head is not complete. Lines may end without a
-// carriage return, as the server allows.
+// headLength returns the length of the head at the start of text, including its empty
+// line, or -1 if the head is not complete. Lines may end without a carriage return, as
+// the server allows.
 func headLength(text []byte) int {
-	for from := 0; ; {
-		newline := bytes.IndexByte(text[from:], '\n')
+	for lineStart := 0; ; {
+		newline := bytes.IndexByte(text[lineStart:], '\n')
 		if newline < 0 {
 			return -1
 		}
-		from += newline + 1
-		rest := text[from:]
+		lineStart += newline + 1
+		rest := text[lineStart:]
 		switch {
 		case bytes.HasPrefix(rest, []byte("\n")):
-			return from + 1
+			return lineStart + 1
 		case bytes.HasPrefix(rest, []byte("\r\n")):
-			return from + 2
+			return lineStart + 2
 		}
 	}
 }
 
-// readFraming reads the framing from a complete head. Whatever is not plain is
-// left to the server.
+// readFraming parses the framing from a complete head. The framing is unknown if the head
+// has an unusual request line, or a header other than a single Content-Length that may
+// affect where the request ends or whether the connection is kept.
 func readFraming(head []byte) framing {
 	first, rest, _ := bytes.Cut(head, []byte("\n"))
 	if !isPlainRequestLine(first) {
 		return framing{}
 	}
-	made := framing{known: true}
-	stated := false
+	parsed := framing{known: true}
+	hasLength := false
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
@@ -55,14 +56,14 @@
 		value = bytes.TrimSpace(value)
 		switch {
 		case line[0] == ' ' || line[0] == '\t':
-			return framing{} // the rest of the line before
+			return framing{} // a continuation of the previous line
 		case equalFold(name, "Content-Length"):
 			length, err := strconv.ParseUint(string(value), 10, 31)
-			if err != nil || stated {
+			if err != nil || hasLength {
 				return framing{}
 			}
-			made.bodyLength = int(length)
-			stated = true
+			parsed.bodyLength = int(length)
+			hasLength = true
 		case equalFold(name, "Connection"):
 			if !equalFold(value, "keep-alive") {
 				return framing{}
@@ -71,11 +72,11 @@
 			return framing{}
 		}
 	}
-	return made
+	return parsed
 }
 
-// plainRequestLine tells whether a request line names a path and HTTP/1.1.
-// Requests for other targets may be answered without a handler.
+// isPlainRequestLine reports whether a request line has a path as its target and the
+// version HTTP/1.1. The server may answer requests for other targets without a handler.
 func isPlainRequestLine(line []byte) bool {
 	method, rest, found := bytes.Cut(line, []byte(" "))
 	if !found || len(method) == 0 || method[0] < 'A' || method[0] > 'Z' {
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -22,8 +22,8 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// echo answers with what it was asked: a status, a length, after some yielding,
-// and with trailers or an interim answer if wanted.
+// echo answers as the query says: with a status, a length, a number of yields before the
+// answer, chunks with a trailer, an interim answer, or an answer that breaks off.
 func echo(writer http.ResponseWriter, request *http.Request) {
 	for range queryInt(request, "yield") {
 		runtime.Gosched()
@@ -64,7 +64,7 @@
 	}
 }
 
-// drawRequest draws the bytes of one request.
+// drawRequest draws the bytes of one random request.
 func drawRequest(t *rapid.T, index int) []byte {
 	query := fmt.Sprintf("/%d?yield=%d&length=%d&hint=%d", index,
 		rapid.IntRange(0, 30).Draw(t, "yield"),
@@ -105,7 +105,7 @@
 	return []byte("GET " + query + host + "Connection: keep-alive\r\n\r\n")
 }
 
-// cut draws how bytes are cut into writes.
+// drawPieces cuts bytes into pieces of random sizes, one for each write.
 func drawPieces(t *rapid.T, text []byte) [][]byte {
 	var pieces [][]byte
 	for len(text) > 0 {
@@ -116,8 +116,8 @@
 	return pieces
 }
 
-// TestAnswersAreThoseOfASerialServer compares all bytes that come back with those
-// of the library alone.
+// TestAnswersAreThoseOfASerialServer compares the answers to random pipelined requests
+// with those of the net/http server alone.
 func TestAnswersAreThoseOfASerialServer(t *testing.T) {
 	serial, ahead := newTestServer(t, true, echo), newTestServer(t, false, echo)
 	rapid.Check(t, func(t *rapid.T) {
@@ -127,9 +127,9 @@
 		}
 		text = append(text, "GET /last HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"...)
 		pieces := drawPieces(t, text)
-		wanted, got := serial.exchange(pieces), ahead.exchange(pieces)
-		if !sameAnswers(wanted, got) {
-			t.Fatalf("sent %q in pieces %d\nserial %q\nahead  %q", text, pieceSizes(pieces), abbreviate(wanted), abbreviate(got))
+		expected, got := serial.exchange(pieces), ahead.exchange(pieces)
+		if !sameAnswers(expected, got) {
+			t.Fatalf("sent %q in pieces %d\nserial %q\nahead  %q", text, pieceSizes(pieces), abbreviate(expected), abbreviate(got))
 		}
 	})
 	check := is.New(t)
@@ -137,22 +137,23 @@
 	check.Equal(ahead.budget.Used(), int64(0))
 }
 
-// sizes are the lengths of pieces.
+// pieceSizes returns the lengths of pieces.
 func pieceSizes(pieces [][]byte) []int {
 	return lo.Map(pieces, func(piece []byte, _ int) int { return len(piece) })
 }
 
-// shorten leaves most of the bodies out.
+// abbreviate replaces the repetitive parts of bodies, for readable failure messages.
 func abbreviate(text []byte) []byte {
 	return bytes.ReplaceAll(text, bytes.Repeat([]byte("abcdefghij"), 10), []byte("~"))
 }
 
-// sameAnswers compares answers. One that breaks off may do so earlier or later.
-func sameAnswers(wanted, got []byte) bool {
-	return bytes.Equal(wanted, got) || slices.Equal(readAnswers(wanted), readAnswers(got))
+// sameAnswers reports whether two streams have equal complete answers. An answer that
+// breaks off may have been cut at different places.
+func sameAnswers(expected, got []byte) bool {
+	return bytes.Equal(expected, got) || slices.Equal(readAnswers(expected), readAnswers(got))
 }
 
-// readAnswers reads whole answers as text.
+// readAnswers returns the complete answers of a stream as text.
 func readAnswers(text []byte) (answers []string) {
 	reader := bufio.NewReader(bytes.NewReader(text))
 	for {
@@ -169,10 +170,10 @@
 	}
 }
 
-// get is a request that may be repeated.
+// getRequest returns the text of a request that may be repeated.
 func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
-// read reads one answer and returns its body.
+// readAnswerBody reads one answer and returns its body.
 func readAnswerBody(t testing.TB, reader *bufio.Reader) string {
 	t.Helper()
 	answer, err := http.ReadResponse(reader, nil)
@@ -186,7 +187,8 @@
 	return string(body)
 }
 
-// gated is a handler whose requests wait until the test lets them go on.
+// blockingHandler is a handler that blocks each request until the test closes the release
+// channel of its path. It reports the paths of started and cancelled requests.
 type blockingHandler struct {
 	mutex     sync.Mutex
 	releases  map[string]chan struct{}
@@ -198,24 +200,24 @@
 	return &blockingHandler{releases: map[string]chan struct{}{}, started: make(chan string, 64), cancelled: make(chan string, 64)}
 }
 
-func (g *blockingHandler) release(path string) chan struct{} {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if g.releases[path] == nil {
-		g.releases[path] = make(chan struct{})
+func (h *blockingHandler) release(path string) chan struct{} {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.releases[path] == nil {
+		h.releases[path] = make(chan struct{})
 	}
-	return g.releases[path]
+	return h.releases[path]
 }
 
-func (g *blockingHandler) serve(writer http.ResponseWriter, request *http.Request) {
+func (h *blockingHandler) serve(writer http.ResponseWriter, request *http.Request) {
 	path := request.URL.Path
 	_, _ = io.Copy(io.Discard, request.Body)
-	g.started <- path
+	h.started <- path
 	select {
-	case <-g.release(path):
+	case <-h.release(path):
 		_, _ = io.WriteString(writer, path)
 	case <-request.Context().Done():
-		g.cancelled <- path
+		h.cancelled <- path
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -227,8 +229,8 @@
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b")+getRequest("/c"))
 	check.NoErr(err)
-	begun := map[string]bool{<-handler.started: true, <-handler.started: true, <-handler.started: true}
-	check.Equal(begun, map[string]bool{"/a": true, "/b": true, "/c": true})
+	startedPaths := map[string]bool{<-handler.started: true, <-handler.started: true, <-handler.started: true}
+	check.Equal(startedPaths, map[string]bool{"/a": true, "/b": true, "/c": true})
 	close(handler.release("/c"))
 	close(handler.release("/b"))
 	close(handler.release("/a"))
@@ -238,9 +240,8 @@
 	check.Equal(readAnswerBody(t, reader), "/c")
 }
 
-// TestUnsafeWaitsForEveryAnswerAhead: a request that may not be repeated is not
-// run while an answer ahead of it could still close the connection, whether it has a
-// body or not.
+// TestUnsafeRequestWaitsForEarlierAnswers: a request that may not be repeated, with or
+// without a body, does not run while an earlier answer could still close the connection.
 func TestUnsafeRequestWaitsForEarlierAnswers(t *testing.T) {
 	for name, body := range map[string]string{"body": "hi", "none": ""} {
 		t.Run(name, func(t *testing.T) { testUnsafeWaits(t, body) })
@@ -261,28 +262,28 @@
 	close(handler.release("/a"))
 	reader := bufio.NewReader(conn)
 	check.Equal(readAnswerBody(t, reader), "/a")
-	check.Equal(len(handler.started), 0) // the answer of /b has not gone yet
+	check.Equal(len(handler.started), 0) // the answer of /b has not been sent yet
 	check.Equal(readAnswerBody(t, reader), "/b")
-	begun := map[string]bool{<-handler.started: true, <-handler.started: true}
-	check.Equal(begun, map[string]bool{"/pay": true, "/c": true}) // side by side
+	startedPaths := map[string]bool{<-handler.started: true, <-handler.started: true}
+	check.Equal(startedPaths, map[string]bool{"/pay": true, "/c": true}) // concurrently
 	close(handler.release("/pay"))
 	check.Equal(readAnswerBody(t, reader), "/pay")
 	close(handler.release("/c"))
 	check.Equal(readAnswerBody(t, reader), "/c")
 }
 
-// TestAClosingAnswerDropsWhatIsBehindIt: nothing behind it is answered, and what
-// runs is cancelled.
+// TestClosingAnswerCancelsLaterRequests: after an answer that closes the connection, no
+// later request is answered, and those that run are cancelled.
 func TestClosingAnswerCancelsLaterRequests(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
-	rig := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
+	server := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/last" {
 			writer.Header().Set("Connection", "close")
 		}
 		handler.serve(writer, request)
 	})
-	conn := rig.dial()
+	conn := server.dial()
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/last")+getRequest("/b")+getRequest("/c"))
 	check.NoErr(err)
@@ -290,36 +291,37 @@
 		<-handler.started
 	}
 	close(handler.release("/last"))
-	answered, err := io.ReadAll(conn)
+	answers, err := io.ReadAll(conn)
 	check.NoErr(err)
-	check.Equal(strings.Count(string(answered), "HTTP/1.1"), 1)
-	gone := []string{<-handler.cancelled, <-handler.cancelled}
-	check.True(gone[0] != gone[1])
+	check.Equal(strings.Count(string(answers), "HTTP/1.1"), 1)
+	cancelledPaths := []string{<-handler.cancelled, <-handler.cancelled}
+	check.True(cancelledPaths[0] != cancelledPaths[1])
 }
 
-// TestNoMoreAnswersMeansNoMoreCalls: when the server ends its sending side, what runs
-// ahead is cancelled at once, though the connection is closed later.
+// TestCloseWriteCancelsPendingCalls: when the server closes its sending side, requests that
+// run ahead are cancelled at once, although the connection is closed only later.
 func TestCloseWriteCancelsPendingCalls(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
-	rig := newTestServer(t, false, handler.serve)
-	conn := rig.dial()
+	server := newTestServer(t, false, handler.serve)
+	conn := server.dial()
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b"))
 	check.NoErr(err)
 	<-handler.started
 	<-handler.started
-	wrapped := <-rig.conns
-	check.True(wrapped.HasPendingAnswers())
-	check.NoErr(wrapped.CloseWrite())
+	serverConn := <-server.conns
+	check.True(serverConn.HasPendingAnswers())
+	check.NoErr(serverConn.CloseWrite())
 	check.Equal(<-handler.cancelled, "/b")
-	check.True(!wrapped.HasPendingAnswers())
+	check.True(!serverConn.HasPendingAnswers())
 }
 
-// TestALeavingClientIsSeenWhileRequestsWait: also behind a request that must
-// wait for its turn, and with more requests than may run.
+// TestDisconnectIsDetectedWhileRequestsWait: a request is cancelled when its client
+// disconnects, also if requests that must wait, an incomplete request, or more requests
+// than may run ahead follow it.
 func TestDisconnectIsDetectedWhileRequestsWait(t *testing.T) {
-	for name, behind := range map[string]string{
+	for name, laterRequests := range map[string]string{
 		"none":    "",
 		"safe":    getRequest("/b"),
 		"unsafe":  "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi",
@@ -330,7 +332,7 @@
 			check := is.New(t)
 			handler := newBlockingHandler()
 			conn := newTestServer(t, false, handler.serve).dial()
-			_, err := io.WriteString(conn, getRequest("/a")+behind)
+			_, err := io.WriteString(conn, getRequest("/a")+laterRequests)
 			check.NoErr(err)
 			check.NoErr(conn.Close())
 			for path := <-handler.cancelled; path != "/a"; path = <-handler.cancelled {
@@ -343,15 +345,15 @@
 	}
 }
 
-// TestWhatIsHeldIsBounded: a handler whose answer is longer than may be held
-// waits for its turn, and the connection is read no further than its bound.
+// TestBufferedAnswersAreBounded: a handler whose answer exceeds the buffer waits for its
+// turn, and the connection is read no further than Config.InputBytes.
 func TestBufferedAnswersAreBounded(t *testing.T) {
 	check := is.New(t)
-	open := make(chan struct{})
+	releaseFirst := make(chan struct{})
 	var written atomic.Int64
-	rig := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
+	server := newTestServer(t, false, func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path == "/a" {
-			<-open
+			<-releaseFirst
 			return
 		}
 		for range 64 {
@@ -361,55 +363,55 @@
 			written.Add(1 << 10)
 		}
 	})
-	conn := rig.dial()
+	conn := server.dial()
 	defer conn.Close()
-	sent := make(chan error, 1)
+	writeDone := make(chan error, 1)
 	go func() {
 		_, err := io.WriteString(conn, getRequest("/a")+getRequest("/b")+getRequest("/c")+strings.Repeat("x", 64<<10))
-		sent <- err
+		writeDone <- err
 	}()
-	for written.Load() < 2*int64(rig.config.AnswerBytes) {
+	for written.Load() < 2*int64(server.config.AnswerBytes) {
 		runtime.Gosched()
 	}
-	check.Equal(rig.budget.Used(), written.Load())
-	check.Equal(len(sent), 0) // not all of it was read
-	close(open)
+	check.Equal(server.budget.Used(), written.Load())
+	check.Equal(len(writeDone), 0) // the server has not read all of it
+	close(releaseFirst)
 	reader := bufio.NewReader(conn)
 	check.Equal(len(readAnswerBody(t, reader)), 0)
 	check.Equal(len(readAnswerBody(t, reader)), 64<<10)
 	check.Equal(len(readAnswerBody(t, reader)), 64<<10)
-	check.Equal(rig.budget.Used(), int64(0))
+	check.Equal(server.budget.Used(), int64(0))
 }
 
-// TestTimeBehindOthersIsKnown: the time of a request counts from its arrival,
-// whether it runs ahead or waits for its turn.
+// TestTurnWaitCountsFromArrival: the wait of a request for its turn counts from its
+// arrival and is 0 for a request that arrives on an idle connection.
 func TestTurnWaitCountsFromArrival(t *testing.T) {
 	check := is.New(t)
 	handler := newBlockingHandler()
-	rig := newTestServer(t, false, handler.serve)
-	conn := rig.dial()
+	server := newTestServer(t, false, handler.serve)
+	conn := server.dial()
 	defer conn.Close()
 	_, err := io.WriteString(conn, getRequest("/a"))
 	check.NoErr(err)
 	check.Equal(<-handler.started, "/a")
-	wrapped := <-rig.conns
-	check.True(!wrapped.HasPendingAnswers())
+	serverConn := <-server.conns
+	check.True(!serverConn.HasPendingAnswers())
 	_, err = io.WriteString(conn, "POST /pay HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi")
 	check.NoErr(err)
-	came := time.Now()
+	sentAt := time.Now()
 	close(handler.release("/a"))
 	reader := bufio.NewReader(conn)
 	check.Equal(readAnswerBody(t, reader), "/a")
 	check.Equal(<-handler.started, "/pay")
-	check.True(<-rig.turnWaits == 0)
-	waited := <-rig.turnWaits
-	check.True(waited > 0 && waited <= time.Since(came)+time.Second)
+	check.True(<-server.turnWaits == 0)
+	waited := <-server.turnWaits
+	check.True(waited > 0 && waited <= time.Since(sentAt)+time.Second)
 	close(handler.release("/pay"))
 	check.Equal(readAnswerBody(t, reader), "/pay")
 }
 
-// FuzzHead holds the looking for a head's end and its framing to the library: what
-// is said to be a whole request without a body is one.
+// FuzzHead compares headLength and readFraming with http.ReadRequest: a head with a known
+// framing ends at the same byte and has the same body length.
 func FuzzHead(f *testing.F) {
 	f.Add([]byte(getRequest("/a")))
 	f.Add([]byte("GET / HTTP/1.1\nHost: a\n\n"))
@@ -422,19 +424,19 @@
 		if size < 0 {
 			return
 		}
-		form := readFraming(text[:size])
+		parsed := readFraming(text[:size])
 		reader := bufio.NewReader(bytes.NewReader(text))
 		request, err := http.ReadRequest(reader)
-		if !form.known || err != nil {
+		if !parsed.known || err != nil {
 			return // the server decides, and closes on an error
 		}
 		consumed := len(text) - reader.Buffered()
 		if len(text) <= 4096 && consumed != size {
 			t.Fatalf("the head of %q ends at %d, not at %d", text, consumed, size)
 		}
-		if request.ContentLength != int64(form.bodyLength) || len(request.TransferEncoding) > 0 || request.Close {
+		if request.ContentLength != int64(parsed.bodyLength) || len(request.TransferEncoding) > 0 || request.Close {
 			t.Fatalf("%q: body %d, encoded %v, close %v; said to have %d",
-				text, request.ContentLength, request.TransferEncoding, request.Close, form.bodyLength)
+				text, request.ContentLength, request.TransferEncoding, request.Close, parsed.bodyLength)
 		}
 	})
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -19,7 +19,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// patterned is a body of a given length that depends on the place.
+// patternReader is a body of a given length whose bytes depend on their position. It hashes
+// the bytes that were read.
 type patternReader struct {
 	remaining int
 	hash      *xxhash.Digest
@@ -45,13 +46,13 @@
 	return stats.HeapAlloc
 }
 
-// TestLargeUploadStreams sends 64 MiB, with and without a stated length. While
-// the back end does not read, nothing but bounded buffers may fill up.
+// TestLargeUploadStreams sends 64 MiB, with and without a Content-Length. While the back end
+// does not read, the heap must not grow by more than the proxy's bounded buffers.
 func TestLargeUploadStreams(t *testing.T) {
 	const size = 64 << 20
 	const heapBound = 16 << 20
-	for _, stated := range []int64{size, -1} {
-		t.Run(fmt.Sprint(stated), func(t *testing.T) {
+	for _, contentLength := range []int64{size, -1} {
+		t.Run(fmt.Sprint(contentLength), func(t *testing.T) {
 			check := is.New(t)
 			stalled := make(chan struct{})
 			resume := make(chan struct{})
@@ -64,24 +65,25 @@
 				_, _ = io.Copy(hash, request.Body)
 				sum <- hash.Sum64()
 			}})
-			before := heapBytes()
+			heapBefore := heapBytes()
 			body := &patternReader{remaining: size, hash: xxhash.New()}
 			request, err := http.NewRequest("PUT", "http://"+mesh.address+"/label", body)
 			check.NoErr(err)
-			request.ContentLength = stated
-			done := make(chan callResult)
-			go func() { done <- mesh.send(t, request) }()
+			request.ContentLength = contentLength
+			results := make(chan callResult)
+			go func() { results <- mesh.send(t, request) }()
 			<-stalled
-			check.True(heapBytes() < before+heapBound)
+			check.True(heapBytes() < heapBefore+heapBound)
 			close(resume)
-			check.Equal((<-done).status, http.StatusOK)
+			check.Equal((<-results).status, http.StatusOK)
 			check.Equal(<-sum, body.hash.Sum64())
 		})
 	}
 }
 
-// TestRefusedUploadGoesElsewhereUnread: a body too large to be kept waits for
-// the gate's leave, so a gate that drains costs nothing.
+// TestUnsentUploadIsRetriedAfterRefusal: a body that is too large to be kept is sent only
+// after the gate's status 100 (Continue), so it can be sent elsewhere after a draining gate
+// has refused the call.
 func TestUnsentUploadIsRetriedAfterRefusal(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -94,8 +96,8 @@
 	check.Equal(runs.Load(), int64(6))
 }
 
-// TestAnswerAndRequestStreamTogether: each part of the answer comes before the
-// next part of the request is sent.
+// TestAnswerAndRequestStreamTogether: the back end answers each part of the request before
+// the caller sends the next part.
 func TestAnswerAndRequestStreamTogether(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
@@ -125,7 +127,7 @@
 	check.NoErr(writer.Close())
 }
 
-// TestEarlyAnswerEndsTheUpload: the back end answers without reading.
+// TestAnswerBeforeEndOfUploadIsDelivered: the back end answers without reading the body.
 func TestAnswerBeforeEndOfUploadIsDelivered(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
@@ -140,8 +142,8 @@
 	mesh.awaitIdle()
 }
 
-// TestRestOfARefusedBodyIsNoRequest: the refusal comes at once, and what is
-// sent of the body afterwards is never taken for the next request.
+// TestRefusedBodyIsNotParsedAsRequest: a body over the limit is refused at once, and the
+// connection is closed so that the rest of the body is not parsed as the next request.
 func TestRefusedBodyIsNotParsedAsRequest(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -160,7 +162,7 @@
 	_, err = io.Copy(io.Discard, answer.Body)
 	check.NoErr(err)
 	_, err = reader.ReadByte()
-	check.Equal(err, io.EOF) // closed, though the caller did not close it
+	check.Equal(err, io.EOF) // closed by the proxy
 	check.Equal(runs.Load(), int64(0))
 }
 
@@ -169,7 +171,7 @@
 	limits := Limits{StallTimeout: 50 * time.Millisecond, HeaderTimeout: 50 * time.Millisecond}
 	mesh := startMesh(t, meshOptions{limits: limits}, newBlockingBackend().spec())
 	for framing, ran := range map[string]string{
-		"Content-Length: 9\r\n\r\nx":               "no", // read before it is sent on
+		"Content-Length: 9\r\n\r\nx":               "no", // read completely before the first attempt
 		"Transfer-Encoding: chunked\r\n\r\n1\r\nx": "unknown",
 	} {
 		text := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHost: h\r\n"+framing)
@@ -177,18 +179,18 @@
 		check.True(strings.Contains(text, "Springstack-Code: 416\r\n"))
 		check.True(strings.Contains(text, "Springstack-Ran: "+ran+"\r\n"))
 	}
-	neverWhole := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHos")
-	check.True(strings.Contains(neverWhole, "Springstack-Code: 411\r\n"))
-	check.True(strings.Contains(neverWhole, "Springstack-Ran: no\r\n"))
+	incompleteHead := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHos")
+	check.True(strings.Contains(incompleteHead, "Springstack-Code: 411\r\n"))
+	check.True(strings.Contains(incompleteHead, "Springstack-Ran: no\r\n"))
 	mesh.awaitIdle()
 }
 
 func TestSlowReaderIsCutOff(t *testing.T) {
 	check := is.New(t)
 	limits := Limits{StallTimeout: 50 * time.Millisecond}
-	ended := make(chan struct{})
+	answerCut := make(chan struct{})
 	mesh := startMesh(t, meshOptions{limits: limits}, backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
-		defer close(ended)
+		defer close(answerCut)
 		block := bytes.Repeat([]byte("x"), 1<<20)
 		for {
 			if _, err := writer.Write(block); err != nil {
@@ -201,7 +203,7 @@
 	defer conn.Close()
 	_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	check.NoErr(err)
-	<-ended // the back end's answer broke, though nobody hung up
+	<-answerCut // the proxy cut the answer, although the caller did not disconnect
 	mesh.awaitIdle()
 }
 
@@ -210,21 +212,22 @@
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	mesh.address = startServer(t, mesh.caller.CallerHandler(), Limits{Connections: 1})
-	check.Equal(mesh.call(t, "GET", "/", "").status, http.StatusOK) // kept open
+	check.Equal(mesh.call(t, "GET", "/", "").status, http.StatusOK) // its connection stays open
 	text := mesh.sendRaw(t, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	check.True(strings.Contains(text, "Springstack-Code: 302\r\n"))
 	check.True(strings.Contains(text, "Retry-After: 1\r\n"))
 }
 
-// TestQueueIsFullAtOnce: the refusal comes at once and says when to come back.
+// TestQueueIsFullAtOnce: a call that finds the queue full is refused at once, with a
+// Retry-After header.
 func TestQueueIsFullAtOnce(t *testing.T) {
 	check := is.New(t)
 	backend := newBlockingBackend()
 	options := meshOptions{slots: 1, limits: Limits{QueueLength: 1}, changeRoute: func(route *resource.Route) { route.Timeout = time.Hour }}
 	mesh := startMesh(t, options, backend.spec())
-	done := make(chan callResult, 2)
+	results := make(chan callResult, 2)
 	for range 2 {
-		go func() { done <- mesh.call(t, "POST", "/", "x") }()
+		go func() { results <- mesh.call(t, "POST", "/", "x") }()
 	}
 	<-backend.entered
 	for mesh.gates[0].gate.Load().Queued == 0 {
@@ -234,6 +237,6 @@
 	expectRefusal(check, refused, result.QueueFull, result.RanNo)
 	check.Equal(refused.header.Get("Retry-After"), "1")
 	close(backend.release)
-	check.Equal((<-done).body, "done")
-	check.Equal((<-done).body, "done")
+	check.Equal((<-results).body, "done")
+	check.Equal((<-results).body, "done")
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -10,54 +10,54 @@
 )
 
 const (
-	// continueWait is how long a large body waits for the gate's leave; the
-	// call's deadline ends it earlier.
+	// continueWait is how long a large body waits for the gate's status 100 (Continue). The
+	// deadline of the call ends the wait earlier.
 	continueWait = time.Hour
-	// spareLife is how long a connection opened ahead may wait for its first
-	// call, but not longer than half of what a server of ours waits for a
-	// request: the other side closes connections without one.
+	// maxSpareAge is how long a spare connection may wait for its first call. It is reduced to
+	// half of Limits.HeaderTimeout if that is shorter, since the other side closes connections
+	// on which no request arrives.
 	maxSpareAge = 4 * time.Second
-	// spareLimit bounds the connections opened ahead to one address.
+	// maxSpares limits the spare connections to one address.
 	maxSpares = 8
 )
 
-// keepAlive finds connections to machines without power or behind a cut, so
-// that no call is sent on one of them after the machine is back.
+// keepAliveConfig detects connections to machines that are without power or unreachable, so
+// that no call is sent on such a connection after the machine has returned.
 var keepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2}
 
-// upstream is the connections to one address: of a gate, or of the back end.
+// upstream manages the connections to one address, that of a gate or of the back end.
 type upstream struct {
 	address string
-	// linger is how long a cancelled call may take to end; see guardedConn.
+	// cancelLinger is how long a cancelled call may take to end; see guardedConn.
 	cancelLinger time.Duration
-	// secure is for TLS; nil connects in the clear.
+	// tlsConfig is nil for unencrypted connections.
 	tlsConfig *tls.Config
 	transport *http.Transport
 	dialer    net.Dialer
-	// roundTrip tells how long peers take to answer; nil knows nothing of it. dialLimit
-	// bounds what it may make of the time to connect.
+	// roundTrip returns how long peers take to answer, which extends the time to connect up
+	// to dialLimit; it may be nil.
 	roundTrip   func() time.Duration
 	dialLimit   time.Duration
 	spares      chan spare
 	maxSpareAge time.Duration
-	// takesUnframed takes answers whose end is that of their connection.
+	// acceptsUnframed is set if answers may end with their connection instead of stating
+	// their length.
 	acceptsUnframed bool
-	// noSpares opens no connections ahead of calls.
+	// noSpares disables spare connections.
 	noSpares      bool
 	openingSpares atomic.Int64
-	// incarnation is that of the daemon at the address; connections to an
-	// earlier one are dead.
+	// incarnation is the incarnation of the daemon at the address; connections to an earlier
+	// incarnation are dead.
 	incarnation atomic.Uint64
 	silence     silenceMonitor
-	// open are its connections where they are counted, as those to the back end are; nil for
-	// a gate's.
+	// openConns counts the connections to the back end; nil for those to a gate.
 	openConns *openConns
-	// context ends when the upstream is given up.
+	// context ends when the upstream is closed.
 	context context.Context
 	cancel  context.CancelFunc
 }
 
-// spare is a connection opened ahead of its first call.
+// spare is a connection that was opened before a call needed it.
 type spare struct {
 	conn     net.Conn
 	openedAt time.Time
@@ -65,7 +65,7 @@
 
 func newUpstream(address string, limits Limits, idle time.Duration) *upstream {
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &upstream{
+	created := &upstream{
 		context: ctx,
 		cancel:  cancel,
 		address: address,
@@ -77,8 +77,8 @@
 		maxSpareAge: min(maxSpareAge, limits.HeaderTimeout/2),
 		noSpares:    limits.NoSpares,
 	}
-	made.transport = &http.Transport{
-		DialContext:            made.dial,
+	created.transport = &http.Transport{
+		DialContext:            created.dial,
 		DisableCompression:     true,
 		MaxConnsPerHost:        limits.UpstreamConnections,
 		MaxIdleConnsPerHost:    limits.UpstreamConnections,
@@ -86,23 +86,22 @@
 		ExpectContinueTimeout:  continueWait,
 		MaxResponseHeaderBytes: int64(limits.HeaderBytes),
 	}
-	return made
+	return created
 }
 
-// dial hands out a connection opened ahead, or opens one; either way it sees
-// to it that another one is ready.
+// dial returns a spare connection or opens one, and starts to open the next spare.
 func (u *upstream) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	if err := u.reserveConn(ctx); err != nil {
 		return nil, err
 	}
 	for {
 		select {
-		case ready := <-u.spares:
-			if time.Since(ready.openedAt) < u.maxSpareAge {
+		case spareConn := <-u.spares:
+			if time.Since(spareConn.openedAt) < u.maxSpareAge {
 				u.openSpares(1)
-				return u.newGuarded(ready.conn), nil
+				return u.newGuarded(spareConn.conn), nil
 			}
-			_ = ready.conn.Close()
+			_ = spareConn.conn.Close()
 			continue
 		default:
 		}
@@ -116,7 +115,7 @@
 	}
 }
 
-// reserve takes the place of a connection, and waits for it no longer than for the connection.
+// reserveConn waits until openConns allows one more connection, for at most dialTimeout.
 func (u *upstream) reserveConn(ctx context.Context) error {
 	if u.openConns == nil {
 		return nil
@@ -126,20 +125,20 @@
 	return u.openConns.reserve(bounded, u.transport.CloseIdleConnections)
 }
 
-// guard has a connection that was opened carry calls.
+// newGuarded wraps an open connection in a guardedConn and counts it.
 func (u *upstream) newGuarded(conn net.Conn) *guardedConn {
-	made := newGuardedConn(conn, u.cancelLinger)
-	u.openConns.add(made)
-	return made
+	guarded := newGuardedConn(conn, u.cancelLinger)
+	u.openConns.add(guarded)
+	return guarded
 }
 
-// retire gives up the connections that carry no call, and the others when their calls have ended.
+// retire closes the idle connections, and the others once their calls have ended.
 func (u *upstream) retire() {
 	u.openConns.retire()
 	u.closeIdle()
 }
 
-// connect opens a connection, ready for calls.
+// connect opens a connection, including the TLS handshake if there is one.
 func (u *upstream) connect(ctx context.Context) (net.Conn, error) {
 	timeout := u.dialTimeout()
 	bounded, cancel := context.WithTimeout(ctx, timeout)
@@ -150,15 +149,15 @@
 	if err != nil || u.tlsConfig == nil {
 		return conn, err
 	}
-	guarded := tls.Client(conn, u.tlsConfig)
-	if err := guarded.HandshakeContext(bounded); err != nil {
+	tlsConn := tls.Client(conn, u.tlsConfig)
+	if err := tlsConn.HandshakeContext(bounded); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return guarded, nil
+	return tlsConn, nil
 }
 
-// dialTimeout is how long connecting may take now.
+// dialTimeout returns how long connecting may take now.
 func (u *upstream) dialTimeout() time.Duration {
 	if u.roundTrip == nil {
 		return u.dialer.Timeout
@@ -166,7 +165,7 @@
 	return min(max(u.roundTrip(), u.dialer.Timeout), u.dialLimit)
 }
 
-// openAhead opens connections in the background for calls to come.
+// openSpares opens spare connections in the background, up to maxSpares.
 func (u *upstream) openSpares(count int) {
 	for range count {
 		if u.noSpares || u.openConns.isLimited() || u.context.Err() != nil || int(u.openingSpares.Load())+len(u.spares) >= maxSpares {
@@ -181,7 +180,7 @@
 	defer u.openingSpares.Add(-1)
 	conn, err := u.connect(u.context)
 	if err != nil {
-		return // the call that needs one meets the error itself
+		return // the next call dials itself and gets the error
 	}
 	select {
 	case u.spares <- spare{conn: conn, openedAt: time.Now()}:
@@ -196,21 +195,22 @@
 func (u *upstream) dropSpares() {
 	for {
 		select {
-		case ready := <-u.spares:
-			_ = ready.conn.Close()
+		case spareConn := <-u.spares:
+			_ = spareConn.conn.Close()
 		default:
 			return
 		}
 	}
 }
 
-// closeIdle gives up the connections that carry no call.
+// closeIdle closes the connections without a call.
 func (u *upstream) closeIdle() {
 	u.dropSpares()
 	u.transport.CloseIdleConnections()
 }
 
-// close gives up all connections once their calls have ended.
+// close closes the idle connections and stops opening spares. The other connections are
+// closed once their calls have ended.
 func (u *upstream) close() {
 	u.cancel()
 	u.closeIdle()
