--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -12,12 +12,12 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// GateHandler takes calls from other daemons to the back end beside this one.
+// GateHandler returns the handler for calls that other daemons send to the back end of this daemon.
 func (p *Proxy) GateHandler() http.Handler {
 	return &sideHandler{proxy: p, serve: p.serveGate}
 }
 
-// serveGate takes one call to the back end, and returns when it is answered.
+// serveGate handles one call to the back end and returns once the call is answered.
 func (p *Proxy) serveGate(writer http.ResponseWriter, request *http.Request) {
 	p.counters.gateCalls.Add(1)
 	p.runningGateCalls.Add(1)
@@ -46,57 +46,58 @@
 	control *http.ResponseController
 	body    *upload
 	context context.Context
-	// timeout is what is left of the call's time; deadline is on the clock.
+	// timeout is the time left for the call on arrival; deadline is its end on the proxy's clock.
 	timeout   time.Duration
 	deadline  time.Duration
 	ticket    *admission.Ticket
 	decisions decisionChannel
-	// backend is the instance that the call is for.
+	// backend is the back-end instance that the call names.
 	backend string
 	// start is the start of the instance that the call was last sent to.
 	start protocol.BackendStart
-	// table is that of the version by which the call may run here.
+	// table is the routing table by which the call's region was last checked.
 	table *routing.Table
-	// hasTurn says that it is suspected to be harmful and runs while no other one does.
+	// holdsSuspectTurn is set while the call, which is suspected to be harmful, holds
+	// Proxy.suspectTurn.
 	holdsSuspectTurn bool
-	// alone says that it runs while no other call does.
+	// runsAlone is set when the call has the back end to itself.
 	runsAlone bool
-	// trial is which trial of its request the run is, by the ends that were known as it began;
-	// 0 for not known.
+	// trial is the number of the trial of its request that the run counts as, by the ends known at
+	// its start; 0 if unknown.
 	trial uint32
-	// relay is what interim answers pass.
+	// relay forwards interim answers to the sender.
 	relay *interimRelay
-	// sendings are those to the back end, sent of them so far.
+	// dispatches are the transmissions to the back end; the first dispatchCount of them are used.
 	dispatches    [maxGateSends]dispatch
 	dispatchCount int
 }
 
-// verdictChannel is a waiter of the gate; it holds the one verdict.
+// decisionChannel waits for the gate's decision on a queued call; it buffers that one decision.
 type decisionChannel chan admission.Decision
 
-// Settle keeps the verdict; it never blocks, for there is only one.
-func (v decisionChannel) Settle(verdict admission.Decision) { v <- verdict }
+// Settle stores the decision. It never blocks, because there is only one decision per call.
+func (v decisionChannel) Settle(decision admission.Decision) { v <- decision }
 
-// run admits the call, sends it to the back end and passes the answer on.
+// run admits the call, sends it to the back end and forwards the answer.
 func (c *gateCall) run() {
-	came := c.proxy.config.Clock()
-	if refusal, refused := c.refuseEarly(came); refused {
+	arrivedAt := c.proxy.config.Clock()
+	if refusal, refused := c.refuseEarly(arrivedAt); refused {
 		c.refuseBeforeSend(refusal, 0)
 		return
 	}
 	if refusal, received := c.receiveBody(); !received {
-		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-came)
+		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-arrivedAt)
 		return
 	}
 	defer c.releaseSuspectTurn()
 	if refusal, passed := c.awaitSuspectTurn(); !passed {
-		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-came)
+		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-arrivedAt)
 		return
 	}
-	verdict := c.admit()
-	waited := c.proxy.config.Clock() - came
-	if verdict.State != admission.StateStarted {
-		c.refuseBeforeSend(refusalFor(verdict), waited)
+	decision := c.admit()
+	waited := c.proxy.config.Clock() - arrivedAt
+	if decision.State != admission.StateStarted {
+		c.refuseBeforeSend(refusalFor(decision), waited)
 		return
 	}
 	observeDuration(c.proxy.config.Timings.Queue, waited)
@@ -107,113 +108,114 @@
 	}
 	if refusal, passed := c.isolate(); !passed {
 		c.proxy.gate.Done(c.proxy.config.Clock(), c.ticket, false)
-		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-came)
+		c.refuseBeforeSend(refusal, c.proxy.config.Clock()-arrivedAt)
 		return
 	}
-	c.runAdmitted(came, waited)
+	c.runAdmitted(arrivedAt, waited)
 }
 
-// refusedAtOnce tells whether a call is refused before its body is taken in: told so early, it
-// costs its sender nothing, and while the back end is cold most bodies would come for nothing.
+// refuseEarly reports whether a call is refused before its body is read. An early refusal costs the
+// sender nothing, and while the back end is cold most bodies would be sent only to be refused.
 func (c *gateCall) refuseEarly(now time.Duration) (Refusal, bool) {
 	if code := c.proxy.gate.RefusalCode(); code != result.OK {
 		return Refusal{Code: code}, true
 	}
-	verdict, refused := c.proxy.gate.RefuseIfCold(now, c.ticket)
-	return refusalFor(verdict), refused
+	decision, refused := c.proxy.gate.RefuseIfCold(now, c.ticket)
+	return refusalFor(decision), refused
 }
 
-// refusalBy is the refusal that a verdict makes.
-func refusalFor(verdict admission.Decision) Refusal {
-	return Refusal{Code: verdict.Code, RetryAfter: verdict.RetryAfter}
+// refusalFor returns the refusal for a decision.
+func refusalFor(decision admission.Decision) Refusal {
+	return Refusal{Code: decision.Code, RetryAfter: decision.RetryAfter}
 }
 
-// refuseUnsent refuses a call that has waited for a time and was not sent to the back end.
+// refuseBeforeSend refuses a call that waited for the given time and was not sent to the back end.
 func (c *gateCall) refuseBeforeSend(refusal Refusal, waited time.Duration) {
 	c.traceGate("gate_refused", refusal.Code, 0, waited, 0)
 	c.refuse(refusal)
 }
 
-// runStarted sends a call that has a slot to the back end and passes the answer on.
-func (c *gateCall) runAdmitted(came, waited time.Duration) {
-	sent := c.send()
-	refusal, refused := c.classifyOutcome(sent)
-	ran := c.proxy.config.Clock() - came - waited
+// runAdmitted sends a call that holds a slot to the back end and forwards the answer.
+func (c *gateCall) runAdmitted(arrivedAt, waited time.Duration) {
+	sentExchange := c.send()
+	refusal, refused := c.classifyOutcome(sentExchange)
+	serviceTime := c.proxy.config.Clock() - arrivedAt - waited
 	if refusal.Code == result.BrokenInFlight {
 		refusal.Ended = c.awaitSuspectedEnd()
 	}
 	c.endIsolation()
-	c.recordBackendResult(sent, refusal, refused, ran)
-	observeDuration(c.proxy.config.Timings.Backend, ran)
-	// The slot is given back once, whatever happens below.
-	defer c.releaseSlot(sent, !refused || refusal.execution() != result.RanNo)
+	c.recordBackendResult(sentExchange, refusal, refused, serviceTime)
+	observeDuration(c.proxy.config.Timings.Backend, serviceTime)
+	// The slot is released once, even if forwarding the answer panics.
+	defer c.releaseSlot(sentExchange, !refused || refusal.execution() != result.RanNo)
 	if refused {
 		c.ticket.Unmeasured = refusal.Code == result.BrokenInFlight || c.isHung()
-		c.traceGate("gate_failed", refusal.Code, 0, waited, ran)
+		c.traceGate("gate_failed", refusal.Code, 0, waited, serviceTime)
 		c.refuse(refusal)
 		return
 	}
-	c.traceGate("gate_answered", result.OK, sent.answer.StatusCode, waited, ran)
+	c.traceGate("gate_answered", result.OK, sentExchange.answer.StatusCode, waited, serviceTime)
 	c.proxy.health.recordAnswer()
-	c.recordSuccess(sent.answer.StatusCode)
-	c.recordHangEvidence(sent.answer, ran)
-	c.ticket.Unmeasured = sent.answer.StatusCode >= http.StatusInternalServerError
-	c.deliver(sent)
+	c.recordSuccess(sentExchange.answer.StatusCode)
+	c.recordHangEvidence(sentExchange.answer, serviceTime)
+	c.ticket.Unmeasured = sentExchange.answer.StatusCode >= http.StatusInternalServerError
+	c.deliver(sentExchange)
 }
 
-// end closes the exchange and gives the slot back when the back end has ended the call, for
-// which its sender does not wait. A call may run until its deadline; CancelWait later one that
-// has not been ended was never taken up. One that hangs keeps its slot until HungWait after its
-// deadline, or until another start runs: a back end that hangs is to get fewer calls.
-func (c *gateCall) releaseSlot(sent *exchange, ran bool) {
-	sent.close()
-	done := func() { c.proxy.gate.Done(c.proxy.config.Clock(), c.ticket, ran) }
-	running := sent.peerDone()
-	if running == nil {
-		done()
+// releaseSlot closes the exchange and releases the slot once the back end has ended the call; the
+// sender does not wait for that. A call may run until its deadline. If the back end has not ended
+// it CancelWait after the deadline, it is assumed never to have started the call. A hung call keeps
+// its slot until HungWait after its deadline or until another start of the back end reports, so
+// that a back end that hangs gets fewer calls.
+func (c *gateCall) releaseSlot(sentExchange *exchange, ran bool) {
+	sentExchange.close()
+	release := func() { c.proxy.gate.Done(c.proxy.config.Clock(), c.ticket, ran) }
+	ended := sentExchange.peerDone()
+	if ended == nil {
+		release()
 		return
 	}
 	wait := c.proxy.limits.CancelWait
-	if sent.answer == nil && c.isHung() {
-		running, wait = c.proxy.replacedChannel(c.start), c.proxy.limits.HungWait
+	if sentExchange.answer == nil && c.isHung() {
+		ended, wait = c.proxy.replacedChannel(c.start), c.proxy.limits.HungWait
 	}
-	left := max(c.deadline-c.proxy.config.Clock(), 0)
+	timeLeft := max(c.deadline-c.proxy.config.Clock(), 0)
 	go func() {
-		bound := time.NewTimer(left + wait)
-		defer bound.Stop()
+		timer := time.NewTimer(timeLeft + wait)
+		defer timer.Stop()
 		select {
-		case <-running:
-		case <-bound.C:
+		case <-ended:
+		case <-timer.C:
 		case <-c.proxy.closed:
 		}
-		done()
+		release()
 	}()
 }
 
-// admit waits for a slot as long as the call has time to run and its sender is there.
+// admit waits for a slot while the call still has time to run and its sender is connected.
 func (c *gateCall) admit() admission.Decision {
 	gate := c.proxy.gate
-	verdict := gate.Admit(c.proxy.config.Clock(), c.ticket)
-	if verdict.State != admission.StateQueued {
-		return verdict
+	decision := gate.Admit(c.proxy.config.Clock(), c.ticket)
+	if decision.State != admission.StateQueued {
+		return decision
 	}
-	latest := time.NewTimer(gate.LatestStart(c.ticket) - c.proxy.config.Clock())
-	defer latest.Stop()
+	startTimer := time.NewTimer(gate.LatestStart(c.ticket) - c.proxy.config.Clock())
+	defer startTimer.Stop()
 	select {
-	case verdict = <-c.decisions:
-		return verdict
-	case <-latest.C:
+	case decision = <-c.decisions:
+		return decision
+	case <-startTimer.C:
 	case <-c.context.Done():
 	}
 	if !gate.Cancel(c.ticket) {
-		// It was settled at the same moment; if it was started it holds a slot,
-		// and sending it finds the context done before a byte is written.
+		// The gate decided at the same moment. If the call was started, it holds a slot, and
+		// sending it fails on the ended context before a byte is written.
 		return <-c.decisions
 	}
 	return admission.Decision{State: admission.StateRefused, Code: c.cancellationCode()}
 }
 
-// endCode is the code of a call that ended while it waited.
+// cancellationCode returns the result code of a call that ended while it waited.
 func (c *gateCall) cancellationCode() result.Code {
 	switch {
 	case context.Cause(c.context) == errDrainBound:
@@ -224,26 +226,27 @@
 	return result.DeadlineBeforeStart
 }
 
-// refuse answers with a refusal and the load, from which senders learn.
+// refuse answers with a refusal and the load report, which the sender uses to choose endpoints.
 func (c *gateCall) refuse(refusal Refusal) {
 	refusal.Load = c.proxy.loadHeaderValue()
 	c.proxy.refuse(c.writer, c.body, refusal)
 }
 
-// deliver passes the answer on whole, or breaks the sender's connection.
-func (c *gateCall) deliver(sent *exchange) {
-	passing := delivery{
+// deliver forwards the whole answer, or aborts the sender's connection.
+func (c *gateCall) deliver(sentExchange *exchange) {
+	forwarding := delivery{
 		writer: c.writer, control: c.control, stallTimeout: c.proxy.limits.StallTimeout,
-		answer: sent.answer, upload: c.body, addHeaders: c.answerHeaders,
+		answer: sentExchange.answer, upload: c.body, addHeaders: c.answerHeaders,
 	}
-	passing.writeHead()
-	if err := passing.streamBody(); err != nil {
+	forwarding.writeHead()
+	if err := forwarding.streamBody(); err != nil {
 		c.proxy.counters.aborted.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// answerHeaders adds to an answer what its sender learns from and needs to know.
+// answerHeaders adds the load report to an answer, and Connection: close if the connection is to
+// end.
 func (c *gateCall) answerHeaders(header http.Header) {
 	header[headerLoad] = []string{c.proxy.loadHeaderValue()}
 	if c.proxy.closesAfterAnswer(c.request) {
@@ -251,7 +254,7 @@
 	}
 }
 
-// loadText is the load header's value now.
+// loadHeaderValue returns the current value of the load header.
 func (p *Proxy) loadHeaderValue() string {
 	load := p.gate.Load()
 	service := p.gate.MeanServiceTime()
--- a/internal/proxy/gateaccept.go
+++ b/internal/proxy/gateaccept.go
@@ -10,20 +10,20 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// acceptGateCall checks that the call is for this back end as its sender knows
-// it.
+// acceptGateCall checks that the call names this back end, this incarnation and a request form that
+// is allowed here, and that the call may run in this region.
 func (p *Proxy) acceptGateCall(request *http.Request, body *upload) (*gateCall, Refusal, bool) {
 	header := request.Header
-	mine := p.gate != nil && header.Get(headerHop) == hopGate &&
+	isForBackend := p.gate != nil && header.Get(headerHop) == hopGate &&
 		header.Get(headerBackend) == p.backendInstance() &&
 		header.Get(headerService) == p.config.Service.String()
 	if incarnation := header.Get(headerIncarnation); incarnation != "" {
-		mine = mine && p.incarnations.contains(incarnation)
+		isForBackend = isForBackend && p.incarnations.contains(incarnation)
 	}
-	if !mine {
+	if !isForBackend {
 		return nil, Refusal{Code: result.WrongBackend}, false
 	}
-	if refusal, fine := p.checkRequest(request); !fine {
+	if refusal, ok := p.checkRequest(request); !ok {
 		return nil, refusal, false
 	}
 	current := p.view.Load()
@@ -35,15 +35,15 @@
 		proxy: p, request: request, body: body, timeout: routing.DefaultTimeout, backend: header.Get(headerBackend),
 		table: current.routes,
 	}
-	if stated, found := parseTimeout(header); found {
-		call.timeout = stated
+	if timeout, isStated := parseTimeout(header); isStated {
+		call.timeout = timeout
 	}
 	call.deadline = p.config.Clock() + call.timeout
 	call.ticket = call.newTicket()
 	return call, Refusal{}, true
 }
 
-// newTicket makes what the gate weighs, of the headers that the call's sender has set.
+// newTicket returns the ticket for admission, built from the headers that the sender has set.
 func (c *gateCall) newTicket() *admission.Ticket {
 	header := c.request.Header
 	priority, err := strconv.Atoi(header.Get(headerPriority))
@@ -60,9 +60,9 @@
 		Request:  c.proxy.fingerprint("request", header.Get(headerRequest)),
 		Key:      c.proxy.fingerprint("key", partner, header.Get(headerRequestKey)),
 	}
-	if left, stated := parseTarget(header.Get(headerTarget)); stated {
-		// One that has passed is still a target: 0 means none.
-		call.Target = max(c.proxy.config.Clock()+left, 1)
+	if timeLeft, isStated := parseTarget(header.Get(headerTarget)); isStated {
+		// A target that has passed is still a target; 0 would mean none.
+		call.Target = max(c.proxy.config.Clock()+timeLeft, 1)
 		call.Patient = c.body.isLarge()
 	}
 	if c.proxy.config.Baseline.UnboundedQueue {
--- a/internal/proxy/gatejudge.go
+++ b/internal/proxy/gateoutcome.go
@@ -12,22 +12,23 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// judge tells whether there is an answer to pass on, and else the refusal.
-func (c *gateCall) classifyOutcome(sent *exchange) (Refusal, bool) {
-	if sent.err == nil {
-		sent.collect(c.proxy.limits.CollectBytes)
+// classifyOutcome returns the refusal of a call that has no answer to forward; false means that it
+// has one.
+func (c *gateCall) classifyOutcome(sentExchange *exchange) (Refusal, bool) {
+	if sentExchange.err == nil {
+		sentExchange.collect(c.proxy.limits.CollectBytes)
 	}
-	if sent.err == nil {
-		return c.classifyAnswer(sent.answer)
+	if sentExchange.err == nil {
+		return c.classifyAnswer(sentExchange.answer)
 	}
-	detail := describeFailure(sent.err)
+	detail := describeFailure(sentExchange.err)
 	switch {
-	case sent.unsent && errors.Is(sent.err, errConnectionLimit):
+	case sentExchange.unsent && errors.Is(sentExchange.err, errConnectionLimit):
 		return Refusal{Code: result.QueueFull, Detail: detail, RetryAfter: time.Second}, true
-	case sent.unsent && c.context.Err() == nil:
+	case sentExchange.unsent && c.context.Err() == nil:
 		c.proxy.handleBackendUnreachable(c.start)
 		return Refusal{Code: result.ConnectFailed, Detail: detail, RetryAfter: time.Second}, true
-	case sent.unsent:
+	case sentExchange.unsent:
 		return Refusal{Code: result.DeadlineBeforeStart, Detail: detail}, true
 	case context.Cause(c.context) == errDrainBound:
 		return Refusal{Code: result.DrainBound}, true
@@ -41,17 +42,17 @@
 	return Refusal{Code: result.BrokenInFlight, Detail: detail}, true
 }
 
-// judgeAnswer takes a back end's own word that it has shed a call.
+// classifyAnswer returns a refusal if the back end reports with a 503 that it shed the call.
 func (c *gateCall) classifyAnswer(answer *http.Response) (Refusal, bool) {
 	if edge := c.proxy.config.Edge; edge != nil {
 		return c.classifyEdgeAnswer(edge, answer)
 	}
-	shed := answer.StatusCode == http.StatusServiceUnavailable &&
+	isShed := answer.StatusCode == http.StatusServiceUnavailable &&
 		answer.Header.Get(headerBackendRan) == string(result.RanNo)
-	if !shed {
+	if !isShed {
 		return Refusal{}, false
 	}
-	// Read to its end, it leaves the connection and the slot free.
+	// Reading the answer to its end frees the connection and the slot.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxRefusalBytes))
 	refusal := Refusal{Code: result.Shed, Detail: "The back end has shed the call.", RetryAfter: time.Second}
 	if seconds, err := strconv.Atoi(answer.Header.Get("Retry-After")); err == nil && seconds > 0 {
@@ -60,7 +61,8 @@
 	return refusal, true
 }
 
-// judgeEdgeAnswer takes the word of a back end of a foreign platform.
+// classifyEdgeAnswer returns a refusal if a back end of a foreign platform reports that it did not
+// run the call.
 func (c *gateCall) classifyEdgeAnswer(edge *Edge, answer *http.Response) (Refusal, bool) {
 	if !edge.isNotExecuted(answer) {
 		return Refusal{}, false
@@ -72,17 +74,18 @@
 	return Refusal{Code: result.BackendRefused}, true
 }
 
-// noteBackend counts whether the back end has answered the call or failed it.
-func (c *gateCall) recordBackendResult(sent *exchange, refusal Refusal, refused bool, ran time.Duration) {
+// recordBackendResult records whether the back end answered or failed the call. It reports a
+// failure to the daemon unless the call was already reported as hung.
+func (c *gateCall) recordBackendResult(sentExchange *exchange, refusal Refusal, refused bool, serviceTime time.Duration) {
 	failed := false
 	switch {
 	case refused:
 		failed = isBackendFailure(refusal.Code)
 	default:
-		failed = sent.answer.StatusCode >= http.StatusInternalServerError
+		failed = sentExchange.answer.StatusCode >= http.StatusInternalServerError
 	}
 	if (failed || !refused) && c.start == c.proxy.backendStart() {
-		c.proxy.rolloutAnswers.Record(c.ticket.Class, failed, !c.proxy.isWarming(), ran)
+		c.proxy.rolloutAnswers.Record(c.ticket.Class, failed, !c.proxy.isWarming(), serviceTime)
 	}
 	switch {
 	case !failed && !refused:
@@ -92,8 +95,8 @@
 	}
 }
 
-// failsBackend tells whether a call that ended with a code, after it had a slot, was
-// failed by its back end: broken, turned away, or not answered in its time.
+// isBackendFailure reports whether a call that held a slot and ended with the code was failed by
+// its back end: its connection broke, or the back end refused, shed or did not answer it in time.
 func isBackendFailure(code result.Code) bool {
 	switch code {
 	case result.BrokenInFlight, result.DeadlineInFlight, result.BackendRefused, result.Shed:
--- a/internal/proxy/gatesend.go
+++ b/internal/proxy/gatesend.go
@@ -5,64 +5,65 @@
 	"strconv"
 )
 
-// gateTries is how often the gate sends a call on while it is certain that
-// not a byte of it was written.
+// maxGateSends is the maximum number of times that the gate sends a call. It resends a call only if
+// no byte of it was written.
 const maxGateSends = 2
 
-// headerBackendDraining and headerBackendRan are a back end's own signals: the
-// first on its health answers, the second, with the value no, on a 503 by
-// which it sheds a call that it has not begun.
+// headerBackendDraining and headerBackendRan are set by a back end: the first on health answers
+// while it drains, the second, with the value no, on a 503 by which it sheds a call that it has not
+// begun.
 const (
 	headerBackendDraining = "Springstack-Draining"
 	headerBackendRan      = headerRan
 )
 
-// send sends the call to the back end. It is sent again only while it is
-// certain that nothing was written.
+// send sends the call to the back end. It resends the call only if it is certain that nothing of it
+// was written.
 func (c *gateCall) send() *exchange {
 	c.relay = &interimRelay{writer: c.writer}
 	for try := 1; ; try++ {
 		c.start = c.proxy.backendStart()
-		sent := c.exchange()
-		again := sent.err != nil && sent.unsent && c.body.isReplayable() && c.context.Err() == nil
-		if !again || try == maxGateSends || !c.proxy.gate.TryResend(c.proxy.config.Clock(), c.ticket) {
-			return sent
+		sentExchange := c.exchange()
+		mayResend := sentExchange.err != nil && sentExchange.unsent && c.body.isReplayable() && c.context.Err() == nil
+		if !mayResend || try == maxGateSends || !c.proxy.gate.TryResend(c.proxy.config.Clock(), c.ticket) {
+			return sentExchange
 		}
-		sent.close()
+		sentExchange.close()
 	}
 }
 
-// exchange sends the call to the back end once. While it is under way it may be found to hang.
+// exchange sends the call to the back end once. While the exchange runs, findHung may mark it as
+// hung.
 func (c *gateCall) exchange() *exchange {
-	made := &c.dispatches[c.dispatchCount]
+	current := &c.dispatches[c.dispatchCount]
 	c.dispatchCount++
-	*made = dispatch{call: c, start: c.start, sentAt: c.proxy.config.Clock()}
-	watched := &c.proxy.hangDetector
-	cell := watched.watch(made)
-	defer watched.unwatch(cell)
+	*current = dispatch{call: c, start: c.start, sentAt: c.proxy.config.Clock()}
+	detector := &c.proxy.hangDetector
+	cell := detector.watch(current)
+	defer detector.unwatch(cell)
 	return c.proxy.backend.send(c.context, c.newBackendRequest(), c.relay, c.proxy.config.Edge)
 }
 
-// outgoing makes the request to the back end. Of springstack's headers it gets
-// those that an application may copy onto the calls it makes itself.
+// newBackendRequest returns the request to the back end. Of springstack's headers it carries only
+// those that an application may copy onto the calls that it makes itself.
 func (c *gateCall) newBackendRequest() *http.Request {
 	header := c.request.Header.Clone()
 	noRetry := header.Get(headerNoRetry)
-	request := header.Get(headerRequest)
+	requestID := header.Get(headerRequest)
 	stripHopByHop(header)
 	stripOwn(header)
 	header.Del("Expect")
 	if _, found := header["User-Agent"]; !found {
 		header["User-Agent"] = []string{""}
 	}
-	left := max(c.deadline-c.proxy.config.Clock(), 0)
-	milliseconds := []string{strconv.FormatInt(left.Milliseconds(), 10)}
+	timeLeft := max(c.deadline-c.proxy.config.Clock(), 0)
+	milliseconds := []string{strconv.FormatInt(timeLeft.Milliseconds(), 10)}
 	if edge := c.proxy.config.Edge; edge != nil {
 		header[edge.Deadline] = milliseconds
 		header[edge.ExpectedInstance] = []string{c.backend}
 	} else {
 		header[headerTimeout] = milliseconds
-		header[headerRequest] = []string{request}
+		header[headerRequest] = []string{requestID}
 		if noRetry != "" {
 			header[headerNoRetry] = []string{noRetry}
 		}
--- a/internal/proxy/guard.go
+++ b/internal/proxy/guard.go
@@ -10,31 +10,31 @@
 	"github.com/juju/errors"
 )
 
-// errNotOwned refuses a write on a connection that the attempt may not use.
+// errNotOwned is the error of a write on a connection that the attempt may not use.
 const errNotOwned = errors.ConstError("the attempt has been written elsewhere or given up")
 
-// guardedConn is a connection to an endpoint whose writes need the leave of
-// the attempt that it carries. It knows so whether any byte of an attempt can
-// have left this process, whatever the HTTP library does.
+// guardedConn is a connection to an endpoint that checks each write against the guard of the
+// attempt that it carries. The guard thus knows whether any byte of the attempt can have left this
+// process, whatever the HTTP library does.
 type guardedConn struct {
 	net.Conn
 	owner atomic.Pointer[attemptGuard]
-	// unfinished is the attempt whose answer has not been read to its end.
+	// unfinished is the attempt that has not read its answer to the end yet.
 	unfinished atomic.Pointer[attemptGuard]
-	// linger is how long past the deadline of an unfinished attempt Close waits for the other
-	// side to end it; 0 closes at once.
+	// linger is how long past the deadline of an unfinished attempt Close waits for the peer to end
+	// it; 0 closes at once.
 	linger time.Duration
 	closed atomic.Bool
-	// openedAt tells it from connections to a later start of the other side.
+	// openedAt distinguishes the connection from those to a later start of the peer.
 	openedAt time.Time
-	// retired is set when its other side is no longer the one that gets calls: it carries no
-	// further call.
+	// retired is set when the peer is replaced by another start: the connection carries no further
+	// call.
 	retired atomic.Bool
-	// left is called once when it is closed; nil for nothing.
+	// onReleased is called once when the connection is released; nil calls nothing.
 	onReleased func(*guardedConn)
-	// surplus reads past answers in excess.
+	// surplus skips answers in excess of the expected one.
 	surplus surplusFilter
-	// gone is closed when the connection is.
+	// released is closed when the connection is closed for good, after any lingering.
 	released chan struct{}
 }
 
@@ -53,40 +53,40 @@
 	return count, err
 }
 
-// Close closes the connection. With an unfinished attempt on it, it ends only
-// the sending side, by which the back end learns that the call is cancelled,
-// and waits for the back end to end it in its turn: until then the call may
-// still run there, and its slot is not free.
+// Close closes the connection. If an attempt on it is unfinished, Close only closes the sending
+// side, which tells the back end that the call is cancelled, and waits in the background for the
+// back end to close its own side. Until then the call may still run there, and its slot is not
+// free.
 func (c *guardedConn) Close() error {
 	if !c.closed.CompareAndSwap(false, true) {
 		return nil
 	}
-	half, canEnd := c.Conn.(writeCloser)
+	writeSide, canCloseWrite := c.Conn.(writeCloser)
 	unfinished := c.unfinished.Load()
-	if c.linger == 0 || unfinished == nil || !canEnd {
+	if c.linger == 0 || unfinished == nil || !canCloseWrite {
 		defer c.markReleased()
 		return c.Conn.Close()
 	}
-	// Whoever reads now is woken.
+	// Wakes a blocked reader.
 	_ = c.Conn.SetReadDeadline(time.Now())
-	go c.awaitPeerClose(half, unfinished.workEndsBy(c.linger))
+	go c.awaitPeerClose(writeSide, unfinished.workEndsBy(c.linger))
 	return nil
 }
 
-// awaitEnd ends the sending side and reads until the other side ends its own, at most until
-// a time.
-func (c *guardedConn) awaitPeerClose(half writeCloser, until time.Time) {
+// awaitPeerClose closes the sending side and reads until the peer closes its own, at most until the
+// given time.
+func (c *guardedConn) awaitPeerClose(writeSide writeCloser, until time.Time) {
 	defer c.markReleased()
 	defer c.Conn.Close()
-	if half.CloseWrite() != nil {
+	if writeSide.CloseWrite() != nil {
 		return
 	}
 	_ = c.Conn.SetReadDeadline(until)
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, lingerBytes))
 }
 
-// abort closes the connection at once: its other side is no more. One that waits for its other
-// side is woken.
+// abort closes the connection at once, because its peer no longer exists. It also wakes a pending
+// awaitPeerClose.
 func (c *guardedConn) abort() {
 	if c.closed.CompareAndSwap(false, true) {
 		defer c.markReleased()
@@ -94,8 +94,8 @@
 	_ = c.Conn.Close()
 }
 
-// leave tells that the connection is closed. Its place is free before the slot of its call is:
-// the call that gets the slot finds one.
+// markReleased reports that the connection is closed. Its place in openConns becomes free before
+// the slot of its call does, so that the call that gets the slot finds a place.
 func (c *guardedConn) markReleased() {
 	if c.onReleased != nil {
 		c.onReleased(c)
@@ -103,11 +103,10 @@
 	close(c.released)
 }
 
-// writeCloser is a connection whose sending side can end by itself: of TCP and
-// of TLS.
+// writeCloser is a connection that can close its sending side alone, as with TCP and TLS.
 type writeCloser interface{ CloseWrite() error }
 
-// lingerBytes bounds what is read of the answer to a cancelled call.
+// lingerBytes bounds how much is read of the answer to a cancelled call.
 const lingerBytes = 1 << 20
 
 // Write sends bytes if the attempt that owns the connection allows it.
@@ -119,56 +118,55 @@
 	return c.Conn.Write(bytes)
 }
 
-// The guard's two marks that are no connections.
+// Special values of attemptGuard.writer that are not connections.
 var (
-	// sealed: nothing was written and nothing may be any more.
+	// sealed means that nothing was written and that further writes are refused.
 	sealed = &guardedConn{}
-	// unguarded: a connection was used that can't be watched.
+	// unguarded means that a connection was used that can't be observed.
 	unguarded = &guardedConn{}
 )
 
-// attemptGuard lets one attempt be written on one connection only, and can
-// prove that it was written on none. The library resends some requests by
-// itself when a kept connection breaks (those without body that it takes for
-// idempotent, also by an Idempotency-Key header); here such a second writing
-// fails.
+// attemptGuard lets an attempt be written on one connection only, and can prove that it was written
+// on none. The HTTP library resends some requests by itself when a kept connection breaks: those
+// without a body that it considers idempotent, also because of an Idempotency-Key header. With the
+// guard such a second write fails.
 type attemptGuard struct {
-	// writer is nil until the first write, then the connection written on.
+	// writer is nil until the first write, then the connection that was written on.
 	writer atomic.Pointer[guardedConn]
-	// cancel gives the attempt up; it is called when the library comes with a
-	// second connection, so that it does not try all those it keeps.
+	// cancel ends the attempt. It is called when the library chooses a second connection, so that
+	// it does not try all the connections that it keeps.
 	cancel func()
-	// answerID is what the answer of the attempt names in answerHeader; empty where answers
-	// can't be told apart.
+	// answerID is the attempt's id that its answer repeats in answerHeader; empty if answers carry
+	// no id.
 	answerID     string
 	answerHeader string
-	// deadline is when the other side stops work on the attempt; the zero time is not known.
+	// deadline is when the peer stops work on the attempt; the zero time means unknown.
 	deadline time.Time
 }
 
-// over is when the other side has stopped work on the attempt, as much later than it is to as
-// given.
-func (g *attemptGuard) workEndsBy(later time.Duration) time.Time {
+// workEndsBy returns the time at which the peer is assumed to have stopped work on the attempt: the
+// given delay after the attempt's deadline, or after now if the deadline has passed.
+func (g *attemptGuard) workEndsBy(delay time.Duration) time.Time {
 	until := time.Now()
 	if g.deadline.After(until) {
 		until = g.deadline
 	}
-	return until.Add(later)
+	return until.Add(delay)
 }
 
-// mayWrite is called before each write. The mark is set before the bytes go,
-// so a seal that succeeds proves that none went.
+// mayWrite is called before each write. It sets writer before any byte is sent, so a seal that
+// succeeds proves that none was sent.
 func (g *attemptGuard) mayWrite(conn *guardedConn) bool {
 	return g.writer.Load() == conn || g.writer.CompareAndSwap(nil, conn)
 }
 
-// seal ends the attempt's right to write and tells whether nothing of it was
-// written.
+// seal prevents any write of the attempt and returns true, or returns false if part of it may have
+// been written.
 func (g *attemptGuard) seal() bool {
 	return g.writer.CompareAndSwap(nil, sealed)
 }
 
-// gotConn binds the connection that the library chose to the attempt.
+// gotConn assigns the connection that the library chose to the attempt.
 func (g *attemptGuard) gotConn(info httptrace.GotConnInfo) {
 	conn, guarded := info.Conn.(*guardedConn)
 	if !guarded {
@@ -185,7 +183,7 @@
 	}
 }
 
-// finish records that the answer was read to its end.
+// markAnswerRead records that the answer was read to its end.
 func (g *attemptGuard) markAnswerRead() {
 	conn := g.writer.Load()
 	if conn == nil {
@@ -197,8 +195,8 @@
 	}
 }
 
-// running is closed when the other side has ended the attempt; nil means that
-// it has ended already.
+// peerDone returns a channel that is closed when the peer has ended the attempt, or nil if it has
+// already.
 func (g *attemptGuard) peerDone() <-chan struct{} {
 	conn := g.writer.Load()
 	if conn == nil || conn.unfinished.Load() != g {
--- a/internal/proxy/hangs.go
+++ b/internal/proxy/hangs.go
@@ -13,58 +13,60 @@
 )
 
 const (
-	// hangLook is the time between looks for calls that hang: a tenth of what a caller may
-	// expect of a usual call, so that most of its time is left for another attempt.
+	// hangCheckInterval is the time between checks for hung calls: a tenth of the time that a
+	// caller may expect a usual call to take, so that most of it is left for another attempt.
 	hangCheckInterval = 100 * time.Millisecond
-	// watchedCells bounds the calls that are watched at a time; more are not, and wait for
-	// their deadlines.
+	// maxWatchedCalls bounds the calls watched at a time. Calls beyond it are not checked and end
+	// by their deadlines at the latest.
 	maxWatchedCalls = 256
 )
 
-// confirmed is the value of a header that says yes; it is never changed.
+// trueHeaderValue is the value of headers that are set or absent; it must not be modified.
 var trueHeaderValue = []string{"1"}
 
-// sending is one sending of a call to the back end. It is not changed while it is watched.
+// dispatch is one transmission of a call to the back end. Apart from isHung it is not changed while
+// it is watched.
 type dispatch struct {
 	call   *gateCall
 	start  protocol.BackendStart
 	sentAt time.Duration
-	// hangs says that it was found to hang.
+	// isHung is set when the call was found to be hung in this dispatch.
 	isHung atomic.Bool
 }
 
-// hangs watches the calls under way at the back end for such as are never answered. A call
-// pays two atomic writes for it.
+// hangDetector watches the calls at the back end for ones that are never answered. It costs a call
+// two atomic writes.
 type hangDetector struct {
 	recentAnswers hang.RecentAnswers
 	missingCalls  hang.MissingCalls
-	// cells hold the calls under way, count how many there are, also without a cell.
+	// cells hold the watched calls; callCount is the number of all calls at the back end, including
+	// those without a cell.
 	cells     [maxWatchedCalls]atomic.Pointer[dispatch]
 	nextCell  atomic.Uint32
 	callCount atomic.Int64
 }
 
 const (
-	// noCell stands for a call that found no free cell.
+	// noCell is returned for a call that found no free cell.
 	noCell = -1
-	// cellTries is how many cells a call looks at: with half of them taken, one call in 256
-	// finds none.
+	// maxCellProbes is how many cells are tried for a call: with half of them taken, one call in
+	// 256 finds none.
 	maxCellProbes = 8
 )
 
-// enter begins to watch a sending that is about to be made; leave must follow.
-func (h *hangDetector) watch(made *dispatch) (cell int) {
+// watch begins to watch a dispatch that is about to be sent; unwatch must follow.
+func (h *hangDetector) watch(watched *dispatch) (cell int) {
 	h.callCount.Add(1)
 	for range maxCellProbes {
 		cell := int(h.nextCell.Add(1) % maxWatchedCalls)
-		if h.cells[cell].CompareAndSwap(nil, made) {
+		if h.cells[cell].CompareAndSwap(nil, watched) {
 			return cell
 		}
 	}
 	return noCell
 }
 
-// leave ends the watch that enter began.
+// unwatch ends what watch began.
 func (h *hangDetector) unwatch(cell int) {
 	h.callCount.Add(-1)
 	if cell != noCell {
@@ -72,28 +74,29 @@
 	}
 }
 
-// noteHeld learns from an answer what else the back end holds, and how long calls take.
-func (c *gateCall) recordHangEvidence(answer *http.Response, took time.Duration) {
+// recordHangEvidence records from an answer how long the call took and how many calls the back end
+// reports to hold.
+func (c *gateCall) recordHangEvidence(answer *http.Response, serviceTime time.Duration) {
 	p := c.proxy
 	now := p.config.Clock()
 	p.hangDetector.recentAnswers.Record(c.dispatches[c.dispatchCount-1].sentAt)
 	if answer.StatusCode < http.StatusInternalServerError {
-		p.gate.RecordServiceTime(&c.ticket.Call, took)
+		p.gate.RecordServiceTime(&c.ticket.Call, serviceTime)
 	}
 	p.gate.RecordAnswer(now)
 	if p.config.Edge == nil {
 		return
 	}
-	if held, told := ParseHeldCalls(answer.Header.Get(p.config.Edge.Load)); told {
+	if heldCalls, isReported := ParseHeldCalls(answer.Header.Get(p.config.Edge.Load)); isReported {
 		underWay := int(p.hangDetector.callCount.Load())
-		p.hangDetector.missingCalls.Record(now, underWay, held)
-		// The answered call itself may be among those that are held.
-		p.gate.CapOrphanedCalls(now, held-underWay-1)
+		p.hangDetector.missingCalls.Record(now, underWay, heldCalls)
+		// The answered call itself may be counted among the held ones.
+		p.gate.CapOrphanedCalls(now, heldCalls-underWay-1)
 	}
 }
 
-// watchBackend looks for calls that hang, and for what time alone changes at the gate, until
-// the proxy is closed.
+// watchBackend checks for hung calls and drives the gate's time-dependent changes until the proxy
+// is closed.
 func (p *Proxy) watchBackend() {
 	ticker := time.NewTicker(hangCheckInterval)
 	defer ticker.Stop()
@@ -109,80 +112,81 @@
 	}
 }
 
-// suspect is a sending under way and how many mean service times of its class it is old.
+// hangSuspect is a dispatch under way; overdueRatio is its age in mean service times of its class.
 type hangSuspect struct {
 	*dispatch
 	evidence     hang.Evidence
 	overdueRatio float64
 }
 
-// findHung tells of the calls that are found to hang.
+// findHung marks and reports the calls that are found to be hung.
 func (p *Proxy) findHung(now time.Duration) {
-	missing, told := p.hangDetector.missingCalls.Count(now)
-	for index, one := range p.hangSuspects(now) {
-		one.evidence.Told, one.evidence.Missing, one.evidence.Rank = told, missing, index+1
-		if one.evidence.IsHung() && one.isHung.CompareAndSwap(false, true) {
-			p.gate.MarkHung(now, one.call.ticket)
-			p.reportHung(one)
+	missing, isReported := p.hangDetector.missingCalls.Count(now)
+	for index, candidate := range p.hangSuspects(now) {
+		candidate.evidence.Told, candidate.evidence.Missing, candidate.evidence.Rank = isReported, missing, index+1
+		if candidate.evidence.IsHung() && candidate.isHung.CompareAndSwap(false, true) {
+			p.gate.MarkHung(now, candidate.call.ticket)
+			p.reportHung(candidate)
 		}
 	}
 }
 
-// suspects are the calls under way, the one longest overdue first; none if none takes long.
+// hangSuspects returns the calls under way, the most overdue first, or nil if none takes long.
 func (p *Proxy) hangSuspects(now time.Duration) []hangSuspect {
 	if !p.hasOverdueCall(now) {
 		return nil
 	}
 	var found []hangSuspect
 	for index := range p.hangDetector.cells {
-		if made := p.hangDetector.cells[index].Load(); made != nil {
-			found = append(found, p.newHangSuspect(now, made))
+		if watched := p.hangDetector.cells[index].Load(); watched != nil {
+			found = append(found, p.newHangSuspect(now, watched))
 		}
 	}
 	slices.SortFunc(found, func(a, b hangSuspect) int { return cmp.Compare(b.overdueRatio, a.overdueRatio) })
 	return found
 }
 
-// anyTakesLong tells whether a call under way takes longer than most of its class. It makes no
-// garbage, for it is asked at each look.
+// hasOverdueCall reports whether a call under way takes longer than most of its class. It does not
+// allocate, because it runs at every check.
 func (p *Proxy) hasOverdueCall(now time.Duration) bool {
 	if p.hangDetector.callCount.Load() == 0 {
 		return false
 	}
 	for index := range p.hangDetector.cells {
-		made := p.hangDetector.cells[index].Load()
-		if made != nil && now-made.sentAt > p.gate.ServiceTimes(&made.call.ticket.Call).Long {
+		watched := p.hangDetector.cells[index].Load()
+		if watched != nil && now-watched.sentAt > p.gate.ServiceTimes(&watched.call.ticket.Call).Long {
 			return true
 		}
 	}
 	return false
 }
 
-// suspect gathers what is known of a sending.
-func (p *Proxy) newHangSuspect(now time.Duration, made *dispatch) hangSuspect {
-	times := p.gate.ServiceTimes(&made.call.ticket.Call)
-	age := now - made.sentAt
+// newHangSuspect collects the evidence on a dispatch.
+func (p *Proxy) newHangSuspect(now time.Duration, watched *dispatch) hangSuspect {
+	times := p.gate.ServiceTimes(&watched.call.ticket.Call)
+	age := now - watched.sentAt
 	return hangSuspect{
-		dispatch:     made,
+		dispatch:     watched,
 		overdueRatio: age.Seconds() / max(times.Mean, time.Millisecond).Seconds(),
 		evidence: hang.Evidence{
 			Age: age, Long: times.Long, Longest: times.Longest, Seen: times.Seen,
-			Overtaken: p.hangDetector.recentAnswers.CountSentAfter(made.sentAt),
+			Overtaken: p.hangDetector.recentAnswers.CountSentAfter(watched.sentAt),
 		},
 	}
 }
 
-// tellHung logs that a call hangs, counts it as failed, and tells its sender if that asked for
-// it: on a goroutine of its own, for the connection may be slow. The call goes on, and an answer
-// that comes all the same counts. Its connection is closed, never used again, when its sender
-// gives it up or its time is over.
-func (p *Proxy) reportHung(one hangSuspect) {
+// reportHung logs that a call hangs, counts it as a failure of the back end and, if the sender
+// asked for it, notifies the sender. The notification runs in its own goroutine, because the
+// connection may be slow. The call goes on, and an answer that still arrives is delivered. If the
+// sender cancels the call or its time runs out, the connection to the back end is closed and not
+// reused.
+func (p *Proxy) reportHung(hung hangSuspect) {
 	p.counters.hungCalls.Add(1)
-	mayHedge := one.call.request.Header.Get(headerMayHedge) != ""
-	evidence := one.evidence
+	mayHedge := hung.call.request.Header.Get(headerMayHedge) != ""
+	evidence := hung.evidence
 	p.logEvent("call_hangs",
-		textField("request", p.requestID(one.call.request.Header)),
-		textField("backend", one.start.Instance), bornField(one.start),
+		textField("request", p.requestID(hung.call.request.Header)),
+		textField("backend", hung.start.Instance), bornField(hung.start),
 		textField("age_ms", formatMillis(evidence.Age)),
 		textField("long_ms", formatMillis(evidence.Long)),
 		textField("longest_ms", formatMillis(evidence.Longest)),
@@ -191,15 +195,16 @@
 		textField("missing", formatInt(evidence.Missing)),
 		textField("told_sender", strconv.FormatBool(mayHedge)))
 	if p.config.OnBackendFailed != nil {
-		// Known now, it ejects a back end that leaves many calls unanswered before those end.
-		p.config.OnBackendFailed(one.start, p.counters.succeeded.Load())
+		// Reporting the failure now ejects a back end that leaves many calls unanswered before
+		// their deadlines pass.
+		p.config.OnBackendFailed(hung.start, p.counters.succeeded.Load())
 	}
 	if mayHedge {
-		go one.call.relay.reportHang()
+		go hung.call.relay.reportHang()
 	}
 }
 
-// foundToHang tells whether the last sending of the call was found to hang.
+// isHung reports whether the last dispatch of the call was found to be hung.
 func (c *gateCall) isHung() bool {
 	return c.dispatchCount > 0 && c.dispatches[c.dispatchCount-1].isHung.Load()
 }
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -14,11 +14,11 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// hangPath is what the back ends of a hanging mesh never answer when it first comes.
+// hangPath is a path on which the back ends of startHangingMesh never answer the first call.
 const hangPath = "/hang"
 
-// startHangingMesh starts two back ends of which whichever gets the call to hangPath first
-// never answers that, nor anything else on its connection. All else is answered at once.
+// startHangingMesh starts two back ends. Whichever gets the first call to hangPath never answers
+// it, nor anything else on its connection. All other calls are answered at once.
 func startHangingMesh(t *testing.T, timeout time.Duration, arrived *atomic.Int64) *mesh {
 	t.Helper()
 	spec := backendSpec{handler: func(_ http.ResponseWriter, request *http.Request) {
@@ -33,21 +33,21 @@
 		},
 		changeCaller: func(config *Config) { config.OnSilent = func(protocol.NodeID) {} },
 	}
-	made := startMesh(t, options, spec, spec)
-	for range 100 { // the gates learn how long calls take
-		made.call(t, http.MethodGet, "/", "")
+	hangingMesh := startMesh(t, options, spec, spec)
+	for range 100 { // teaches the gates the usual service time
+		hangingMesh.call(t, http.MethodGet, "/", "")
 	}
-	return made
+	return hangingMesh
 }
 
-// callBeside makes a call to hangPath while others are answered.
+// callThroughSecondGate makes a call to hangPath while other calls are answered.
 func (m *mesh) callThroughSecondGate(t *testing.T, method string) callResult {
 	t.Helper()
-	done := make(chan callResult, 1)
-	go func() { done <- m.call(t, method, hangPath, "") }()
+	results := make(chan callResult, 1)
+	go func() { results <- m.call(t, method, hangPath, "") }()
 	for {
 		select {
-		case got := <-done:
+		case got := <-results:
 			return got
 		default:
 			m.call(t, http.MethodGet, "/", "")
@@ -68,7 +68,7 @@
 	check.Equal(mesh.hungCalls(), uint64(1))
 }
 
-// It may run: nobody can tell that it never will.
+// The call may still run: nothing proves that it never will.
 func TestHungUnrepeatableCallWaitsForDeadline(t *testing.T) {
 	check := is.New(t)
 	var arrived atomic.Int64
@@ -78,8 +78,9 @@
 	check.Equal(mesh.hungCalls(), uint64(1))
 }
 
-// watchedCall is a call that was sent a minute ago; three calls that were sent later have been
-// answered, and all calls before took 10 ms.
+// newWatchedCall returns a proxy with a call that was sent a minute ago, and the time on the
+// proxy's clock. Three calls that were sent later have been answered, and all earlier calls took 10
+// ms.
 func newWatchedCall(t *testing.T) (*Proxy, time.Duration) {
 	t.Helper()
 	const now = 2 * time.Minute
@@ -106,7 +107,8 @@
 	check.Equal(proxy.Counters().HungCalls, uint64(0))
 }
 
-// A back end that leaves many calls unanswered is ejected before these reach their deadlines.
+// A back end that leaves many calls unanswered must be ejected before these calls reach their
+// deadlines.
 func TestHungCallIsReportedAsBackEndFailure(t *testing.T) {
 	check := is.New(t)
 	proxy, now := newWatchedCall(t)
@@ -128,20 +130,21 @@
 	check.Equal(proxy.Counters().HungCalls, uint64(1))
 }
 
-// The slot of a call that was given up is not free while the call may run.
+// The slot of a cancelled call must not become free while the call may still run.
 func TestCancelledCallKeepsSlotUntilDeadline(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{CancelWait: time.Millisecond}, 2, func(call *backendCall) { <-call.released })
 	const timeout = 400 * time.Millisecond
-	began := testClock()
+	startedAt := testClock()
 	call := gate.startCall(t, timeout)
 	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
 	call.cancel()
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
-	check.True(testClock()-began >= timeout)
+	check.True(testClock()-startedAt >= timeout)
 }
 
-// A daemon that was killed leaves its calls at the back end.
+// A killed daemon leaves its calls running at the back end. The restarted daemon must not add more
+// calls than the back end can run.
 func TestOneCallProbesForOrphanedCallsAfterDaemonRestart(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{}, 4, func(call *backendCall) { <-call.released })
@@ -151,10 +154,10 @@
 	}
 	restarted.await(func() bool { return restarted.proxy.gate.Load().Queued == 2 })
 	restarted.await(func() bool { return restarted.arrivedCount.Load() == 1 })
-	check.Equal(restarted.proxy.gate.Load().Running, 4) // all but a quarter may run, and one does
+	check.Equal(restarted.proxy.gate.Load().Running, 4) // 3 of 4 slots are reserved for orphaned calls, and one call runs
 }
 
-// Nothing that was sent to a back end that has lost its power can still run.
+// A call that was sent to a crashed start can't still be running.
 func TestCallToCrashedStartEndsWhenNextStartReports(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released })
@@ -167,7 +170,7 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// The runs of a start that leaves go on, and their connections carry nothing else.
+// The running calls of a draining start continue, and their connections carry no further calls.
 func TestCallToDrainingStartIsAnswered(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released; call.answer() })
@@ -193,8 +196,8 @@
 	check.Equal(gate.proxy.Counters().BackendOpen, 2)
 }
 
-// A back end may report before the configuration has come that says how long its calls may
-// take.
+// A back end may report before the configuration arrives, which says how long calls may take and
+// thus how long orphaned calls may run.
 func TestOrphanedCallsAreExpectedWhenRoutesArriveLater(t *testing.T) {
 	check := is.New(t)
 	proxy := New(Config{Clock: testClock, NodeID: "gate", Service: testService, Reported: true})
@@ -206,7 +209,7 @@
 	check.Equal(proxy.gate.Load().Running, 3)
 }
 
-// Nothing of a call that hung is at another start: that has all its slots.
+// A hung call occupies nothing at the next start, so that start has all its slots.
 func TestSlotOfHungCallIsFreedByNextStart(t *testing.T) {
 	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released })
 	call := gate.startCall(t, time.Minute)
@@ -219,8 +222,8 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// A call that was taken for a hung one and is answered was at work: its slot is free as soon as
-// the back end ends the connection, also where its answer was not read to the end.
+// A call marked as hung that is answered after all was being worked on. Its slot must become free
+// when the back end closes the connection, even if the answer was not read to its end.
 func TestSlotOfHungCallIsFreedByAnswer(t *testing.T) {
 	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released; call.sendAnswerHead() })
 	call := gate.startCall(t, time.Minute)
@@ -232,11 +235,11 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// hang has all calls under way found to hang.
+// hangCall marks all calls under way as hung.
 func (g *reportedGate) hangCall() {
 	for index := range g.proxy.hangDetector.cells {
-		if made := g.proxy.hangDetector.cells[index].Load(); made != nil {
-			made.isHung.Store(true)
+		if watched := g.proxy.hangDetector.cells[index].Load(); watched != nil {
+			watched.isHung.Store(true)
 		}
 	}
 }
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -6,8 +6,7 @@
 	"strings"
 )
 
-// The headers between daemons, in canonical form; docs/DESIGN.md has their
-// meanings.
+// The headers between daemons, in canonical form; docs/DESIGN.md describes their meanings.
 const (
 	headerPrefix      = "Springstack-"
 	headerHop         = "Springstack-Hop"
@@ -25,13 +24,15 @@
 	headerCode        = "Springstack-Code"
 	headerRan         = "Springstack-Ran"
 	headerLoad        = "Springstack-Load"
-	// headerEnded is on an attempt how many instances have ended under earlier ones of its
-	// call, and on a gate's refusal the instance that has ended under it.
+	// headerEnded carries, on an attempt, the number of instances that ended under earlier attempts
+	// of its call and, on a gate's refusal, the instance that ended under this one.
 	headerEnded = "Springstack-Ended"
-	// headerRegions is on a gate's refusal the regions that its version allows for the call.
+	// headerRegions lists, on a gate's refusal, the regions that the gate's configuration version
+	// allows.
 	headerRegions = "Springstack-Regions"
-	// headerMayHedge is on an attempt whose sender may make another one beside it, and
-	// headerHangs on the gate's interim answer that the back end seems never to answer it.
+	// headerMayHedge marks an attempt whose sender may make another attempt in parallel;
+	// headerHangs marks the gate's interim answer that the back end seems never to answer that
+	// attempt.
 	headerMayHedge = "Springstack-May-Hedge"
 	headerHangs    = "Springstack-Hangs"
 )
@@ -39,14 +40,14 @@
 // hopGate is the value of headerHop on calls between daemons.
 const hopGate = "gate"
 
-// hopByHop are the headers that end at each connection (RFC 9110, 7.6.1).
+// hopByHop lists the headers that apply to one connection only (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// stripHopByHop removes the headers that end at this connection, with those
-// that the Connection header lists.
+// stripHopByHop removes the headers that apply to this connection only, including those that the
+// Connection header lists.
 func stripHopByHop(header http.Header) {
 	for _, line := range header["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -58,7 +59,7 @@
 	}
 }
 
-// stripOwn removes every header of springstack, however it is spelt.
+// stripOwn removes every header of springstack, in any spelling.
 func stripOwn(header http.Header) {
 	for name := range header {
 		if len(name) >= len(headerPrefix) && strings.EqualFold(name[:len(headerPrefix)], headerPrefix) {
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	// downAfter is how many probes in a row must fail before a back end counts
-	// as down.
+	// maxProbeFailures is how many consecutive probes must fail before a back end counts as down.
 	maxProbeFailures = 3
-	// probeBytes bounds what is read of a probe's answer.
+	// maxProbeAnswerBytes bounds how much is read of the answer to a probe.
 	maxProbeAnswerBytes = 4 << 10
-	// firstProbeWait is the time between probes until the first success.
+	// firstProbeInterval is the longest time between probes before the first success and while the
+	// back end is down.
 	firstProbeInterval = 50 * time.Millisecond
 )
 
-// health follows the back end beside the daemon by probes. What calls meet
-// goes before what probes say, for health and load endpoints lag and mislead;
-// the back end's own signal that it is leaving is taken at its word.
+// health probes the back end of the daemon. An answered call outweighs a failed probe, because
+// health and load endpoints lag and mislead; a back end's own signal that it drains is always
+// followed.
 type health struct {
 	proxy  *Proxy
 	client *http.Client
-	// answeredAt is when a call was last answered, on the clock.
+	// lastAnswerAt is when a call was last answered, on the proxy's clock.
 	lastAnswerAt atomic.Int64
-	// wake asks for a probe now.
+	// wake requests an immediate probe.
 	wake chan struct{}
-	// context ends with the proxy, done is closed when run has ended.
+	// context ends with the proxy; done is closed when run has returned.
 	context context.Context
 	cancel  context.CancelFunc
 	done    chan struct{}
 	load    atomic.Pointer[backendLoad]
 
-	// state and failures belong to run.
+	// state and consecutiveFailures are used by run only.
 	state               protocol.EndpointState
 	consecutiveFailures int
 }
 
-// ownLoad is a back end's own report.
+// backendLoad is the load that a back end reports itself.
 type backendLoad struct {
 	running    float64
 	reportedAt time.Duration
 }
 
-// loadAnswer is the form of a back end's load endpoint.
+// loadResponse is the JSON answer of a back end's load endpoint.
 type loadResponse struct {
 	Running *float64 `json:"running"`
 }
@@ -68,14 +68,14 @@
 	}
 }
 
-// stop ends the probes and waits for the one that runs.
+// stop cancels the probes and waits for run to return.
 func (h *health) stop() {
 	h.cancel()
 	<-h.done
 }
 
-// answered records that a call was answered. It writes a few times a second at
-// most, so that calls do not contend for it.
+// recordAnswer records that a call was answered. It stores at most a few times per second, so that
+// calls do not contend on lastAnswerAt.
 func (h *health) recordAnswer() {
 	now := int64(h.proxy.config.Clock())
 	if now-h.lastAnswerAt.Load() > int64(h.proxy.limits.ProbePeriod)/4 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// unreachable asks for a probe now, for a call met no connection.
+// requestProbe requests an immediate probe after a call could not connect.
 func (h *health) requestProbe() {
 	select {
 	case h.wake <- struct{}{}:
@@ -91,7 +91,7 @@
 	}
 }
 
-// backendUnreachable is called when a call met no connection to the back end.
+// handleBackendUnreachable is called when a call could not connect to the back end.
 func (p *Proxy) handleBackendUnreachable(start protocol.BackendStart) {
 	if !p.config.Reported {
 		p.health.requestProbe()
@@ -102,14 +102,14 @@
 	}
 }
 
-// ownLoad is the back end's last report and its age; the report is negative
-// when there is none.
+// backendLoad returns the load last reported by the back end and its age; the load is negative if
+// there is none.
 func (h *health) backendLoad() (float64, time.Duration) {
-	held := h.load.Load()
-	if held == nil {
+	load := h.load.Load()
+	if load == nil {
 		return -1, 0
 	}
-	return held.running, h.proxy.config.Clock() - held.reportedAt
+	return load.running, h.proxy.config.Clock() - load.reportedAt
 }
 
 // run probes until the proxy is closed.
@@ -134,34 +134,34 @@
 	}
 }
 
-// probe asks the back end once and settles its state.
+// probe queries the back end once and updates its state.
 func (h *health) probe() {
 	spec, known := h.serviceSpec()
 	if !known {
 		return
 	}
-	found := h.probeState(spec)
+	state := h.probeState(spec)
 	if h.context.Err() != nil {
 		return
 	}
-	h.applyProbe(found)
+	h.applyProbe(state)
 	if spec.LoadPath != "" {
 		h.fetchLoad(spec.LoadPath)
 	}
 }
 
-// spec is the service as the snapshot in force has it.
+// serviceSpec returns the service from the snapshot in force.
 func (h *health) serviceSpec() (resource.Service, bool) {
-	held := h.proxy.view.Load().snapshot
-	if held == nil {
+	current := h.proxy.view.Load().snapshot
+	if current == nil {
 		return resource.Service{}, false
 	}
-	spec, found := held.Services[h.proxy.config.Service]
+	spec, found := current.Services[h.proxy.config.Service]
 	return spec, found
 }
 
-// ask probes health, or only whether the back end takes connections when the
-// service declares no health path.
+// probeState queries the health path, or only opens a connection if the service declares no health
+// path.
 func (h *health) probeState(spec resource.Service) protocol.EndpointState {
 	started := h.proxy.config.Clock()
 	state := protocol.EndpointDown
@@ -224,10 +224,10 @@
 	return h.client.Do(request)
 }
 
-// settle takes a probe's finding. Down needs several in a row, so that one
-// lost probe moves no work; the rest is taken at once.
-func (h *health) applyProbe(found protocol.EndpointState) {
-	if found == protocol.EndpointDown {
+// applyProbe applies the result of a probe. Down needs several failures in a row, so that one lost
+// probe moves no calls; every other state applies at once.
+func (h *health) applyProbe(state protocol.EndpointState) {
+	if state == protocol.EndpointDown {
 		h.consecutiveFailures++
 		if h.consecutiveFailures < maxProbeFailures && h.state != protocol.EndpointNone {
 			return
@@ -235,13 +235,13 @@
 	} else {
 		h.consecutiveFailures = 0
 	}
-	if found == h.state {
+	if state == h.state {
 		return
 	}
-	h.setState(found)
+	h.setState(state)
 }
 
-// change puts a new state in force at the gate and tells the daemon.
+// setState applies a new state to the gate and reports it to the daemon.
 func (h *health) setState(next protocol.EndpointState) {
 	previous := h.state
 	h.state = next
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -10,14 +10,15 @@
 	"github.com/springstack/springstack/internal/core/retry"
 )
 
-// errHedged is how an attempt ends for its call whose gate fell silent and that
-// another attempt follows while it may still be answered.
+// errHedged ends an attempt for its call when the attempt became a hedged attempt: another one is
+// made while this one may still be answered.
 const errHedged = errors.ConstError("the gate is silent, and the call is sent elsewhere")
 
-// hedgedExchange stands for the exchange of an attempt whose own goes on without it.
+// newPlaceholderExchange returns the exchange of an attempt that has passed its real exchange on,
+// to a hedged attempt or another owner.
 func newPlaceholderExchange() *exchange { return &exchange{err: errHedged, cancel: func() {}} }
 
-// pendingExchange is an exchange that runs on a goroutine of its own.
+// pendingExchange is an exchange that runs in its own goroutine.
 type pendingExchange struct {
 	// done is closed when the exchange has ended.
 	done chan struct{}
@@ -27,38 +28,38 @@
 	dropped  bool
 }
 
-// startExchange starts an exchange and reads its answer as far as that may be held, so that whoever
-// waits for done never waits for an answer that stops midway.
+// startExchange starts an exchange in a goroutine and buffers its answer up to collectBytes, so
+// that a reader of done never waits for an answer that stalls midway.
 func startExchange(send func() *exchange, collectBytes int) *pendingExchange {
-	made := &pendingExchange{done: make(chan struct{})}
+	pending := &pendingExchange{done: make(chan struct{})}
 	go func() {
-		sent := send()
-		sent.collect(collectBytes)
-		made.finish(sent)
-		close(made.done)
+		ended := send()
+		ended.collect(collectBytes)
+		pending.finish(ended)
+		close(pending.done)
 	}()
-	return made
+	return pending
 }
 
-// finish keeps what came of the exchange, unless nobody wants it any more.
-func (e *pendingExchange) finish(made *exchange) {
+// finish stores the ended exchange, or closes it if it was dropped.
+func (e *pendingExchange) finish(ended *exchange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.dropped {
-		made.close()
+		ended.close()
 		return
 	}
-	e.exchange = made
+	e.exchange = ended
 }
 
-// take returns the exchange, whose owner is then the caller; done must be closed.
+// take returns the ended exchange, which the caller then owns; done must be closed.
 func (e *pendingExchange) take() *exchange {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.exchange
 }
 
-// drop closes the exchange, at its end if it still runs.
+// drop closes the exchange. If the exchange still runs, finish closes it at its end.
 func (e *pendingExchange) drop() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -68,24 +69,24 @@
 	}
 }
 
-// hedged is an attempt that another one has followed since its gate fell silent, or told that
-// the back end seems never to answer it.
+// hedgedAttempt is an attempt that was followed by another one because its gate fell silent or
+// reported that the back end seems never to answer it.
 //
-// Either is only suspected: both may be slow, and the back end at work. So the
-// attempt is not broken off; like any other it ends by its answer, its connection, its
-// caller, the call's time or the drain's hard bound. Nothing here asks whether this
-// daemon drains: a process learns of a stop later than it is sent, up to some tenths of
-// a second where its processor share is spent, and a call broken off by then is cut by
-// the stop all the same. A call has one at most.
+// Both are suspicions: the gate or the back end may only be slow. So the attempt is not cancelled.
+// Like any other it ends by its answer, its connection, its caller, the call's time or the drain's
+// hard bound. To cancel it unless this daemon drains would not be safe: a process learns of its
+// stop up to some tenths of a second late when its processor share is used up, and an attempt
+// cancelled in that time is lost. A call has at most one hedged attempt.
 type hedgedAttempt struct {
 	chosen *endpoint.Endpoint
 	sentAt time.Duration
-	// set is that of the endpoint when it was chosen.
+	// set is the endpoint set that the endpoint was chosen from.
 	set     *endpoint.Set
 	pending *pendingExchange
 }
 
-// answered is closed when the hedged attempt has ended; nil, which never is, without one.
+// hedgedDone returns a channel that is closed when the hedged attempt has ended, or nil if there is
+// none.
 func (c *callerCall) hedgedDone() <-chan struct{} {
 	if c.hedgedAttempt == nil {
 		return nil
@@ -93,30 +94,30 @@
 	return c.hedgedAttempt.pending.done
 }
 
-// takeHedged returns the hedged attempt, which has ended, if its back end has answered it,
-// and else nil. The call then has no hedged attempt any more, and no doubt about one that
-// is proved not to have run.
+// takeHedgedAnswer removes the hedged attempt, which must have ended, from the call. It returns the
+// attempt if its back end has answered it, and else nil. If the attempt is proved not to have run,
+// it no longer counts as one that may have.
 func (c *callerCall) takeHedgedAnswer() *attempt {
-	earlier := c.hedgedAttempt
+	hedged := c.hedgedAttempt
 	c.hedgedAttempt = nil
-	received := earlier.pending.take()
-	if received.answer == nil && !received.unsent {
-		received.close()
+	ended := hedged.pending.take()
+	if ended.answer == nil && !ended.unsent {
+		ended.close()
 		return nil
 	}
-	late := &attempt{endpoint: earlier.chosen, sentAt: earlier.sentAt, exchange: received}
-	late.endpoint.Begin()
-	c.classifyAttempt(late, earlier.set)
-	if late.outcome.Kind == retry.Answered {
-		return late
+	hedgedAnswer := &attempt{endpoint: hedged.chosen, sentAt: hedged.sentAt, exchange: ended}
+	hedgedAnswer.endpoint.Begin()
+	c.classifyAttempt(hedgedAnswer, hedged.set)
+	if hedgedAnswer.outcome.Kind == retry.Answered {
+		return hedgedAnswer
 	}
-	c.retries.ResolveUncertainAttempt(late.outcome)
-	late.end(c.proxy) // refused, not sent, or its answer broke off
+	c.retries.ResolveUncertainAttempt(hedgedAnswer.outcome)
+	hedgedAnswer.end(c.proxy) // It was refused or not sent, or its answer broke off.
 	return nil
 }
 
-// awaitHedged waits for the hedged attempt before a call is refused, and returns its
-// answer, or nil when it ended without one or the call ended before.
+// awaitHedgedAnswer waits for the hedged attempt before a call is refused. It returns the attempt's
+// answer, or nil if the attempt ended without one or the call ended first.
 func (c *callerCall) awaitHedgedAnswer() *attempt {
 	if c.hedgedAttempt == nil {
 		return nil
@@ -127,55 +128,54 @@
 	case <-c.context.Done():
 	}
 	select {
-	case <-c.hedgedDone(): // at the same moment: what is ready is delivered
+	case <-c.hedgedDone(): // Both ended at the same moment: an answer that is ready is delivered.
 		return c.takeHedgedAnswer()
 	default:
 		return nil
 	}
 }
 
-// keep keeps a back end's answer of failure, to be delivered if nothing better comes. An
-// answer that was not read whole is not kept: it would hold its connection.
+// keepFailureAnswer keeps a back end's error answer, to be delivered if no better one arrives. An
+// answer that was not read completely is not kept, because it would occupy its connection.
 func (c *callerCall) keepFailureAnswer(failed *attempt) {
 	if c.failureAnswer == nil && failed.outcome.Kind == retry.Answered && failed.exchange.complete {
 		c.failureAnswer = failed
 	}
 }
 
-// betterAnswer returns the answer of the hedged attempt in place of one by which a back
-// end failed the call, if there is one.
+// preferHedgedAnswer returns the answer of the hedged attempt, if there is one, in place of a back
+// end's error answer.
 func (c *callerCall) preferHedgedAnswer(failed *attempt) *attempt {
-	late := c.awaitHedgedAnswer()
-	if late == nil {
+	hedgedAnswer := c.awaitHedgedAnswer()
+	if hedgedAnswer == nil {
 		return failed
 	}
 	failed.end(c.proxy)
-	return late
+	return hedgedAnswer
 }
 
-// lastAnswer returns what a call can be answered with before it is refused: what the
-// hedged attempt is answered with or, failing that, a back end's failure; nil for
-// neither.
+// fallbackAnswer returns the answer that a call gets instead of a refusal: that of the hedged
+// attempt or else a back end's error answer; nil if there is neither.
 func (c *callerCall) fallbackAnswer() *attempt {
-	if late := c.awaitHedgedAnswer(); late != nil {
-		return late
+	if hedgedAnswer := c.awaitHedgedAnswer(); hedgedAnswer != nil {
+		return hedgedAnswer
 	}
 	return c.failureAnswer
 }
 
-// runsAt tells whether the hedged attempt is at an endpoint.
+// isHedgedAt reports whether the hedged attempt was sent to the endpoint.
 func (c *callerCall) isHedgedAt(chosen *endpoint.Endpoint) bool {
 	return c.hedgedAttempt != nil && chosen != nil && c.hedgedAttempt.chosen.Address == chosen.Address
 }
 
-// dropHedged gives up what is still under way when a call has ended.
+// abandonHedged drops the hedged attempt of a call that has ended, if it is still under way.
 func (c *callerCall) abandonHedged() {
 	if c.hedgedAttempt == nil {
 		return
 	}
-	dropped := c.hedgedAttempt
+	abandoned := c.hedgedAttempt
 	c.hedgedAttempt = nil
-	dropped.pending.drop()
+	abandoned.pending.drop()
 	reason, ended := c.endReason()
 	switch {
 	case ended:
@@ -184,5 +184,5 @@
 	default:
 		reason = AbandonedForCallRefusal
 	}
-	c.recordAbandoned(&attempt{endpoint: dropped.chosen, sentAt: dropped.sentAt}, reason)
+	c.recordAbandoned(&attempt{endpoint: abandoned.chosen, sentAt: abandoned.sentAt}, reason)
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -14,20 +14,20 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// ending is how a back end ends a run.
+// failureKind is how a back end ends a call.
 type failureKind int
 
 const (
 	succeeds failureKind = iota
 	respondsWithError
 	resetsConnection
-	// endsMidway resets the connection after a part of the answer.
+	// breaksMidAnswer resets the connection after a part of the answer.
 	breaksMidAnswer
-	// endsUnbegun sheds the call: the back end says that it has not begun it.
+	// shedsCall answers that the back end has not begun the call.
 	shedsCall
 )
 
-// stepped is a back end whose runs end as the test says.
+// steppedBackend is a back end that ends each call in the way that the test sends to outcomes.
 type steppedBackend struct {
 	entered   chan struct{}
 	outcomes  chan failureKind
@@ -42,16 +42,16 @@
 	return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		s.entered <- struct{}{}
 		select {
-		case how := <-s.outcomes:
-			failCall(writer, how, name)
+		case kind := <-s.outcomes:
+			failCall(writer, kind, name)
 		case <-request.Context().Done():
 			s.cancelled <- struct{}{}
 		}
 	}}
 }
 
-func failCall(writer http.ResponseWriter, how failureKind, name string) {
-	switch how {
+func failCall(writer http.ResponseWriter, kind failureKind, name string) {
+	switch kind {
 	case succeeds:
 		_, _ = io.WriteString(writer, name)
 	case respondsWithError:
@@ -69,256 +69,257 @@
 	}
 }
 
-// breakAll breaks the runs of all attempts that a call may make.
+// resetAllAttempts resets the connections of all attempts that a call may make.
 func (s *steppedBackend) resetAllAttempts() {
 	for range routing.DefaultAttempts {
 		s.outcomes <- resetsConnection
 	}
 }
 
-// hedging is a mesh of two back ends with a call under way at one of them.
+// hedgedCall is a mesh of two back ends with a call under way at the first of them.
 type hedgedCall struct {
 	*mesh
 	first, second *steppedBackend
-	// silent is the gate of the first.
+	// firstGate is the gate of the back end that runs the first attempt.
 	firstGate *Proxy
 	answers   chan callResult
 }
 
-// startHedging starts a repeatable call and waits until it runs.
+// startHedgedCall starts a repeatable call and waits until it runs.
 func startHedgedCall(t *testing.T, change func(*Config)) *hedgedCall {
 	t.Helper()
-	one, other := newSteppedBackend(), newSteppedBackend()
-	made := &hedgedCall{answers: make(chan callResult, 1)}
-	made.mesh = startMesh(t, meshOptions{changeCaller: func(config *Config) {
-		config.OnSilent = func(protocol.NodeID) {} // calls may be hedged
+	a, b := newSteppedBackend(), newSteppedBackend()
+	started := &hedgedCall{answers: make(chan callResult, 1)}
+	started.mesh = startMesh(t, meshOptions{changeCaller: func(config *Config) {
+		config.OnSilent = func(protocol.NodeID) {} // enables hedging
 		change(config)
-	}}, one.spec("a"), other.spec("b"))
-	go func() { made.answers <- made.call(t, "GET", "/", "") }()
+	}}, a.spec("a"), b.spec("b"))
+	go func() { started.answers <- started.call(t, "GET", "/", "") }()
 	select {
-	case <-one.entered:
-		made.first, made.second, made.firstGate = one, other, made.gates[0]
-	case <-other.entered:
-		made.first, made.second, made.firstGate = other, one, made.gates[1]
+	case <-a.entered:
+		started.first, started.second, started.firstGate = a, b, started.gates[0]
+	case <-b.entered:
+		started.first, started.second, started.firstGate = b, a, started.gates[1]
 	}
-	return made
+	return started
 }
 
-// fallSilent tells the caller's side that the daemon of the first does not answer.
-func (o *hedgedCall) silenceFirstGate() {
-	o.mesh.caller.SetReachable(o.firstGate.config.NodeID, false)
-	o.mesh.caller.GiveUp(o.firstGate.config.NodeID)
+// silenceFirstGate marks the daemon of the first back end as unreachable at the caller's daemon.
+func (h *hedgedCall) silenceFirstGate() {
+	h.mesh.caller.SetReachable(h.firstGate.config.NodeID, false)
+	h.mesh.caller.GiveUp(h.firstGate.config.NodeID)
 }
 
-// closeOther has the other gate refuse all calls.
-func (o *hedgedCall) closeSecondGate() {
-	for _, gate := range o.gates {
-		if gate != o.firstGate {
+// closeSecondGate has the second gate refuse all calls.
+func (h *hedgedCall) closeSecondGate() {
+	for _, gate := range h.gates {
+		if gate != h.firstGate {
 			gate.StartDrain()
 			<-gate.Drained()
 		}
 	}
 }
 
-// awaitLimit bounds the waits for what must come.
+// awaitTimeout bounds the wait for an expected event.
 const awaitTimeout = 5 * time.Second
 
-// await waits for one thing on a channel.
-func await[Thing any](t *testing.T, from <-chan Thing, what string) Thing {
+// await receives one value from a channel.
+func await[Thing any](t *testing.T, channel <-chan Thing, event string) Thing {
 	t.Helper()
 	select {
-	case got := <-from:
-		return got
+	case value := <-channel:
+		return value
 	case <-time.After(awaitTimeout):
-		t.Fatal("never: " + what)
+		t.Fatal("timed out waiting for " + event)
 		panic("unreachable")
 	}
 }
 
-// settleTime is how long a wrong answer, which comes at once, is waited for.
+// noAnswerPeriod is how long a test waits for an answer that must not come; a wrong one comes at
+// once.
 const noAnswerPeriod = 60 * time.Millisecond
 
-// stayOpen fails when the caller is answered while the first attempt runs.
-func (o *hedgedCall) requireUnanswered(t *testing.T, when string) {
+// requireUnanswered fails the test if the caller is answered or the first attempt cancelled.
+func (h *hedgedCall) requireUnanswered(t *testing.T, moment string) {
 	t.Helper()
 	select {
-	case got := <-o.answers:
-		t.Fatalf("%s: the caller got %d %q while its call ran", when, got.status, got.body)
-	case <-o.first.cancelled:
-		t.Fatalf("%s: the run was cut", when)
+	case got := <-h.answers:
+		t.Fatalf("%s: the caller got %d %q while its call ran", moment, got.status, got.body)
+	case <-h.first.cancelled:
+		t.Fatalf("%s: the first attempt was cancelled", moment)
 	case <-time.After(noAnswerPeriod):
 	}
 }
 
-// A daemon that was told to stop once cut a request which a back end was working on, and
-// answered it with 502 in its own name. The daemon beside that back end had been slow to
-// answer two questions, so the attempt there was broken off and another one made, which
-// all others refused. That nothing is broken off by a daemon that stops did not help: the
-// process learnt of its stop a moment after. So an attempt that was sent ends by its own
-// answer or connection, its caller, its time or the drain's hard bound, at any moment
-// around a stop, and never because its daemon is silent.
+// A stopping daemon must not answer 502 for a call that a back end is working on. The back end's
+// daemon misses two reachability probes, so the call's attempt there is given up and another one
+// made, which all other gates refuse. It does not help to keep attempts only while the caller's
+// daemon stops, because the process learns of its stop a moment later. So an attempt that was sent
+// ends only by its own answer or connection, its caller, its time or the drain's hard bound, at any
+// moment around a stop, and never because its gate is silent.
 func TestCallIsNotFailedWhileHedgedAttemptRuns(t *testing.T) {
-	ends := map[string]failureKind{"breaks": resetsConnection, "is refused": succeeds}
-	for name, how := range ends {
+	secondOutcomes := map[string]failureKind{"breaks": resetsConnection, "is refused": succeeds}
+	for name, outcome := range secondOutcomes {
 		for _, moment := range []string{"never", "before the silence", "before the other ends", "after the other ended"} {
-			t.Run("the other "+name+", stop "+moment, func(t *testing.T) { testNoCallFailed(t, how, moment) })
+			t.Run("the other "+name+", stop "+moment, func(t *testing.T) { testNoCallFailed(t, outcome, moment) })
 		}
 	}
 }
 
-func testNoCallFailed(t *testing.T, how failureKind, stop string) {
+func testNoCallFailed(t *testing.T, outcome failureKind, stopMoment string) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(*Config) {})
+	hedged := startHedgedCall(t, func(*Config) {})
 	stopAt := func(moment string) {
-		if moment == stop {
-			mesh.caller.StartDrain()
+		if moment == stopMoment {
+			hedged.caller.StartDrain()
 		}
 	}
-	if how != resetsConnection {
-		mesh.closeSecondGate()
+	if outcome != resetsConnection {
+		hedged.closeSecondGate()
 	}
 	stopAt("before the silence")
-	mesh.silenceFirstGate()
-	if how == resetsConnection {
-		await(t, mesh.second.entered, "another attempt")
+	hedged.silenceFirstGate()
+	if outcome == resetsConnection {
+		await(t, hedged.second.entered, "another attempt")
 	}
 	stopAt("before the other ends")
-	if how == resetsConnection {
-		mesh.second.resetAllAttempts()
+	if outcome == resetsConnection {
+		hedged.second.resetAllAttempts()
 	}
-	mesh.requireUnanswered(t, "after the other attempt")
+	hedged.requireUnanswered(t, "after the other attempt")
 	stopAt("after the other ended")
-	mesh.requireUnanswered(t, "after the stop")
-	check.Equal(len(mesh.first.entered), 0) // what keeps the call open is its first attempt alone
-	check.Equal(len(mesh.caller.Counters().Abandoned), 0)
-	mesh.first.outcomes <- succeeds
-	got := await(t, mesh.answers, "an answer")
+	hedged.requireUnanswered(t, "after the stop")
+	check.Equal(len(hedged.first.entered), 0) // only the first attempt keeps the call open
+	check.Equal(len(hedged.caller.Counters().Abandoned), 0)
+	hedged.first.outcomes <- succeeds
+	got := await(t, hedged.answers, "an answer")
 	check.Equal(got.status, http.StatusOK)
 	check.Equal(len(got.body), 1)
 }
 
-// A failure that the first back end answers does not end the attempt that runs at the
-// other one.
+// An error answer to the first attempt must not cancel the attempt at the second back end.
 func TestFailureOfHedgedAttemptDoesNotEndSecondAttempt(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(*Config) {})
-	mesh.silenceFirstGate()
-	await(t, mesh.second.entered, "another attempt")
-	mesh.first.outcomes <- respondsWithError
+	hedged := startHedgedCall(t, func(*Config) {})
+	hedged.silenceFirstGate()
+	await(t, hedged.second.entered, "another attempt")
+	hedged.first.outcomes <- respondsWithError
 	select {
-	case got := <-mesh.answers:
+	case got := <-hedged.answers:
 		t.Fatalf("the caller got %d while its call ran", got.status)
 	case <-time.After(noAnswerPeriod):
 	}
-	mesh.second.outcomes <- succeeds
-	check.Equal(await(t, mesh.answers, "an answer").status, http.StatusOK)
+	hedged.second.outcomes <- succeeds
+	check.Equal(await(t, hedged.answers, "an answer").status, http.StatusOK)
 }
 
-// A back end's own answer of failure is delivered rather than a failure of our own.
+// A back end's error answer is delivered in preference to a refusal by the caller's daemon.
 func TestBackEndFailureIsPreferredToOwnRefusal(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
-	mesh.silenceFirstGate()
-	await(t, mesh.second.entered, "another attempt")
-	mesh.first.outcomes <- respondsWithError
+	hedged := startHedgedCall(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
+	hedged.silenceFirstGate()
+	await(t, hedged.second.entered, "another attempt")
+	hedged.first.outcomes <- respondsWithError
 	time.Sleep(noAnswerPeriod)
-	mesh.second.resetAllAttempts()
-	mesh.first.resetAllAttempts() // further attempts
-	got := await(t, mesh.answers, "an answer")
+	hedged.second.resetAllAttempts()
+	hedged.first.resetAllAttempts() // for further attempts at the first back end
+	got := await(t, hedged.answers, "an answer")
 	check.Equal(got.status, http.StatusInternalServerError)
 	check.Equal(got.code(), "")
 }
 
-// An answer of the first that breaks off leaves the caller with a whole answer of our own.
+// If the first attempt's answer breaks off, the caller gets a complete refusal.
 func TestTruncatedHedgedAnswerIsReplacedByRefusal(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
-	mesh.closeSecondGate()
-	mesh.caller.GiveUp(mesh.firstGate.config.NodeID)
-	mesh.requireUnanswered(t, "after the other attempt")
-	mesh.first.outcomes <- breaksMidAnswer
-	got := await(t, mesh.answers, "an answer")
+	hedged := startHedgedCall(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
+	hedged.closeSecondGate()
+	hedged.caller.GiveUp(hedged.firstGate.config.NodeID)
+	hedged.requireUnanswered(t, "after the other attempt")
+	hedged.first.outcomes <- breaksMidAnswer
+	got := await(t, hedged.answers, "an answer")
 	check.True(!got.truncated)
 	check.Equal(got.ran(), string(result.RanUnknown))
 }
 
-// A hedged attempt that is proved not to have run leaves no doubt: its caller is told that
-// nothing ran, and with a status that says so.
+// If the hedged attempt is proved not to have run, the caller must be told that nothing ran, with
+// the status for that.
 func TestHedgedCallShedLastIsRefusedAsNotRun(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(*Config) {})
-	mesh.closeSecondGate()
-	mesh.silenceFirstGate()
-	mesh.requireUnanswered(t, "after the other attempt")
-	mesh.first.outcomes <- shedsCall
-	got := await(t, mesh.answers, "an answer")
+	hedged := startHedgedCall(t, func(*Config) {})
+	hedged.closeSecondGate()
+	hedged.silenceFirstGate()
+	hedged.requireUnanswered(t, "after the other attempt")
+	hedged.first.outcomes <- shedsCall
+	got := await(t, hedged.answers, "an answer")
 	check.Equal(got.ran(), string(result.RanNo))
 	check.Equal(got.status, http.StatusServiceUnavailable)
 }
 
-// The same where the proof comes first.
+// The hedged attempt is the first that is proved not to have run. When all later attempts are
+// proved too, the caller must be told that nothing ran.
 func TestHedgedCallShedFirstIsRefusedAsNotRun(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(*Config) {})
-	mesh.silenceFirstGate()
-	await(t, mesh.second.entered, "another attempt")
-	mesh.first.outcomes <- shedsCall
+	hedged := startHedgedCall(t, func(*Config) {})
+	hedged.silenceFirstGate()
+	await(t, hedged.second.entered, "another attempt")
+	hedged.first.outcomes <- shedsCall
 	select {
-	case got := <-mesh.answers:
+	case got := <-hedged.answers:
 		t.Fatalf("the caller got %d while its call ran", got.status)
 	case <-time.After(noAnswerPeriod):
 	}
 	for range routing.DefaultAttempts {
-		mesh.first.outcomes <- shedsCall // further attempts
-		mesh.second.outcomes <- shedsCall
+		hedged.first.outcomes <- shedsCall // for further attempts
+		hedged.second.outcomes <- shedsCall
 	}
-	got := await(t, mesh.answers, "an answer")
+	got := await(t, hedged.answers, "an answer")
 	check.Equal(got.ran(), string(result.RanNo))
 }
 
-// A suspicion takes no attempt away, whatever the other attempt ends with: the first back
-// end is at work, and its answer is of success.
+// An error answer to the second attempt must not cancel the first one. The first back end is at
+// work and succeeds.
 func TestFailureOfSecondAttemptDoesNotEndHedgedAttempt(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(*Config) {})
-	mesh.silenceFirstGate()
-	await(t, mesh.second.entered, "another attempt")
-	mesh.second.outcomes <- respondsWithError
-	mesh.requireUnanswered(t, "after the other failed")
-	mesh.first.outcomes <- succeeds
-	check.Equal(await(t, mesh.answers, "an answer").status, http.StatusOK)
+	hedged := startHedgedCall(t, func(*Config) {})
+	hedged.silenceFirstGate()
+	await(t, hedged.second.entered, "another attempt")
+	hedged.second.outcomes <- respondsWithError
+	hedged.requireUnanswered(t, "after the other failed")
+	hedged.first.outcomes <- succeeds
+	check.Equal(await(t, hedged.answers, "an answer").status, http.StatusOK)
 }
 
-// The attempt that is waited for is the first one, and not a second one at the same place.
+// The call waits for its first attempt and must not be sent to the same back end again.
 func TestCallIsNotResentToHedgedEndpoint(t *testing.T) {
 	check := is.New(t)
-	mesh := startHedgedCall(t, func(*Config) {})
-	mesh.silenceFirstGate()
-	await(t, mesh.second.entered, "another attempt")
-	mesh.second.resetAllAttempts()
-	mesh.requireUnanswered(t, "after the other attempt")
-	check.Equal(len(mesh.first.entered), 0) // a second run where the first one is at work
-	mesh.first.outcomes <- succeeds
-	check.Equal(await(t, mesh.answers, "an answer").status, http.StatusOK)
+	hedged := startHedgedCall(t, func(*Config) {})
+	hedged.silenceFirstGate()
+	await(t, hedged.second.entered, "another attempt")
+	hedged.second.resetAllAttempts()
+	hedged.requireUnanswered(t, "after the other attempt")
+	check.Equal(len(hedged.first.entered), 0) // no second run at the first back end
+	hedged.first.outcomes <- succeeds
+	check.Equal(await(t, hedged.answers, "an answer").status, http.StatusOK)
 }
 
-// A hedged attempt whose answer stops midway holds no answer up that is whole.
+// A hedged attempt that stalls in the middle of its answer must not delay a complete answer of the
+// other attempt.
 func TestStalledHedgedAnswerDoesNotDelayCompleteAnswer(t *testing.T) {
 	check := is.New(t)
-	began := make(chan string, 9)
-	head := make(chan struct{})
-	finish := make(chan struct{})
+	startedBackEnds := make(chan string, 9)
+	writeHead := make(chan struct{})
+	answerSecond := make(chan struct{})
 	var first atomic.Pointer[string]
 	spec := func(name string) backendSpec {
 		return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
-			mine := first.CompareAndSwap(nil, &name)
-			began <- name
-			if !mine {
-				<-finish
+			isFirst := first.CompareAndSwap(nil, &name)
+			startedBackEnds <- name
+			if !isFirst {
+				<-answerSecond
 				_, _ = io.WriteString(writer, name)
 				return
 			}
-			<-head
+			<-writeHead
 			writer.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(writer, "part")
 			_ = http.NewResponseController(writer).Flush()
@@ -330,22 +331,22 @@
 		config.OnSilent = func(protocol.NodeID) {}
 	}}, spec("a"), spec("b"))
 	for _, gate := range mesh.gates {
-		gate.limits.CollectBytes = 0 // the gate's machine is cut off midway
+		gate.limits.CollectBytes = 0 // the gate must forward the partial answer, as if it then lost its connection
 	}
-	got := make(chan callResult, 1)
-	go func() { got <- mesh.call(t, "GET", "/", "", "Springstack-Timeout-Ms", "2000") }()
-	name := await(t, began, "a run")
-	silent := mesh.gates[name[0]-'a'].config.NodeID
+	results := make(chan callResult, 1)
+	go func() { results <- mesh.call(t, "GET", "/", "", "Springstack-Timeout-Ms", "2000") }()
+	firstName := await(t, startedBackEnds, "a run")
+	silent := mesh.gates[firstName[0]-'a'].config.NodeID
 	mesh.caller.SetReachable(silent, false)
 	mesh.caller.GiveUp(silent)
-	await(t, began, "another attempt")
-	close(head)
+	await(t, startedBackEnds, "another attempt")
+	close(writeHead)
 	time.Sleep(noAnswerPeriod)
-	close(finish)
+	close(answerSecond)
 	select {
-	case one := <-got:
-		check.Equal(one.status, http.StatusOK)
+	case got := <-results:
+		check.Equal(got.status, http.StatusOK)
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("a whole answer has been there for 500 ms; the call waits for the rest of the other one")
+		t.Fatal("no answer within 500 ms of a complete one: the call waits for the stalled answer")
 	}
 }
--- a/internal/proxy/rest.go
+++ b/internal/proxy/idletimer.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// restTimer closes a connection that rests, or sends its headers, for longer
-// than the configuration in force allows.
+// idleTimer closes a connection that is idle, or sends its headers, for longer than the
+// configuration in force allows.
 type idleTimer struct {
 	mutex sync.Mutex
 	timer *time.Timer
 }
 
-// await closes the connection after a time unless a request begins before. 0
-// waits for nothing.
+// reset stops the timer. Unless wait is 0, it starts the timer again to close the connection after
+// wait.
 func (r *idleTimer) reset(wait time.Duration, conn *countedConn) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -28,16 +28,16 @@
 	}
 }
 
-// closeResting closes a connection on which no call has begun. The caller may
-// be sending one at this very moment; it is then not run.
+// closeIdle closes a connection on which no call has begun. A call that the caller sends at that
+// moment is not run.
 func (c *countedConn) closeIdle() {
 	if c.phase.CompareAndSwap(phaseIdle, phaseRetired) {
-		_ = c.Close() // whoever reads is woken and ends
+		_ = c.Close() // wakes a blocked reader, which then ends
 	}
 }
 
-// watchRest bounds the time that a caller's connection rests, and that the
-// headers of a request take.
+// updateIdleTimer bounds how long a caller's connection is idle and how long the headers of a
+// request take.
 func (p *Proxy) updateIdleTimer(conn net.Conn, state http.ConnState) {
 	counted, known := conn.(*countedConn)
 	if !known {
--- a/internal/proxy/incarnation.go
+++ b/internal/proxy/incarnation.go
@@ -8,15 +8,14 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// incarnations are the numbers that this process has gone by. The node starts
-// with the one of its configuration and takes a higher one when a peer
-// remembers it; calls chosen by either are meant for this process, and those
-// for any other number are meant for an earlier one.
+// ownIncarnations are the incarnation numbers that this process has used. The node starts with the
+// configured one and adopts a higher one when a peer remembers that one. Calls for either number
+// are meant for this process; calls for any other number are meant for an earlier one.
 type ownIncarnations struct {
 	known atomic.Pointer[[]protocol.Incarnation]
 }
 
-// add notes a number that the node goes by. One goroutine adds at a time.
+// add adds a number that the node uses. It must not be called concurrently.
 func (i *ownIncarnations) add(incarnation protocol.Incarnation) {
 	known := i.known.Load()
 	if known == nil {
@@ -26,11 +25,11 @@
 	if slices.Contains(*known, incarnation) {
 		return
 	}
-	longer := append(slices.Clone(*known), incarnation)
-	i.known.Store(&longer)
+	extended := append(slices.Clone(*known), incarnation)
+	i.known.Store(&extended)
 }
 
-// learn notes the number in the node's own member record.
+// addFromMembers adds the number in the node's own member record.
 func (i *ownIncarnations) addFromMembers(self protocol.NodeID, members []protocol.Member) {
 	for _, member := range members {
 		if member.ID == self {
@@ -39,7 +38,7 @@
 	}
 }
 
-// include reports whether a call's header names one of them.
+// contains reports whether a call's header names one of the numbers.
 func (i *ownIncarnations) contains(header string) bool {
 	incarnation, err := strconv.ParseUint(header, 10, 64)
 	return err == nil && slices.Contains(*i.known.Load(), protocol.Incarnation(incarnation))
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -17,34 +17,34 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// refusedWait bounds the time that a refused connection is kept open.
+// refusalTimeout bounds how long a refused connection is kept open.
 const refusalTimeout = 250 * time.Millisecond
 
-// refusedLimit bounds the refused connections that are answered at a time;
-// those beyond it are closed without a word.
+// maxRefusedConns bounds the refused connections answered at a time; any beyond it are closed
+// without an answer.
 const maxRefusedConns = 64
 
-// quietLog drops the library's own lines: they are about single connections
-// and are not in the project's form.
+// discardLog drops the log lines of the HTTP library: they concern single connections and do not
+// have the form of this project's events.
 var discardLog = log.New(io.Discard, "", 0)
 
-// boundedListener refuses connections beyond a limit, with a code, and gives
-// the library's own refusals of malformed requests a code.
+// boundedListener refuses connections beyond a limit with a result code, and adds a result code to
+// the library's own refusals of malformed requests.
 type boundedListener struct {
 	net.Listener
 	limit int64
-	// quiet closes idle connections without an announcing answer.
+	// closesIdleSilently closes idle connections without an answer that announces the close.
 	closesIdleSilently bool
 	tlsConfig          *tls.Config
-	// ahead is set when requests of a connection may run ahead of their turn.
+	// pipelining is set if pipelined requests may run ahead of their turn; nil if not.
 	pipelining    *pipeline.Config
 	openCount     atomic.Int64
 	refusingCount atomic.Int64
-	// conns are the open connections, entered and left once each.
-	conns sync.Map // of *countedConn
+	// conns are the open connections, each stored and deleted once.
+	conns sync.Map // the keys are of type *countedConn
 	// stage is one of the stages in shutdown.go.
 	stage atomic.Int32
-	// emptied is closed when Accept has ended.
+	// acceptEnded is closed when Accept has ended.
 	acceptEnded     chan struct{}
 	acceptEndedOnce sync.Once
 	closeOnce       sync.Once
@@ -69,8 +69,8 @@
 			return nil, l.handleAcceptError(err)
 		}
 		if l.tlsConfig != nil {
-			// The handshake takes place at the first reading or writing, in the
-			// connection's own goroutine and within its deadlines.
+			// The handshake takes place at the first read or write, in the connection's own
+			// goroutine and within its deadlines.
 			conn = tls.Server(conn, l.tlsConfig)
 		}
 		if l.stage.Load() == stageRetiring {
@@ -91,7 +91,8 @@
 	}
 }
 
-// acceptFailed tells the server whether to go on accepting.
+// handleAcceptError returns err while the listener serves, and net.ErrClosed once it is closed or
+// stopping.
 func (l *boundedListener) handleAcceptError(err error) error {
 	if l.stage.Load() == stageServing && !errors.Is(err, net.ErrClosed) {
 		return err
@@ -100,10 +101,10 @@
 	return net.ErrClosed
 }
 
-// refuse answers the first call of a connection that is not taken and closes
-// it. It waits for the call, for a caller may not heed an answer that comes
-// before; and it reads what the caller sends after it, for closing with unread
-// bytes would reset the connection before the caller has read the refusal.
+// refuseConnection answers the first call of a connection that is not accepted and closes the
+// connection. It waits for the call, because a caller may ignore an answer that precedes its
+// request. Afterwards it reads what the caller still sends: closing a connection with unread bytes
+// would reset it before the caller has read the refusal.
 func (l *boundedListener) refuseConnection(conn net.Conn, refusal Refusal) {
 	if l.refusingCount.Add(1) > maxRefusedConns {
 		l.refusingCount.Add(-1)
@@ -120,8 +121,8 @@
 		if _, err := conn.Write(rawRefusal(refusal)); err != nil {
 			return
 		}
-		if half, ok := conn.(writeCloser); ok {
-			_ = half.CloseWrite()
+		if writeSide, ok := conn.(writeCloser); ok {
+			_ = writeSide.CloseWrite()
 		}
 		_, _ = io.Copy(io.Discard, io.LimitReader(conn, discardBytes))
 	}()
@@ -131,7 +132,8 @@
 type countedConn struct {
 	net.Conn
 	listener *boundedListener
-	// ahead is Conn when requests may run ahead of their turn, and else nil.
+	// pipelined is the same connection as Conn if pipelined requests may run ahead of their turn,
+	// else nil.
 	pipelined *pipeline.Conn
 	closeOnce sync.Once
 	phase     atomic.Int32
@@ -147,32 +149,32 @@
 	return counted
 }
 
-// owes tells whether answers are owed to requests behind the current one that
-// run or have run ahead.
+// hasPendingAnswers reports whether requests behind the current one have run ahead, or are running,
+// and are not answered yet.
 func (c *countedConn) hasPendingAnswers() bool {
 	return c.pipelined != nil && c.pipelined.HasPendingAnswers()
 }
 
 // The phases of a connection.
 const (
-	// phaseIdle: no call was begun since the last answer. Only the library
-	// itself writes then.
+	// phaseIdle lasts while no call was begun since the last answer. Only the HTTP library itself
+	// writes then.
 	phaseIdle = iota
-	// phaseBusy: from the start of a handler until its answer has gone.
+	// phaseBusy lasts from the start of a handler until its answer is sent.
 	phaseBusy
-	// phaseRetired: no call will be begun any more.
+	// phaseRetired means that no further call will be begun.
 	phaseRetired
 )
 
-// begin marks the start of a call; false means that the connection is retired
-// and that the call must not run.
+// beginCall marks the start of a call. False means that the connection is retired and the call must
+// not run.
 func (c *countedConn) beginCall() bool {
 	c.idleTimer.reset(0, c)
 	return c.phase.CompareAndSwap(phaseIdle, phaseBusy) || c.phase.Load() == phaseBusy
 }
 
-// finished marks the end of a call. A connection that outlived the stage in
-// which it could be retired is retired now.
+// endCall marks the end of a call. If the listener is already retiring its idle connections, the
+// connection is retired now.
 func (c *countedConn) endCall() {
 	c.phase.CompareAndSwap(phaseBusy, phaseIdle)
 	if c.listener.stage.Load() == stageRetiring {
@@ -180,7 +182,7 @@
 	}
 }
 
-// connKey is the key of the connection in the contexts of its requests.
+// connKey is the context key under which a request's context holds its connection.
 type connKey struct{}
 
 // Close closes the connection.
@@ -193,25 +195,25 @@
 	return c.Conn.Close()
 }
 
-// CloseWrite ends the sending side, which the library does before it closes a
-// connection with unread input.
+// CloseWrite closes the sending side. The HTTP library calls it before it closes a connection with
+// unread input.
 func (c *countedConn) CloseWrite() error {
-	if half, ok := c.Conn.(writeCloser); ok {
-		return half.CloseWrite()
+	if writeSide, ok := c.Conn.(writeCloser); ok {
+		return writeSide.CloseWrite()
 	}
 	return nil
 }
 
-// The library answers requests that it can't parse by one write of a whole
-// answer, while no handler runs.
+// The HTTP library answers requests that it can't parse with a single write of the whole answer,
+// while no handler runs.
 const (
 	statusLinePrefix = "HTTP/1.1 "
-	// firstError and tooLarge are its statuses, as digits.
+	// firstErrorStatus and headersTooLargeStatus are HTTP statuses as the library writes them.
 	firstErrorStatus      = "400"
 	headersTooLargeStatus = "431"
 )
 
-// Write sends bytes, giving the library's own refusals a code.
+// Write sends bytes and adds a result code to the library's own refusals.
 func (c *countedConn) Write(text []byte) (int, error) {
 	status, prefixed := bytes.CutPrefix(text, []byte(statusLinePrefix))
 	if c.phase.Load() != phaseIdle || !prefixed || len(status) < len(firstErrorStatus) {
@@ -234,7 +236,7 @@
 	return len(text), nil
 }
 
-// plainRefusal is a refusal as the bytes of an HTTP/1.1 answer.
+// rawRefusal returns a refusal as the bytes of an HTTP/1.1 answer.
 func rawRefusal(refusal Refusal) []byte {
 	recorder := &answerRecorder{header: http.Header{}}
 	recorder.header.Set("Connection", "close")
@@ -248,18 +250,18 @@
 	return text.Bytes()
 }
 
-// plainWriter keeps one answer.
+// answerRecorder is an http.ResponseWriter that records one answer.
 type answerRecorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header returns the headers.
+// Header returns the recorded headers.
 func (w *answerRecorder) Header() http.Header { return w.header }
 
-// WriteHeader keeps the status.
+// WriteHeader records the status.
 func (w *answerRecorder) WriteHeader(status int) { w.status = status }
 
-// Write keeps the body.
+// Write appends to the recorded body.
 func (w *answerRecorder) Write(text []byte) (int, error) { return w.body.Write(text) }
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -8,10 +8,9 @@
 	"github.com/springstack/springstack/internal/core/endpoint"
 )
 
-// formatLoad writes a load report for headerLoad: the calls running and queued
-// at the gate, its mean service time in microseconds and, after a semicolon, the
-// back end's own report and its age in milliseconds, if it gives one. For
-// example "3 0 5120;2.5 140".
+// formatLoad formats a load report for headerLoad: the calls running and queued at the gate, its
+// mean service time in microseconds and, after a semicolon, the back end's own load and its age in
+// milliseconds if the back end reports one. For example "3 0 5120;2.5 140".
 func formatLoad(report endpoint.LoadReport) string {
 	var buffer [64]byte
 	text := strconv.AppendInt(buffer[:0], int64(report.Running), 10)
@@ -28,10 +27,11 @@
 	return string(text)
 }
 
-// gateFields is the number of the gate's own fields.
+// gateFieldCount is the number of fields that describe the gate, before the semicolon.
 const gateFieldCount = 3
 
-// parseLoad reads a load report; false means that there is none to learn from.
+// parseLoad parses a load report; false means that there is none or that its gate fields are
+// malformed.
 func parseLoad(text string) (endpoint.LoadReport, bool) {
 	gate, own, hasOwn := strings.Cut(text, ";")
 	report := endpoint.LoadReport{Own: -1}
@@ -55,7 +55,7 @@
 	return report, true
 }
 
-// parseOwnLoad reads the back end's part; a malformed one counts as none.
+// parseOwnLoad parses the back end's part; a malformed one counts as missing.
 func parseOwnLoad(report *endpoint.LoadReport, text string) {
 	load, age, found := strings.Cut(text, " ")
 	own, err := strconv.ParseFloat(load, 64)
--- a/internal/proxy/load_test.go
+++ b/internal/proxy/load_test.go
@@ -23,7 +23,7 @@
 		}
 		got, found := parseLoad(formatLoad(sent))
 		if !found || got != sent {
-			t.Fatalf("%+v came back as %+v", sent, got)
+			t.Fatalf("%+v was parsed as %+v after formatting", sent, got)
 		}
 	})
 	check := is.New(t)
@@ -31,7 +31,7 @@
 		_, found := parseLoad(text)
 		check.True(!found)
 	}
-	lying, found := parseLoad("1 0 5;NaN 3")
+	report, found := parseLoad("1 0 5;NaN 3")
 	check.True(found)
-	check.Equal(lying.Own, -1.0) // counts as no report
+	check.Equal(report.Own, -1.0) // NaN counts as no report
 }
--- a/internal/proxy/main_test.go
+++ b/internal/proxy/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the package when goroutines outlive its tests.
+// TestMain fails the package if goroutines outlive its tests.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -28,18 +28,18 @@
 
 var testService = resource.ServiceRef{Partner: "k", Name: "plans"}
 
-// backendSpec is one back end of a mesh: an HTTP handler, a script that has the
-// bare connection, or an address of its own.
+// backendSpec describes one back end of a mesh: an HTTP handler, a script for each raw connection,
+// or an address.
 type backendSpec struct {
 	address string
 	handler http.HandlerFunc
 	script  func(conn net.Conn, reader *bufio.Reader)
-	// region is where it is; empty for that of the callers' side.
+	// region is the region of the back end; empty for that of the caller's daemon.
 	region string
 }
 
-// mesh is a callers' side with a gate and a back end for each spec, all over
-// loopback TCP.
+// mesh is a caller's daemon with a gate and a back end for each backendSpec, all over loopback TCP.
+// Its address is the one on which the daemon accepts callers.
 type mesh struct {
 	caller   *Proxy
 	gates    []*Proxy
@@ -56,7 +56,7 @@
 	changeRoute    func(*resource.Route)
 	service        resource.Service
 	onBackendState func(protocol.EndpointState)
-	// caller changes the configuration of the callers' side.
+	// changeCaller changes the configuration of the caller's daemon.
 	changeCaller func(*Config)
 }
 
@@ -65,7 +65,7 @@
 	if options.slots == 0 {
 		options.slots = 6
 	}
-	made := &mesh{}
+	started := &mesh{}
 	var backends []resource.Backend
 	for index, spec := range specs {
 		name := string(rune('a' + index))
@@ -79,32 +79,32 @@
 		gate := New(config)
 		t.Cleanup(gate.Close)
 		address := startServer(t, gate.GateHandler(), options.limits)
-		made.gates = append(made.gates, gate)
+		started.gates = append(started.gates, gate)
 		backends = append(backends, resource.Backend{
 			Partner: "k", Name: name, Service: "plans", Address: address, Region: region, Zone: "z", Slots: options.slots,
 		})
-		made.members = append(made.members, protocol.Member{
+		started.members = append(started.members, protocol.Member{
 			ID: config.NodeID, Incarnation: 7, Sequence: 1, State: protocol.MemberAlive, DataAddress: address,
 			Region: region, Zone: "z", Service: testService, Backend: name, Endpoint: protocol.EndpointReady, Slots: options.slots,
 		})
 	}
-	made.snapshot = testSnapshot(options, backends)
+	started.snapshot = testSnapshot(options, backends)
 	config := Config{Clock: testClock, NodeID: "caller", Incarnation: 3, Region: "r", Zone: "z", Limits: options.limits}
 	if options.changeCaller != nil {
 		options.changeCaller(&config)
 	}
-	made.caller = New(config)
-	t.Cleanup(made.caller.Close)
-	made.address = startServer(t, made.caller.CallerHandler(), options.limits)
-	made.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
-	t.Cleanup(made.client.CloseIdleConnections)
-	made.caller.Swap(made.snapshot)
-	made.caller.PublishMembers(made.members)
-	made.caller.ExtendServing(testClock() + time.Hour)
-	for _, gate := range made.gates {
-		gate.Swap(made.snapshot)
+	started.caller = New(config)
+	t.Cleanup(started.caller.Close)
+	started.address = startServer(t, started.caller.CallerHandler(), options.limits)
+	started.client = &http.Client{Transport: &http.Transport{DisableCompression: true}}
+	t.Cleanup(started.client.CloseIdleConnections)
+	started.caller.Swap(started.snapshot)
+	started.caller.PublishMembers(started.members)
+	started.caller.ExtendServing(testClock() + time.Hour)
+	for _, gate := range started.gates {
+		gate.Swap(started.snapshot)
 	}
-	return made
+	return started
 }
 
 func testSnapshot(options meshOptions, backends []resource.Backend) *snapshot.Snapshot {
@@ -129,7 +129,7 @@
 	}
 }
 
-// serve serves a handler until the test ends and returns the address.
+// startServer serves a handler until the test ends and returns the address.
 func startServer(t testing.TB, handler http.Handler, limits Limits) string {
 	t.Helper()
 	listener := listenLoopback(t)
@@ -176,8 +176,8 @@
 	return listener.Addr().String()
 }
 
-// readRequest reads one request with its body from a bare connection; false
-// means that the other side closed it without one, as with probes.
+// readRequest reads one request with its body from a raw connection; false means that the peer
+// closed the connection without one, as probes do.
 func readRequest(reader *bufio.Reader) (*http.Request, bool) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -187,18 +187,18 @@
 	return request, true
 }
 
-// reset closes a connection so that the other side meets a reset.
+// resetConnection closes a connection with a TCP reset.
 func resetConnection(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
 }
 
-// answered is an answer as a caller sees it.
+// callResult is an answer as a caller receives it.
 type callResult struct {
 	status int
 	header http.Header
 	body   string
-	// cut is set when the body did not come whole.
+	// truncated is set if the body is incomplete or no answer came.
 	truncated bool
 }
 
@@ -233,7 +233,7 @@
 	return callResult{status: answer.StatusCode, header: answer.Header, body: string(text), truncated: err != nil}
 }
 
-// raw sends bytes to the callers' side and returns all that comes back.
+// sendRaw sends bytes to the caller's daemon and returns everything that it answers.
 func (m *mesh) sendRaw(t testing.TB, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", m.address)
@@ -249,7 +249,7 @@
 	return string(answer)
 }
 
-// counting is a back end that counts its runs and answers at once.
+// countingBackend returns a back end that counts its calls and echoes their bodies.
 func countingBackend(runs *atomic.Int64) backendSpec {
 	return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		runs.Add(1)
@@ -257,7 +257,7 @@
 	}}
 }
 
-// dead is an address where nobody listens.
+// closedAddress returns an address on which nothing listens.
 func closedAddress(t testing.TB) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -267,7 +267,7 @@
 	return listener.Addr().String()
 }
 
-// expectRefusal checks the form of a refusal.
+// expectRefusal checks the code, the execution, the status and the name in a refusal.
 func expectRefusal(check *is.I, got callResult, code result.Code, ran result.Execution) {
 	check.Helper()
 	entry, _ := result.Lookup(code)
@@ -277,7 +277,7 @@
 	check.True(strings.Contains(got.body, `"name":"`+entry.Name+`"`))
 }
 
-// awaitIdle waits until no gate holds a slot. A leaked slot hangs the test.
+// awaitIdle waits until no gate has a call in a slot or in its queue. A leaked slot hangs the test.
 func (m *mesh) awaitIdle() {
 	for _, gate := range m.gates {
 		for gate.gate.Load() != (admission.Load{Slots: gate.gate.Load().Slots}) {
--- a/internal/proxy/openconns.go
+++ b/internal/proxy/openconns.go
@@ -8,22 +8,24 @@
 	"github.com/juju/errors"
 )
 
-// errConnectionsTaken refuses a connection beyond what the back end takes.
+// errConnectionLimit refuses a connection beyond the number that the back end accepts.
 const errConnectionLimit = errors.ConstError("the back end takes no more connections")
 
-// openConns are the connections to a back end, from before they are opened until they are
-// closed on this side. To those of a gate, which are not counted, nil stands.
+// openConns counts and limits the connections to a back end, from before they are opened until they
+// are closed on this side. A nil *openConns, used for connections to gates, neither counts nor
+// limits.
 type openConns struct {
 	mutex sync.Mutex
-	// limit bounds them; 0 for no bound.
+	// limit is the maximum number of connections; 0 for no limit.
 	limit   int
 	opening int
 	open    map[*guardedConn]struct{}
-	// freed is closed when a place is; nil while nobody waits for one.
+	// freed is closed when a connection's place may be free; nil while nobody waits.
 	freed chan struct{}
 }
 
-// bounded tells whether the other side bounds its connections; none are opened ahead then.
+// isLimited reports whether the number of connections is limited; none are opened ahead of calls
+// then.
 func (o *openConns) isLimited() bool {
 	if o == nil {
 		return false
@@ -40,9 +42,10 @@
 	o.wakeWaiting()
 }
 
-// reserve takes the place of a connection that is about to be opened, if need be that of an
-// idle one; add or release follows. One whose call has ended keeps its place until it is closed,
-// a moment longer than the call keeps its slot: that is waited for, until the context ends.
+// reserve takes a place for a connection that is about to be opened, if necessary by closing idle
+// ones; add or release must follow. After its call has ended, a connection keeps its place until it
+// is closed, a moment longer than the call keeps its slot. So reserve waits for a place until the
+// context ends.
 func (o *openConns) reserve(ctx context.Context, closeIdle func()) error {
 	for {
 		if o.tryReserve() == nil {
@@ -61,7 +64,8 @@
 	}
 }
 
-// take takes a place, or returns what is closed when one may be free.
+// tryReserve takes a place and returns nil, or returns a channel that is closed when one may be
+// free.
 func (o *openConns) tryReserve() (freed <-chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -75,7 +79,7 @@
 	return o.freed
 }
 
-// wake has those that wait for a place look again; the lock is held.
+// wakeWaiting has the waiters in reserve retry; the mutex must be held.
 func (o *openConns) wakeWaiting() {
 	if o.freed != nil {
 		close(o.freed)
@@ -114,38 +118,38 @@
 	o.wakeWaiting()
 }
 
-// count is how many are open or being opened.
+// count returns the number of connections that are open or being opened.
 func (o *openConns) count() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.opening + len(o.open)
 }
 
-// before are the connections opened before a time.
-func (o *openConns) openedBefore(at time.Time) []*guardedConn {
+// openedBefore returns the connections opened before the given time.
+func (o *openConns) openedBefore(cutoff time.Time) []*guardedConn {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	var found []*guardedConn
+	var conns []*guardedConn
 	for conn := range o.open {
-		if conn.openedAt.Before(at) {
-			found = append(found, conn)
+		if conn.openedAt.Before(cutoff) {
+			conns = append(conns, conn)
 		}
 	}
-	return found
+	return conns
 }
 
-// retire has each connection that is open now closed when its call has ended.
+// retire marks each connection that is open now to be closed when its call has ended.
 func (o *openConns) retire() {
 	for _, conn := range o.openedBefore(time.Now()) {
 		conn.retired.Store(true)
 	}
 }
 
-// end closes the connections opened before a time, whose other side is no more, and returns
-// how many of them carried a call.
-func (o *openConns) abortOpenedBefore(at time.Time) int {
+// abortOpenedBefore closes the connections opened before the given time, to a peer that no longer
+// exists, and returns how many of them carried a call.
+func (o *openConns) abortOpenedBefore(cutoff time.Time) int {
 	calls := 0
-	for _, conn := range o.openedBefore(at) {
+	for _, conn := range o.openedBefore(cutoff) {
 		if conn.unfinished.Load() != nil {
 			calls++
 		}
--- a/internal/proxy/openconns_test.go
+++ b/internal/proxy/openconns_test.go
@@ -10,19 +10,20 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// A connection that its other side ends with the answer is closed a moment after the slot of its
-// call is free: what starts then waits for its place and is not refused.
+// If the back end closes a connection with its answer, the connection is closed on this side a
+// moment after the slot of its call becomes free. The next call must wait for the connection's
+// place and must not be refused.
 func TestCallWaitsForClosingConnection(t *testing.T) {
 	check := is.New(t)
-	limits := Limits{QueueWait: time.Minute} // it is not the queue that is tested
+	limits := Limits{QueueWait: time.Minute} // long, so that no call is refused by the queue
 	gate := startReportedGate(t, limits, 9, func(call *backendCall) { call.answerAndClose() })
 	gate.proxy.Swap(testSnapshot(meshOptions{service: resource.Service{MaxConnections: reservedConnections + 2}}, nil))
 	const calls = 200
-	begun := make([]*startedCall, 0, calls)
+	started := make([]*startedCall, 0, calls)
 	for range calls {
-		begun = append(begun, gate.startCall(t, time.Minute))
+		started = append(started, gate.startCall(t, time.Minute))
 	}
-	for _, call := range begun {
+	for _, call := range started {
 		check.Equal((<-call.answer).status, http.StatusOK)
 	}
 }
--- a/internal/proxy/outgoing.go
+++ b/internal/proxy/outgoing.go
@@ -10,9 +10,9 @@
 	"github.com/springstack/springstack/internal/core/endpoint"
 )
 
-// outgoing makes the request to the gate of an endpoint. Springstack's headers
-// of the caller are gone from it, and so are the headers of its connection.
-func (c *callerCall) newGateRequest(chosen *endpoint.Endpoint, mark bool, left time.Duration) *http.Request {
+// newGateRequest returns the request to the gate of an endpoint. It drops springstack headers that
+// the caller sent and the headers that apply only to the caller's connection.
+func (c *callerCall) newGateRequest(chosen *endpoint.Endpoint, noRetry bool, timeLeft time.Duration) *http.Request {
 	header := c.request.Header.Clone()
 	stripHopByHop(header)
 	stripOwn(header)
@@ -21,12 +21,12 @@
 	}
 	header.Del("Expect") // this server has answered it
 	if _, found := header["User-Agent"]; !found {
-		header["User-Agent"] = []string{""} // the library would add its own
+		header["User-Agent"] = []string{""} // else the library would add its own
 	}
 	if c.route.SecretHeader != "" {
 		header[c.route.SecretHeader] = []string{c.route.SecretText.Reveal()}
 	}
-	c.setHopHeaders(header, chosen, mark, left)
+	c.setHopHeaders(header, chosen, noRetry, timeLeft)
 	outgoing := &http.Request{
 		Method: c.request.Method, Host: c.request.Host, Header: header,
 		URL:   c.proxy.targetURL(chosen.Address, c.request, c.hostPath.path),
@@ -37,23 +37,23 @@
 		outgoing.ContentLength = c.request.ContentLength
 		outgoing.Trailer = c.request.Trailer
 		if c.body.isLarge() {
-			// It waits until the gate takes it.
+			// The body is sent once the gate accepts the call.
 			header.Set("Expect", "100-continue")
 		}
 	}
 	return outgoing
 }
 
-// hopHeaders sets springstack's headers on a request to a gate.
-func (c *callerCall) setHopHeaders(header http.Header, chosen *endpoint.Endpoint, mark bool, left time.Duration) {
-	left -= min(left/hopMarginDivisor, maxHopMargin)
-	// One array backs all the values.
+// setHopHeaders sets springstack's headers on a request to a gate.
+func (c *callerCall) setHopHeaders(header http.Header, chosen *endpoint.Endpoint, noRetry bool, timeLeft time.Duration) {
+	timeLeft -= min(timeLeft/hopMarginDivisor, maxHopMargin)
+	// One array backs all the values, to save allocations.
 	values := [...]string{
 		hopGate,
 		c.serviceName,
 		chosen.Backend,
 		c.proxy.nextRequestID(),
-		strconv.FormatInt(left.Milliseconds(), 10),
+		strconv.FormatInt(timeLeft.Milliseconds(), 10),
 		strconv.Itoa(int(c.route.Resource.Priority)),
 		string(c.route.Resource.Partner),
 		strconv.Itoa(int(c.route.Class)),
@@ -70,7 +70,7 @@
 	if c.suspicion.instanceEnds > 0 {
 		header[headerEnded] = []string{strconv.Itoa(c.suspicion.instanceEnds)}
 	}
-	if mark {
+	if noRetry {
 		header[headerNoRetry] = []string{"1"}
 	}
 	if c.route.Resource.Target > 0 {
@@ -78,14 +78,14 @@
 	}
 }
 
-// hopHeaderNames are the headers that every request to a gate has, in the
-// order of their values in hopHeaders.
+// hopHeaderNames are the headers that every request to a gate has, in the order of their values in
+// setHopHeaders.
 var hopHeaderNames = [...]string{
 	headerHop, headerService, headerBackend, headerRequest, headerTimeout, headerPriority, headerPartner,
 	headerClass,
 }
 
-// locate finds the host and path that a call is matched by.
+// locate returns the host and path by which a call is matched to a route.
 func (p *Proxy) locate(request *http.Request) (hostPath, Refusal, bool) {
 	if p.config.Edge == nil {
 		return canonicalHostPath(request)
@@ -94,7 +94,7 @@
 	return hostPath{host: routingHost(request.Host), path: path}, Refusal{}, true
 }
 
-// statedTime is what a caller says is left of its time.
+// requestedTimeout returns the time that the caller leaves for the call, if it states one.
 func (p *Proxy) requestedTimeout(header http.Header) (time.Duration, bool) {
 	if p.config.Edge != nil {
 		return p.config.Edge.parseTimeLeft(header)
@@ -102,27 +102,27 @@
 	return parseTimeout(header)
 }
 
-// target is the URL of a call at an address: as the caller sent it with an
-// Edge, and else in the canonical form that the route was matched by.
+// targetURL returns the URL of a call at an address: with an Edge in the caller's spelling, else in
+// the canonical form that the route was matched by.
 func (p *Proxy) targetURL(address string, request *http.Request, canonical string) *url.URL {
 	if p.config.Edge == nil {
 		return targetURL(address, canonical, request.URL.RawQuery)
 	}
 	verbatim := verbatimTarget(request)
 	if strings.HasPrefix(verbatim, "//") {
-		// The library would take it for a host.
+		// The library would read the first segment as a host.
 		return targetURL(address, verbatimPath(verbatim), request.URL.RawQuery)
 	}
 	return &url.URL{Scheme: "http", Host: address, Opaque: verbatim}
 }
 
-// target is the URL of a call at an address. The path is sent in the form that
-// the route was matched by.
+// targetURL returns the URL of a call at an address, with the path in the canonical form that the
+// route was matched by.
 func targetURL(address, canonical, query string) *url.URL {
-	made := &url.URL{Scheme: "http", Host: address, Path: canonical, RawQuery: query}
+	built := &url.URL{Scheme: "http", Host: address, Path: canonical, RawQuery: query}
 	if plain, err := url.PathUnescape(canonical); err == nil {
-		made.Path = plain
-		made.RawPath = canonical
+		built.Path = plain
+		built.RawPath = canonical
 	}
-	return made
+	return built
 }
--- a/internal/proxy/path_test.go
+++ b/internal/proxy/path_test.go
@@ -20,10 +20,10 @@
 
 func TestCallIsForwardedCompletely(t *testing.T) {
 	check := is.New(t)
-	var got http.Header
-	var host, uri string
+	var gotHeader http.Header
+	var gotHost, gotURI string
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
-		got, host, uri = request.Header.Clone(), request.Host, request.URL.RequestURI()
+		gotHeader, gotHost, gotURI = request.Header.Clone(), request.Host, request.URL.RequestURI()
 		body, _ := io.ReadAll(request.Body)
 		writer.Header().Set("Springstack-Code", "400")
 		writer.Header().Set("Keep-Alive", "timeout=5")
@@ -40,14 +40,14 @@
 	check.Equal(answer.code(), "") // a back end can't forge refusals
 	check.Equal(answer.header.Get(headerLoad), "")
 	check.Equal(answer.header.Get("Keep-Alive"), "")
-	check.Equal(got.Get("X-Secret"), "hidden")
-	check.Equal(got.Get("X-Keep"), "1")
-	check.Equal(got.Get("X-Drop"), "")
-	check.Equal(got.Get(headerPartner), "")
-	check.Equal(got.Get(headerHop), "")
-	check.True(got.Get(headerTimeout) != "")
-	check.Equal(uri, "/a%C3%A9/b?q=1;2") // the canonical form that was matched
-	check.Equal(host, mesh.address)
+	check.Equal(gotHeader.Get("X-Secret"), "hidden")
+	check.Equal(gotHeader.Get("X-Keep"), "1")
+	check.Equal(gotHeader.Get("X-Drop"), "")
+	check.Equal(gotHeader.Get(headerPartner), "")
+	check.Equal(gotHeader.Get(headerHop), "")
+	check.True(gotHeader.Get(headerTimeout) != "")
+	check.Equal(gotURI, "/a%C3%A9/b?q=1;2") // the canonical form that the route was matched by
+	check.Equal(gotHost, mesh.address)
 }
 
 func TestTrailersAndInterimAnswersAreForwarded(t *testing.T) {
@@ -71,20 +71,20 @@
 	check.True(strings.Contains(final, "X-Sum: 42"))
 }
 
-// TestBreaksAreToldTruly breaks the back end's connection at each class of
-// byte. A call that may not be repeated is never sent again after a byte of it
-// has gone, and never said not to have run.
+// TestBrokenCallIsNeverReportedAsNotRun breaks the back end's connection after each part of the
+// exchange. A call that may not be repeated must not be resent once a byte of it was sent, and must
+// never be reported as not run.
 func TestBrokenCallIsNeverReportedAsNotRun(t *testing.T) {
-	whole := "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
-	head := strings.Index(whole, "\r\n\r\n") + 4
+	fullAnswer := "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n0123456789"
+	headLength := strings.Index(fullAnswer, "\r\n\r\n") + 4
 	cases := []struct {
 		name string
 		// readBody has the back end read the whole request first.
 		readBody bool
-		// send is how much of the answer it sends before it breaks.
+		// send is how many bytes of the answer the back end sends before it breaks the connection.
 		send  int
 		reset bool
-		// delivered tells that the head of the answer reaches the caller.
+		// delivered is set if the head of the answer reaches the caller.
 		delivered bool
 	}{
 		{name: "request unread", reset: true},
@@ -92,25 +92,25 @@
 		{name: "request read, clean close", readBody: true},
 		{name: "middle of the status", readBody: true, send: 5},
 		{name: "middle of the headers", readBody: true, send: 25, reset: true},
-		{name: "before the body", readBody: true, send: head},
-		{name: "middle of the body", readBody: true, send: head + 4, delivered: true},
-		{name: "last byte", readBody: true, send: len(whole) - 1, delivered: true, reset: true},
+		{name: "before the body", readBody: true, send: headLength},
+		{name: "middle of the body", readBody: true, send: headLength + 4, delivered: true},
+		{name: "last byte", readBody: true, send: len(fullAnswer) - 1, delivered: true, reset: true},
 	}
-	for _, given := range cases {
-		t.Run(given.name, func(t *testing.T) {
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
 			check := is.New(t)
 			var runs atomic.Int64
 			script := func(conn net.Conn, reader *bufio.Reader) {
 				if _, err := reader.ReadByte(); err != nil {
-					return // a probe or a connection opened ahead
+					return // a probe or a spare connection
 				}
 				runs.Add(1)
 				_ = reader.UnreadByte()
-				if given.readBody {
+				if testCase.readBody {
 					_, _ = readRequest(reader)
 				}
-				_, _ = io.WriteString(conn, whole[:given.send])
-				if given.reset {
+				_, _ = io.WriteString(conn, fullAnswer[:testCase.send])
+				if testCase.reset {
 					resetConnection(conn)
 				}
 			}
@@ -118,7 +118,7 @@
 			answer := mesh.call(t, "POST", "/charge", "one", "Idempotency-Key", "k1")
 			check.Equal(runs.Load(), int64(1))
 			check.True(answer.truncated || answer.ran() == "unknown")
-			if given.delivered {
+			if testCase.delivered {
 				check.True(answer.truncated)
 			} else {
 				expectRefusal(check, answer, result.BrokenInFlight, result.RanUnknown)
@@ -128,16 +128,16 @@
 	}
 }
 
-// TestKeptConnectionThatDiesIsNotResent breaks a connection under its second
-// request, where the HTTP library itself would send the request again: it has
-// no body, and an idempotency key makes the library think that it may.
+// TestRequestOnBrokenKeptConnectionIsNotResent breaks a connection during its second request. The
+// HTTP library would resend that request by itself: it has no body, and the idempotency key makes
+// the library consider it repeatable.
 func TestRequestOnBrokenKeptConnectionIsNotResent(t *testing.T) {
 	for _, method := range []string{"POST", "GET"} {
 		t.Run(method, func(t *testing.T) {
 			check := is.New(t)
-			var seen atomic.Int64
-			never := false
-			options := meshOptions{changeRoute: func(route *resource.Route) { route.Repeatable = &never }}
+			var brokenCalls atomic.Int64
+			repeatable := false
+			options := meshOptions{changeRoute: func(route *resource.Route) { route.Repeatable = &repeatable }}
 			mesh := startMesh(t, options, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 				for {
 					request, found := readRequest(reader)
@@ -145,7 +145,7 @@
 						return
 					}
 					if request.URL.Path == "/break" {
-						seen.Add(1)
+						brokenCalls.Add(1)
 						return
 					}
 					_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -154,7 +154,7 @@
 			check.Equal(mesh.call(t, method, "/fine", "").status, http.StatusOK)
 			answer := mesh.call(t, method, "/break", "", "Idempotency-Key", "k1", "X-Idempotency-Key", "k1")
 			expectRefusal(check, answer, result.BrokenInFlight, result.RanUnknown)
-			check.Equal(seen.Load(), int64(1))
+			check.Equal(brokenCalls.Load(), int64(1))
 		})
 	}
 }
@@ -168,7 +168,7 @@
 	mesh.caller.PublishMembers(mesh.members)
 	for range 50 {
 		check.Equal(mesh.call(t, "GET", "/", "").status, http.StatusOK)
-		check.Equal(mesh.call(t, "POST", "/", "x").body, "x") // nothing was written, so it may go on
+		check.Equal(mesh.call(t, "POST", "/", "x").body, "x") // nothing was written, so it may be sent elsewhere
 	}
 	check.Equal(runs.Load(), int64(100))
 }
@@ -181,7 +181,7 @@
 	check.True(answer.header.Get("Retry-After") != "")
 }
 
-// blocking is a back end whose calls wait; entered tells of each.
+// blockingBackend is a back end that blocks its calls; it sends to entered at the start of each.
 type blockingBackend struct {
 	entered   chan struct{}
 	release   chan struct{}
@@ -219,11 +219,10 @@
 		<-backend.cancelled // cancellation crosses both hops
 	}
 	go func() { <-backend.entered; close(backend.release) }()
-	check.Equal(mesh.call(t, "POST", "/", "x").body, "done") // the one slot is free again
+	check.Equal(mesh.call(t, "POST", "/", "x").body, "done") // the only slot is free again
 }
 
-// TestSlotIsKeptUntilTheBackEndHasEnded: a cancelled call that the back end
-// still works on must not share its slot with the next one.
+// A cancelled call that the back end still works on must not share its slot with the next call.
 func TestCancelledCallKeepsSlotUntilBackEndEnds(t *testing.T) {
 	check := is.New(t)
 	entered := make(chan struct{}, 9)
@@ -232,7 +231,7 @@
 	mesh := startMesh(t, options, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		if _, found := readRequest(reader); found {
 			entered <- struct{}{}
-			<-release // deaf to the cancellation
+			<-release // ignores the cancellation
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
 		}
 	}})
@@ -252,7 +251,7 @@
 	first := make(chan callResult)
 	go func() { first <- mesh.call(t, "POST", "/", "x") }()
 	<-backend.entered
-	// The second waits for the slot; its time ends in the queue.
+	// The second call waits for the slot; its time runs out in the queue.
 	direct := *mesh
 	direct.address = mesh.members[0].DataAddress
 	queued := direct.call(t, "POST", "/", "x", headerHop, hopGate, headerService, "k/plans", headerBackend, "a", headerTimeout, "10")
@@ -287,14 +286,14 @@
 func TestShedCallIsRetriedElsewhere(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
-	shedding := backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
+	sheddingBackEnd := backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(headerRan, "no")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	}}
-	mesh := startMesh(t, meshOptions{}, shedding, countingBackend(&runs))
+	mesh := startMesh(t, meshOptions{}, sheddingBackEnd, countingBackend(&runs))
 	for range 10 {
 		check.Equal(mesh.call(t, "POST", "/", "x").body, "x")
 	}
-	lone := startMesh(t, meshOptions{}, shedding)
-	expectRefusal(check, lone.call(t, "POST", "/", "x"), result.Shed, result.RanNo)
+	singleMesh := startMesh(t, meshOptions{}, sheddingBackEnd)
+	expectRefusal(check, singleMesh.call(t, "POST", "/", "x"), result.Shed, result.RanNo)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -18,39 +18,39 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Proxy is the data path of one daemon. All its methods may be called from
-// several goroutines.
+// Proxy is the data path of one daemon. All its methods may be called concurrently.
 type Proxy struct {
 	config Config
 	limits Limits
 
-	// view is replaced whole; calls load it once for each attempt.
+	// view is replaced as a whole; calls load it once for each attempt.
 	view atomic.Pointer[view]
-	// changing serializes Swap and PublishState; calls never take it.
+	// viewMutex serializes Swap and PublishState; calls never take it.
 	viewMutex sync.Mutex
-	// servingUntil is a time on the clock, in nanoseconds.
+	// servingUntil is the end of the serving lease by Config.Clock, in nanoseconds.
 	servingUntil atomic.Int64
 
-	// gate and backend are nil when there is no back end beside the daemon.
+	// gate and backend are nil if the daemon has no back end.
 	gate      *admission.Gate
 	transfers *transferQueue
 	backend   *upstream
 	health    *health
-	// bounds are what bounds the calls at the back end, hangs tells those that it never answers.
+	// backendLimits holds the limits on calls at the back end; hangDetector finds calls that it
+	// never answers.
 	backendLimits backendLimits
 	hangDetector  hangDetector
 
-	// answers counts those of the back end while a roll-out of its service goes on.
+	// rolloutAnswers counts the back end's answers during a roll-out of its service.
 	rolloutAnswers rollout.Tally
 
-	// harmful are requests that may end the back ends that run them; ends finds out about
-	// the ends of the back end beside the daemon. suspectTurn is held by the one suspected
-	// call that the gate runs at a time.
+	// harmful holds the requests under which back ends may end; backendEnds detects ends of the
+	// daemon's own back end. suspectTurn is held by the one suspected call that the gate runs at a
+	// time.
 	harmful     *harmfulRequests
 	backendEnds backendEnds
 	suspectTurn chan struct{}
 
-	// startedAt is when the proxy was made, on the clock.
+	// startedAt is when the proxy was created, by Config.Clock.
 	startedAt time.Duration
 	starting  startWaiters
 
@@ -62,7 +62,7 @@
 	runningGateCalls   atomic.Int64
 	drain              drain
 	connections        connectionContexts
-	// held bounds the answers of calls that have run ahead of their turn.
+	// heldAnswers bounds the buffered answers of pipelined calls that ran ahead of their turn.
 	heldAnswers *pipeline.ByteBudget
 	closed      chan struct{}
 	closeOnce   sync.Once
@@ -74,8 +74,7 @@
 	hashSeed        uint64
 }
 
-// New returns a proxy that refuses calls until it has a snapshot and may
-// serve.
+// New returns a proxy that refuses calls until it has a snapshot and a serving lease.
 func New(config Config) *Proxy {
 	proxy := &Proxy{
 		config: config,
@@ -134,39 +133,39 @@
 	go p.health.run()
 }
 
-// Swap puts a snapshot in force by one pointer swap, after everything that
-// calls need of it was built.
-func (p *Proxy) Swap(held *snapshot.Snapshot) {
+// Swap puts a snapshot in force by replacing one pointer, after it has built everything that calls
+// need.
+func (p *Proxy) Swap(next *snapshot.Snapshot) {
 	p.viewMutex.Lock()
 	defer p.viewMutex.Unlock()
-	old := p.view.Load()
-	p.updateColdLimit(held)
-	p.applyCallLimits(held)
-	p.publishView(p.buildView(old, held, old.mesh))
+	previous := p.view.Load()
+	p.updateColdLimit(next)
+	p.applyCallLimits(next)
+	p.publishView(p.buildView(previous, next, previous.mesh))
 }
 
-// PublishMembers gives the newest member records, whole.
+// PublishMembers replaces the member records.
 func (p *Proxy) PublishMembers(members []protocol.Member) {
 	p.updateMeshState(func(state *MeshState) { state.Members = members })
 }
 
-// PublishState gives the newest that is known of the mesh, whole.
+// PublishState replaces the state of the mesh.
 func (p *Proxy) PublishState(state MeshState) {
-	p.updateMeshState(func(known *MeshState) { *known = state })
+	p.updateMeshState(func(current *MeshState) { *current = state })
 }
 
 func (p *Proxy) updateMeshState(change func(*MeshState)) {
 	p.viewMutex.Lock()
 	defer p.viewMutex.Unlock()
-	old := p.view.Load()
-	state := old.mesh
+	previous := p.view.Load()
+	state := previous.mesh
 	change(&state)
 	p.incarnations.addFromMembers(p.config.NodeID, state.Members)
-	p.publishView(p.buildView(old, old.snapshot, state))
+	p.publishView(p.buildView(previous, previous.snapshot, state))
 }
 
-// ExtendServing lets the callers' side serve until a time on the clock. It
-// never shortens what was granted.
+// ExtendServing extends the serving lease, during which the daemon accepts calls of callers, to a
+// time on the clock. It never shortens the lease.
 func (p *Proxy) ExtendServing(until time.Duration) {
 	for {
 		current := p.servingUntil.Load()
@@ -176,15 +175,14 @@
 	}
 }
 
-// mayServe compares the serving lease with the clock. It is asked on each call
-// and each attempt, so that a daemon that was paused does not serve when it
-// wakes (I1).
+// mayServe reports whether the serving lease is still valid. Each call and each attempt checks it,
+// so that a daemon that was paused does not serve when it resumes (I1).
 func (p *Proxy) mayServe() bool {
 	return int64(p.config.Clock()) < p.servingUntil.Load()
 }
 
-// Close gives up the connections to other daemons and the back end and stops
-// the probes. Calls that run are cut.
+// Close stops the probes and the connections to other daemons and the back end. Running calls are
+// cancelled.
 func (p *Proxy) Close() {
 	p.closeOnce.Do(func() {
 		close(p.closed)
@@ -194,8 +192,8 @@
 		}
 		p.viewMutex.Lock()
 		defer p.viewMutex.Unlock()
-		for _, one := range p.view.Load().upstreams {
-			one.close()
+		for _, path := range p.view.Load().upstreams {
+			path.close()
 		}
 		if p.backend != nil {
 			p.backend.close()
@@ -203,8 +201,8 @@
 	})
 }
 
-// random returns a uniform number: repeatable from a seed, or else from the
-// runtime's generators, which threads do not share.
+// random returns a uniformly distributed number: reproducible if a seed is configured, else from
+// the runtime's generators, which threads do not share.
 func (p *Proxy) random() uint64 {
 	if p.config.RandomSeed == 0 {
 		return rand.Uint64()
@@ -216,13 +214,13 @@
 	return mixed ^ mixed>>31
 }
 
-// nextRequest returns the unique id of an attempt.
+// nextRequestID returns the unique id of an attempt.
 func (p *Proxy) nextRequestID() string {
 	return p.requestIDPrefix + strconv.FormatUint(p.requestCount.Add(1), 36)
 }
 
-// fingerprint hashes the parts of an id with a seed of this process; 0 means
-// that the last part, the id itself, is empty.
+// fingerprint hashes the parts of an id with a seed of this process; 0 means that the last part,
+// the id itself, is empty.
 func (p *Proxy) fingerprint(parts ...string) admission.Fingerprint {
 	if parts[len(parts)-1] == "" {
 		return 0
@@ -243,24 +241,24 @@
 	writeRefusal(writer, body, refusal, p.limits.StallTimeout)
 }
 
-// refuseCall answers with a refusal. A body that has arrived is read first, so
-// that the connection can be kept.
+// writeRefusal answers with a refusal. A body that has already arrived is read first, so that the
+// connection can be kept.
 func writeRefusal(writer http.ResponseWriter, body *upload, refusal Refusal, stall time.Duration) {
 	body.readArrived()
 	body.announceClose(writer.Header())
-	// Without a deadline a caller that does not read could hold the call.
+	// Without a deadline, a caller that does not read could block the call.
 	_ = http.NewResponseController(writer).SetWriteDeadline(time.Now().Add(stall))
 	refusal.write(writer)
 }
 
-// event logs one event.
+// logEvent logs one event.
 func (p *Proxy) logEvent(name string, fields ...EventField) {
 	if p.config.Log != nil {
 		p.config.Log(Event{Name: name, Fields: fields})
 	}
 }
 
-// codeField is a code as a log field.
+// codeField returns a result code as a log field.
 func codeField(code result.Code) EventField {
 	return EventField{Key: "code", Value: strconv.Itoa(int(code))}
 }
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// answeredTime is how long the gate remembers which requests its back end answered
-	// well, and answeredCount how many at most: 32 bytes each. Within it a request that
-	// comes regularly is not taken for one that ends its back end.
+	// answeredRetention is how long the gate remembers which requests its back end answered without
+	// a server error, and maxAnsweredRequests how many at most, at 32 bytes each. A remembered
+	// request must meet more ends than another before it is held.
 	answeredRetention   = time.Minute
 	maxAnsweredRequests = 1 << 14
 )
 
-// harmful is what the daemon knows of requests that may end the back ends that run them.
-// Calls read it by an atomic pointer, and pay two loads where nothing is known.
+// harmfulRequests is what the daemon knows of requests that may end the back ends that run them.
+// Calls read it through an atomic pointer and pay two loads where nothing is known.
 type harmfulRequests struct {
 	clock func() time.Duration
 	log   func(name string, fields ...EventField)
-	// held is told of requests that are held by an end seen here. Nil tells nobody.
+	// onHeld is called for requests that become held by an end observed here; nil calls nothing.
 	onHeld func(quarantine.Record)
-	// tell is told that there is news for all daemons, urgent when it holds for the next
-	// request that comes. It must not block. Nil tells nobody.
+	// onChanged is called when records are to be sent to all daemons; urgent means that they affect
+	// the next request. It must not block. Nil calls nothing.
 	onChanged func(urgent bool)
-	// answered are the requests that the back end beside the daemon has answered well.
+	// answered are the requests that the daemon's own back end has answered without a server error.
 	answered *admission.FingerprintSet
 	view     atomic.Pointer[quarantine.View]
 
 	mutex sync.Mutex
 	table *quarantine.Table
-	// untold are the requests of which others have not been told yet.
+	// unpublished are the requests with records that have not been sent to other daemons yet.
 	unpublished map[quarantine.Signature]bool
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// change changes what is known of some requests, and has all daemons told of what changed.
+// update applies a change to some requests and has the changed records sent to all daemons.
 func (h *harmfulRequests) update(signatures []quarantine.Signature, change func(now time.Duration, signature quarantine.Signature) bool) []quarantine.Signature {
 	h.mutex.Lock()
 	now := h.clock()
@@ -70,19 +70,19 @@
 	return changed
 }
 
-// publish puts what is known in force, and logs what that means for requests; the lock is
-// held. What changes of one may change what is believed of others.
+// publishView puts the current records in force and logs which requests changed state; the mutex
+// must be held. A change to one request may change the state of others.
 func (h *harmfulRequests) publishView() {
 	now := h.clock()
 	next := h.table.View(now)
-	before := h.view.Swap(next)
+	previous := h.view.Swap(next)
 	for _, record := range h.table.Records(now) {
-		was, _ := before.State(now, record.Signature)
-		is, _ := next.State(now, record.Signature)
-		if was == is {
+		previousState, _ := previous.State(now, record.Signature)
+		state, _ := next.State(now, record.Signature)
+		if previousState == state {
 			continue
 		}
-		h.log("harmful_request", textField("signature", record.Signature.String()), textField("belief", is.String()),
+		h.log("harmful_request", textField("signature", record.Signature.String()), textField("belief", state.String()),
 			textField("ends", formatInt(len(record.Ends))), textField("ends_beside_others", formatInt(record.CountSharedEnds())),
 			textField("last_trial", formatInt(int(next.LastTrial(record.Signature)))),
 			textField("isolation", next.Isolation(now, record.Signature).String()), textField("round", formatInt(int(record.Round))),
@@ -90,22 +90,22 @@
 	}
 }
 
-// noteUnknownAtEnd notes that requests that are not known were at work as an instance ended,
-// before noteEnded tells of the others.
+// recordUnidentified records that unidentified requests were running when an instance ended. It
+// must be called before recordEnd for that instance.
 func (h *harmfulRequests) recordUnidentified(instance string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.table.RecordUnidentified(instance)
 }
 
-// noteEnded notes that an instance beside this daemon has ended under some requests, and has
-// all others told.
+// recordEnd records that an instance of the daemon's own back end ended under some requests, and
+// has the records sent to all daemons.
 func (h *harmfulRequests) recordEnd(instance string, signatures ...quarantine.Signature) {
 	h.recordEndInTrials(nil, instance, signatures...)
 }
 
-// noteEndedIn is noteEnded for runs whose trials are known; those of others are trials of their
-// own.
+// recordEndInTrials is recordEnd for runs with known trial numbers. A request without a number
+// counts as a trial of its own.
 func (h *harmfulRequests) recordEndInTrials(trials map[quarantine.Signature]uint32, instance string, signatures ...quarantine.Signature) {
 	changed := h.update(signatures, func(now time.Duration, signature quarantine.Signature) bool {
 		familiar := h.answered.Contains(fingerprintOf(signature))
@@ -122,19 +122,19 @@
 	}
 }
 
-// tellHeld tells of a request if it is held now.
+// notifyIfHeld calls onHeld if the request is held now.
 func (h *harmfulRequests) notifyIfHeld(signature quarantine.Signature) {
 	h.mutex.Lock()
 	record, found := h.table.Lookup(h.clock(), signature)
 	h.mutex.Unlock()
-	belief, _ := h.view.Load().State(h.clock(), signature)
-	if found && belief == quarantine.Held {
+	state, _ := h.view.Load().State(h.clock(), signature)
+	if found && state == quarantine.Held {
 		h.onHeld(record)
 	}
 }
 
-// noteAnswered remembers that the back end has answered a request well, and clears it if it
-// was suspected.
+// recordAnswered records that the back end answered a request without a server error, and clears
+// the request if it was suspected.
 func (h *harmfulRequests) recordAnswered(signature quarantine.Signature) {
 	h.answered.Add(h.clock(), fingerprintOf(signature))
 	if h.view.Load().Has(signature) {
@@ -142,67 +142,67 @@
 	}
 }
 
-// clear has a request trusted again.
+// clear marks a request as trusted again.
 func (h *harmfulRequests) clear(signature quarantine.Signature) {
 	h.update([]quarantine.Signature{signature}, h.table.Clear)
 }
 
-// fingerprintOf shortens a signature to what is remembered of answered requests. Two with
-// the same one can at worst be held an end later.
+// fingerprintOf shortens a signature for the set of answered requests. If two requests share a
+// fingerprint, one of them is at worst held an end later.
 func fingerprintOf(signature quarantine.Signature) admission.Fingerprint {
 	return admission.Fingerprint(signature.Key())
 }
 
-// MergeHarmful takes a peer's records of requests that may be harmful, and tells how many
-// can't be true. Of those that its back end has answered well before, the daemon tells in
-// its turn; those that came by an answer are told to all, since the peer was asked first.
+// MergeHarmful merges a peer's records of requests that may be harmful, and returns how many were
+// invalid. New records are sent on to all daemons if pass is set, and in any case if the daemon's
+// own back end answered the request well before, which the sent record then states.
 func (p *Proxy) MergeHarmful(records []quarantine.Record, pass bool) (refused int) {
 	h := p.harmful
 	h.mutex.Lock()
 	now := h.clock()
-	changed, tell := false, false
+	changed, notify := false, false
 	for _, record := range records {
-		news, valid := h.table.Merge(now, record)
+		isNew, valid := h.table.Merge(now, record)
 		if !valid {
 			refused++
 		}
-		own := news && !record.Familiar && h.answered.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
-		changed = changed || news
-		if own || (news && pass) {
+		markedFamiliar := isNew && !record.Familiar && h.answered.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
+		changed = changed || isNew
+		if markedFamiliar || (isNew && pass) {
 			h.unpublished[record.Signature] = true
-			tell = true
+			notify = true
 		}
 	}
 	if changed {
 		h.publishView()
 	}
 	h.mutex.Unlock()
-	if tell && h.onChanged != nil {
+	if notify && h.onChanged != nil {
 		h.onChanged(false)
 	}
 	return refused
 }
 
-// HarmfulBelief is what the daemon believes of a request.
+// HarmfulBelief returns the quarantine state of a request.
 func (p *Proxy) HarmfulBelief(signature quarantine.Signature) quarantine.State {
-	belief, _ := p.harmful.view.Load().State(p.harmful.clock(), signature)
-	return belief
+	state, _ := p.harmful.view.Load().State(p.harmful.clock(), signature)
+	return state
 }
 
-// ReleaseHarmful has a request trusted again by all daemons, until back ends end under it
-// anew.
+// ReleaseHarmful has all daemons trust a request again, until further back ends end under it.
 func (p *Proxy) ReleaseHarmful(signature quarantine.Signature) {
 	p.harmful.clear(signature)
 }
 
-// HarmfulRecords are all records of requests that may be harmful.
+// HarmfulRecords returns all records of requests that may be harmful.
 func (p *Proxy) HarmfulRecords() []quarantine.Record {
 	p.harmful.mutex.Lock()
 	defer p.harmful.mutex.Unlock()
 	return p.harmful.table.Records(p.harmful.clock())
 }
 
-// UntoldHarmful are the records that others have not been told of; they count as told then.
+// UntoldHarmful returns the records that have not been sent to other daemons, and marks them as
+// sent.
 func (p *Proxy) UntoldHarmful() []quarantine.Record {
 	h := p.harmful
 	h.mutex.Lock()
@@ -217,7 +217,8 @@
 	return records
 }
 
-// HarmfulSum is the same on daemons that know the same of harmful requests; 0 for nothing.
+// HarmfulSum returns a checksum that is equal on daemons with equal records of harmful requests; 0
+// for no records.
 func (p *Proxy) HarmfulSum() uint64 {
 	h := p.harmful
 	if h.view.Load().Empty() {
--- a/internal/proxy/refuse.go
+++ b/internal/proxy/refuse.go
@@ -11,16 +11,16 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Refusal is why a call gets no answer of a back end.
+// Refusal describes why a call gets no answer from a back end.
 type Refusal struct {
 	Code result.Code
-	// Ran is the truth about execution; empty means what the code's table says.
+	// Ran states whether the call ran; empty means the default of the code.
 	Ran result.Execution
-	// Detail is one sentence for people; it never holds a secret.
+	// Detail is one sentence for people; it never contains a secret.
 	Detail string
-	// RetryAfter is when sending again may help; 0 leaves the header out.
+	// RetryAfter is how long to wait before sending again; 0 means the default of the code.
 	RetryAfter time.Duration
-	// Status is the HTTP status; 0 means that of the code's table.
+	// Status is the HTTP status; 0 means the default of the code.
 	Status int
 	// Load is the value of headerLoad, on refusals of a gate.
 	Load string
@@ -40,7 +40,7 @@
 	Detail string           `json:"detail"`
 }
 
-// execution returns what the refusal says about execution.
+// execution returns whether the refused call ran, as far as known.
 func (r Refusal) execution() result.Execution {
 	if r.Ran != "" {
 		return r.Ran
@@ -52,14 +52,14 @@
 	return entry.Ran
 }
 
-// write answers a call with the refusal, at once.
+// write answers a call with the refusal.
 func (r Refusal) write(writer http.ResponseWriter) {
 	entry, _ := result.Lookup(r.Code)
 	header := writer.Header()
-	ending := header.Get("Connection")
+	connectionHeader := header.Get("Connection")
 	clear(header)
-	if ending != "" {
-		header.Set("Connection", ending)
+	if connectionHeader != "" {
+		header.Set("Connection", connectionHeader)
 	}
 	header.Set("Content-Type", "application/json")
 	header.Set("Cache-Control", "no-store")
@@ -91,11 +91,12 @@
 		status = r.edge.refusalStatus(r)
 	}
 	writer.WriteHeader(status)
-	// A failed write means that the caller is gone; there is no one to tell.
+	// A failed write means that the caller has disconnected, so nobody is left to inform.
 	_, _ = writer.Write(text)
 }
 
-// usualWait is told with refusals that pass with time and name no better wait.
+// defaultRetryAfter returns the wait for temporary refusals that state none, and 0 for permanent
+// ones.
 func defaultRetryAfter(code result.Code) time.Duration {
 	switch code {
 	case result.NotServing, result.NoEndpoint, result.QueueFull, result.DeadlineBeforeStart,
@@ -107,17 +108,17 @@
 	return 0
 }
 
-// retryAfter is the value of the header. Callers of a foreign platform take
+// retryAfter returns the value of the Retry-After header. Callers of a foreign platform accept
 // fractions of a second, rounded up to milliseconds.
 func (r Refusal) retryAfter(wait time.Duration) string {
 	if r.edge != nil {
-		whole := math.Ceil(float64(wait) / float64(time.Millisecond))
-		return strconv.FormatFloat(whole/1000, 'f', 3, 64)
+		milliseconds := math.Ceil(float64(wait) / float64(time.Millisecond))
+		return strconv.FormatFloat(milliseconds/1000, 'f', 3, 64)
 	}
 	return retryAfterSeconds(wait)
 }
 
-// retryAfterSeconds rounds up to whole seconds, as the header wants.
+// retryAfterSeconds rounds up to whole seconds, as HTTP requires.
 func retryAfterSeconds(wait time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(wait.Seconds())))
 }
--- a/internal/proxy/refuse_test.go
+++ b/internal/proxy/refuse_test.go
@@ -21,7 +21,7 @@
 	expectRefusal(check, mesh.call(t, "GET", "/", "", "Connection", "Upgrade", "Upgrade", "websocket"), result.UpgradeRefused, result.RanNo)
 	expectRefusal(check, mesh.call(t, "GET", "/a/..%2fb", ""), result.RequestMalformed, result.RanNo)
 	expectRefusal(check, mesh.call(t, "POST", "/", strings.Repeat("x", 1001)), result.RequestTooLarge, result.RanNo)
-	// With a code even where the library refuses before any handler runs.
+	// A result code is set even where the library refuses before any handler runs.
 	malformed := []string{
 		"GET / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
 		"GET / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: gzip, chunked\r\n\r\n",
@@ -33,9 +33,9 @@
 	for _, text := range malformed {
 		check.True(strings.Contains(mesh.sendRaw(t, text), "Springstack-Code: 411\r\n"))
 	}
-	long := mesh.sendRaw(t, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("x", 16<<10)+"\r\n\r\n")
-	check.True(strings.Contains(long, "Springstack-Code: 410\r\n"))
-	check.True(strings.Contains(long, "Springstack-Ran: no\r\n"))
+	tooLarge := mesh.sendRaw(t, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("x", 16<<10)+"\r\n\r\n")
+	check.True(strings.Contains(tooLarge, "Springstack-Code: 410\r\n"))
+	check.True(strings.Contains(tooLarge, "Springstack-Ran: no\r\n"))
 	mesh.caller.Swap(testSnapshot(meshOptions{changeRoute: func(route *resource.Route) { route.Match.PathPrefix = "/x" }}, nil))
 	expectRefusal(check, mesh.call(t, "GET", "/", ""), result.NoRoute, result.RanNo)
 	expectRefusal(check, mesh.call(t, "GET", "/x", ""), result.NoEndpoint, result.RanNo)
@@ -49,7 +49,7 @@
 	text := mesh.sendRaw(t, "POST / HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\nX: y")
 	check.True(strings.HasPrefix(text, "HTTP/1.1 200 "))
-	check.Equal(runs.Load(), int64(1)) // the rest never became a call: it is no whole request
+	check.Equal(runs.Load(), int64(1)) // the remaining bytes are no complete request and never become a call
 }
 
 func TestServingEndsWithTheLease(t *testing.T) {
@@ -66,7 +66,7 @@
 	expectRefusal(check, mesh.call(t, "GET", "/", ""), result.NotServing, result.RanNo) // no lease
 	proxy.ExtendServing(10 * time.Second)
 	check.Equal(mesh.call(t, "GET", "/", "").status, http.StatusOK)
-	proxy.ExtendServing(5 * time.Second) // never shortens
+	proxy.ExtendServing(5 * time.Second) // never shortens the lease
 	now.Store(int64(10 * time.Second))   // as if the process had been paused
 	expectRefusal(check, mesh.call(t, "GET", "/", ""), result.NotServing, result.RanNo)
 	check.Equal(runs.Load(), int64(1))
@@ -78,19 +78,19 @@
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	direct := *mesh
 	direct.address = mesh.members[0].DataAddress
-	right := []string{headerHop, hopGate, headerService, "k/plans", headerBackend, "a", headerIncarnation, "7", headerRequest, "r1"}
-	check.Equal(direct.call(t, "POST", "/", "x", right...).status, http.StatusOK)
-	expectRefusal(check, direct.call(t, "POST", "/", "x", right...), result.AlreadyStarted, result.RanUnknown) // a late duplicate
+	validHeaders := []string{headerHop, hopGate, headerService, "k/plans", headerBackend, "a", headerIncarnation, "7", headerRequest, "r1"}
+	check.Equal(direct.call(t, "POST", "/", "x", validHeaders...).status, http.StatusOK)
+	expectRefusal(check, direct.call(t, "POST", "/", "x", validHeaders...), result.AlreadyStarted, result.RanUnknown) // a late duplicate
 	for index := 1; index < 8; index += 2 {
-		wrong := append([]string{}, right...)
-		wrong[index] = "other"
-		expectRefusal(check, direct.call(t, "POST", "/", "x", wrong...), result.WrongBackend, result.RanNo)
+		wrongHeaders := append([]string{}, validHeaders...)
+		wrongHeaders[index] = "other"
+		expectRefusal(check, direct.call(t, "POST", "/", "x", wrongHeaders...), result.WrongBackend, result.RanNo)
 	}
 	check.Equal(runs.Load(), int64(1))
 }
 
-// TestRaisedIncarnationIsFollowed: the node raises its incarnation when peers
-// remember a later one of it.
+// A node raises its incarnation when peers remember a later one. Its gate must then accept calls
+// for the new one.
 func TestGateAcceptsItsRaisedIncarnation(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -12,45 +12,46 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// restrictedPool is where calls go that may run in some regions only.
+// restrictedPool holds the endpoints for calls that are restricted to some regions.
 type restrictedPool struct {
 	allowed region.Set
 	pool    *pool
 }
 
-// within is the part of a pool in allowed regions. A roll-out's stage for the whole service binds
-// there too: a call is refused where the regions have no back end of a version that may take it.
+// inRegions returns the part of a pool in the allowed regions. The stage of a roll-out applies
+// there too: a call is refused if these regions have no back end of a version that may get it.
 func (p *pool) inRegions(allowed region.Set) pool {
-	made := pool{set: p.set.InRegions(allowed)}
-	if p.canary.allTargets != nil && made.set.UsableCount() > 0 {
-		made.canary = newCanary(p.canary.allTargets.InRegions(allowed), made.set.UsableCount(), p.canary.share)
+	restricted := pool{set: p.set.InRegions(allowed)}
+	if p.canary.allTargets != nil && restricted.set.UsableCount() > 0 {
+		restricted.canary = newCanary(p.canary.allTargets.InRegions(allowed), restricted.set.UsableCount(), p.canary.share)
 	}
-	return made
+	return restricted
 }
 
-// restrict makes the pools of the lists of regions that the service's routes name, so that
-// calls find them made. Lists that differ only in regions without its back ends share one:
-// there are as many pools as the back ends' regions make, however many lists routes name.
+// buildRestrictedPools builds the pools for the region lists of the service's routes in advance, so
+// that calls need not. Lists that differ only in regions without back ends of the service share a
+// pool: the number of pools depends on the regions of the back ends and not on the number of lists.
 func (s *service) buildRestrictedPools(lists []region.Set) {
 	if len(lists) == 0 {
 		return
 	}
-	present := region.NewAllowed(lo.Map(s.allEndpoints.All, func(one *endpoint.Endpoint, _ int) string { return one.Region }))
-	var made []restrictedPool
+	backendRegions := region.NewAllowed(lo.Map(s.allEndpoints.All, func(candidate *endpoint.Endpoint, _ int) string { return candidate.Region }))
+	var pools []restrictedPool
 	for _, allowed := range lists {
-		reachable := present.Intersect(allowed)
-		shared, found := lo.Find(made, func(one restrictedPool) bool { return one.allowed.Equal(reachable) })
+		reachable := backendRegions.Intersect(allowed)
+		shared, found := lo.Find(pools, func(candidate restrictedPool) bool { return candidate.allowed.Equal(reachable) })
 		if !found {
 			part := s.inRegions(reachable)
 			shared = restrictedPool{allowed: reachable, pool: &part}
-			made = append(made, shared)
+			pools = append(pools, shared)
 		}
 		s.restricted = append(s.restricted, restrictedPool{allowed: allowed, pool: shared.pool})
 	}
 }
 
-// poolOf is where a call goes. A pool is made for it only where it is bound by two versions
-// that allow different regions, while one of them is on its way.
+// poolFor returns the pool for a call. It builds one only if the call is restricted by two
+// configuration versions with different regions, which happens while one of them is being
+// distributed.
 func (s *service) poolFor(allowed region.Set) *pool {
 	if !allowed.Restricted() {
 		return &s.pool
@@ -60,13 +61,13 @@
 			return s.restricted[index].pool
 		}
 	}
-	made := s.inRegions(allowed)
-	return &made
+	built := s.inRegions(allowed)
+	return &built
 }
 
-// bind has the call keep what the version in force now allows besides what bound it before:
-// a restriction that is set while the call waits or is tried again holds for its next
-// attempt, and one that is lifted stays with the call until it ends.
+// applyRegions restricts the call to the regions that the version in force allows, in addition to
+// earlier restrictions: one that is set while the call waits or is retried applies to its next
+// attempt, and one that is lifted applies to the call until it ends.
 func (c *callerCall) applyRegions(current *view) {
 	if current.routes == c.routingTable {
 		return
@@ -80,33 +81,35 @@
 	}
 }
 
-// bindAsGate has the call keep what a gate has refused it by, whose version may be newer: a
-// daemon that is out of touch learns of a restriction call by call.
+// applyGateRegions restricts the call to the regions that a gate's refusal lists. The gate's
+// version may be newer, so a daemon without current configuration learns of restrictions call by
+// call.
 func (c *callerCall) applyGateRegions(answer *http.Response) {
 	if values := answer.Header[headerRegions]; len(values) > 0 {
 		c.regions = c.regions.Intersect(parseRegions(values[0]))
 	}
 }
 
-// checkRegion refuses a call that may not run in this gate's region by the version of the view.
-// The version of its sender may be older; what that bars its sender has kept.
+// checkRegion refuses a call that the view's version does not allow in this gate's region. The
+// sender's version may be older; the sender has already applied the restrictions of its own
+// version.
 func (p *Proxy) checkRegion(current *view, request *http.Request) (Refusal, bool) {
 	if !current.routes.HasRestrictions() {
 		return Refusal{}, true
 	}
-	located, refusal, fine := p.locate(request)
-	if !fine {
+	location, refusal, ok := p.locate(request)
+	if !ok {
 		return refusal, false
 	}
-	route := current.findRoute(request, located)
+	route := current.findRoute(request, location)
 	if route == nil || route.Regions.Has(p.config.Region) {
 		return Refusal{}, true
 	}
 	return Refusal{Code: result.RegionNotAllowed, Regions: []string{formatRegions(route.Regions)}}, false
 }
 
-// checkRegionAgain refuses a call whose body and turn were waited for, up to some seconds, if
-// by a version that came meanwhile it may not run here.
+// recheckRegion repeats checkRegion if a new version was put in force while the body was read or
+// the call was queued, which may take some seconds.
 func (c *gateCall) recheckRegion() (Refusal, bool) {
 	current := c.proxy.view.Load()
 	if current.routes == c.table {
@@ -115,16 +118,16 @@
 	return c.proxy.checkRegion(current, c.request)
 }
 
-// regionsSeparator stands between the names in headerRegions; it is escaped within them.
+// regionsSeparator separates the names in headerRegions; within names it is escaped.
 const regionsSeparator = ","
 
-// regionsText writes a restriction for headerRegions.
+// formatRegions formats a restriction for headerRegions.
 func formatRegions(allowed region.Set) string {
 	escaped := lo.Map(allowed.Names(), func(name string, _ int) string { return url.QueryEscape(name) })
 	return strings.Join(escaped, regionsSeparator)
 }
 
-// parseRegions reads headerRegions. A name that can't be read allows nothing.
+// parseRegions parses headerRegions. A name that can't be read is left out, so it allows no region.
 func parseRegions(text string) region.Set {
 	names := []string{}
 	for escaped := range strings.SplitSeq(text, regionsSeparator) {
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -25,18 +25,19 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// inRegions allows regions to a route, nil all, and two attempts to its calls.
+// optionsWithRegions sets the allowed regions of the route, nil for all, and allows its calls two
+// attempts.
 func optionsWithRegions(regions []string) meshOptions {
 	return meshOptions{changeRoute: func(route *resource.Route) { route.AllowedRegions, route.RetryAttempts = regions, 2 }}
 }
 
-// in puts a back end into a region.
+// withRegion sets the region of a back end.
 func withRegion(region string, spec backendSpec) backendSpec {
 	spec.region = region
 	return spec
 }
 
-// failing is a back end that counts its runs and fails them.
+// failingBackend returns a back end that counts its calls and breaks their connections.
 func failingBackend(runs *atomic.Int64) backendSpec {
 	return backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
 		runs.Add(1)
@@ -44,72 +45,74 @@
 	}}
 }
 
-// force puts a version that allows regions in force on daemons; backends are declared by it.
+// applyRegions puts a version with the given allowed regions in force at some daemons, with the
+// same back ends.
 func (m *mesh) applyRegions(version uint64, regions []string, daemons ...*Proxy) {
-	made := testSnapshot(optionsWithRegions(regions), m.snapshot.Backends[testService])
-	made.Version = protocol.Version(version)
+	next := testSnapshot(optionsWithRegions(regions), m.snapshot.Backends[testService])
+	next.Version = protocol.Version(version)
 	for _, daemon := range daemons {
-		daemon.Swap(made)
+		daemon.Swap(next)
 	}
 }
 
-// Back ends next door get nothing of a call that is at home elsewhere, whatever its key.
+// Back ends outside the allowed region get no call, whatever its request key.
 func TestCallRunsInAllowedRegion(t *testing.T) {
 	for _, headers := range [][]string{nil, {"X-Key", "k"}} {
 		check := is.New(t)
-		var near, home atomic.Int64
+		var nearCalls, homeCalls atomic.Int64
 		options := meshOptions{changeRoute: func(route *resource.Route) {
 			route.AllowedRegions = []string{"home"}
 			route.RequestKeyHeader = "X-Key"
 		}}
-		mesh := startMesh(t, options, countingBackend(&near), withRegion("home", countingBackend(&home)))
+		mesh := startMesh(t, options, countingBackend(&nearCalls), withRegion("home", countingBackend(&homeCalls)))
 		for range 20 {
 			headers := append([]string{}, headers...)
 			if len(headers) > 0 {
-				headers[1] += string(rune('a' + home.Load()))
+				headers[1] += string(rune('a' + homeCalls.Load()))
 			}
 			check.Equal(mesh.call(t, "POST", "/", "body", headers...).status, http.StatusOK)
 		}
-		check.Equal(near.Load(), int64(0))
-		check.Equal(home.Load(), int64(20))
+		check.Equal(nearCalls.Load(), int64(0))
+		check.Equal(homeCalls.Load(), int64(20))
 	}
 }
 
-// Also when every back end at home fails, and all are ejected.
+// Retries stay in the allowed region even when every back end there fails and is ejected.
 func TestRetriesStayInAllowedRegions(t *testing.T) {
 	check := is.New(t)
-	var near, home atomic.Int64
-	mesh := startMesh(t, optionsWithRegions([]string{"home"}), countingBackend(&near),
-		withRegion("home", failingBackend(&home)), withRegion("home", backendSpec{address: closedAddress(t)}))
+	var nearCalls, homeCalls atomic.Int64
+	mesh := startMesh(t, optionsWithRegions([]string{"home"}), countingBackend(&nearCalls),
+		withRegion("home", failingBackend(&homeCalls)), withRegion("home", backendSpec{address: closedAddress(t)}))
 	for range 30 {
 		got := mesh.call(t, "GET", "/", "")
 		check.True(got.status != http.StatusOK)
 	}
-	check.Equal(near.Load(), int64(0))
-	check.True(home.Load() > 0)
+	check.Equal(nearCalls.Load(), int64(0))
+	check.True(homeCalls.Load() > 0)
 }
 
 func TestCallWithoutAllowedBackEndIsRefusedUnsent(t *testing.T) {
 	for _, regions := range [][]string{{}, {"nowhere"}} {
 		check := is.New(t)
-		var near atomic.Int64
-		mesh := startMesh(t, optionsWithRegions(regions), countingBackend(&near))
+		var nearCalls atomic.Int64
+		mesh := startMesh(t, optionsWithRegions(regions), countingBackend(&nearCalls))
 		got := mesh.call(t, "POST", "/", "body")
 		expectRefusal(check, got, result.RegionNotAllowed, result.RanNo)
 		check.True(got.header.Get("Retry-After") != "")
-		check.Equal(near.Load(), int64(0))
+		check.Equal(nearCalls.Load(), int64(0))
 		check.Equal(mesh.caller.Counters().Attempts, uint64(0))
 		check.Equal(mesh.caller.Counters().Refusals[result.RegionNotAllowed], uint64(1))
 	}
 }
 
-// While a version that sets, moves or lifts a restriction is on its way, the stricter of the
-// entry's and the gate's binds; the gate's refusal tells the entry where to send the call.
+// While a version that sets, moves or lifts a restriction is being distributed, the stricter of two
+// versions applies: that of the caller's daemon and that of the gate. The gate's refusal lists the
+// regions to which the call may be sent.
 func TestStricterRegionVersionApplies(t *testing.T) {
-	for _, given := range []struct {
-		name        string
-		entry, gate []string
-		wanted      result.Code
+	for _, testCase := range []struct {
+		name                       string
+		callerRegions, gateRegions []string
+		wantedCode                 result.Code
 	}{
 		{"set, on its way to the entry", nil, []string{"home"}, result.OK},
 		{"set, on its way to the gates", []string{"home"}, nil, result.OK},
@@ -117,74 +120,73 @@
 		{"moved elsewhere", []string{"r"}, []string{"home"}, result.RegionNotAllowed},
 		{"barred everywhere", nil, []string{}, result.RegionNotAllowed},
 	} {
-		t.Run(given.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			check := is.New(t)
-			var near, home atomic.Int64
-			next := countingBackend(&near)
-			mesh := startMesh(t, meshOptions{}, next, next, next, withRegion("home", countingBackend(&home)))
-			mesh.applyRegions(2, given.entry, mesh.caller)
-			mesh.applyRegions(2, given.gate, mesh.gates...)
+			var nearCalls, homeCalls atomic.Int64
+			otherRegion := countingBackend(&nearCalls)
+			mesh := startMesh(t, meshOptions{}, otherRegion, otherRegion, otherRegion, withRegion("home", countingBackend(&homeCalls)))
+			mesh.applyRegions(2, testCase.callerRegions, mesh.caller)
+			mesh.applyRegions(2, testCase.gateRegions, mesh.gates...)
 			for range 10 {
 				got := mesh.call(t, "POST", "/", "body")
-				if given.wanted == result.OK {
+				if testCase.wantedCode == result.OK {
 					check.Equal(got.status, http.StatusOK)
 					continue
 				}
-				expectRefusal(check, got, given.wanted, result.RanNo)
+				expectRefusal(check, got, testCase.wantedCode, result.RanNo)
 			}
-			check.Equal(near.Load(), int64(0))
-			check.True(mesh.caller.Counters().Attempts <= 2*10) // it learns at once where to send it
+			check.Equal(nearCalls.Load(), int64(0))
+			check.True(mesh.caller.Counters().Attempts <= 2*10) // one refusal per call is enough to learn the allowed regions
 		})
 	}
 }
 
-// A call that has waited at a gate for its turn is bound by the version in force when it begins
-// to run, and is sent home in place of that.
+// A call that was queued at a gate is subject to the version in force when it leaves the queue. If
+// that version does not allow the gate's region, the call is refused there and not run.
 func TestNewRegionVersionAppliesToQueuedCall(t *testing.T) {
 	check := is.New(t)
-	var near, home atomic.Int64
-	begun, held := make(chan struct{}), make(chan struct{})
-	slow := backendSpec{handler: func(http.ResponseWriter, *http.Request) {
-		if near.Add(1) == 1 {
-			close(begun)
+	var nearCalls, homeCalls atomic.Int64
+	started, release := make(chan struct{}), make(chan struct{})
+	slowBackEnd := backendSpec{handler: func(http.ResponseWriter, *http.Request) {
+		if nearCalls.Add(1) == 1 {
+			close(started)
 		}
-		<-held
+		<-release
 	}}
-	mesh := startMesh(t, meshOptions{slots: 1}, slow, withRegion("home", countingBackend(&home)))
+	mesh := startMesh(t, meshOptions{slots: 1}, slowBackEnd, withRegion("home", countingBackend(&homeCalls)))
 	mesh.applyRegions(2, []string{"r"}, mesh.caller)
 	answers := make(chan callResult, 2)
-	ask := func() { answers <- mesh.call(t, "POST", "/", "body") }
-	go ask()
-	<-begun
-	go ask()
+	sendCall := func() { answers <- mesh.call(t, "POST", "/", "body") }
+	go sendCall()
+	<-started
+	go sendCall()
 	for mesh.gates[0].gate.Load().Queued == 0 {
 		runtime.Gosched()
 	}
 	mesh.applyRegions(3, []string{"home"}, append(mesh.gates, mesh.caller)...)
-	close(held)
+	close(release)
 	codes := []string{(<-answers).header.Get(headerCode), (<-answers).header.Get(headerCode)}
 	check.True(slices.Contains(codes, itoa(int(result.RegionNotAllowed))))
-	check.Equal(near.Load(), int64(1))
-	for mesh.gates[0].gate.Load().Running > 0 { // its slot is given back
+	check.Equal(nearCalls.Load(), int64(1))
+	for mesh.gates[0].gate.Load().Running > 0 { // the refused call must release its slot
 		runtime.Gosched()
 	}
 }
 
-// A large body, which is announced, is refused before any of it was sent: by the gate and by
-// the entry.
+// A large body, which is announced by Expect, is refused by the gate and by the caller's daemon
+// before any of it is sent.
 func TestBodyOutsideAllowedRegionIsNotRead(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	mesh.applyRegions(2, []string{"home"}, append(mesh.gates, mesh.caller)...)
-	hop := fmt.Sprintf("%s: %s\r\n%s: %s\r\n%s: a\r\n", headerHop, hopGate, headerService, testService, headerBackend)
-	check.Equal(sendHead(t, mesh.members[0].DataAddress, hop), itoa(int(result.RegionNotAllowed)))
+	gateHeaders := fmt.Sprintf("%s: %s\r\n%s: %s\r\n%s: a\r\n", headerHop, hopGate, headerService, testService, headerBackend)
+	check.Equal(sendHead(t, mesh.members[0].DataAddress, gateHeaders), itoa(int(result.RegionNotAllowed)))
 	check.Equal(sendHead(t, mesh.address, ""), itoa(int(result.RegionNotAllowed)))
 	check.Equal(runs.Load(), int64(0))
 }
 
-// refusalOfHead sends the head of a request with a large body, and returns the code by which it
-// is refused.
+// sendHead sends the head of a request with a large body and returns the code of the refusal.
 func sendHead(t *testing.T, address, headers string) string {
 	t.Helper()
 	check := is.New(t)
@@ -199,40 +201,41 @@
 	return answer.Header.Get(headerCode)
 }
 
-// An entry's newest version binds each attempt, besides the one that the call came under.
+// Each attempt is subject to the newest version at the caller's daemon, in addition to the version
+// in force when the call arrived.
 func TestNewRegionVersionAppliesToNextAttempt(t *testing.T) {
-	for _, given := range []struct {
-		name          string
-		before, after []string
-		near, home    int64
+	for _, testCase := range []struct {
+		name                 string
+		before, after        []string
+		nearCalls, homeCalls int64
 	}{
 		{"set", nil, []string{"home"}, 1, 1},
 		{"moved", []string{"r"}, []string{"home"}, 1, 0},
 		{"lifted", []string{"r"}, nil, 2, 0},
 	} {
-		t.Run(given.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			check := is.New(t)
-			var near, home atomic.Int64
-			var made *mesh
-			swapping := backendSpec{handler: func(http.ResponseWriter, *http.Request) {
-				near.Add(1)
-				made.applyRegions(3, given.after, made.caller)
+			var nearCalls, homeCalls atomic.Int64
+			var testMesh *mesh
+			changingVersion := backendSpec{handler: func(http.ResponseWriter, *http.Request) {
+				nearCalls.Add(1)
+				testMesh.applyRegions(3, testCase.after, testMesh.caller)
 				panic(http.ErrAbortHandler)
 			}}
-			made = startMesh(t, meshOptions{}, swapping, swapping, withRegion("home", countingBackend(&home)))
-			made.applyRegions(2, given.before, made.caller)
-			made.call(t, "GET", "/", "")
-			check.Equal(near.Load(), given.near)
-			check.Equal(home.Load(), given.home)
+			testMesh = startMesh(t, meshOptions{}, changingVersion, changingVersion, withRegion("home", countingBackend(&homeCalls)))
+			testMesh.applyRegions(2, testCase.before, testMesh.caller)
+			testMesh.call(t, "GET", "/", "")
+			check.Equal(nearCalls.Load(), testCase.nearCalls)
+			check.Equal(homeCalls.Load(), testCase.homeCalls)
 		})
 	}
 }
 
-// Canaries and the other version alike: where its regions have no back end that a roll-out
-// lets take the call, none gets it.
+// During a roll-out both canaries and back ends of the other version are chosen only from the
+// allowed regions. If these have no back end that the roll-out's stage allows, none is chosen.
 func TestRolloutStaysInAllowedRegions(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
-	for _, given := range []struct {
+	for _, testCase := range []struct {
 		name     string
 		regions  []string
 		stage    rollout.Stage
@@ -243,11 +246,11 @@
 		{"only canaries at home", []string{"new"}, rollout.StageCanary, nil},
 		{"only the target at home, rolled back", []string{"new"}, rollout.StageRolledBack, nil},
 	} {
-		t.Run(given.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			check := is.New(t)
-			made := &service{allEndpoints: newRegionalSet()}
-			made.applySplit(VersionSplit{Target: "v2", Stage: given.stage, CanaryShare: 0.5})
-			pool := made.poolFor(region.NewAllowed(given.regions))
+			testedService := &service{allEndpoints: newRegionalSet()}
+			testedService.applySplit(VersionSplit{Target: "v2", Stage: testCase.stage, CanaryShare: 0.5})
+			pool := testedService.poolFor(region.NewAllowed(testCase.regions))
 			seen := map[string]bool{}
 			for range 200 {
 				chosen := pool.canary.choose(0, random.Uint64(), random.Uint64())
@@ -255,24 +258,25 @@
 					chosen = pool.set.Choose(0, random.Uint64(), nil)
 				}
 				if chosen != nil {
-					check.Equal(chosen.Region, given.regions[0])
+					check.Equal(chosen.Region, testCase.regions[0])
 					seen[chosen.Software] = true
 				}
 			}
-			check.Equal(len(seen), len(given.versions))
-			for _, version := range given.versions {
+			check.Equal(len(seen), len(testCase.versions))
+			for _, version := range testCase.versions {
 				check.True(seen[version])
 			}
 		})
 	}
 }
 
-// Neither way of choosing leaves the regions, whatever was tried or ejected before.
+// No method of choosing an endpoint leaves the allowed regions, whatever was tried or ejected
+// before.
 func TestEveryChoiceStaysInAllowedRegions(t *testing.T) {
 	check := is.New(t)
-	made := &service{allEndpoints: newRegionalSet()}
-	made.applySplit(VersionSplit{})
-	set := made.poolFor(region.NewAllowed([]string{"home"})).set
+	testedService := &service{allEndpoints: newRegionalSet()}
+	testedService.applySplit(VersionSplit{})
+	set := testedService.poolFor(region.NewAllowed([]string{"home"})).set
 	random := rand.New(rand.NewPCG(3, 4))
 	var tried endpoint.Tried
 	for range 3 * len(set.All) {
@@ -288,10 +292,11 @@
 	}
 }
 
-// A call of a restricted route allocates no more than another: its pool was made with the view.
+// A call of a restricted route needs no more allocations than another: its pool is built with the
+// view.
 func TestRegionRestrictionAddsNoAllocations(t *testing.T) {
 	check := is.New(t)
-	allocated := func(regions []string) float64 {
+	allocations := func(regions []string) float64 {
 		proxy := New(Config{Clock: testClock, NodeID: "caller", Region: "r", Zone: "z"})
 		t.Cleanup(proxy.Close)
 		proxy.Swap(testSnapshot(optionsWithRegions(regions), []resource.Backend{
@@ -307,40 +312,41 @@
 			call.chooseEndpoint(current.services[call.service].poolFor(call.regions), quarantine.Trusted, testClock())
 		})
 	}
-	check.Equal(allocated([]string{"home"}), allocated(nil))
+	check.Equal(allocations([]string{"home"}), allocations(nil))
 }
 
-// What lists cost is bounded by the regions in which a service has back ends, not by how many
-// lists a configuration's routes name.
+// The cost of region lists must depend on the regions in which the service has back ends, not on
+// the number of lists that routes name.
 func TestEquivalentRegionListsShareOnePool(t *testing.T) {
 	check := is.New(t)
-	made := &service{allEndpoints: newRegionalSet()}
-	made.applySplit(VersionSplit{})
+	testedService := &service{allEndpoints: newRegionalSet()}
+	testedService.applySplit(VersionSplit{})
 	lists := lo.Times(3000, func(number int) region.Set {
 		return region.NewAllowed([]string{[]string{"home", "old"}[number%2], fmt.Sprintf("elsewhere-%d", number)})
 	})
-	made.buildRestrictedPools(lists)
-	pools := lo.Uniq(lo.Map(lists, func(allowed region.Set, _ int) *pool { return made.poolFor(allowed) }))
+	testedService.buildRestrictedPools(lists)
+	pools := lo.Uniq(lo.Map(lists, func(allowed region.Set, _ int) *pool { return testedService.poolFor(allowed) }))
 	check.Equal(len(pools), 2)
-	check.Equal(made.poolFor(lists[0]).set.All[0].Region, "home")
-	check.Equal(made.poolFor(lists[1]).set.All[0].Region, "old")
+	check.Equal(testedService.poolFor(lists[0]).set.All[0].Region, "home")
+	check.Equal(testedService.poolFor(lists[1]).set.All[0].Region, "old")
 }
 
-// regionalSet has back ends of two versions in a region, and of one in each of two others.
+// newRegionalSet returns a set with back ends of two versions in region home, and of one version in
+// each of two other regions.
 func newRegionalSet() *endpoint.Set {
 	var members []protocol.Member
 	var backends []resource.Backend
-	for index, place := range []struct{ region, version string }{
+	for index, location := range []struct{ region, version string }{
 		{"home", "v1"}, {"home", "v1"}, {"home", "v2"}, {"home", "v2"},
 		{"old", "v1"}, {"old", "v1"}, {"new", "v2"}, {"new", "v2"},
 	} {
 		name := string(rune('a' + index))
 		members = append(members, protocol.Member{
-			ID: protocol.NodeID(name), Incarnation: 1, State: protocol.MemberAlive, Service: testService, Region: place.region,
-			Backend: name, Endpoint: protocol.EndpointReady, Slots: 6, Software: place.version, DataAddress: name,
+			ID: protocol.NodeID(name), Incarnation: 1, State: protocol.MemberAlive, Service: testService, Region: location.region,
+			Backend: name, Endpoint: protocol.EndpointReady, Slots: 6, Software: location.version, DataAddress: name,
 		})
 		backends = append(backends, resource.Backend{
-			Partner: testService.Partner, Name: name, Service: testService.Name, Slots: 6, Region: place.region,
+			Partner: testService.Partner, Name: name, Service: testService.Name, Slots: 6, Region: location.region,
 		})
 	}
 	return endpoint.Build(nil, endpoint.Locality{Region: "old"}, backends, members, 0)
@@ -353,7 +359,7 @@
 	}
 }
 
-// A name that can't be read bars more, never less.
+// An unreadable name must make the restriction stricter, never weaker.
 func TestUnreadableRegionsHeaderAllowsNothing(t *testing.T) {
 	check := is.New(t)
 	check.True(parseRegions("%zz").Equal(region.NewAllowed([]string{})))
--- a/internal/proxy/renewal_test.go
+++ b/internal/proxy/renewal_test.go
@@ -9,12 +9,12 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// A call whose upstream is at work is answered by it whatever view comes meanwhile, before
-// or after the start of a drain.
+// A running call is answered by its back end whatever view is put in force meanwhile, before or
+// after the start of a drain.
 func TestNewViewDoesNotEndRunningCall(t *testing.T) {
-	views := []struct {
-		name    string
-		publish func(*mesh)
+	changes := []struct {
+		name  string
+		apply func(*mesh)
 	}{
 		{"an equal one", func(m *mesh) { m.caller.PublishMembers(m.members) }},
 		{"another incarnation of the daemon", func(m *mesh) {
@@ -34,29 +34,29 @@
 		{"a configuration without routes and back ends", func(m *mesh) { m.caller.Swap(&snapshot.Snapshot{Version: 2}) }},
 		{"the daemon is unreachable", func(m *mesh) { m.caller.SetReachable(m.members[0].ID, false) }},
 	}
-	for _, view := range views {
+	for _, change := range changes {
 		for _, drained := range []string{"before", "after"} {
-			t.Run(view.name+" "+drained+" the drain", func(t *testing.T) {
+			t.Run(change.name+" "+drained+" the drain", func(t *testing.T) {
 				check := is.New(t)
 				backend := newBlockingBackend()
 				mesh := startMesh(t, meshOptions{}, backend.spec())
-				running := make(chan callResult)
+				results := make(chan callResult)
 				for _, method := range []string{"GET", "POST"} {
-					go func() { running <- mesh.call(t, method, "/", "x") }()
+					go func() { results <- mesh.call(t, method, "/", "x") }()
 					<-backend.entered
 				}
 				if drained == "after" {
 					mesh.caller.StartDrain()
 					mesh.gates[0].StartDrain()
 				}
-				view.publish(mesh)
+				change.apply(mesh)
 				if drained == "before" {
 					mesh.caller.StartDrain()
 					mesh.gates[0].StartDrain()
 				}
 				close(backend.release)
-				check.Equal((<-running).body, "done")
-				check.Equal((<-running).body, "done")
+				check.Equal((<-results).body, "done")
+				check.Equal((<-results).body, "done")
 			})
 		}
 	}
--- a/internal/proxy/reported.go
+++ b/internal/proxy/reported.go
@@ -7,41 +7,42 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// BackendReport is what the back end beside the daemon has said of itself.
+// BackendReport is the state that the daemon's own back end reports.
 type BackendReport struct {
-	// Start is the start of the back end that runs.
+	// Start is the current start of the back end.
 	Start protocol.BackendStart
-	// Slots is how many calls it runs at once.
+	// Slots is how many calls the back end runs at once.
 	Slots int
-	// Software is the version of its software; empty where it is not told.
+	// Software is the version of the back end's software; empty if not reported.
 	Software string
 	State    protocol.EndpointState
-	// EarlierCrashed says that Start runs in place of a start that had not said that it leaves.
+	// EarlierCrashed is set if Start replaces a start that ended without announcing it.
 	EarlierCrashed bool
 }
 
-// reportedBackend is the newest report, read on the path of a request.
+// reportedBackend holds the newest report, which calls read.
 type reportedBackend struct {
 	current atomic.Pointer[BackendReport]
-	// replaced is closed when another start of the back end is reported; nil before the first.
+	// replaced is closed when another start of the back end is reported; nil before the first
+	// report.
 	replaced atomic.Pointer[chan struct{}]
 }
 
-// put puts a report in force, and only then closes replaced. So whoever loads replaced, and then
-// still finds the earlier start in force, holds a channel that is closed later.
+// set puts a report in force and only then closes replaced. So if a reader loads replaced and
+// afterwards still finds the earlier start in force, its channel will be closed later.
 func (r *reportedBackend) set(report *BackendReport) {
 	previous := r.current.Swap(report)
 	if previous != nil && previous.Start == report.Start {
 		return
 	}
 	next := make(chan struct{})
-	if earlier := r.replaced.Swap(&next); earlier != nil {
-		close(*earlier)
+	if previousReplaced := r.replaced.Swap(&next); previousReplaced != nil {
+		close(*previousReplaced)
 	}
 }
 
-// startReplaced is closed when a start of the back end is no longer the one that gets calls; nil
-// where no back end reports, for none is replaced then.
+// replacedChannel returns a channel that is closed when the given start of the back end no longer
+// gets calls. It is nil if the back end does not report, because no start is replaced then.
 func (p *Proxy) replacedChannel(start protocol.BackendStart) <-chan struct{} {
 	replaced := p.reported.replaced.Load()
 	if p.backendStart() != start {
@@ -53,14 +54,14 @@
 	return *replaced
 }
 
-// alreadyClosed is a closed channel.
+// closedChannel is a closed channel.
 var closedChannel = func() <-chan struct{} {
-	made := make(chan struct{})
-	close(made)
-	return made
+	channel := make(chan struct{})
+	close(channel)
+	return channel
 }()
 
-// instance is the name by which callers' sides address the back end.
+// backendInstance returns the name by which calling daemons address the back end.
 func (p *Proxy) backendInstance() string {
 	if !p.config.Reported {
 		return p.config.Backend
@@ -71,7 +72,7 @@
 	return ""
 }
 
-// backendStart is the start of the back end that calls are sent to now.
+// backendStart returns the start of the back end that calls are sent to now.
 func (p *Proxy) backendStart() protocol.BackendStart {
 	if !p.config.Reported {
 		return protocol.BackendStart{Instance: p.config.Backend}
@@ -82,18 +83,18 @@
 	return protocol.BackendStart{}
 }
 
-// bornField tells which start of an instance a line speaks of.
+// bornField returns the log field that identifies one start of an instance.
 func bornField(start protocol.BackendStart) EventField {
 	return textField("born", strconv.FormatInt(start.Born, 10))
 }
 
-// ReportBackend puts a report of the back end in force at the gate. When it
-// returns, a back end that takes no work gets no new call from here, and the
-// calls that waited have been refused. One goroutine reports at a time.
+// ReportBackend puts a report of the back end in force at the gate. If the back end accepts no
+// calls, then on return no new call is sent to it and the queued calls have been refused.
+// ReportBackend must not be called concurrently.
 func (p *Proxy) ReportBackend(report BackendReport) {
 	previous := p.reported.current.Load()
 	if previous != nil && previous.Start != report.Start {
-		// Connections to an earlier start lead nowhere.
+		// Connections to an earlier start can't be used again.
 		p.backend.retire()
 		p.rolloutAnswers.Reset()
 		p.hangDetector.missingCalls.Reset()
@@ -106,11 +107,11 @@
 	if previous == nil || previous.Software != report.Software {
 		p.backendEnds.succeededBeforeVersion.Store(p.counters.succeeded.Load())
 	}
-	takesWork := report.State.AcceptsCalls()
+	acceptsCalls := report.State.AcceptsCalls()
 	switch {
 	case report.State == protocol.EndpointEvacuated:
 		p.gate.Evacuate()
-	case !takesWork:
+	case !acceptsCalls:
 		p.gate.Drain()
 	}
 	p.reported.set(&report)
@@ -122,14 +123,14 @@
 		p.backendLimits.foundStart.Store(&report.Start)
 		p.expectOrphanedCalls()
 	}
-	if takesWork {
+	if acceptsCalls {
 		p.gate.Resume()
 	}
 	p.logEvent("backend_state", EventField{Key: "backend", Value: report.Start.Instance}, bornField(report.Start),
 		EventField{Key: "state", Value: report.State.String()})
 }
 
-// warming tells whether the back end says that it is still slow from its start.
+// isWarming reports whether the back end reports that it is still slow after its start.
 func (p *Proxy) isWarming() bool {
 	report := p.reported.current.Load()
 	return report != nil && report.State == protocol.EndpointWarming
--- a/internal/proxy/reported_test.go
+++ b/internal/proxy/reported_test.go
@@ -11,7 +11,7 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
-// What a gate has counted of one start of its back end says nothing of the next one.
+// The answers that a gate counted for one start of its back end must not count for the next start.
 func TestNewStartResetsAnswerCounts(t *testing.T) {
 	check := is.New(t)
 	proxy := New(Config{Clock: testClock, NodeID: "gate", Backend: "i", Reported: true})
@@ -21,15 +21,16 @@
 	proxy.SetAnswerCounting(true)
 	proxy.rolloutAnswers.Record(callclass.Class(0), true, true, time.Second)
 	proxy.ReportBackend(report)
-	counted, _ := proxy.AnswerEvidence()
-	check.Equal(counted[0].Failures, uint32(1))
+	counts, _ := proxy.AnswerEvidence()
+	check.Equal(counts[0].Failures, uint32(1))
 	report.Start.Born = 200
 	proxy.ReportBackend(report)
-	counted, _ = proxy.AnswerEvidence()
-	check.Equal(counted[0].Failures, uint32(0))
+	counts, _ = proxy.AnswerEvidence()
+	check.Equal(counts[0].Failures, uint32(0))
 }
 
-// A request that ends a back end that starts again under its name has ended several.
+// If a back end restarts under its name and ends under the same request again, that counts as
+// several ends.
 func TestEndsUnderOneNameCountPerStart(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
