--- a/internal/proxy/reportedgate_test.go
+++ b/internal/proxy/reportedgate_test.go
@@ -15,68 +15,70 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// reportedGate is the gate of a back end that reports itself.
+// reportedGate is the gate of a back end that reports its state itself.
 type reportedGate struct {
 	proxy   *Proxy
 	address string
 	backend string
 	limits  Limits
 	slots   int
-	// arrived are the calls that the back end has taken, over lets them go.
+	// arrivedCount counts the calls that the back end has received. releaseCalls closes released,
+	// which lets the calls end.
 	arrivedCount *atomic.Int64
 	released     chan struct{}
 	releaseCalls func()
 }
 
-// heldCall is a call as the back end of a reported gate sees it.
+// backendCall is a call as the back end of a reported gate receives it.
 type backendCall struct {
 	released <-chan struct{}
 	conn     net.Conn
 }
 
-// answerIt answers the call well and keeps the connection.
+// answer answers the call with status 200 and keeps the connection.
 func (c *backendCall) answer() {
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 }
 
-// beginAnswer sends the head of an answer and no byte of its body.
+// sendAnswerHead sends the head of an answer and no byte of its body.
 func (c *backendCall) sendAnswerHead() {
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n")
 }
 
-// answerAndClose answers the call well and ends the connection.
+// answerAndClose answers the call with status 200 and closes the connection.
 func (c *backendCall) answerAndClose() {
 	_, _ = io.WriteString(c.conn, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	_ = c.conn.Close()
 }
 
-// startReportedGate starts such a gate with a back end that began after it. The back end
-// heeds the end of a connection only once it has served the call on it.
+// startReportedGate starts a reported gate and its back end, which reports a later start time than
+// that of the gate. The back end notices the end of a connection only after it has served the call
+// on it.
 func startReportedGate(t *testing.T, limits Limits, slots int, serve func(*backendCall)) *reportedGate {
 	t.Helper()
-	made := &reportedGate{limits: limits, slots: slots, arrivedCount: &atomic.Int64{}, released: make(chan struct{})}
-	made.releaseCalls = sync.OnceFunc(func() { close(made.released) })
-	t.Cleanup(made.releaseCalls)
-	made.backend = startBackend(t, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
+	gate := &reportedGate{limits: limits, slots: slots, arrivedCount: &atomic.Int64{}, released: make(chan struct{})}
+	gate.releaseCalls = sync.OnceFunc(func() { close(gate.released) })
+	t.Cleanup(gate.releaseCalls)
+	gate.backend = startBackend(t, backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		for {
-			if _, came := readRequest(reader); !came {
+			if _, found := readRequest(reader); !found {
 				return
 			}
-			made.arrivedCount.Add(1)
-			serve(&backendCall{released: made.released, conn: conn})
+			gate.arrivedCount.Add(1)
+			serve(&backendCall{released: gate.released, conn: conn})
 		}
 	}})
-	made.start(t, made.slots, protocol.BackendStart{Instance: "i", Born: time.Now().Add(time.Hour).UnixMilli()})
-	return made
+	gate.start(t, gate.slots, protocol.BackendStart{Instance: "i", Born: time.Now().Add(time.Hour).UnixMilli()})
+	return gate
 }
 
-// restart starts another daemon beside the back end, which has run before.
+// restart starts another daemon for the same back end, which started before it.
 func (g *reportedGate) restart(t *testing.T) *reportedGate {
 	t.Helper()
-	again := *g
-	again.arrivedCount.Store(0)
-	again.start(t, g.slots, protocol.BackendStart{Instance: "i", Born: 1})
-	return &again
+	restarted := *g
+	restarted.arrivedCount.Store(0)
+	restarted.start(t, g.slots, protocol.BackendStart{Instance: "i", Born: 1})
+	return &restarted
 }
 
 func (g *reportedGate) start(t *testing.T, slots int, start protocol.BackendStart) {
@@ -91,13 +93,13 @@
 	g.address = startServer(t, g.proxy.GateHandler(), g.limits)
 }
 
-// begunCall is a call that was sent to a gate.
+// startedCall is a call that was sent to a gate.
 type startedCall struct {
 	cancel context.CancelFunc
 	answer chan callResult
 }
 
-// begin sends a call to the gate.
+// startCall sends a call to the gate.
 func (g *reportedGate) startCall(t *testing.T, timeout time.Duration) *startedCall {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -109,23 +111,23 @@
 	request.Header.Set(headerBackend, "i")
 	request.Header.Set(headerService, testService.String())
 	request.Header.Set(headerTimeout, itoa(int(timeout.Milliseconds())))
-	made := &startedCall{cancel: cancel, answer: make(chan callResult, 1)}
-	ended := make(chan struct{})
+	call := &startedCall{cancel: cancel, answer: make(chan callResult, 1)}
+	done := make(chan struct{})
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-done
 	})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		client := mesh{client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-		made.answer <- client.send(t, request)
+		call.answer <- client.send(t, request)
 	}()
-	return made
+	return call
 }
 
-// await waits until something holds; what never does hangs the test.
-func (g *reportedGate) await(holds func() bool) {
-	for !holds() {
+// await waits until a condition holds; one that never holds hangs the test.
+func (g *reportedGate) await(condition func() bool) {
+	for !condition() {
 		runtime.Gosched()
 	}
 }
