--- a/internal/core/admission/config.go
+++ b/internal/core/admission/config.go
@@ -30,7 +30,9 @@
 	RequestCount  int
 	// Weights lists the partners' shares; a partner that is not listed has weight 1.
 	Weights []PartnerWeight
-	// NoEstimate disables refusals by expected wait, so that deadlines may expire
-	// in the queue. It serves as the baseline in comparisons only.
+	// NoEstimate queues every call that finds no free slot, without checking QueueLength,
+	// QueueWait, its target or its deadline, so that deadlines may expire in the queue. A
+	// new call of higher priority may still displace it. NoEstimate serves as the baseline
+	// in comparisons only.
 	NoEstimate bool
 }
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -71,7 +71,7 @@
 	l.work -= ticket.expectedService
 }
 
-// partnerQueue is the queue of one partner.
+// partnerQueue holds the queued calls of one partner and the slot time that it has received.
 type partnerQueue struct {
 	partner resource.Partner
 	weight  float64
--- a/internal/core/admission/service_time.go
+++ b/internal/core/admission/service_time.go
@@ -59,7 +59,7 @@
 	return cmp.Or(g.classStatsOf(call).mean.value(), g.MeanServiceTime())
 }
 
-// LongServiceTime returns a cautious estimate of a call's service time, the expected
+// CautiousServiceTime returns a cautious estimate of a call's service time, the expected
 // service time plus the mean deviation of its class; 0 if unknown.
 func (g *Gate) CautiousServiceTime(call *Call) time.Duration {
 	return g.expectedServiceOf(call) + g.classStatsOf(call).deviation.value()
--- a/internal/core/admission/target_test.go
+++ b/internal/core/admission/target_test.go
@@ -62,7 +62,7 @@
 	check.Equal(offer(varied, 0, callWithTarget(0, span)).code, result.QueueFull)
 }
 
-// Of queued calls with equal priority, the one with the earliest latest start goes first.
+// Of queued calls with equal priority, the one that must start soonest to meet its target goes first.
 func TestCallThatMustStartFirstGoesFirst(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
--- a/internal/core/callclass/callclass.go
+++ b/internal/core/callclass/callclass.go
@@ -20,8 +20,8 @@
 // same class to the same route.
 type Class uint16
 
-// Of returns the class of a route, a hash of its partner, target, timeout, priority
-// and repeatability. A route that is added or renamed thus shares the statistics of
+// OfRoute returns the class of a route, a hash of its partner, latency target, timeout,
+// priority and repeatability. A route that is added or renamed thus shares the statistics of
 // the routes with the same settings.
 func OfRoute(route *resource.Route) Class {
 	var fields [26]byte
--- a/internal/core/callclass/callclass_test.go
+++ b/internal/core/callclass/callclass_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// Guards against a hash that maps routes with targets of similar size to the same class.
-func TestSimilarTargetsHaveDifferentClasses(t *testing.T) {
+// Guards against a hash that maps routes with similar latency targets and timeouts to the same class.
+func TestRoutesWithSimilarSettingsHaveDifferentClasses(t *testing.T) {
 	check := is.New(t)
 	routes := []*resource.Route{
 		route(800*time.Millisecond, 2*time.Second, true),
--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -82,10 +82,10 @@
 	return d.all[index], true
 }
 
-// OwnZone returns the other daemons of the own zone, ranked.
+// PeersInOwnZone returns the other daemons of the own zone, ranked.
 func (d *Directory) PeersInOwnZone() []Peer { return d.zones[d.zone] }
 
-// OtherZones returns the daemons of all other zones in ascending order of ID.
+// PeersInOtherZones returns the daemons of all other zones in ascending order of ID.
 func (d *Directory) PeersInOtherZones() []Peer { return d.otherZones }
 
 // Zones returns the names of all zones that contain another daemon, in ascending order.
@@ -98,7 +98,7 @@
 	return names
 }
 
-// InZone returns the other daemons of a zone, ranked.
+// PeersInZone returns the other daemons of a zone, ranked.
 func (d *Directory) PeersInZone(zone string) []Peer { return d.zones[zone] }
 
 // Relays returns the other daemons of a zone that may be its relay, best first, without
--- a/internal/core/distribution/acknowledgement.go
+++ b/internal/core/distribution/acknowledgement.go
@@ -85,8 +85,8 @@
 	if len(list) == 0 {
 		return 0, false
 	}
-	lowest := lo.MinBy(list, func(a, b protocol.Acknowledgement) bool { return a.Minimum < b.Minimum })
-	return lowest.Minimum, true
+	lowestAcknowledgement := lo.MinBy(list, func(a, b protocol.Acknowledgement) bool { return a.Minimum < b.Minimum })
+	return lowestAcknowledgement.Minimum, true
 }
 
 // EqualAcknowledgements reports whether two lists of acknowledgements are equal.
--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -6,8 +6,8 @@
 	// ejectionFloor is the minimum share of a set that is not ejected. Ejections are
 	// ignored while fewer endpoints than that are left.
 	ejectionFloor = 0.5
-	// degradedLimit is the largest degraded share of a set whose endpoints are
-	// avoided. A larger share points to a common cause, such as a shared
+	// degradedLimit is the largest share of degraded endpoints in a set at which
+	// these endpoints are avoided. A larger share points to a common cause, such as a shared
 	// dependency; avoiding some endpoints would then only overload the others.
 	degradedLimit = 0.3
 )
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -213,10 +213,10 @@
 // ApplyLoadReport applies a load report received with the response to a call. It must be called
 // before End of that call.
 func (e *Endpoint) ApplyLoadReport(now time.Duration, report LoadReport) {
-	counted := float64(report.Running + report.Queued)
-	otherCalls := max(0, counted-float64(e.stats.outstanding.Load()))
-	uncounted := min(max(0, report.Own-counted), float64(e.Slots))
-	otherCalls += uncounted * reportWeight(report.OwnAge)
+	gateCalls := float64(report.Running + report.Queued)
+	otherCalls := max(0, gateCalls-float64(e.stats.outstanding.Load()))
+	uncountedCalls := min(max(0, report.Own-gateCalls), float64(e.Slots))
+	otherCalls += uncountedCalls * reportWeight(report.OwnAge)
 	e.stats.otherCalls.Store(math.Float64bits(otherCalls))
 	e.stats.reportedAt.Store(int64(now))
 	if report.Service > 0 {
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -42,7 +42,7 @@
 	spill  Spillover
 }
 
-// Index maps a back end to the member record of its daemon's latest incarnation. It
+// MemberIndex maps a back end to the member record of its daemon's latest incarnation. It
 // is built once for the sets of all services and points into the records that it was
 // built from.
 type MemberIndex map[backendKey]*protocol.Member
@@ -53,7 +53,7 @@
 	backend string
 }
 
-// NewIndex builds the index of the member records. If two records name the same back end,
+// NewMemberIndex builds the index of the member records. If two records name the same back end,
 // for example after it restarted on another machine, the one with the later start is used.
 func NewMemberIndex(members []protocol.Member) MemberIndex {
 	index := make(MemberIndex, len(members))
@@ -63,7 +63,7 @@
 			continue
 		}
 		key := backendKey{service: member.Service, backend: member.Backend}
-		if known, found := index[key]; !found || isNewerRecord(member, known) {
+		if existing, found := index[key]; !found || isNewerRecord(member, existing) {
 			index[key] = member
 		}
 	}
@@ -90,7 +90,7 @@
 func BuildIndexed(previous *Set, self Locality, backends []resource.Backend, index MemberIndex, now time.Duration) *Set {
 	set := &Set{spill: cmp.Or(self.Spill, DefaultSpillover())}
 	set.All = make([]*Endpoint, 0, len(backends))
-	known := previous.byName()
+	previousByName := previous.byName()
 	for _, backend := range backends {
 		described, usable := describe(backend, index)
 		described.ColdRate = self.ColdRate
@@ -98,7 +98,7 @@
 			described.State = protocol.EndpointEvacuated
 			usable = false
 		}
-		added := reuseOrCreate(self, previous, known[backend.Name], described, now)
+		added := reuseOrCreate(self, previous, previousByName[backend.Name], described, now)
 		set.All = append(set.All, added)
 		if !usable {
 			continue
--- a/internal/core/floor/keeper.go
+++ b/internal/core/floor/keeper.go
@@ -44,7 +44,7 @@
 // Stored returns the highest version stored.
 func (k *Keeper) Stored() protocol.Version { return k.stored }
 
-// Set returns the newest keeper set of the region that the keeper knows.
+// KeeperSet returns the newest keeper set of the region that the keeper knows.
 func (k *Keeper) KeeperSet() protocol.KeeperSet { return k.keeperSet }
 
 // HandleStoreRequest stores a version and the keeper set in the head at that
--- a/internal/core/hang/missing.go
+++ b/internal/core/hang/missing.go
@@ -17,16 +17,16 @@
 	maxResultAge = 2 * time.Second
 )
 
-// MissingCalls tracks how many of the calls in flight at a back end the back end does not report as
-// held, that is, running or queued. It is safe for concurrent use, and Record never blocks. The
+// MissingCalls tracks the number of missing calls of a back end: the calls in flight there minus
+// those that it reports as held (running or queued). It is safe for concurrent use, and Record never blocks. The
 // zero value has no data.
 type MissingCalls struct {
 	mutex sync.Mutex
-	// periodStart is the start of the present period, minimum the lowest number of missing calls in
-	// its reports.
-	periodStart time.Duration
-	reports     int
-	minimum     int
+	// periodStart is the start of the present period, lowestMissing the lowest number of missing
+	// calls in its reports.
+	periodStart   time.Duration
+	reports       int
+	lowestMissing int
 	// lastResult is the result of the latest complete period, which ended at lastResultAt;
 	// lastResultAt is 0 if there is none.
 	lastResult   int
@@ -42,14 +42,14 @@
 	}
 	defer m.mutex.Unlock()
 	if m.reports == 0 {
-		m.periodStart, m.minimum = now, math.MaxInt
+		m.periodStart, m.lowestMissing = now, math.MaxInt
 	}
-	m.minimum = min(m.minimum, max(inFlight-held, 0))
+	m.lowestMissing = min(m.lowestMissing, max(inFlight-held, 0))
 	m.reports++
 	if now-m.periodStart < missingPeriod || m.reports < minReportsPerPeriod {
 		return
 	}
-	m.lastResult, m.lastResultAt = m.minimum, max(now, 1) // 0 would mean that there is no result
+	m.lastResult, m.lastResultAt = m.lowestMissing, max(now, 1) // 0 would mean that there is no result
 	m.reports = 0
 }
 
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -137,7 +137,7 @@
 // change of a record for which structureDiffers.
 func (r *Roster) StructureRevision() uint64 { return r.structureRevision }
 
-// Sums returns the sum of the record hashes for each bucket.
+// BucketSums returns the sum of the record hashes for each bucket.
 func (r *Roster) BucketSums() BucketSums { return r.sums }
 
 // InDifferingBuckets returns the records in the buckets whose sums differ from the given
--- a/internal/core/position/position.go
+++ b/internal/core/position/position.go
@@ -26,7 +26,8 @@
 // Before reports whether the position precedes another one.
 func (p Position) Before(other Position) bool { return p.Compare(other) < 0 }
 
-// IsStart reports whether the position precedes all changes of its era, which need not be the first.
+// IsEraStart reports whether the position precedes all changes of its era. It may be any era, not
+// only the first.
 func (p Position) IsEraStart() bool { return p.Revision == 0 }
 
 // Max returns the later of two positions.
--- a/internal/core/quarantine/classify.go
+++ b/internal/core/quarantine/classify.go
@@ -106,7 +106,7 @@
 }
 
 // cannotHaveCaused reports whether a companion cannot have caused an end of a suspect: it was
-// answered successfully since then, or it was answered successfully before and the suspect was not.
+// cleared since that end, or it is familiar (see Record.Familiar) and the suspect is not.
 // It returns false if there is no unexpired record of the companion.
 func (r entriesByKey) cannotHaveCaused(companion Companion, suspect *entry) bool {
 	entry := r[companion.Key]
--- a/internal/core/quarantine/companions.go
+++ b/internal/core/quarantine/companions.go
@@ -51,9 +51,9 @@
 		slices.SortStableFunc(all, func(a, b string) int { return compareEvidence(merged.detail(a), merged.detail(b)) })
 		all = slices.Sorted(slices.Values(all[:endLimit]))
 	}
-	kept := slices.DeleteFunc(merged.Details, func(detail EndDetail) bool { return !slices.Contains(all, detail.Instance) })
-	changed := !slices.Equal(all, e.record.Ends) || !slices.EqualFunc(kept, e.record.Details, EndDetail.equal)
-	e.record.Ends, e.record.Details = all, kept
+	keptDetails := slices.DeleteFunc(merged.Details, func(detail EndDetail) bool { return !slices.Contains(all, detail.Instance) })
+	changed := !slices.Equal(all, e.record.Ends) || !slices.EqualFunc(keptDetails, e.record.Details, EndDetail.equal)
+	e.record.Ends, e.record.Details = all, keptDetails
 	return changed
 }
 
--- a/internal/core/quarantine/companions_test.go
+++ b/internal/core/quarantine/companions_test.go
@@ -152,7 +152,7 @@
 	}
 	recordEnd(table, "alone", request)
 	check.Equal(stateIn(table, 0, request), Held)
-	check.Equal(table.View(firstHold).Isolation(firstHold, request), AloneRequired) // a further end may extend the hold
+	check.Equal(table.View(firstHold).Isolation(firstHold, request), AloneRequired) // the hold has expired, but a further end would start a longer one
 	table.Clear(0, request)
 	check.Equal(isolation(), AlongsideTrusted)
 }
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -179,18 +179,19 @@
 	return EndDetail{Instance: end}
 }
 
-// countTrials returns the number of distinct trials that met the given ends.
+// countTrials returns the number of distinct trials in which the given ends occurred, counting each
+// end of an unknown trial as one more trial.
 func (r Record) countTrials(ends []string) int {
-	unknown := 0
-	known := map[uint32]bool{}
+	unknownTrials := 0
+	knownTrials := map[uint32]bool{}
 	for _, end := range ends {
 		if trial := r.detail(end).Trial; trial > 0 {
-			known[trial] = true
+			knownTrials[trial] = true
 		} else {
-			unknown++
+			unknownTrials++
 		}
 	}
-	return unknown + len(known)
+	return unknownTrials + len(knownTrials)
 }
 
 // lastTrial returns the highest trial number, counting each end of an unknown trial as one more
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -92,7 +92,7 @@
 	check.Equal(table.View(0).Count(0), map[State]int{Suspected: 0, Held: 0})
 }
 
-func TestAHoldExpiresAndTheNextEndExtendsIt(t *testing.T) {
+func TestEachEndAfterAHoldStartsALongerHold(t *testing.T) {
 	check := is.New(t)
 	table := NewTable(DefaultRules())
 	request := signatureOf("/harmful")
--- a/internal/core/region/allowed.go
+++ b/internal/core/region/allowed.go
@@ -8,15 +8,15 @@
 	"github.com/samber/lo"
 )
 
-// Allowed is the set of regions in which calls may run and their bodies may be stored. The zero
-// value allows all regions. Allowed is immutable.
+// Set is the set of regions in which calls may run and their bodies may be stored. The zero
+// value allows all regions. A Set is immutable.
 type Set struct {
 	restricted bool
 	// names is sorted and without duplicates.
 	names []string
 }
 
-// NewAllowed returns the set for a route's list of regions: nil allows all regions, an empty
+// NewAllowed returns the set of the regions that a route lists: nil allows all regions, an empty
 // list none.
 func NewAllowed(names []string) Set {
 	if names == nil {
--- a/internal/core/resource/references.go
+++ b/internal/core/resource/references.go
@@ -10,7 +10,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// MissingReference is a reference that is not satisfied within a set of files.
+// Reference is a reference from one resource to another. MissingReferences returns those that are
+// not satisfied within a set of files.
 type Reference struct {
 	// File is the file that declares the resource From, which refers to To.
 	File FileKey
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -59,7 +59,7 @@
 
 // account counts the calls and retries of one service or of one class of its calls.
 type account struct {
-	// calls counts calls that ran or may have run, retries the retries withdrawn.
+	// calls counts calls that ran or may have run, retries those charged to the account.
 	calls   window
 	retries window
 }
@@ -128,10 +128,11 @@
 	return b.withdraw(now, class, 1, trialReserve)
 }
 
-// Refund returns the cost of one retry that was withdrawn at a given time and not sent.
+// Refund credits the accounts of a class with one retry that was charged at the given time but
+// not sent.
 func (b *Budget) Refund(withdrawnAt time.Duration, class callclass.Class) {
-	for _, charged := range b.accountsOf(class) {
-		charged.retries.subtract(withdrawnAt, b.window, retryUnit)
+	for _, chargedAccount := range b.accountsOf(class) {
+		chargedAccount.retries.subtract(withdrawnAt, b.window, retryUnit)
 	}
 }
 
@@ -146,13 +147,13 @@
 	accounts := b.accountsOf(class)
 	// Charge first and refund if the limit is exceeded, so that concurrent
 	// withdrawals never exceed it together.
-	for _, charged := range accounts {
-		charged.retries.add(now, b.window, amount)
+	for _, chargedAccount := range accounts {
+		chargedAccount.retries.add(now, b.window, amount)
 	}
-	for _, charged := range accounts {
-		if b.remainingIn(now, charged, reserve) < 0 {
-			for _, refunded := range accounts {
-				refunded.retries.add(now, b.window, -amount)
+	for _, chargedAccount := range accounts {
+		if b.remainingIn(now, chargedAccount, reserve) < 0 {
+			for _, refundedAccount := range accounts {
+				refundedAccount.retries.add(now, b.window, -amount)
 			}
 			return false
 		}
@@ -162,9 +163,9 @@
 
 // remainingIn returns the amount that an account still allows, without the reserved share. It
 // is negative if the limit is exceeded.
-func (b *Budget) remainingIn(now time.Duration, charged *account, reserve float64) int64 {
-	calls := charged.calls.lowerBound(now, b.window)
-	retries := charged.retries.upperBound(now, b.window)
+func (b *Budget) remainingIn(now time.Duration, from *account, reserve float64) int64 {
+	calls := from.calls.lowerBound(now, b.window)
+	retries := from.retries.upperBound(now, b.window)
 	allowed := max(calls*b.ratio/retryUnit, b.minimumRetries.Load())
 	return allowed - reservedAmount(allowed, reserve) - retries
 }
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -23,9 +23,9 @@
 	// NoRetry is set if the request carries the no-retry mark: a caller further up
 	// already retries.
 	NoRetry bool
-	// RetryFailures retries repeatable calls after a failure that the back end
-	// answered. It also resends, without charging the budget, calls that a gate
-	// refused, because they did not reach a back end.
+	// RetryFailures retries repeatable calls to which the back end answered with a
+	// failure. It also resends calls that a gate refused before they reached a back
+	// end, without charging the budget: a resend adds no load to that back end.
 	RetryFailures bool
 	// Deadline is on the calling daemon's clock.
 	Deadline time.Duration
@@ -142,12 +142,12 @@
 	return strconv.FormatFloat(c.budget.Remaining(now, c.policy.Class), 'f', 1, 64)
 }
 
-// First returns the step for the first attempt.
+// FirstStep returns the step for the first attempt.
 func (c *Call) FirstStep() Step {
 	return Step{Action: Send, Mark: c.policy.NoRetry}
 }
 
-// Next decides what follows an attempt.
+// NextStep decides what follows an attempt.
 func (c *Call) NextStep(now time.Duration, outcome Outcome) Step {
 	c.attempts++
 	c.deposit(now, outcome)
--- a/internal/core/retry/outcome.go
+++ b/internal/core/retry/outcome.go
@@ -9,7 +9,7 @@
 // OutcomeKind is the way in which an attempt ended.
 type OutcomeKind int
 
-// The kinds of outcomes.
+// How an attempt can end.
 const (
 	// Answered means that the header of the back end's response was received.
 	Answered OutcomeKind = iota + 1
--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -16,9 +16,9 @@
 	// written. It is as long as the receipt of the order may be delayed, since the duration is
 	// counted from the receipt.
 	deadlineMargin = 1500 * time.Millisecond
-	// minCanaryFraction is the minimum fraction of an order's duration for which the canary is
+	// minCanaryDurationFraction is the minimum fraction of an order's duration for which the canary is
 	// observed before all traffic shifts.
-	minCanaryFraction = 0.4
+	minCanaryDurationFraction = 0.4
 	// minCapacityFraction is the minimum number of target slots, as a fraction of the stable
 	// version's slots, for all traffic to shift. With fewer slots than the stable version, the
 	// target's slots are used more fully for the same load.
@@ -70,10 +70,10 @@
 // ShiftDelay returns the time after the receipt of an order at which all traffic shifts to the
 // target. The shift is late, because a version may turn bad at any time, but leaves enough time
 // before the deadline for calls at the stable version to finish. The canary is always observed for
-// minCanaryFraction of the duration.
+// minCanaryDurationFraction of the duration.
 func ShiftDelay(duration time.Duration) time.Duration {
 	latest := duration - deadlineMargin - propagationTime - drainLimit
-	return max(latest, time.Duration(float64(duration)*minCanaryFraction))
+	return max(latest, time.Duration(float64(duration)*minCanaryDurationFraction))
 }
 
 // Step returns the decision on an order that was first received the given elapsed time ago.
--- a/internal/core/rollout/decider_test.go
+++ b/internal/core/rollout/decider_test.go
@@ -38,11 +38,12 @@
 const (
 	simulationStep = 100 * time.Millisecond
 	// applyDelay is the delay until daemons apply a stage.
-	applyDelay  = 600 * time.Millisecond
+	applyDelay = 600 * time.Millisecond
+	// canaryShare is the fraction of the calls that the canary receives.
 	canaryShare = 0.07
 )
 
-// run steps the order until it has an outcome.
+// run simulates the order until it has an outcome, for at most four times its duration.
 func (o simulatedOrder) run() simulationResult {
 	decider := &Decider{}
 	record := Record{Service: testService, Target: "v2", Generation: position.Position{Revision: 1}, Duration: o.duration, Stage: StageCanary}
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -74,7 +74,7 @@
 	c.Latency[latencyBucket(latency)]++
 }
 
-// plus returns the counts plus a multiple of others.
+// plus returns the sum of the counts and of other's counts multiplied by times.
 func (c Counts) plus(other Counts, times uint32) Counts {
 	c.Answers += times * other.Answers
 	c.Failures += times * other.Failures
@@ -84,7 +84,7 @@
 	return c
 }
 
-// minus returns the counts minus others: ^uint32(0) is -1 in the modular arithmetic of uint32.
+// minus returns the counts minus other's: ^uint32(0) is -1 in the modular arithmetic of uint32.
 func (c Counts) minus(other Counts) Counts { return c.plus(other, ^uint32(0)) }
 
 // latencyBucket returns the index of the bucket of a latency. Each doubling from 2 ms on has two
@@ -157,13 +157,13 @@
 // cellFor returns the cell of a class and allocates it if necessary; nil if all cells are used by
 // other classes.
 func (t *Tally) cellFor(class callclass.Class) *tallyCell {
-	wanted := uint32(class) + 1
+	classKey := uint32(class) + 1
 	for index := range t.cells {
 		cell := &t.cells[index]
-		if key := cell.key.Load(); key == wanted || (key == 0 && cell.key.CompareAndSwap(0, wanted)) {
+		if key := cell.key.Load(); key == classKey || (key == 0 && cell.key.CompareAndSwap(0, classKey)) {
 			return cell
 		}
-		if cell.key.Load() == wanted {
+		if cell.key.Load() == classKey {
 			return cell
 		}
 	}
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -38,10 +38,10 @@
 	Header func(name string) string
 }
 
-// Target is one weighted destination of a compiled route.
+// Destination is one weighted destination of a compiled route.
 type Destination struct {
 	Service resource.ServiceRef
-	// cumulativeWeight is the sum of the weights up to and including this target.
+	// cumulativeWeight is the sum of the weights up to and including this destination.
 	cumulativeWeight uint64
 }
 
@@ -81,9 +81,9 @@
 		return r.Targets[0].Service
 	}
 	point := random % r.totalWeight
-	for _, target := range r.Targets {
-		if point < target.cumulativeWeight {
-			return target.Service
+	for _, destination := range r.Targets {
+		if point < destination.cumulativeWeight {
+			return destination.Service
 		}
 	}
 	return r.Targets[len(r.Targets)-1].Service
@@ -97,7 +97,7 @@
 	prefixes map[string][]*Route
 	// hosts maps hosts to the routes of a verbatim table; nil in other tables.
 	hosts map[string]*hostRoutes
-	// longestPrefix is the length of the longest key of prefixes.
+	// longestPrefixLength is the length of the longest key of prefixes.
 	longestPrefixLength int
 	routeCount          int
 	// restrictions holds the distinct region restrictions of the routes to each
@@ -134,8 +134,8 @@
 	}
 	for _, destination := range route.Split {
 		compiled.totalWeight += uint64(max(destination.Weight, 1))
-		target := Destination{Service: destination.Service, cumulativeWeight: compiled.totalWeight}
-		compiled.Targets = append(compiled.Targets, target)
+		compiledDestination := Destination{Service: destination.Service, cumulativeWeight: compiled.totalWeight}
+		compiled.Targets = append(compiled.Targets, compiledDestination)
 	}
 	if len(compiled.Targets) == 0 {
 		return nil
@@ -170,10 +170,10 @@
 	if t.restrictions == nil {
 		t.restrictions = map[resource.ServiceRef][]region.Set{}
 	}
-	for _, target := range route.Targets {
-		known := t.restrictions[target.Service]
-		if !slices.ContainsFunc(known, route.Regions.Equal) {
-			t.restrictions[target.Service] = append(known, route.Regions)
+	for _, destination := range route.Targets {
+		restrictions := t.restrictions[destination.Service]
+		if !slices.ContainsFunc(restrictions, route.Regions.Equal) {
+			t.restrictions[destination.Service] = append(restrictions, route.Regions)
 		}
 	}
 }
@@ -234,8 +234,8 @@
 	if len(methods) > 0 && !slices.Contains(methods, query.Method) {
 		return false
 	}
-	for _, wanted := range r.Resource.Match.Headers {
-		if query.Header == nil || query.Header(wanted.Name) != wanted.Value {
+	for _, condition := range r.Resource.Match.Headers {
+		if query.Header == nil || query.Header(condition.Name) != condition.Value {
 			return false
 		}
 	}
--- a/internal/core/routing/verbatim.go
+++ b/internal/core/routing/verbatim.go
@@ -10,7 +10,7 @@
 type hostRoutes struct {
 	// prefixes maps path prefixes, which end with a slash, to their routes.
 	prefixes map[string]*Route
-	// longestPrefix is the length of the longest key of prefixes.
+	// longestPrefixLength is the length of the longest key of prefixes.
 	longestPrefixLength int
 }
 
--- a/internal/core/snapshot/decoded.go
+++ b/internal/core/snapshot/decoded.go
@@ -7,7 +7,7 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// FromResources returns the snapshot of services and routes that are already
+// FromDecoded returns the snapshot of services and routes that are already
 // decoded, for example by an external configuration authority. Like Build, it fails
 // if a route refers to a service that is not among them (I2). The result has no back ends or
 // secrets, and no Digest or Encoded.
--- a/internal/core/warmup/collapse_test.go
+++ b/internal/core/warmup/collapse_test.go
@@ -38,9 +38,8 @@
 	deadline     = 3 * time.Second
 	// callsPerSecond is two thirds of the capacity of the warm back ends.
 	callsPerSecond = 110
-	// maxAttempts is the maximum number of attempts of a call.
-	maxAttempts = 5
-	disturbAt   = 5 * time.Second
+	maxAttempts    = 5
+	disturbAt      = 5 * time.Second
 	// runTime is the duration of a run. Calls sent within evaluatedTime have ended by the end of
 	// the run, so only these are evaluated.
 	runTime       = 30 * time.Second
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -21,9 +21,9 @@
 	// partLimit). Without pacing all starts of a window could come at once, and two such bursts
 	// would coincide if a machine sent the first one late.
 	paceParts = 4
-	// usedSlackFraction is the fraction of the slack that is used. The rest is a reserve for calls
-	// that are sent later than arrivalSpread, up to a quarter of a window late; pacing bounds their
-	// number.
+	// usedSlackFraction is the fraction of the slack that is used. The rest covers calls that
+	// are sent more than arrivalSpread, but at most a quarter of a window, after their start; pacing
+	// bounds their number.
 	usedSlackFraction = 0.5
 	// startLimit bounds the number of starts that are kept, and so the highest limit.
 	startLimit = 4096
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	second     = time.Second
-	mostUrgent = ClassCount - 1
-	lowest     = 0
+	second       = time.Second
+	highestClass = ClassCount - 1
+	lowestClass  = 0
 )
 
 // newColdLimiter returns a limiter for a cold back end with no starts and no uncounted starts in
@@ -30,17 +30,17 @@
 	check := is.New(t)
 	limiter := New(0)
 	limiter.SetLimit(second/2, 6, false) // the configuration arrives later
-	check.Equal(limiter.TryStart(0, mostUrgent), window)
-	check.Equal(limiter.TryStart(window-1, mostUrgent), time.Duration(1))
-	check.Equal(limiter.TryStart(window, mostUrgent), time.Duration(0))
+	check.Equal(limiter.TryStart(0, highestClass), window)
+	check.Equal(limiter.TryStart(window-1, highestClass), time.Duration(1))
+	check.Equal(limiter.TryStart(window, highestClass), time.Duration(0))
 }
 
 func TestABackEndOfUnknownStateIsCold(t *testing.T) {
 	check := is.New(t)
 	limiter := New(-window)
 	limiter.SetLimit(-window, 1, false)
-	limiter.TryStart(0, mostUrgent)
-	check.True(limiter.TryStart(time.Millisecond, mostUrgent) > 0)
+	limiter.TryStart(0, highestClass)
+	check.True(limiter.TryStart(time.Millisecond, highestClass) > 0)
 }
 
 func TestAWarmBackEndAndOneWithoutALimitAreNotLimited(t *testing.T) {
@@ -49,8 +49,8 @@
 	warm.SetColdUntil(0, 0)
 	withoutLimit := New(0)
 	for range 100 {
-		check.Equal(warm.TryStart(0, lowest), time.Duration(0))
-		check.Equal(withoutLimit.TryStart(0, lowest), time.Duration(0))
+		check.Equal(warm.TryStart(0, lowestClass), time.Duration(0))
+		check.Equal(withoutLimit.TryStart(0, lowestClass), time.Duration(0))
 	}
 }
 
@@ -58,16 +58,16 @@
 	check := is.New(t)
 	limiter := newColdLimiter(6)
 	limiter.SetColdUntil(0, 0)
-	limiter.TryStart(second, mostUrgent)
+	limiter.TryStart(second, highestClass)
 	limiter.SetColdUntil(second, time.Hour)
-	check.Equal(limiter.TryStart(second, mostUrgent), window)
+	check.Equal(limiter.TryStart(second, highestClass), window)
 }
 
 func TestChangingTheWarmUpTimeOfAColdBackEndDoesNotBlockStarts(t *testing.T) {
 	check := is.New(t)
 	limiter := newColdLimiter(6)
 	limiter.SetColdUntil(0, 2*second)
-	check.Equal(limiter.TryStart(0, mostUrgent), time.Duration(0))
+	check.Equal(limiter.TryStart(0, highestClass), time.Duration(0))
 }
 
 // countStarts returns the number of starts in a window in which a call of a class arrives every
@@ -84,36 +84,36 @@
 func TestTheMostUrgentCallGetsTheLastStart(t *testing.T) {
 	check := is.New(t)
 	limiter := newColdLimiter(8)
-	limiter.TryStart(0, mostUrgent)
+	limiter.TryStart(0, highestClass)
 	lowStarts := 0
 	for now := time.Duration(0); now < window-1; now += time.Millisecond {
-		if limiter.TryStart(now, lowest) == 0 {
+		if limiter.TryStart(now, lowestClass) == 0 {
 			lowStarts++
 		}
 	}
 	check.Equal(lowStarts, 6) // of 8, one is used and one is reserved, because one urgent call arrived
-	check.Equal(limiter.TryStart(window-1, mostUrgent), time.Duration(0))
+	check.Equal(limiter.TryStart(window-1, highestClass), time.Duration(0))
 }
 
 func TestTheMostUrgentCallGetsTheLastStartOfAPartOfAWindow(t *testing.T) {
 	check := is.New(t)
 	limiter := newColdLimiter(8)
-	limiter.TryStart(-window/2, mostUrgent)
-	for limiter.TryStart(0, lowest) == 0 {
+	limiter.TryStart(-window/2, highestClass)
+	for limiter.TryStart(0, lowestClass) == 0 {
 	}
-	check.Equal(limiter.TryStart(0, mostUrgent), time.Duration(0))
+	check.Equal(limiter.TryStart(0, highestClass), time.Duration(0))
 }
 
 func TestNothingIsReservedWithoutUrgentCalls(t *testing.T) {
-	is.New(t).Equal(countStarts(newColdLimiter(8), lowest), 8)
+	is.New(t).Equal(countStarts(newColdLimiter(8), lowestClass), 8)
 }
 
 func TestStartsAreSpreadOverTheWindow(t *testing.T) {
 	check := is.New(t)
 	limiter := newColdLimiter(8)
-	check.Equal(limiter.TryStart(0, lowest), time.Duration(0))
-	check.Equal(limiter.TryStart(0, lowest), time.Duration(0))
-	check.Equal(limiter.TryStart(0, lowest), window/paceParts)
+	check.Equal(limiter.TryStart(0, lowestClass), time.Duration(0))
+	check.Equal(limiter.TryStart(0, lowestClass), time.Duration(0))
+	check.Equal(limiter.TryStart(0, lowestClass), window/paceParts)
 }
 
 // A busy machine may send each call up to a quarter of a window after its start. With a slack as
@@ -129,7 +129,7 @@
 		for range 200 {
 			now += time.Duration(rapid.IntRange(0, 60).Draw(t, "milliseconds")) * time.Millisecond
 			for range rapid.IntRange(0, 6).Draw(t, "calls") {
-				if limiter.TryStart(now, rapid.IntRange(lowest, mostUrgent).Draw(t, "class")) == 0 {
+				if limiter.TryStart(now, rapid.IntRange(lowestClass, highestClass).Draw(t, "class")) == 0 {
 					delay := rapid.IntRange(0, int(window/paceParts/time.Millisecond)).Draw(t, "late")
 					arrivals = append(arrivals, now+time.Duration(delay)*time.Millisecond)
 				}
@@ -152,11 +152,11 @@
 func TestTheWaitEndsWhenAStartIsAllowed(t *testing.T) {
 	check := is.New(t)
 	limiter := newColdLimiter(2)
-	limiter.TryStart(0, lowest)
-	limiter.TryStart(second/2, lowest)
-	wait := limiter.Wait(second/2, lowest)
-	check.True(limiter.Wait(second/2+wait-1, lowest) > 0)
-	check.Equal(limiter.TryStart(second/2+wait, lowest), time.Duration(0))
+	limiter.TryStart(0, lowestClass)
+	limiter.TryStart(second/2, lowestClass)
+	wait := limiter.Wait(second/2, lowestClass)
+	check.True(limiter.Wait(second/2+wait-1, lowestClass) > 0)
+	check.Equal(limiter.TryStart(second/2+wait, lowestClass), time.Duration(0))
 }
 
 func TestLimitsOfAbsurdRatesAreBounded(t *testing.T) {
@@ -178,9 +178,9 @@
 func TestStartsBeforeTheFirstLimitAreAssumed(t *testing.T) {
 	check := is.New(t)
 	limiter := New(-window)
-	limiter.TryStart(0, mostUrgent)
+	limiter.TryStart(0, highestClass)
 	limiter.SetLimit(0, 6, true)
-	check.Equal(limiter.TryStart(0, mostUrgent), window)
+	check.Equal(limiter.TryStart(0, highestClass), window)
 }
 
 // countedStart is a start and the limit at that time.
@@ -189,9 +189,10 @@
 	limit int
 }
 
-// In a random sequence of calls, daemon restarts, and changes of the limit and of the cold state, a
-// second that ends with a limited start never contains more starts than the highest limit that
-// applied at any of them. Starts while the back end was warm are included.
+// The test draws a sequence of calls, daemon restarts, and changes of the limit and of the cold
+// state. After each start that is allowed while starts are limited, the last second contains at most
+// as many starts as the highest limit in force at one of these starts. Starts while the back end was
+// warm are included.
 func TestNoSecondGetsMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
@@ -214,7 +215,7 @@
 				limiter.SetColdUntil(now, now+time.Duration(rapid.IntRange(1, 5).Draw(t, "seconds"))*second)
 			default:
 				for range rapid.IntRange(1, 8).Draw(t, "calls") {
-					if limiter.TryStart(now, rapid.IntRange(lowest, mostUrgent).Draw(t, "class")) > 0 {
+					if limiter.TryStart(now, rapid.IntRange(lowestClass, highestClass).Draw(t, "class")) > 0 {
 						continue
 					}
 					starts = append(starts, countedStart{at: now, limit: limit})
@@ -228,7 +229,7 @@
 }
 
 // startsInLastSecond returns the number of starts in the second before a time, and the highest
-// limit at any of them.
+// limit in force at one of these starts.
 func startsInLastSecond(starts []countedStart, now time.Duration) (count, maxAllowed int) {
 	for _, start := range starts {
 		if start.at > now-second {
