--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -317,9 +317,9 @@
 	for {
 		// The slot is not reused if the limit has been lowered since, or if other
 		// slots have been occupied.
-		excess := !g.hasRoom(g.word.Load() - 1) // not counting the call that holds the slot
+		isOverLimit := !g.hasRoom(g.word.Load() - 1) // not counting the call that holds the slot
 		var ticket *Ticket
-		if !excess {
+		if !isOverLimit {
 			ticket = g.queue.pop()
 		}
 		if ticket == nil {
--- a/internal/core/admission/orphans.go
+++ b/internal/core/admission/orphans.go
@@ -63,7 +63,7 @@
 }
 
 // CapOrphanedCalls lowers the number of expected orphaned calls to the number of calls that the
-// back end reports to hold beyond those of the gate. It never raises it.
+// back end reports to hold beyond those of the gate. It never raises the number.
 func (g *Gate) CapOrphanedCalls(now time.Duration, extra int) {
 	g.capOrphans(now, int64(max(extra, 0)))
 }
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -85,8 +85,8 @@
 
 // workFromPriority returns the work of the queued calls of at least the given priority.
 func (p *partnerQueue) workFromPriority(priority int) (work time.Duration) {
-	for above := priority; above < priorityCount; above++ {
-		work += p.byPriority[above].work
+	for higher := priority; higher < priorityCount; higher++ {
+		work += p.byPriority[higher].work
 	}
 	return work
 }
@@ -227,23 +227,23 @@
 	return partner.weight / total
 }
 
-// mostOverShare returns the queue of the other partner that exceeds its share of the
-// queue length most. It returns nil if there is none, or if the given partner has
+// mostOverShare returns, of the other partners, the queue of the one that exceeds its share
+// of the queue length most. It returns nil if there is none, or if the given partner has
 // reached its own share.
 func (q *queue) mostOverShare(partner *partnerQueue, limit int) *partnerQueue {
 	if float64(partner.length) >= q.share(partner)*float64(limit) {
 		return nil
 	}
-	var worst *partnerQueue
-	excess := 0.0
+	var mostOver *partnerQueue
+	largestExcess := 0.0
 	for _, other := range q.partnerQueues {
-		over := float64(other.length) - q.shareIfQueued(other, partner)*float64(limit)
-		if other != partner && other.length > 0 && over > excess {
-			worst = other
-			excess = over
+		excess := float64(other.length) - q.shareIfQueued(other, partner)*float64(limit)
+		if other != partner && other.length > 0 && excess > largestExcess {
+			mostOver = other
+			largestExcess = excess
 		}
 	}
-	return worst
+	return mostOver
 }
 
 // shareIfQueued returns the share of a partner as if newcomer had queued calls too.
--- a/internal/core/admission/target.go
+++ b/internal/core/admission/target.go
@@ -33,11 +33,11 @@
 func (g *Gate) checkTarget(now time.Duration, ticket *Ticket, wait time.Duration) Decision {
 	service := g.expectedServiceOf(&ticket.Call)
 	wait = time.Duration(float64(wait) * g.delayRatioOf(&ticket.Call))
-	late := g.lateness(ticket, now+wait)
-	if late <= 0 || wait <= service/negligibleWaitDivisor {
+	lateness := g.lateness(ticket, now+wait)
+	if lateness <= 0 || wait <= service/negligibleWaitDivisor {
 		return Decision{State: StateQueued}
 	}
-	return refused(result.QueueFull, max(late, service/retryAfterDivisor))
+	return refused(result.QueueFull, max(lateness, service/retryAfterDivisor))
 }
 
 // shedMissedTargets refuses the queued calls of a partner that can't meet their targets any
@@ -46,12 +46,12 @@
 	if g.config.NoEstimate {
 		return
 	}
-	ahead := partner.workFromPriority(0)
+	workAhead := partner.workFromPriority(0)
 	for priority := range priorityCount {
 		for ticket := partner.byPriority[priority].tail; ticket != nil; {
 			next := ticket.previous
-			ahead -= ticket.expectedService
-			wait := g.expectedWait(partner, ahead)
+			workAhead -= ticket.expectedService
+			wait := g.expectedWait(partner, workAhead)
 			if decision := g.checkTarget(now, ticket, wait); decision.State == StateRefused {
 				g.observeDelay(ticket, now-ticket.queuedAt+wait)
 				g.evict(ticket, decision)
--- a/internal/core/distribution/distribution_test.go
+++ b/internal/core/distribution/distribution_test.go
@@ -146,13 +146,13 @@
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 2))
 	backoff := distribution.Backoff{Base: time.Second, Max: 8 * time.Second}
-	longest := time.Duration(0)
+	longestWait := time.Duration(0)
 	for failures := range 200 {
 		wait := backoff.Wait(random, failures)
 		is.True(wait > 0 && wait <= backoff.Max)
-		longest = max(longest, wait)
+		longestWait = max(longestWait, wait)
 	}
-	is.True(longest > backoff.Max/2)
+	is.True(longestWait > backoff.Max/2)
 
 	limiter := distribution.NewSendLimiter(100, 200)
 	_, admitted := limiter.Admit(0, 150)
--- a/internal/core/endpoint/cold.go
+++ b/internal/core/endpoint/cold.go
@@ -18,8 +18,8 @@
 // time until it accepts one of the same class. Until then it refuses lower classes as well.
 func (e *Endpoint) RecordColdRefusal(now, wait time.Duration, class int) {
 	until := int64(now + min(max(wait, 0), notAcceptingPeriod))
-	for refused := range warmup.ClampClass(class) + 1 {
-		e.stats.coldUntil[refused].Store(until)
+	for refusedClass := range warmup.ClampClass(class) + 1 {
+		e.stats.coldUntil[refusedClass].Store(until)
 	}
 }
 
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -98,13 +98,13 @@
 			described.State = protocol.EndpointEvacuated
 			usable = false
 		}
-		added := reuseOrCreate(self, previous, previousByName[backend.Name], described, now)
-		set.All = append(set.All, added)
+		endpoint := reuseOrCreate(self, previous, previousByName[backend.Name], described, now)
+		set.All = append(set.All, endpoint)
 		if !usable {
 			continue
 		}
-		tier := distance(self, added)
-		set.tiers[tier] = append(set.tiers[tier], added)
+		tier := distance(self, endpoint)
+		set.tiers[tier] = append(set.tiers[tier], endpoint)
 		set.usable++
 	}
 	return set
@@ -163,8 +163,8 @@
 	return member.Endpoint
 }
 
-// reuseOrCreate returns the endpoint as described: the one of the previous set if nothing
-// changed, otherwise a new one with the statistics that carryOverStats returns.
+// reuseOrCreate returns the described endpoint: the endpoint of the previous set if nothing
+// changed, otherwise a new endpoint with the statistics that carryOverStats returns.
 func reuseOrCreate(self Locality, previous *Set, old *Endpoint, described Endpoint, now time.Duration) *Endpoint {
 	if old != nil {
 		described.stats = old.stats
--- a/internal/core/quarantine/classify.go
+++ b/internal/core/quarantine/classify.go
@@ -17,7 +17,8 @@
 	// the number of ends from which the request is held.
 	countedEnds  int
 	requiredEnds int
-	// lastTrial is the number of the latest trial that met an end; 0 if the request was cleared.
+	// lastTrial is the number of the latest trial in which an end occurred; 0 if the request was
+	// cleared.
 	lastTrial uint32
 }
 
@@ -192,9 +193,9 @@
 	})
 }
 
-// ranAtEndsOf reports whether the candidate ran at all unattributed ends of another one, except for
-// at most maxMissing of them. A request that was answered successfully before cannot account for
-// the ends of one that was not.
+// ranAtEndsOf reports whether the candidate ran at all unattributed ends of another candidate,
+// except for at most maxMissing of them. A familiar request (see Record.Familiar) cannot account
+// for the ends of a request that is not familiar.
 func (c *candidate) ranAtEndsOf(other *candidate, maxMissing int) bool {
 	if c.record.Familiar && !other.record.Familiar {
 		return false
--- a/internal/core/quarantine/companions.go
+++ b/internal/core/quarantine/companions.go
@@ -70,15 +70,15 @@
 // mergeDetails merges two lists of details by instance. The result is in order of the instances.
 func mergeDetails(first, second []EndDetail) []EndDetail {
 	all := slices.Clone(first)
-	for _, added := range second {
-		at, found := slices.BinarySearchFunc(all, added.Instance, func(existing EndDetail, name string) int {
+	for _, detail := range second {
+		at, found := slices.BinarySearchFunc(all, detail.Instance, func(existing EndDetail, name string) int {
 			return cmp.Compare(existing.Instance, name)
 		})
 		if !found {
-			all = slices.Insert(all, at, EndDetail{Instance: added.Instance})
+			all = slices.Insert(all, at, EndDetail{Instance: detail.Instance})
 		}
-		all[at].Trial = max(all[at].Trial, added.Trial)
-		all[at].Beside = mergeCompanions(all[at].Beside, added.Beside)
+		all[at].Trial = max(all[at].Trial, detail.Trial)
+		all[at].Beside = mergeCompanions(all[at].Beside, detail.Beside)
 	}
 	return all
 }
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -148,15 +148,15 @@
 // merge merges another entry of the same round and reports whether this entry has changed.
 func (e *entry) merge(received *entry) bool {
 	previousCount := len(e.record.Ends)
-	added := e.addEnds(received.record.Ends, received.record.Details)
+	endsChanged := e.addEnds(received.record.Ends, received.record.Details)
 	if len(e.record.Ends) > previousCount {
 		e.latestEndAt = max(e.latestEndAt, received.latestEndAt)
 	}
-	familiar := received.record.Familiar && !e.record.Familiar
-	cleared := received.record.Cleared && !e.record.Cleared
-	e.record.Familiar = e.record.Familiar || familiar
-	e.record.Cleared = e.record.Cleared || cleared
-	return added || familiar || cleared
+	becameFamiliar := received.record.Familiar && !e.record.Familiar
+	becameCleared := received.record.Cleared && !e.record.Cleared
+	e.record.Familiar = e.record.Familiar || becameFamiliar
+	e.record.Cleared = e.record.Cleared || becameCleared
+	return endsChanged || becameFamiliar || becameCleared
 }
 
 // liveEntry returns the entry of a request; nil if there is none or it has expired.
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -166,18 +166,18 @@
 func (b *Budget) remainingIn(now time.Duration, from *account, reserve float64) int64 {
 	calls := from.calls.lowerBound(now, b.window)
 	retries := from.retries.upperBound(now, b.window)
-	allowed := max(calls*b.ratio/retryUnit, b.minimumRetries.Load())
-	return allowed - reservedAmount(allowed, reserve) - retries
+	allowedAmount := max(calls*b.ratio/retryUnit, b.minimumRetries.Load())
+	return allowedAmount - reservedAmount(allowedAmount, reserve) - retries
 }
 
 // reservedAmount returns the reserved part of the allowed amount, limited so that at least one
 // retry stays available.
-func reservedAmount(allowed int64, reserve float64) int64 {
-	return max(0, min(int64(float64(allowed)*reserve), allowed-retryUnit))
+func reservedAmount(allowedAmount int64, reserve float64) int64 {
+	return max(0, min(int64(float64(allowedAmount)*reserve), allowedAmount-retryUnit))
 }
 
 // Remaining returns the number of retries that urgent calls of a class may make now.
 func (b *Budget) Remaining(now time.Duration, class callclass.Class) float64 {
-	remaining := min(b.remainingIn(now, &b.serviceAccount, 0), b.remainingIn(now, b.classAccounts.Get(class), 0))
-	return float64(max(remaining, 0)) / retryUnit
+	remainingAmount := min(b.remainingIn(now, &b.serviceAccount, 0), b.remainingIn(now, b.classAccounts.Get(class), 0))
+	return float64(max(remainingAmount, 0)) / retryUnit
 }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -92,9 +92,9 @@
 }
 
 // The retries of all daemons together stay within the ratio and the slack in every window,
-// for any calls, failures and number of daemons. The allowed number follows from
-// the largest number of calls in the same window, the one before it or the one halfway
-// between them.
+// for any calls, failures and number of daemons. The allowed number of retries follows
+// from the largest number of calls in the same window, in the previous window or in the window
+// halfway between them.
 func TestMeshStaysWithinTheBudgetInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		check := is.New(t)
@@ -113,8 +113,8 @@
 		window := int(testWindow / testTick)
 		for start := range simulation.calls {
 			requests := max(sum(simulation.calls, start, start+window), sum(simulation.calls, start-window, start), sum(simulation.calls, start-window/2, start+window/2))
-			allowed := allowedRatio*float64(requests) + allowedSlack
-			check.True(float64(sum(simulation.retries, start, start+window)) <= allowed)
+			allowedRetries := allowedRatio*float64(requests) + allowedSlack
+			check.True(float64(sum(simulation.retries, start, start+window)) <= allowedRetries)
 		}
 	})
 }
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -299,8 +299,8 @@
 }
 
 // refuseOverBudget returns the final refusal of a call that the budget does not allow to
-// retry. Its code is RetryBudgetSpent if the last attempt was broken, otherwise that of
-// refuseFor.
+// retry. Its code is RetryBudgetSpent if the last attempt was broken, otherwise the code
+// that refuseFor returns.
 func (c *Call) refuseOverBudget(outcome Outcome) Step {
 	if outcome.Kind == Broken {
 		return c.refuse(result.RetryBudgetSpent, defaultRetryAfter)
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -111,17 +111,17 @@
 }
 
 // maxExcess returns the largest excess, over all windows, of the level's repetitions over the
-// allowed number. That follows from the largest number of requests in the same window, the
-// one before it or the one halfway between them.
+// allowed number. The allowed number follows from the largest number of requests in the same
+// window, in the previous window or in the window halfway between them.
 func (l *chainLevel) maxExcess() float64 {
-	largest := 0.0
+	largestExcess := 0.0
 	window := int(testWindow / testTick)
 	for start := range l.requests {
 		requests := max(sum(l.requests, start, start+window), sum(l.requests, start-window, start), sum(l.requests, start-window/2, start+window/2))
-		allowed := allowedRatio*float64(requests) + allowedSlack*chainSlack
-		largest = max(largest, float64(sum(l.repetitions, start, start+window))-allowed)
+		allowedRepetitions := allowedRatio*float64(requests) + allowedSlack*chainSlack
+		largestExcess = max(largestExcess, float64(sum(l.repetitions, start, start+window))-allowedRepetitions)
 	}
-	return largest
+	return largestExcess
 }
 
 // chainArrivals limits the calls per tick at the last service, to keep the test short.
--- a/internal/core/retry/cold_test.go
+++ b/internal/core/retry/cold_test.go
@@ -18,12 +18,12 @@
 func TestCallRefusedAsColdIsRelocatedWithoutBudget(t *testing.T) {
 	check := is.New(t)
 	budget := NewBudget()
-	remaining := budget.Remaining(0, 0)
+	remainingRetries := budget.Remaining(0, 0)
 	for _, policy := range []Policy{{}, {NoRetry: true}, {Repeatable: true}} {
 		policy.Attempts, policy.Deadline = 1, time.Minute
 		check.Equal(NewCall(policy, budget).NextStep(0, coldRefusal).Action, Send)
 	}
-	check.Equal(budget.Remaining(0, 0), remaining)
+	check.Equal(budget.Remaining(0, 0), remainingRetries)
 }
 
 func TestRelocationsAfterColdRefusalsAreLimited(t *testing.T) {
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -55,8 +55,8 @@
 		if current>>amountBits != interval&amountMask {
 			return
 		}
-		remaining := max(int64(current&amountMask)-amount, 0)
-		if slot.CompareAndSwap(current, interval<<amountBits|uint64(remaining)) {
+		remainingAmount := max(int64(current&amountMask)-amount, 0)
+		if slot.CompareAndSwap(current, interval<<amountBits|uint64(remainingAmount)) {
 			return
 		}
 	}
--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -72,8 +72,8 @@
 // before the deadline for calls at the stable version to finish. The canary is always observed for
 // minCanaryDurationFraction of the duration.
 func ShiftDelay(duration time.Duration) time.Duration {
-	latest := duration - deadlineMargin - propagationTime - drainLimit
-	return max(latest, time.Duration(float64(duration)*minCanaryDurationFraction))
+	latestShift := duration - deadlineMargin - propagationTime - drainLimit
+	return max(latestShift, time.Duration(float64(duration)*minCanaryDurationFraction))
 }
 
 // Step returns the decision on an order that was first received the given elapsed time ago.
--- a/internal/core/rollout/evaluate_test.go
+++ b/internal/core/rollout/evaluate_test.go
@@ -114,12 +114,12 @@
 
 func TestLatencyBucketsGrow(t *testing.T) {
 	check := is.New(t)
-	last := -1
+	previousBucket := -1
 	for milliseconds := 1; milliseconds < 100_000; milliseconds = milliseconds*3/2 + 1 {
 		bucket := latencyBucket(time.Duration(milliseconds) * time.Millisecond)
-		check.True(bucket >= last)
+		check.True(bucket >= previousBucket)
 		check.True(bucket < latencyBuckets)
-		last = bucket
+		previousBucket = bucket
 	}
 	check.Equal(latencyBucket(0), 0)
 	check.Equal(latencyBucket(time.Hour), latencyBuckets-1)
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -50,11 +50,11 @@
 	if !(perSecond > 0) {
 		return 0
 	}
-	allowed := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*usedSlackFraction
-	if !(allowed < startLimit) {
+	allowedStarts := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*usedSlackFraction
+	if !(allowedStarts < startLimit) {
 		return startLimit
 	}
-	return max(int(math.Floor(allowed)), 1)
+	return max(int(math.Floor(allowedStarts)), 1)
 }
 
 // Limiter limits the starts at one back end while it is cold. It is safe for concurrent use.
@@ -191,8 +191,8 @@
 }
 
 // partLimit returns how many starts may precede a call of a class within one part of a window.
-// Above the lowest class it is one more, because calls of lower classes may have used up the
-// others.
+// For classes above the lowest, the limit is one higher, because calls of lower classes may have
+// used up the other starts of the part.
 func (l *Limiter) partLimit(class int) int {
 	return (l.limit+paceParts-1)/paceParts + min(ClampClass(class), 1)
 }
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -122,7 +122,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		tolerance := Tolerance{Overage: 1.5, Slack: 8}
 		const rate = 4.5
-		allowed := int(rate*tolerance.Overage + tolerance.Slack)
+		maxArrivals := int(rate*tolerance.Overage + tolerance.Slack)
 		limiter := newColdLimiter(tolerance.Limit(rate))
 		var arrivals []time.Duration
 		now := time.Duration(0)
@@ -142,8 +142,8 @@
 					count++
 				}
 			}
-			if count > allowed {
-				t.Fatalf("%d arrivals in a second, at most %d", count, allowed)
+			if count > maxArrivals {
+				t.Fatalf("%d arrivals in a second, at most %d", count, maxArrivals)
 			}
 		}
 	})
