--- a/internal/core/quarantine/companions.go
+++ b/internal/core/quarantine/companions.go
@@ -51,9 +51,9 @@
 		slices.SortStableFunc(all, func(a, b string) int { return compareEvidence(merged.detail(a), merged.detail(b)) })
 		all = slices.Sorted(slices.Values(all[:endLimit]))
 	}
-	kept := slices.DeleteFunc(merged.Details, func(detail EndDetail) bool { return !slices.Contains(all, detail.Instance) })
-	changed := !slices.Equal(all, e.record.Ends) || !slices.EqualFunc(kept, e.record.Details, EndDetail.equal)
-	e.record.Ends, e.record.Details = all, kept
+	keptDetails := slices.DeleteFunc(merged.Details, func(detail EndDetail) bool { return !slices.Contains(all, detail.Instance) })
+	changed := !slices.Equal(all, e.record.Ends) || !slices.EqualFunc(keptDetails, e.record.Details, EndDetail.equal)
+	e.record.Ends, e.record.Details = all, keptDetails
 	return changed
 }
 
@@ -70,15 +70,15 @@
 // mergeDetails merges two lists of details by instance. The result is in order of the instances.
 func mergeDetails(first, second []EndDetail) []EndDetail {
 	all := slices.Clone(first)
-	for _, added := range second {
-		at, found := slices.BinarySearchFunc(all, added.Instance, func(existing EndDetail, name string) int {
+	for _, detail := range second {
+		at, found := slices.BinarySearchFunc(all, detail.Instance, func(existing EndDetail, name string) int {
 			return cmp.Compare(existing.Instance, name)
 		})
 		if !found {
-			all = slices.Insert(all, at, EndDetail{Instance: added.Instance})
+			all = slices.Insert(all, at, EndDetail{Instance: detail.Instance})
 		}
-		all[at].Trial = max(all[at].Trial, added.Trial)
-		all[at].Beside = mergeCompanions(all[at].Beside, added.Beside)
+		all[at].Trial = max(all[at].Trial, detail.Trial)
+		all[at].Beside = mergeCompanions(all[at].Beside, detail.Beside)
 	}
 	return all
 }
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -59,7 +59,7 @@
 
 // account counts the calls and retries of one service or of one class of its calls.
 type account struct {
-	// calls counts calls that ran or may have run, retries the retries withdrawn.
+	// calls counts calls that ran or may have run, retries those charged to the account.
 	calls   window
 	retries window
 }
@@ -128,10 +128,11 @@
 	return b.withdraw(now, class, 1, trialReserve)
 }
 
-// Refund returns the cost of one retry that was withdrawn at a given time and not sent.
+// Refund credits the accounts of a class with one retry that was charged at the given time but
+// not sent.
 func (b *Budget) Refund(withdrawnAt time.Duration, class callclass.Class) {
-	for _, charged := range b.accountsOf(class) {
-		charged.retries.subtract(withdrawnAt, b.window, retryUnit)
+	for _, chargedAccount := range b.accountsOf(class) {
+		chargedAccount.retries.subtract(withdrawnAt, b.window, retryUnit)
 	}
 }
 
@@ -146,13 +147,13 @@
 	accounts := b.accountsOf(class)
 	// Charge first and refund if the limit is exceeded, so that concurrent
 	// withdrawals never exceed it together.
-	for _, charged := range accounts {
-		charged.retries.add(now, b.window, amount)
+	for _, chargedAccount := range accounts {
+		chargedAccount.retries.add(now, b.window, amount)
 	}
-	for _, charged := range accounts {
-		if b.remainingIn(now, charged, reserve) < 0 {
-			for _, refunded := range accounts {
-				refunded.retries.add(now, b.window, -amount)
+	for _, chargedAccount := range accounts {
+		if b.remainingIn(now, chargedAccount, reserve) < 0 {
+			for _, refundedAccount := range accounts {
+				refundedAccount.retries.add(now, b.window, -amount)
 			}
 			return false
 		}
@@ -162,21 +163,21 @@
 
 // remainingIn returns the amount that an account still allows, without the reserved share. It
 // is negative if the limit is exceeded.
-func (b *Budget) remainingIn(now time.Duration, charged *account, reserve float64) int64 {
-	calls := charged.calls.lowerBound(now, b.window)
-	retries := charged.retries.upperBound(now, b.window)
-	allowed := max(calls*b.ratio/retryUnit, b.minimumRetries.Load())
-	return allowed - reservedAmount(allowed, reserve) - retries
+func (b *Budget) remainingIn(now time.Duration, from *account, reserve float64) int64 {
+	calls := from.calls.lowerBound(now, b.window)
+	retries := from.retries.upperBound(now, b.window)
+	allowedAmount := max(calls*b.ratio/retryUnit, b.minimumRetries.Load())
+	return allowedAmount - reservedAmount(allowedAmount, reserve) - retries
 }
 
 // reservedAmount returns the reserved part of the allowed amount, limited so that at least one
 // retry stays available.
-func reservedAmount(allowed int64, reserve float64) int64 {
-	return max(0, min(int64(float64(allowed)*reserve), allowed-retryUnit))
+func reservedAmount(allowedAmount int64, reserve float64) int64 {
+	return max(0, min(int64(float64(allowedAmount)*reserve), allowedAmount-retryUnit))
 }
 
 // Remaining returns the number of retries that urgent calls of a class may make now.
 func (b *Budget) Remaining(now time.Duration, class callclass.Class) float64 {
-	remaining := min(b.remainingIn(now, &b.serviceAccount, 0), b.remainingIn(now, b.classAccounts.Get(class), 0))
-	return float64(max(remaining, 0)) / retryUnit
+	remainingAmount := min(b.remainingIn(now, &b.serviceAccount, 0), b.remainingIn(now, b.classAccounts.Get(class), 0))
+	return float64(max(remainingAmount, 0)) / retryUnit
 }
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -21,9 +21,9 @@
 	// partLimit). Without pacing all starts of a window could come at once, and two such bursts
 	// would coincide if a machine sent the first one late.
 	paceParts = 4
-	// usedSlackFraction is the fraction of the slack that is used. The rest is a reserve for calls
-	// that are sent later than arrivalSpread, up to a quarter of a window late; pacing bounds their
-	// number.
+	// usedSlackFraction is the fraction of the slack that is used. The rest covers calls that
+	// are sent more than arrivalSpread, but at most a quarter of a window, after their start; pacing
+	// bounds their number.
 	usedSlackFraction = 0.5
 	// startLimit bounds the number of starts that are kept, and so the highest limit.
 	startLimit = 4096
@@ -50,11 +50,11 @@
 	if !(perSecond > 0) {
 		return 0
 	}
-	allowed := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*usedSlackFraction
-	if !(allowed < startLimit) {
+	allowedStarts := perSecond*max(t.Overage, 1) + max(t.Slack, 0)*usedSlackFraction
+	if !(allowedStarts < startLimit) {
 		return startLimit
 	}
-	return max(int(math.Floor(allowed)), 1)
+	return max(int(math.Floor(allowedStarts)), 1)
 }
 
 // Limiter limits the starts at one back end while it is cold. It is safe for concurrent use.
@@ -191,8 +191,8 @@
 }
 
 // partLimit returns how many starts may precede a call of a class within one part of a window.
-// Above the lowest class it is one more, because calls of lower classes may have used up the
-// others.
+// For classes above the lowest, the limit is one higher, because calls of lower classes may have
+// used up the other starts of the part.
 func (l *Limiter) partLimit(class int) int {
 	return (l.limit+paceParts-1)/paceParts + min(ClampClass(class), 1)
 }
