--- a/internal/core/backend/outlier.go
+++ b/internal/core/backend/outlier.go
@@ -9,10 +9,11 @@
 const (
 	// failureHalfLife is the time in which the weight of a call's result is halved.
 	failureHalfLife = 1500 * time.Millisecond
-	// A back end is ejected if at least minFailureShare of its calls fail, of at least
-	// minFailureCalls. In normal operation a few calls in a thousand fail.
+	// A back end is ejected if at least minFailureShare of its recent calls failed and there were
+	// at least minCalls of them (decayed counts). In normal operation a few calls in a thousand
+	// fail.
 	minFailureShare = 0.25
-	minFailureCalls = 6
+	minCalls        = 6
 	// firstEjection is the duration of the first ejection. It doubles, up to maxEjection, with each
 	// further ejection that begins within ejectionResetTime of the end of the previous one.
 	firstEjection     = 2 * time.Second
@@ -31,7 +32,7 @@
 	failures  float64
 	updatedAt time.Duration
 	// ejectedUntil is the end of the present or latest ejection, ejections the number of ejections
-	// in a row.
+	// of which each began within ejectionResetTime of the end of the previous one.
 	ejectedUntil time.Duration
 	ejections    int
 }
@@ -47,7 +48,7 @@
 	o.calls += float64(succeeded-o.succeeded) + 1
 	o.succeeded = succeeded
 	o.failures++
-	if o.calls < minFailureCalls || o.failures < minFailureShare*o.calls {
+	if o.calls < minCalls || o.failures < minFailureShare*o.calls {
 		return false
 	}
 	o.eject(now)
--- a/internal/core/backend/outlier_test.go
+++ b/internal/core/backend/outlier_test.go
@@ -49,8 +49,8 @@
 	check.Equal(tracker.View(now).State, protocol.EndpointReady)
 	check.Equal(succeeded, uint64(900))
 	other := newReadyTracker(t)
-	for call := range minFailureCalls - 1 {
-		check.True(!other.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few failures
+	for call := range minCalls - 1 {
+		check.True(!other.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few calls
 	}
 }
 
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -37,7 +37,7 @@
 	tracker := newTrackerRunning(t, 100)
 	check.True(tracker.HandleReport(interval, reportOf(200, 1))) // the sequence restarts
 	check.Equal(tracker.View(interval).Start, startOf(200))
-	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // no calls before it has answered
+	check.Equal(tracker.View(interval).State, protocol.EndpointDown) // a new start receives no calls before it has answered a probe
 	answerProbe(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 	check.True(!tracker.HandleReport(interval, reportOf(200, 2)))
@@ -57,14 +57,14 @@
 func TestANewerStartEndsTheEjectionOfTheOlderOne(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 100)
-	for range minFailureCalls {
+	for range minCalls {
 		tracker.RecordFailure(0, startOf(100), 0)
 	}
 	check.Equal(tracker.View(0).State, protocol.EndpointDegraded)
 	tracker.HandleReport(0, reportOf(200, 1))
 	answerProbe(tracker, 0)
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
-	for range minFailureCalls {
+	for range minCalls {
 		check.True(!tracker.RecordFailure(0, startOf(100), 0)) // failed calls of the older start
 	}
 	tracker.MarkUnreachable(startOf(100))
--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -42,8 +42,8 @@
 const relayPurpose = "relay"
 
 // NewDirectory indexes the daemons that a daemon in a zone knows. The daemons of each
-// zone are ranked by rendezvous hashing, so that all daemons with the same members
-// obtain the same order.
+// zone are ranked by rendezvous hashing, so that all daemons that know
+// the same members obtain the same order.
 func NewDirectory(self protocol.NodeID, zone string, peers []Peer) *Directory {
 	directory := &Directory{
 		self:  self,
--- a/internal/core/evacuation/eras_test.go
+++ b/internal/core/evacuation/eras_test.go
@@ -16,8 +16,8 @@
 	table := &Table{}
 	merge := func(now time.Duration, orders Orders) { table.Merge(now, SharedOrders{Orders: orders, Known: true}) }
 	merge(0, NewOrders(position.Position{Era: 1, Revision: 900}, []string{"a", "b"}))
-	restored := NewOrders(position.Position{Era: 2, Revision: 880}, []string{"b"})
-	merge(time.Second, restored.WithLost(table.Orders()))
+	afterRestore := NewOrders(position.Position{Era: 2, Revision: 880}, []string{"b"})
+	merge(time.Second, afterRestore.WithLost(table.Orders()))
 	check.Equal(table.Orders().AllZones(), []string{"a", "b"})
 	check.True(table.Orders().Evacuates("a"))
 	afterWithdrawal := NewOrders(position.Position{Era: 2, Revision: 881}, nil)
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -71,8 +71,8 @@
 
 // Table holds the orders that one daemon has read or received. It is not safe for concurrent use.
 type Table struct {
-	orders Orders
-	known  bool
+	orders  Orders
+	isKnown bool
 	// readAt is the start of the latest reading, on this daemon's clock.
 	readAt time.Duration
 }
@@ -81,7 +81,7 @@
 func (t *Table) Orders() Orders { return t.orders }
 
 // IsKnown reports whether the daemon has read or received the orders.
-func (t *Table) IsKnown() bool { return t.known }
+func (t *Table) IsKnown() bool { return t.isKnown }
 
 // ReadingAge returns the time since the start of the latest reading, or since the start of the
 // daemon if it has none: its clock begins at its start.
@@ -89,7 +89,7 @@
 
 // SharedOrders returns the state to send to peers.
 func (t *Table) SharedOrders(now time.Duration) SharedOrders {
-	return SharedOrders{Orders: t.orders, Known: t.known, Age: t.ReadingAge(now)}
+	return SharedOrders{Orders: t.orders, Known: t.isKnown, Age: t.ReadingAge(now)}
 }
 
 // Merge merges a reading, or the state received from a peer, and reports whether the set of zones
@@ -98,16 +98,16 @@
 // revision. Of two readings at the same position the later one applies, with its own list of lost
 // orders.
 func (t *Table) Merge(now time.Duration, received SharedOrders) (changed bool) {
-	if !received.Known || (t.known && received.Orders.At.Before(t.orders.At)) {
+	if !received.Known || (t.isKnown && received.Orders.At.Before(t.orders.At)) {
 		return false
 	}
 	readAt := now - max(received.Age, 0)
-	if t.known && received.Orders.At == t.orders.At && readAt < t.readAt {
+	if t.isKnown && received.Orders.At == t.orders.At && readAt < t.readAt {
 		return false
 	}
 	changed = !slices.Equal(received.Orders.AllZones(), t.orders.AllZones())
 	t.readAt = max(t.readAt, readAt)
 	t.orders = received.Orders
-	t.known = true
+	t.isKnown = true
 	return changed
 }
--- a/internal/core/evacuation/timing.go
+++ b/internal/core/evacuation/timing.go
@@ -42,7 +42,7 @@
 // RefreshAge returns the age of the latest known reading at which a daemon of the given rank reads
 // the orders itself. known is true if it has any reading. random must be uniformly distributed.
 func (t Timing) RefreshAge(rank int, known bool, random uint64) time.Duration {
-	jitter := time.Duration(jitterFraction * float64(t.Within) * float64(random>>11) / (1 << 53)) // the fraction of a float64 has 53 bits
+	jitter := time.Duration(jitterFraction * float64(t.Within) * float64(random>>11) / (1 << 53)) // the significand of a float64 has 53 bits
 	switch {
 	case !known:
 		return t.Within/startupDivisor + jitter
--- a/internal/core/floor/model_test.go
+++ b/internal/core/floor/model_test.go
@@ -359,14 +359,14 @@
 	}
 }
 
-// modelSteps is the maximum number of steps in one run of the model.
-const modelSteps = 1500
+// maxModelSteps is the maximum number of steps in one run of the model.
+const maxModelSteps = 1500
 
 func TestFloorIsNeverBelowReleasedVersion(t *testing.T) {
 	var floors, released int
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(xxhash.Sum64(rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "seed")), 2)
-		for range modelSteps - rapid.IntRange(0, modelSteps-1).Draw(t, "cut") {
+		for range maxModelSteps - rapid.IntRange(0, maxModelSteps-1).Draw(t, "cut") {
 			m.step(t)
 			m.checkQuorums(t)
 		}
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -18,7 +18,7 @@
 
 // Config holds the periods of a follower.
 type Config struct {
-	// Pace is the least time between the starts of two watches, and between adopted
+	// Pace is the minimum time between the starts of two watches, and between adopted
 	// versions from peers. It bounds the number of calls, and of versions put in
 	// force, during a burst of versions.
 	Pace time.Duration
@@ -81,7 +81,7 @@
 	From authority.Position
 	// Turn is the number of the watch to start or restart.
 	Turn uint64
-	// Freshness is the required freshness of a Read.
+	// Freshness states whether a Read may be answered by a lagging replica.
 	Freshness authority.Freshness
 	Peer      protocol.NodeID
 	// Version is the version that the peer reported.
@@ -119,14 +119,14 @@
 	// failures counts the consecutive reads and watches that failed or returned a position
 	// of an earlier era.
 	failures int
-	// answered is set once a read or watch of the store has succeeded.
-	answered bool
+	// hasAnswered is set once a read or watch of the store has succeeded.
+	hasAnswered bool
 	// watchedAt is when the newest watch started or is due to start.
 	watchedAt time.Duration
-	// adoptedAt is when a document was last emitted for adoption; adopted is set by the
+	// adoptedAt is when a document was last emitted for adoption; hasAdopted is set by the
 	// first.
-	adoptedAt time.Duration
-	adopted   bool
+	adoptedAt  time.Duration
+	hasAdopted bool
 	// fetching holds the peers whose document is being fetched.
 	fetching map[protocol.NodeID]bool
 }
@@ -141,7 +141,7 @@
 
 // IsStoreAvailable reports whether the store has answered a read or watch and since then has neither
 // failed nor answered from an earlier era.
-func (f *Follower) IsStoreAvailable() bool { return f.answered && f.failures == 0 }
+func (f *Follower) IsStoreAvailable() bool { return f.hasAnswered && f.failures == 0 }
 
 // Start returns the first action: a read that may lag, since watches and peers supply
 // later versions.
@@ -172,7 +172,7 @@
 		return []Action{{Kind: Read, Freshness: authority.Linearizable, After: f.backoff()}}
 	}
 	f.failures = 0
-	f.answered = true
+	f.hasAnswered = true
 	f.era = reading.At.Era
 	actions := f.adoptFromStore(now, reading, SourceStore)
 	if wasWatching && f.IsStale(f.position) {
@@ -256,7 +256,7 @@
 func (f *Follower) adopt(now time.Duration, document authority.Document, source string) []Action {
 	f.document = document
 	f.adoptedAt = now
-	f.adopted = true
+	f.hasAdopted = true
 	return []Action{{Kind: Adopt, Document: document, Source: source}}
 }
 
@@ -270,7 +270,7 @@
 	if !f.IsStoreAvailable() {
 		grace = 0
 	}
-	if f.adopted {
+	if f.hasAdopted {
 		grace = max(grace, f.adoptedAt+f.config.Pace-now)
 	}
 	return []Action{{Kind: FetchFromPeer, Peer: peer, Version: version, After: grace}}
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -95,7 +95,7 @@
 	check.True(follower.IsNewer(7))
 }
 
-func TestPeersAreFetchedFromAtOnceOnlyWhileTheStoreFails(t *testing.T) {
+func TestPeersAreFetchedFromAtOnceOnlyWhileTheStoreIsUnavailable(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	check.Equal(follower.HandlePeerVersion(0, "p", 5)[0].After, time.Duration(0)) // nothing read yet
@@ -175,7 +175,7 @@
 	check.Equal(missed.After, DefaultConfig().Pace)
 	check.True(follower.IsWatchPending(missed.Turn))
 	second := follower.HandleStoreRead(time.Minute, reading(6, 9))[0]
-	check.True(!follower.IsWatchPending(missed.Turn)) // answered
+	check.True(!follower.IsWatchPending(missed.Turn)) // the store has answered the first watch
 	check.True(follower.IsWatchPending(second.Turn))
 	follower.HandleStoreRead(time.Minute, authority.Reading{Code: result.PlatformUnavailable})
 	check.True(!follower.IsWatchPending(second.Turn))
--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -127,8 +127,9 @@
 	return nil
 }
 
-// newRevisionMismatch refuses a change that conflicts with an earlier one, and
-// returns the current revision and version of the file.
+// newRevisionMismatch refuses a change that conflicts with an earlier one. The reply
+// contains the current revision of the file and the version that accepted it, or the
+// version of the head if the file has no accepted revision.
 func newRevisionMismatch(head *Head, entry FileEntry, format string, arguments ...any) *protocol.SubmitReply {
 	reply := newRefusal(result.RevisionMismatch, format, arguments...)
 	reply.Revision = entry.Revision()
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -59,8 +59,8 @@
 }
 
 // contentsOfOtherFiles returns the accepted and held contents of the partner's
-// other files. The resource names in both are taken, so that a promotion never
-// introduces a duplicate name.
+// other files. A changed file may not declare a resource name that any of them
+// declares, so that a promotion never introduces a duplicate name.
 func (d *draft) contentsOfOtherFiles(key resource.FileKey) []*resource.File {
 	var contents []*resource.File
 	for _, entry := range d.head.Files {
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -27,7 +27,7 @@
 		{record("a", 5, 1, protocol.MemberSuspect), true},
 		{record("a", 5, 1, protocol.MemberAlive), false},
 		{record("a", 5, 2, protocol.MemberAlive), true}, // a higher sequence refutes the suspicion
-		{record("a", 5, 1, protocol.MemberDead), false}, // late
+		{record("a", 5, 1, protocol.MemberDead), false}, // a lower sequence does not replace a higher one
 		{record("a", 5, 2, protocol.MemberDead), true},
 		{record("a", 4, 9, protocol.MemberAlive), false}, // an earlier incarnation
 		{record("a", 6, 1, protocol.MemberAlive), true},
--- a/internal/core/membership/rank.go
+++ b/internal/core/membership/rank.go
@@ -49,13 +49,15 @@
 	return ranked
 }
 
-// Live reports whether a member may still serve and is therefore counted.
+// Live reports whether a member has neither left nor been marked as dead. A live member
+// may still serve, so it is counted: a version is in force only once each live member
+// has acknowledged it or can no longer serve an older one.
 func Live(member protocol.Member) bool {
 	return member.State != protocol.MemberLeft && member.State != protocol.MemberDead
 }
 
 // MayBeParent reports whether a member may be a root or relay. A draining member still
-// serves and is counted, but accepts no children.
+// serves and is live, but accepts no children.
 func MayBeParent(member protocol.Member) bool {
 	return Live(member) && member.State != protocol.MemberDraining
 }
--- a/internal/core/membership/roster.go
+++ b/internal/core/membership/roster.go
@@ -115,7 +115,7 @@
 func compareEntry(known *entry, id protocol.NodeID) int { return cmp.Compare(known.member.ID, id) }
 
 // structureDiffers reports whether two records of a member differ in a field on
-// which the set of counted members (see Live) or the distribution tree depends.
+// which the set of live members (see Live) or the distribution tree depends.
 func structureDiffers(a, b protocol.Member) bool {
 	return a.Incarnation != b.Incarnation || Live(a) != Live(b) || MayBeParent(a) != MayBeParent(b) || a.Reader != b.Reader || a.Root != b.Root ||
 		a.Zone != b.Zone || a.Region != b.Region || a.ControlAddress != b.ControlAddress
@@ -133,8 +133,9 @@
 
 func bucketOf(id protocol.NodeID) int { return int(xxhash.Sum64String(string(id)) % BucketCount) }
 
-// StructureRevision returns a counter that grows when a member is added, and with each
-// change of a record for which structureDiffers.
+// StructureRevision returns a counter that grows when a member is added, and when a
+// member's Incarnation, Region, Zone, ControlAddress, Reader, Root, liveness or
+// eligibility as a parent changes (see structureDiffers).
 func (r *Roster) StructureRevision() uint64 { return r.structureRevision }
 
 // Sums returns the sum of the record hashes for each bucket.
--- a/internal/core/node/chaos_test.go
+++ b/internal/core/node/chaos_test.go
@@ -82,9 +82,9 @@
 	case 0, 1:
 		c.stop(target)
 	case 2, 3, 4:
-		c.restartStopped()
+		c.restartSomeDaemons()
 	case 5:
-		c.stopMost()
+		c.stopMostDaemons()
 	case 6:
 		target.pausedUntil = c.now() + time.Duration(c.random.Int64N(int64(20*time.Second)))
 	case 7:
@@ -98,7 +98,8 @@
 	}
 }
 
-func (c *chaos) restartStopped() {
+// restartSomeDaemons restarts each stopped daemon with a probability of 1/2.
+func (c *chaos) restartSomeDaemons() {
 	for i := range 10 {
 		if !c.daemons[address(i)].running && c.random.IntN(2) == 0 {
 			c.startDaemon(i)
@@ -106,7 +107,8 @@
 	}
 }
 
-func (c *chaos) stopMost() {
+// stopMostDaemons stops each daemon with a probability of 2/3.
+func (c *chaos) stopMostDaemons() {
 	for i := range 10 {
 		if c.random.IntN(3) > 0 {
 			c.stop(c.daemons[address(i)])
--- a/internal/core/node/downstream.go
+++ b/internal/core/node/downstream.go
@@ -351,7 +351,7 @@
 	return n.downstream.sendLimiter.Admit(n.now, len(delta.Payload))
 }
 
-// grantLease returns the lease of a child, counted from when the child sent its
+// grantLease returns the lease of a child, measured from when the child sent its
 // request: at most the remainder of this daemon's own lease, plus the time for
 // which the request was held here, which has certainly passed at the child too.
 func (n *Node) grantLease(holder *child) time.Duration {
--- a/internal/core/node/members.go
+++ b/internal/core/node/members.go
@@ -64,7 +64,8 @@
 	n.updateSelf(func(self *protocol.Member) { self.Endpoint = state })
 }
 
-// handleLeave starts draining. A draining member is still counted.
+// handleLeave starts draining. A draining member still serves, so it is still counted
+// in acknowledgements (see membership.Live).
 func (n *Node) handleLeave() {
 	if n.leaving {
 		return
@@ -74,7 +75,7 @@
 	n.applyReaderOutputs(n.readerSide.reader.Resign(n.now))
 }
 
-// handleStopped marks this daemon as having left: it serves no longer.
+// handleStopped marks this daemon as having left, after it has stopped serving.
 func (n *Node) handleStopped() {
 	n.leaving = true
 	n.updateSelf(func(self *protocol.Member) { self.State = protocol.MemberLeft })
@@ -92,7 +93,8 @@
 }
 
 // suspectAfter returns the time without a fetch after which a child is suspect.
-// The data path then prefers other daemons; the child is still counted.
+// The data path then prefers other daemons; the child is still counted in
+// acknowledgements.
 func (n *Node) suspectAfter() time.Duration {
 	return n.config.Timing.FetchWait + n.config.Timing.ServingLease/2
 }
@@ -157,7 +159,7 @@
 
 // startingPeers holds the senders of floor requests and the daemons listed in the
 // replies, which may not have joined yet. They are listed to other starting daemons,
-// but not counted.
+// but not counted as members.
 type startingPeers struct {
 	list []startingPeer
 }
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -47,7 +47,7 @@
 // sweepInterval is the time between runs of sweep.
 const sweepInterval = time.Second
 
-// publishInterval is the least time between publications of member records to the
+// publishInterval is the minimum time between publications of member records to the
 // data path; changes in between are batched.
 const publishInterval = 200 * time.Millisecond
 
@@ -193,7 +193,7 @@
 	expectedRevision uint64
 }
 
-// treeInterval is the least time between computations of the tree. A slightly
+// treeInterval is the minimum time between computations of the tree. A slightly
 // outdated tree is harmless: at worst it leads to another parent.
 const treeInterval = 500 * time.Millisecond
 
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -193,11 +193,11 @@
 	if !n.regions.complete {
 		return 0
 	}
-	lowest := n.root.regionInForce
+	minimum := n.root.regionInForce
 	for _, peer := range n.regions.peers {
-		lowest = min(lowest, peer.inForce)
+		minimum = min(minimum, peer.inForce)
 	}
-	return lowest
+	return minimum
 }
 
 // answerRegion answers another region's root with the version in force in this
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -46,10 +46,10 @@
 	roundInterval = time.Second
 	// keeperTimeout is the timeout of a request of a round.
 	keeperTimeout = time.Second
-	// completionInterval is the least time between attempts to complete a change of
+	// completionInterval is the minimum time between attempts to complete a change of
 	// the keeper set.
 	completionInterval = 500 * time.Millisecond
-	// keeperChangeInterval is the least time between two decisions on a new keeper
+	// keeperChangeInterval is the minimum time between two decisions on a new keeper
 	// set. The completion of a change that has begun does not wait for it.
 	keeperChangeInterval = 5 * time.Second
 )
@@ -207,8 +207,8 @@
 	acks := n.acknowledgements()
 	confirmed := n.expectedMembers().ConfirmedVersion(acks)
 	candidate := min(confirmed, n.root.releaseTracker.DeclarableVersion(n.now))
-	if counted, found := distribution.MinimumVersion(acks); found {
-		candidate = max(candidate, min(counted, n.root.releaseTracker.FencedVersion(n.now)))
+	if acknowledged, found := distribution.MinimumVersion(acks); found {
+		candidate = max(candidate, min(acknowledged, n.root.releaseTracker.FencedVersion(n.now)))
 	}
 	if candidate > n.root.regionInForce {
 		n.root.regionInForce = candidate
--- a/internal/core/node/start.go
+++ b/internal/core/node/start.go
@@ -47,7 +47,7 @@
 	// mesh starts for the first time, all its daemons wait for it.
 	fallbackDelay  = 500 * time.Millisecond
 	fallbackJitter = 1500 * time.Millisecond
-	// probeTimeout is the timeout of a probe.
+	// probeTimeout is the time limit for the answer to a floor request sent as a probe.
 	probeTimeout = time.Second
 	// maxPeers is the maximum number of members listed to a starting daemon.
 	maxPeers = 16
--- a/internal/core/node/step.go
+++ b/internal/core/node/step.go
@@ -93,7 +93,7 @@
 type Leave struct{}
 
 // Stopped follows Leave when the data path has stopped permanently. The node then
-// reports that it has left and is no longer counted. The shell steps it for another
+// reports that it has left, so that it is no longer live. The shell steps it for another
 // half second so that the report is sent.
 type Stopped struct{}
 
@@ -218,8 +218,8 @@
 	FetchWait time.Duration
 	// ServingLease is how long a daemon serves without contact to the mesh.
 	ServingLease time.Duration
-	// DeadAfter is the time after which a silent member is no longer counted; at
-	// least three serving leases, so that it has certainly stopped serving.
+	// DeadAfter is the time after which a silent member is marked as dead; at least
+	// three serving leases, so that it has certainly stopped serving.
 	DeadAfter time.Duration
 	// ReaderLease is how long a reader lease lasts on the platform.
 	ReaderLease time.Duration
--- a/internal/core/node/take.go
+++ b/internal/core/node/take.go
@@ -137,7 +137,7 @@
 	n.local.needsFullSnapshot = true
 }
 
-// applyLease applies the lease of a reply. It is counted from when the request was
+// applyLease applies the lease of a reply. It is measured from when the request was
 // sent, so that the time in transit does not extend it.
 func (n *Node) applyLease(sentAt time.Duration, reply *protocol.FetchReply) {
 	if reply.LeaseRemaining <= 0 {
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -83,11 +83,11 @@
 	preferredRetryMax      = 10 * time.Minute
 	// rootProbeInterval is the mean time between a root's probes for better roots.
 	rootProbeInterval = 2 * time.Second
-	// ackBatchInterval and memberBatchInterval are the least times between updates
+	// ackBatchInterval and memberBatchInterval are the minimum times between updates
 	// that interrupt a held fetch.
 	ackBatchInterval    = 200 * time.Millisecond
 	memberBatchInterval = 100 * time.Millisecond
-	// idleFetchInterval is the least time between fetches that return nothing new.
+	// idleFetchInterval is the minimum time between fetches that return nothing new.
 	idleFetchInterval = 200 * time.Millisecond
 	// swapTimeout is how long the next fetch waits for a swap, in order to
 	// acknowledge it. After that, a fetch shows the parent that this daemon is alive
@@ -264,8 +264,8 @@
 		n.downstream.acksChanged = false
 		return false
 	}
-	lowest, _ := distribution.MinimumVersion(acks)
-	return lowest >= n.local.store.Version() || n.now-n.upstream.lastUrgentAt >= ackBatchInterval
+	minimum, _ := distribution.MinimumVersion(acks)
+	return minimum >= n.local.store.Version() || n.now-n.upstream.lastUrgentAt >= ackBatchInterval
 }
 
 // membersAreUrgent reports whether changed records of the subtree are to be sent, which
--- a/internal/core/protocol/keepers.go
+++ b/internal/core/protocol/keepers.go
@@ -31,7 +31,8 @@
 type StoreRequest struct {
 	Format int
 	From   NodeID
-	// Incarnation is the sender's incarnation.
+	// Incarnation is the sender's: a keeper treats a restarted root as another root
+	// (see StoreReply.OtherRoot).
 	Incarnation Incarnation
 	// Term is the fencing term of the sender's reader lease; 0 if it holds none.
 	Term    uint64
--- a/internal/core/protocol/operators.go
+++ b/internal/core/protocol/operators.go
@@ -118,7 +118,8 @@
 	// Holding is the number of members known to hold the newest version or a later
 	// one.
 	Holding uint32
-	// Minimum is the lowest version in force on any counted member of the zone.
+	// Minimum is the lowest version in force on any member of the zone that an
+	// Acknowledgement covers.
 	Minimum Version
 	// Behind lists up to MaxListedNodes members that hold only Minimum, if that is
 	// not the newest version; Silent lists up to MaxListedNodes suspect members.
--- a/internal/core/protocol/protocol.go
+++ b/internal/core/protocol/protocol.go
@@ -222,14 +222,15 @@
 	Format int
 	// Code is OK, AskAnother, Overloaded, NotReadyYet or UnknownFormat.
 	Code result.Code
-	// RetryAfter is the least wait before the next call.
+	// RetryAfter is the minimum delay before the next call.
 	RetryAfter time.Duration
 	// Released is the newest version that the receiver may put in force.
 	Released Version
 	// Delta is the change from Have to Released; nil if nothing changed in the
 	// requested scope, which then has the same digest at Released.
 	Delta *Delta
-	// InForce is the newest version known to be in force on all counted members.
+	// InForce is the newest version known to be in force on all counted members (see
+	// Acknowledgement).
 	InForce Version
 	// Keepers is the keeper set of the region.
 	Keepers KeeperSet
@@ -237,7 +238,7 @@
 	// unchanged. A receiver that becomes root must wait for each of them before it
 	// declares a version in force.
 	Regions []string
-	// LeaseRemaining is how long the receiver may serve, counted from when it sent
+	// LeaseRemaining is how long the receiver may serve, measured from when it sent
 	// the request. It never exceeds the parent's own lease.
 	LeaseRemaining time.Duration
 	Members        []Member
--- a/internal/core/reader/changes.go
+++ b/internal/core/reader/changes.go
@@ -51,7 +51,7 @@
 // enqueue queues a change, or adds a resend to the pending change with the
 // same operation id.
 func (r *Reader) enqueue(wallClock time.Time, ticket Ticket, request *protocol.SubmitRequest) {
-	if !r.lease.held {
+	if !r.lease.isHeld {
 		r.answer(ticket, newRefusal(result.NoReader, "this daemon does not hold a reader lease"))
 		return
 	}
--- a/internal/core/reader/contents.go
+++ b/internal/core/reader/contents.go
@@ -86,8 +86,8 @@
 	return resource.DecodeFile(data)
 }
 
-// cacheContents adds files to the cache. It builds a new map, because callers of
-// the ledger may hold the old one.
+// cacheContents adds files to the cache. It builds a new map, because an
+// attempt in progress may still use the old one.
 func (r *Reader) cacheContents(added ledger.Contents) {
 	files := make(ledger.Contents, len(r.contents.files)+len(added))
 	for digest, file := range r.contents.files {
--- a/internal/core/reader/head.go
+++ b/internal/core/reader/head.go
@@ -12,8 +12,8 @@
 // headState is the reader's view of the head. Its object version only grows, in
 // whatever order events, reads and the reader's own writes arrive.
 type headState struct {
-	// known is set after the first read under the lease, even if no head exists.
-	known bool
+	// isKnown is set after the first read under the lease, even if no head exists.
+	isKnown bool
 	// version is the object version of head; 0 if no head exists.
 	version object.Version
 	head    *ledger.Head
@@ -53,7 +53,7 @@
 // enqueueFreshHead queues a request for a fresh head. All requests queued
 // before the next read is sent share that read.
 func (r *Reader) enqueueFreshHead(ticket Ticket) {
-	if !r.lease.held {
+	if !r.lease.isHeld {
 		r.emit(FreshHeadResult{Ticket: ticket})
 		return
 	}
@@ -64,11 +64,11 @@
 // advanceHead reads the head and starts the watch when they are due.
 func (r *Reader) advanceHead() {
 	r.head.waitersForNextRead = r.expireWaiters(r.head.waitersForNextRead)
-	due := !r.head.known || r.head.readRequested || len(r.head.waitersForNextRead) > 0 || r.now >= r.head.resyncAt
+	due := !r.head.isKnown || r.head.readRequested || len(r.head.waitersForNextRead) > 0 || r.now >= r.head.resyncAt
 	if due && !r.head.reading && r.head.readRetry.isDue(r.now) {
 		r.readHead()
 	}
-	verified := r.head.known && !r.head.reading && !r.head.readRequested
+	verified := r.head.isKnown && !r.head.reading && !r.head.readRequested
 	if verified && r.head.watch == 0 && r.head.watchRetry.isDue(r.now) {
 		r.startWatch()
 	}
@@ -117,7 +117,7 @@
 		r.changes.markReadFailed()
 		return
 	}
-	r.head.known = true
+	r.head.isKnown = true
 	r.head.watchFrom = max(r.head.version, r.head.pendingWatchFrom)
 	r.head.readRetry.reset()
 	r.head.resyncAt = call.sentAt + r.config.ResyncInterval
@@ -128,7 +128,7 @@
 // isHeadUsable reports whether the head is known and not older than the version
 // known to the mesh.
 func (r *Reader) isHeadUsable() bool {
-	return r.head.known && r.head.head.Version >= r.floor
+	return r.head.isKnown && r.head.head.Version >= r.floor
 }
 
 // outdatedReadsBeforeEvent is how many consecutive reads must find an outdated
@@ -187,7 +187,7 @@
 		r.logEvent("head_moved_back", LogField{"object_version", fmt.Sprint(found.Version)}, LogField{"version", fmt.Sprint(head.Version)})
 		return false
 	}
-	r.head.known = true
+	r.head.isKnown = true
 	r.head.version = found.Version
 	r.head.head = head
 	r.handleNewerHead()
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -54,13 +54,14 @@
 	acquiring    bool
 	acquireRetry backoff
 
-	held bool
+	// isHeld is set while this daemon holds a lease; the following fields describe it.
+	isHeld bool
 	// slot is the name of the held lease object. A region has Config.LeaseSlots
 	// lease objects, also called slots.
 	slot    string
 	version object.Version
 	record  leaseRecord
-	// expires is when the holder stops using the lease, counted from when the
+	// expires is when the holder stops using the lease, measured from when the
 	// last write known to be applied was sent.
 	expires time.Duration
 	// renewing is set while a renewal, or the read that resolves its outcome, is
@@ -83,14 +84,14 @@
 
 // expireLease drops the lease if it has expired since the last step.
 func (r *Reader) expireLease() {
-	if r.lease.held && r.now >= r.lease.expires {
+	if r.lease.isHeld && r.now >= r.lease.expires {
 		r.loseLease("expired")
 	}
 }
 
 // advanceLease renews a held lease, or tries to acquire one.
 func (r *Reader) advanceLease() {
-	if r.lease.held {
+	if r.lease.isHeld {
 		r.advanceRenewal()
 		return
 	}
@@ -227,7 +228,7 @@
 		r.lease.acquireRetry.recordFailure(r.now, r.random)
 		return
 	}
-	r.lease.held = true
+	r.lease.isHeld = true
 	r.lease.acquireRetry.reset()
 	r.lease.slot = call.slot
 	r.lease.version = version
@@ -244,7 +245,7 @@
 // resign releases the lease by writing a record without a holder.
 func (r *Reader) resign() {
 	r.lease.isCandidate = false
-	if !r.lease.held {
+	if !r.lease.isHeld {
 		return
 	}
 	slot, version := r.lease.slot, r.lease.version
@@ -256,7 +257,7 @@
 // loseLease ends the work of a lease holder. Replies to calls in flight are
 // ignored from then on.
 func (r *Reader) loseLease(reason string) {
-	r.lease.held = false
+	r.lease.isHeld = false
 	r.lease.acquiring = false
 	r.lease.acquireRetry.recordFailure(r.now, r.random)
 	r.calls = map[Token]pendingCall{}
--- a/internal/core/reader/model_test.go
+++ b/internal/core/reader/model_test.go
@@ -92,7 +92,7 @@
 	holders := map[string]string{}
 	for _, c := range o.world.clients {
 		lease := &c.reader.lease
-		if !lease.held || c.clock() >= lease.expires {
+		if !lease.isHeld || c.clock() >= lease.expires {
 			continue
 		}
 		if other, taken := holders[lease.slot]; taken {
@@ -313,7 +313,7 @@
 			c := o.world.add("windhoek")
 			c.clockRate = 0.97 + 0.02*float64(o.world.random.IntN(4))
 		}
-		for range modelSteps - rapid.IntRange(0, modelSteps-1).Draw(t, "cut") {
+		for range maxModelSteps - rapid.IntRange(0, maxModelSteps-1).Draw(t, "cut") {
 			o.step()
 		}
 		o.recover()
@@ -338,5 +338,5 @@
 	}
 }
 
-// modelSteps is the maximum number of actions in one run of the model.
-const modelSteps = 120
+// maxModelSteps is the maximum number of actions in one run of the model.
+const maxModelSteps = 120
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -126,7 +126,7 @@
 type pendingCall struct {
 	purpose purpose
 	// sentAt is when the call was sent. Its reply holds as of that time: leases
-	// and the next resync are counted from it.
+	// and the next resync are measured from it.
 	sentAt time.Duration
 	// slot is the name of the lease object, for calls on one lease; record is the
 	// value that the call writes to it, or that an earlier write had when a read
@@ -150,11 +150,11 @@
 func (r *Reader) SetFloor(version protocol.Version) { r.floor = max(r.floor, version) }
 
 // IsReader reports whether the lease was held at the end of the last step.
-func (r *Reader) IsReader() bool { return r.lease.held }
+func (r *Reader) IsReader() bool { return r.lease.isHeld }
 
 // Term returns the fencing term of the held lease; 0 when none is held.
 func (r *Reader) Term() uint64 {
-	if !r.lease.held {
+	if !r.lease.isHeld {
 		return 0
 	}
 	return r.lease.record.Term
@@ -226,7 +226,7 @@
 	r.expireLease()
 	input()
 	r.advanceLease()
-	if r.lease.held {
+	if r.lease.isHeld {
 		r.advanceHead()
 		r.advanceContents()
 		r.advanceChanges()
--- a/internal/core/reader/renewal.go
+++ b/internal/core/reader/renewal.go
@@ -70,7 +70,7 @@
 	return jitter(r.random, r.config.LeaseDuration/clockMarginDivisor)
 }
 
-// extendLease extends the lease, counted from when the write that was applied
+// extendLease extends the lease, measured from when the write that was applied
 // had been sent.
 func (r *Reader) extendLease(record leaseRecord, version object.Version) {
 	r.lease.version = version
@@ -88,7 +88,7 @@
 // handleLeaseRead handles a read of the lease after a write whose reply was
 // lost or reported an error such as a conflict.
 func (r *Reader) handleLeaseRead(call pendingCall, reply object.Reply) {
-	if !r.lease.held {
+	if !r.lease.isHeld {
 		r.handleTakeOutcome(call, reply)
 		return
 	}
--- a/internal/core/renewal/renewal.go
+++ b/internal/core/renewal/renewal.go
@@ -6,22 +6,22 @@
 
 import "time"
 
-// MinInterval is the least time between two renewals. It bounds the number of new connections if
+// MinInterval is the minimum time between two renewals. It bounds the number of new connections if
 // those to one address keep failing.
 const MinInterval = time.Second
 
 // Scheduler schedules renewals. The zero value is ready for use. It is not safe for concurrent use.
 type Scheduler struct {
-	// hasRenewed is set by the first renewal; renewedAt is the time of the last.
+	// hasRenewed is set by the first renewal; renewedAt is the time of the latest.
 	hasRenewed bool
 	renewedAt  time.Duration
 	// scheduled is set from when a renewal is scheduled until it is done.
 	scheduled bool
 }
 
-// ReportDead reports a dead connection that was opened at the given time. It returns the delay
-// after which all connections are to be renewed, and whether they are. The caller must call MarkRenewed
-// once it has renewed them.
+// ReportDead reports a dead connection that was opened at the given time. If renew is true, the
+// caller must renew all connections after wait, and then call MarkRenewed. Otherwise a renewal that
+// is scheduled or done already covers the connection.
 func (s *Scheduler) ReportDead(now, opened time.Duration) (wait time.Duration, renew bool) {
 	if s.scheduled || s.hasRenewed && opened < s.renewedAt {
 		return 0, false // covered by a scheduled or completed renewal
--- a/internal/core/resource/types.go
+++ b/internal/core/resource/types.go
@@ -219,7 +219,8 @@
 	Secret *SecretUse `json:"secret,omitempty"`
 	// Timeout is the time limit of the whole call; 0 means the default of 15 s.
 	Timeout time.Duration `json:"timeout,omitempty"`
-	// Target is the time within which an answer is of full use; 0 means no target.
+	// Target is the response time that callers expect; 0 means none. A gate refuses a
+	// call that would probably miss it because of the wait in the queue.
 	Target time.Duration `json:"target,omitempty"`
 	// Repeatable states whether a call may safely run twice. If it is nil, GET and
 	// HEAD are repeatable and all other methods are not.
@@ -243,7 +244,9 @@
 
 // Match holds the conditions of a route, all of which a call must meet. The most
 // specific matching route wins: an exact path takes precedence over the longest
-// prefix; then routes with a host, with more methods and headers, and by name.
+// prefix. Among routes with the same path, those with a host come first, then those
+// that list more methods and headers in total; the remaining ties are broken by name
+// and partner.
 type Match struct {
 	// Host is compared without case and port; empty matches every host.
 	Host string `json:"host,omitempty"`
@@ -271,7 +274,7 @@
 
 // SecretUse states in which header a route sends a secret.
 type SecretUse struct {
-	// Name is the name of the secret.
+	// Name is the name of a secret of the route's partner.
 	Name   string `json:"name"`
 	Header string `json:"header"`
 }
--- a/internal/core/snapshot/decoded.go
+++ b/internal/core/snapshot/decoded.go
@@ -9,8 +9,8 @@
 
 // FromResources returns the snapshot of services and routes that are already
 // decoded, for example by an external configuration authority. Like Build, it fails
-// if a route refers to a service that is not among them (I2). The result has no back ends or
-// secrets, and no Digest or Encoded.
+// if a route refers to a service that is not among them (invariant I2 of docs/INVARIANTS.md). The
+// result has no back ends or secrets, and no Digest or Encoded.
 func FromDecoded(version protocol.Version, services []resource.Service, routes []resource.Route) (*Snapshot, error) {
 	built := &Snapshot{
 		Version:  version,
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -17,7 +17,7 @@
 // Snapshot is the whole configuration that a proxy holds at one version. It is not
 // changed once built, so readers need no lock.
 type Snapshot struct {
-	// Version is the configuration version.
+	// Version is the configuration version that consists of these resources.
 	Version protocol.Version
 	// Digest covers the sorted keys and digests of all resources; see DigestOf.
 	Digest resource.Digest
@@ -38,7 +38,7 @@
 // fails with a *result.Error if a resource can't be decoded (DigestMismatch,
 // UnknownFormat) or if a route refers to a service or secret that is not among
 // them (FileBadReference), so that no proxy gets a route with a missing service or
-// secret (I2).
+// secret (invariant I2 of docs/INVARIANTS.md).
 func Build(version protocol.Version, encoded []resource.Encoded) (*Snapshot, error) {
 	return Rebuild(nil, version, encoded)
 }
--- a/internal/core/snapshot/snapshot_test.go
+++ b/internal/core/snapshot/snapshot_test.go
@@ -153,7 +153,7 @@
 	is.NoErr(err) // the delta replaces the resources that differ
 	other := append(shop(6), resource.Encode(&resource.File{Partner: "adomako", Services: []resource.Service{{Partner: "adomako", Name: "clock"}}})...)
 	_, err = snapshot.Apply(other, delta)
-	is.Equal(codeOf(err), result.DigestMismatch) // rejected: this base has a resource more than the delta's
+	is.Equal(codeOf(err), result.DigestMismatch) // rejected: this base has a resource that the delta's base lacks
 }
 
 func FuzzApply(f *testing.F) {
--- a/internal/core/snapshot/store.go
+++ b/internal/core/snapshot/store.go
@@ -72,8 +72,9 @@
 }
 
 // Add adds a new version with all its resources. A version that is not newer is
-// ignored, so that the store's version never decreases (I1). Add fails without
-// effect if the resources don't form a valid snapshot (I3).
+// ignored, so that the store's version never decreases (invariant I1 of
+// docs/INVARIANTS.md). Add fails without effect if the resources don't form a valid
+// snapshot (I3).
 func (s *Store) Add(version protocol.Version, resources []resource.Encoded) error {
 	if version <= s.Version() {
 		return nil
--- a/internal/result/codes.go
+++ b/internal/result/codes.go
@@ -1,6 +1,6 @@
 package result
 
-// The result codes. The table entries, in entries.go, describes each of them.
+// The result codes. The variable entries (entries.go) describes each of them.
 // New codes are added at the end of their group.
 const (
 	OK Code = 0
@@ -68,7 +68,7 @@
 	PlatformExists      Code = 504
 	PlatformTooLarge    Code = 505
 	PlatformCompacted   Code = 506
-	PlatformReadersFull Code = 507
+	PlatformReadersFull Code = 507 // the platform admits no more readers
 	SettingsInvalid     Code = 600
 	Unauthenticated     Code = 601
 	Forbidden           Code = 602
--- a/internal/result/document_test.go
+++ b/internal/result/document_test.go
@@ -31,7 +31,7 @@
 	doctest.Section(t, filepath.Join("..", "..", "docs", "RESULT-CODES.md"), "codes", table)
 }
 
-var entryName = regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
+var entryNamePattern = regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 
 func TestEntriesAreComplete(t *testing.T) {
 	is := is.New(t)
@@ -40,7 +40,7 @@
 	for _, entry := range Entries() {
 		is.True(entry.Code > previous) // unique and ascending
 		previous = entry.Code
-		is.True(entryName.MatchString(entry.Name))
+		is.True(entryNamePattern.MatchString(entry.Name))
 		is.True(!names[entry.Name])
 		names[entry.Name] = true
 		is.True(entry.Meaning != "" && entry.Mend != "")
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -27,7 +27,7 @@
 
 // Entry describes one code for operators and clients.
 type Entry struct {
-	// Code is the stable number.
+	// Code is the number, which never changes.
 	Code Code
 	// Name is a stable identifier in snake case.
 	Name string
@@ -46,7 +46,7 @@
 // Error is an error with a code and the place in a file that it concerns. Detail
 // never contains the value of a secret.
 type Error struct {
-	// Code is the numbered reason.
+	// Code identifies the kind of error.
 	Code Code `json:"code"`
 	// File is the file that the error concerns, if any.
 	File string `json:"file,omitempty"`
@@ -56,7 +56,7 @@
 	Field string `json:"field,omitempty"`
 	// Detail describes the error in one sentence.
 	Detail string `json:"detail,omitempty"`
-	// Mend is the remedy.
+	// Mend is the remedy that the sender of the file or request can apply.
 	Mend string `json:"mend,omitempty"`
 }
 
