--- a/internal/core/backend/outlier_test.go
+++ b/internal/core/backend/outlier_test.go
@@ -38,7 +38,7 @@
 	check.Equal(tracker.View(now+firstEjection).State, protocol.EndpointReady)
 	ejectedAgainAt, _ := recordCalls(tracker, now+firstEjection, succeeded, 100, 2)
 	tracker.RecordAnswer(ejectedAgainAt + 2*firstEjection)
-	check.Equal(tracker.View(ejectedAgainAt+2*firstEjection-1).State, protocol.EndpointDegraded) // twice as long
+	check.Equal(tracker.View(ejectedAgainAt+2*firstEjection-1).State, protocol.EndpointDegraded) // the second ejection lasts twice as long
 	check.Equal(tracker.View(ejectedAgainAt+2*firstEjection).State, protocol.EndpointReady)
 }
 
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -50,7 +50,7 @@
 	check.True(tracker.HandleReport(interval, reportOf(200, 1)))
 	answerProbe(tracker, interval)
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
-	tracker.HandleLeave(startOf(100), 0) // repeated and late
+	tracker.HandleLeave(startOf(100), 0) // a repeated leave of the older start
 	check.Equal(tracker.View(interval).State, protocol.EndpointReady)
 }
 
--- a/internal/core/following/eras_test.go
+++ b/internal/core/following/eras_test.go
@@ -57,7 +57,7 @@
 	follower := newFollower()
 	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
 	check.Equal(kinds(follower.HandlePeerDocument(0, "p", authority.Document{Version: 7, Body: []byte("b")})), nil)
-	check.Equal(kinds(follower.HandlePoll(0, readingIn(1, 901, 7, "b"))), nil) // same era
+	check.Equal(kinds(follower.HandlePoll(0, readingIn(1, 901, 7, "b"))), nil) // of the era of the adopted document
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 880, 6, "z"))), nil) // older than the one held
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 885, 7, "b")))[0], Adopt)
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 890, 7, "b"))), nil)
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -98,7 +98,7 @@
 func TestPeersAreFetchedFromAtOnceOnlyWhileTheStoreIsUnavailable(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	check.Equal(follower.HandlePeerVersion(0, "p", 5)[0].After, time.Duration(0)) // nothing read yet
+	check.Equal(follower.HandlePeerVersion(0, "p", 5)[0].After, time.Duration(0)) // the store has not been read yet
 	follower.HandleStoreRead(0, reading(5, 5))
 	check.Equal(follower.HandlePeerVersion(time.Minute, "q", 6)[0].After, DefaultConfig().PeerGrace)
 	follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformUnavailable})
