--- a/internal/core/backend/outlier_test.go
+++ b/internal/core/backend/outlier_test.go
@@ -38,7 +38,7 @@
 	check.Equal(tracker.View(now+firstEjection).State, protocol.EndpointReady)
 	ejectedAgainAt, _ := recordCalls(tracker, now+firstEjection, succeeded, 100, 2)
 	tracker.RecordAnswer(ejectedAgainAt + 2*firstEjection)
-	check.Equal(tracker.View(ejectedAgainAt+2*firstEjection-1).State, protocol.EndpointDegraded) // twice as long
+	check.Equal(tracker.View(ejectedAgainAt+2*firstEjection-1).State, protocol.EndpointDegraded) // the second ejection lasts twice as long
 	check.Equal(tracker.View(ejectedAgainAt+2*firstEjection).State, protocol.EndpointReady)
 }
 
@@ -49,8 +49,8 @@
 	check.Equal(tracker.View(now).State, protocol.EndpointReady)
 	check.Equal(succeeded, uint64(900))
 	other := newReadyTracker(t)
-	for call := range minFailureCalls - 1 {
-		check.True(!other.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few failures
+	for call := range minCalls - 1 {
+		check.True(!other.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few calls
 	}
 }
 
