--- a/cmd/springstack/app_test.go
+++ b/cmd/springstack/app_test.go
@@ -50,7 +50,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return &protocol.StatusReply{
-		Summary: protocol.Summary{Version: b.head.Version, InForce: b.head.Version, Zones: []protocol.ZoneStatus{
+		Summary: protocol.VersionProgress{Version: b.head.Version, InForce: b.head.Version, Zones: []protocol.ZoneStatus{
 			{Region: "windhoek", Zone: "klein-hall", Members: 1, Holding: 1, Minimum: b.head.Version},
 		}},
 		Files:   b.fileStatuses(),
--- a/internal/core/distribution/rootlease.go
+++ b/internal/core/distribution/rootlease.go
@@ -86,7 +86,7 @@
 // or after since; it is true without sets. A root must not begin to store a version that
 // can't reach a write quorum: its own rounds would then find a version newer than the
 // released one, which would end its lease.
-func (l *RootLease) CanStore(since time.Duration, sets ...protocol.KeeperSet) bool {
+func (l *RootLease) HasWriteQuorumSince(since time.Duration, sets ...protocol.KeeperSet) bool {
 	return lo.EveryBy(sets, func(set protocol.KeeperSet) bool {
 		oldest, found := l.quorumSentAt(set, set.Write, func(keeperReply) bool { return true })
 		return found && oldest >= since
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -222,7 +222,7 @@
 	reply.Members = lo.Filter(n.roster.Since(cursor), func(member protocol.Member, _ int) bool {
 		return member.Region == n.config.Region
 	})
-	reply.Summary = protocol.Summary{
+	reply.Summary = protocol.VersionProgress{
 		Version: n.local.store.Version(),
 		InForce: n.root.regionInForce,
 		Zones:   n.zoneStatuses(),
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -159,7 +159,7 @@
 // answer, the version is held back, and daemons continue to serve the released one.
 func (n *Node) startRelease(catalogue *reader.CatalogueReady) {
 	n.root.batch = nil
-	if n.local.store.Version() > 0 && !n.root.lease.CanStore(n.now-maxKeeperReplyAge, n.keeperSets()...) {
+	if n.local.store.Version() > 0 && !n.root.lease.HasWriteQuorumSince(n.now-maxKeeperReplyAge, n.keeperSets()...) {
 		n.root.batch = catalogue
 		n.root.batchUntil = n.now + roundInterval
 		return
--- a/internal/core/node/status.go
+++ b/internal/core/node/status.go
@@ -81,7 +81,7 @@
 func (n *Node) status(partner resource.Partner) *protocol.StatusReply {
 	reply := &protocol.StatusReply{
 		Code: result.OK,
-		Summary: protocol.Summary{
+		Summary: protocol.VersionProgress{
 			Version:   n.newestVersion(),
 			InForce:   n.local.inForce,
 			InForceAt: n.regions.inForceAt,
--- a/internal/core/protocol/operators.go
+++ b/internal/core/protocol/operators.go
@@ -129,7 +129,7 @@
 
 // Summary is the progress of the newest version in all regions, combined from the
 // reports of the region roots.
-type Summary struct {
+type VersionProgress struct {
 	Version    Version
 	InForce    Version
 	AcceptedAt time.Time
@@ -143,7 +143,7 @@
 // StatusReply answers a StatusRequest.
 type StatusReply struct {
 	Code    result.Code
-	Summary Summary
+	Summary VersionProgress
 	Files   []FileStatus
 	Members []Member
 	// MemberCursor, From and Incarnation are to be returned in the next request of
--- a/internal/core/protocol/protocol.go
+++ b/internal/core/protocol/protocol.go
@@ -245,7 +245,7 @@
 	MemberCursor   uint64
 	Incarnation    Incarnation
 	// Summary is not set; status is requested by StatusRequest.
-	Summary *Summary
+	Summary *VersionProgress
 }
 
 // Delta is the change from one snapshot of a scope to another. It is applied
--- a/internal/core/quarantine/companions_test.go
+++ b/internal/core/quarantine/companions_test.go
@@ -130,7 +130,7 @@
 	table := NewTable(DefaultRules())
 	request := signatureOf("/request")
 	for _, instance := range []string{"a", "b", "c"} {
-		table.RecordUnidentified(instance)
+		table.RecordUnidentifiedCompanions(instance)
 		recordEnd(table, instance, request)
 	}
 	check.Equal(stateIn(table, 0, request), Suspected)
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -71,7 +71,7 @@
 
 // RecordUnidentified records that unidentified requests were in flight as an instance ended. It
 // must be called before RecordEnd for that instance.
-func (t *Table) RecordUnidentified(instance string) { t.observed.add(instance, Companion{}) }
+func (t *Table) RecordUnidentifiedCompanions(instance string) { t.observed.add(instance, Companion{}) }
 
 // linkCompanions records the requests that were in flight at an end as companions of each other.
 func (t *Table) linkCompanions(added *entry, instance string) {
--- a/internal/core/reader/attemptwrite.go
+++ b/internal/core/reader/attemptwrite.go
@@ -63,7 +63,7 @@
 	case result.OK:
 		r.changes.retry.reset()
 		r.adoptHead(object.Object{Name: ledger.HeadObject, Version: reply.Object.Version, Data: current.headData})
-	case result.PlatformUnavailable, result.PlatformReadersFull:
+	case result.PlatformUnavailable, result.PlatformTooManyReaders:
 		r.changes.retry.recordFailure(r.now, r.random)
 		current.phase = phaseWrite
 		if current.replyLost {
--- a/internal/core/reader/renewal.go
+++ b/internal/core/reader/renewal.go
@@ -56,7 +56,7 @@
 	switch reply.Code {
 	case result.OK:
 		r.extendLease(call.record, reply.Object.Version)
-	case result.PlatformUnavailable, result.PlatformReadersFull:
+	case result.PlatformUnavailable, result.PlatformTooManyReaders:
 		r.lease.renewAt = r.now + r.renewalRetryDelay()
 	default:
 		r.lease.mustReadLease = true
--- a/internal/core/reader/world_test.go
+++ b/internal/core/reader/world_test.go
@@ -154,7 +154,7 @@
 	case StartWatch:
 		c.watches[output.Token] = output.From
 		if !c.world.store.OpenWatch(c.world.now, c.name) {
-			c.endWatch(output.Token, result.PlatformReadersFull)
+			c.endWatch(output.Token, result.PlatformTooManyReaders)
 			return
 		}
 		c.world.scheduleAfter(time.Millisecond, c.world.deliver)
--- a/internal/core/region/allowed.go
+++ b/internal/core/region/allowed.go
@@ -18,7 +18,7 @@
 
 // NewAllowed returns the set of the regions that a route lists: nil allows all regions, an empty
 // list none.
-func NewAllowed(names []string) Set {
+func NewSet(names []string) Set {
 	if names == nil {
 		return Set{}
 	}
--- a/internal/core/region/allowed_test.go
+++ b/internal/core/region/allowed_test.go
@@ -8,21 +8,21 @@
 
 func TestWithoutAListAllRegionsAreAllowed(t *testing.T) {
 	check := is.New(t)
-	check.True(!NewAllowed(nil).Restricted())
-	check.True(NewAllowed(nil).Has("north"))
+	check.True(!NewSet(nil).Restricted())
+	check.True(NewSet(nil).Has("north"))
 }
 
 func TestAnEmptyListAllowsNone(t *testing.T) {
 	check := is.New(t)
-	check.True(NewAllowed([]string{}).Restricted())
-	check.True(!NewAllowed([]string{}).Has("north"))
-	check.True(!NewAllowed([]string{}).Has(""))
+	check.True(NewSet([]string{}).Restricted())
+	check.True(!NewSet([]string{}).Has("north"))
+	check.True(!NewSet([]string{}).Has(""))
 }
 
 func TestEqualIgnoresOrderAndRepetitionOfRegions(t *testing.T) {
 	check := is.New(t)
-	check.True(NewAllowed([]string{"b", "a", "b"}).Equal(NewAllowed([]string{"a", "b"})))
-	check.True(!NewAllowed([]string{}).Equal(NewAllowed(nil)))
+	check.True(NewSet([]string{"b", "a", "b"}).Equal(NewSet([]string{"a", "b"})))
+	check.True(!NewSet([]string{}).Equal(NewSet(nil)))
 }
 
 // The intersection does not depend on the order of the operands.
@@ -39,8 +39,8 @@
 	} {
 		t.Run(given.name, func(t *testing.T) {
 			check := is.New(t)
-			check.True(NewAllowed(given.left).Intersect(NewAllowed(given.right)).Equal(NewAllowed(given.wanted)))
-			check.True(NewAllowed(given.right).Intersect(NewAllowed(given.left)).Equal(NewAllowed(given.wanted)))
+			check.True(NewSet(given.left).Intersect(NewSet(given.right)).Equal(NewSet(given.wanted)))
+			check.True(NewSet(given.right).Intersect(NewSet(given.left)).Equal(NewSet(given.wanted)))
 		})
 	}
 }
--- a/internal/core/routing/restrictions_test.go
+++ b/internal/core/routing/restrictions_test.go
@@ -25,8 +25,8 @@
 		routeTo([]string{"b", "a"}, "one"), routeTo([]string{"a", "b"}, "one", "two"), routeTo([]string{}, "two"), routeTo(nil, "three"),
 	}})
 	check.True(table.HasRestrictions())
-	check.Equal(table.RestrictionsOf(service("one")), []region.Set{region.NewAllowed([]string{"a", "b"})})
-	check.Equal(table.RestrictionsOf(service("two")), []region.Set{region.NewAllowed([]string{"a", "b"}), region.NewAllowed([]string{})})
+	check.Equal(table.RestrictionsOf(service("one")), []region.Set{region.NewSet([]string{"a", "b"})})
+	check.Equal(table.RestrictionsOf(service("two")), []region.Set{region.NewSet([]string{"a", "b"}), region.NewSet([]string{})})
 	check.Equal(len(table.RestrictionsOf(service("three"))), 0)
 	check.True(!Compile(&snapshot.Snapshot{Routes: []resource.Route{routeTo(nil, "one")}}).HasRestrictions())
 	check.True(!(*Table)(nil).HasRestrictions())
--- a/internal/core/routing/table.go
+++ b/internal/core/routing/table.go
@@ -129,7 +129,7 @@
 		Class:    callclass.OfRoute(&route),
 		Timeout:  TimeoutOf(&route),
 		Attempts: cmp.Or(route.RetryAttempts, DefaultAttempts),
-		Regions:  region.NewAllowed(route.AllowedRegions),
+		Regions:  region.NewSet(route.AllowedRegions),
 		host:     canonicalHost(route.Match.Host),
 	}
 	for _, destination := range route.Split {
--- a/internal/hosted/broadcasting.go
+++ b/internal/hosted/broadcasting.go
@@ -13,28 +13,28 @@
 const (
 	// batchPeriod is the least time between two broadcasts of one relay. A stop is
 	// announced longer than this before its gate closes (announceAhead).
-	batchPeriod = 200 * time.Millisecond
+	minBroadcastInterval = 200 * time.Millisecond
 	// relayTries is how many relays of a zone are tried for one message.
-	relayTries = 3
+	maxRelayAttempts = 3
 )
 
 // broadcastSelf tells the relays of all zones of the own record; the lock is held. In
 // the own zone a second daemon is told as well, so that what this daemon has
 // acknowledged is remembered although the relay ends before its broadcast.
-func (m *mesh) broadcastSelf() {
-	directory := m.peers()
-	request := m.pushRequest([]protocol.Member{m.self})
+func (m *mesh) broadcastOwnRecord() {
+	directory := m.peerDirectory()
+	request := m.newPushRequest([]protocol.Member{m.self})
 	request.Relay = true
 	for _, zone := range directory.Zones() {
 		if zone != m.self.Zone {
-			m.deliver(m.relays(zone), request, false)
+			m.sendToFirstReachable(m.reachableRelays(zone), request, false)
 		}
 	}
-	near := m.relays(m.self.Zone)
+	near := m.reachableRelays(m.self.Zone)
 	if directory.IsRelay(m.isLost) {
-		m.broadcastSoon(m.self.ID)
+		m.scheduleBroadcast(m.self.ID)
 	} else {
-		m.deliver(near, request, false)
+		m.sendToFirstReachable(near, request, false)
 		near = near[1:]
 	}
 	m.push(near[:min(1, len(near))], m.self)
@@ -42,27 +42,27 @@
 
 // broadcastInZone has records of other zones broadcast in the own zone; the lock is
 // held.
-func (m *mesh) broadcastInZone(records []protocol.Member) {
-	if m.peers().IsRelay(m.isLost) {
-		m.broadcastSoon(idsOf(records)...)
+func (m *mesh) broadcastInOwnZone(records []protocol.Member) {
+	if m.peerDirectory().IsRelay(m.isLost) {
+		m.scheduleBroadcast(memberIDs(records)...)
 		return
 	}
-	request := m.pushRequest(records)
+	request := m.newPushRequest(records)
 	request.Relay = true
-	m.deliver(m.relays(m.self.Zone), request, false)
+	m.sendToFirstReachable(m.reachableRelays(m.self.Zone), request, false)
 }
 
 // relays are the first relays of a zone that answer; the lock is held.
-func (m *mesh) relays(zone string) []dissemination.Peer {
-	found := m.peers().Relays(zone, m.isLost)
-	return found[:min(relayTries, len(found))]
+func (m *mesh) reachableRelays(zone string) []dissemination.Peer {
+	found := m.peerDirectory().Relays(zone, m.isLost)
+	return found[:min(maxRelayAttempts, len(found))]
 }
 
 // pushRequest is a message with records that asks for no comparison; the lock is
 // held.
-func (m *mesh) pushRequest(records []protocol.Member) protocol.ExchangeRequest {
+func (m *mesh) newPushRequest(records []protocol.Member) protocol.ExchangeRequest {
 	return protocol.ExchangeRequest{
-		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.known(),
+		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.current(),
 		Push: true, Members: records, Rollouts: m.rollouts.records(m.clock()), HarmfulSum: m.harmful.HarmfulSum(),
 		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
@@ -70,7 +70,7 @@
 
 // deliver sends a push to the first of some peers that answers, without waiting
 // for it. With forward, that peer is asked to pass it on to those after it.
-func (m *mesh) deliver(candidates []dissemination.Peer, request protocol.ExchangeRequest, forward bool) {
+func (m *mesh) sendToFirstReachable(candidates []dissemination.Peer, request protocol.ExchangeRequest, forward bool) {
 	if len(candidates) == 0 {
 		return
 	}
@@ -80,9 +80,9 @@
 		for index, candidate := range candidates {
 			sent := request
 			if forward {
-				sent.Forward = destinations(candidates[index+1:])
+				sent.Forward = toDestinations(candidates[index+1:])
 			}
-			if m.call(candidate, &sent) != nil || m.context.Err() != nil {
+			if m.callPeer(candidate, &sent) != nil || m.context.Err() != nil {
 				return
 			}
 		}
@@ -90,19 +90,19 @@
 }
 
 // takePush merges the records of a push and passes them on as it asks.
-func (m *mesh) takePush(request *protocol.ExchangeRequest) {
+func (m *mesh) handlePush(request *protocol.ExchangeRequest) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	news := m.take(request.Members)
+	news := m.mergeMembers(request.Members)
 	if request.Relay {
-		m.broadcastSoon(idsOf(m.relayed(request, news))...)
+		m.scheduleBroadcast(memberIDs(m.recordsToRelay(request, news))...)
 	}
-	m.passOn(request)
+	m.forwardPush(request)
 }
 
 // relayed are the records of a push that the relay broadcasts: the sender's own,
 // which it tells once, and what is news here; the lock is held.
-func (m *mesh) relayed(request *protocol.ExchangeRequest, news []protocol.Member) []protocol.Member {
+func (m *mesh) recordsToRelay(request *protocol.ExchangeRequest, news []protocol.Member) []protocol.Member {
 	own := lo.Filter(request.Members, func(member protocol.Member, _ int) bool {
 		known, found := m.roster.Get(member.ID)
 		return member.ID == request.From && found && !membership.Newer(known, member)
@@ -111,39 +111,39 @@
 }
 
 // passOn sends a push to the daemons that it names; the lock is held.
-func (m *mesh) passOn(request *protocol.ExchangeRequest) {
+func (m *mesh) forwardPush(request *protocol.ExchangeRequest) {
 	targets := lo.Map(request.Forward, func(to protocol.Destination, _ int) dissemination.Peer {
 		return dissemination.Peer{ID: to.ID, Address: to.Address, Zone: m.self.Zone, Region: m.self.Region}
 	})
-	passed := m.pushRequest(request.Members)
+	passed := m.newPushRequest(request.Members)
 	passed.Harmful = request.Harmful
-	m.sendBranches(targets, passed)
+	m.sendAlongTree(targets, passed)
 }
 
 // sendBranches sends a push to all targets along a tree; the lock is held.
-func (m *mesh) sendBranches(targets []dissemination.Peer, request protocol.ExchangeRequest) {
+func (m *mesh) sendAlongTree(targets []dissemination.Peer, request protocol.ExchangeRequest) {
 	reachable := lo.Reject(targets, func(one dissemination.Peer, _ int) bool { return m.isLost(one.ID) })
 	for _, branch := range dissemination.Branches(reachable) {
-		m.deliver(branch, request, true)
+		m.sendToFirstReachable(branch, request, true)
 	}
 }
 
 // broadcastSoon has the records of some daemons broadcast in the own zone with
 // all others that come within the same period; the lock is held.
-func (m *mesh) broadcastSoon(ids ...protocol.NodeID) {
+func (m *mesh) scheduleBroadcast(ids ...protocol.NodeID) {
 	wait, schedule := m.batch.Add(m.clock(), ids...)
 	switch {
 	case !schedule:
 	case wait == 0:
-		m.broadcast()
+		m.broadcastBatch()
 	default:
-		m.later(wait, m.broadcast)
+		m.runAfter(wait, m.broadcastBatch)
 	}
 }
 
 // broadcast sends what was gathered to all daemons of the own zone; the lock is
 // held.
-func (m *mesh) broadcast() {
+func (m *mesh) broadcastBatch() {
 	var records []protocol.Member
 	for _, id := range m.batch.Take(m.clock()) {
 		if member, known := m.roster.Get(id); known {
@@ -151,15 +151,15 @@
 		}
 	}
 	if len(records) > 0 {
-		m.sendBranches(m.peers().PeersInOwnZone(), m.pushRequest(records))
+		m.sendAlongTree(m.peerDirectory().PeersInOwnZone(), m.newPushRequest(records))
 	}
 }
 
-func idsOf(records []protocol.Member) []protocol.NodeID {
+func memberIDs(records []protocol.Member) []protocol.NodeID {
 	return lo.Map(records, func(member protocol.Member, _ int) protocol.NodeID { return member.ID })
 }
 
-func destinations(peers []dissemination.Peer) []protocol.Destination {
+func toDestinations(peers []dissemination.Peer) []protocol.Destination {
 	return lo.Map(peers, func(one dissemination.Peer, _ int) protocol.Destination {
 		return protocol.Destination{ID: one.ID, Address: one.Address}
 	})
--- a/internal/hosted/comparing.go
+++ b/internal/hosted/comparing.go
@@ -10,15 +10,15 @@
 )
 
 // compareForever compares records with one peer after the other.
-func (m *mesh) compareForever() {
+func (m *mesh) runComparisons() {
 	for round := 0; m.context.Err() == nil; round++ {
-		for _, target := range m.nextTargets(round) {
-			m.compare(target)
+		for _, target := range m.nextComparisonPeers(round) {
+			m.compareWith(target)
 		}
-		m.relist()
-		period := exchangePeriod
-		if m.storeFails() || !m.joined() {
-			period = exchangeUrgent
+		m.relistIfIsolated()
+		period := comparisonInterval
+		if m.isStoreUnavailable() || !m.isJoined() {
+			period = urgentComparisonInterval
 		}
 		if !pause.For(m.context, period*3/4+time.Duration(randomNumber()%uint64(period/2))) {
 			return
@@ -28,75 +28,75 @@
 
 // nextTargets are the peers of one round: the next one of the own zone, and
 // now and then one of another zone.
-func (m *mesh) nextTargets(round int) []dissemination.Peer {
+func (m *mesh) nextComparisonPeers(round int) []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near, far := m.peers().PeersInOwnZone(), m.peers().PeersInOtherZones()
+	near, far := m.peerDirectory().PeersInOwnZone(), m.peerDirectory().PeersInOtherZones()
 	var targets []dissemination.Peer
 	if len(near) > 0 {
-		targets = append(targets, near[m.turn%len(near)])
-		m.turn++
+		targets = append(targets, near[m.comparisonTurn%len(near)])
+		m.comparisonTurn++
 	}
-	if round%farEvery == 0 || len(near) == 0 {
+	if round%otherZoneRounds == 0 || len(near) == 0 {
 		// Each zone speaks for itself about as often, however many daemons it has.
 		if len(far) > 0 && (round == 0 || randomNumber()%uint64(len(near)+1) == 0) {
-			targets = append(targets, drawn(far, 1)...)
+			targets = append(targets, samplePeers(far, 1)...)
 		}
 	}
 	return targets
 }
 
 // compare brings the records of both sides to the same.
-func (m *mesh) compare(target dissemination.Peer) {
+func (m *mesh) compareWith(target dissemination.Peer) {
 	m.mutex.Lock()
-	request := m.request()
+	request := m.newComparisonRequest()
 	m.mutex.Unlock()
-	reply := m.call(target, request)
+	reply := m.callPeer(target, request)
 	if reply == nil {
 		return
 	}
 	if len(reply.Sums) != membership.BucketCount {
-		m.noteJoined(target) // both know the same
+		m.recordComparison(target) // both know the same
 		return
 	}
 	m.mutex.Lock()
-	request = m.request()
+	request = m.newComparisonRequest()
 	sums := m.roster.BucketSums()
 	request.Sums = sums[:]
 	request.Members = m.roster.InDifferingBuckets(membership.BucketSums(reply.Sums))
 	m.mutex.Unlock()
-	if reply = m.call(target, request); reply != nil {
-		m.takeCompared(target.Zone, reply.Members)
-		m.noteJoined(target)
+	if reply = m.callPeer(target, request); reply != nil {
+		m.mergeCompared(target.Zone, reply.Members)
+		m.recordComparison(target)
 	}
 }
 
 // takeCompared merges records that a comparison with a daemon of a zone brought.
 // News from another zone is told to the own one.
-func (m *mesh) takeCompared(fromZone string, members []protocol.Member) {
+func (m *mesh) mergeCompared(fromZone string, members []protocol.Member) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	news := m.take(members)
+	news := m.mergeMembers(members)
 	if len(news) > 0 && fromZone != m.self.Zone {
-		m.broadcastInZone(news)
+		m.broadcastInOwnZone(news)
 	}
 }
 
 // noteJoined notes that the records of a peer have come. Those of the own zone
 // know what an earlier start of this daemon announced, others may not, so they
 // count only where the zone has nobody else.
-func (m *mesh) noteJoined(from dissemination.Peer) {
+func (m *mesh) recordComparison(from dissemination.Peer) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if from.Zone == m.self.Zone || len(m.peers().PeersInOwnZone()) == 0 {
-		m.join()
+	if from.Zone == m.self.Zone || len(m.peerDirectory().PeersInOwnZone()) == 0 {
+		m.markJoined()
 	}
 }
 
 // request is an empty comparison; the lock is held.
-func (m *mesh) request() *protocol.ExchangeRequest {
+func (m *mesh) newComparisonRequest() *protocol.ExchangeRequest {
 	return &protocol.ExchangeRequest{
-		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.known(),
+		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.current(),
 		Total: m.roster.BucketSums().Total(), Rollouts: m.rollouts.records(m.clock()), HarmfulSum: m.harmful.HarmfulSum(),
 		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
--- a/internal/hosted/connections.go
+++ b/internal/hosted/connections.go
@@ -15,57 +15,57 @@
 const (
 	// leastSilence is how long a connection that owes an answer may say nothing at least before
 	// a new one is tried beside it: longer than a busy daemon or store usually takes.
-	leastSilence = 200 * time.Millisecond
+	minSilence = 200 * time.Millisecond
 	// mostSilence is that bound however slow answers were lately: with it, what waits for a
 	// daemon's comparison still comes within the time in which a version has to be in force.
-	mostSilence = 700 * time.Millisecond
+	maxSilence = 700 * time.Millisecond
 )
 
 // lateAnswer is how much later than the answer over a new connection the one over the old may come
 // without that being taken for dead: a store that stood still answers both at once.
-const lateAnswer = 100 * time.Millisecond
+const oldConnectionGrace = 100 * time.Millisecond
 
 // silenceAfter is how long a connection may owe an answer where answers take as long as estimated.
-func silenceAfter(answers *roundtrip.Estimator) time.Duration {
-	return min(max(answers.Timeout(), leastSilence), mostSilence)
+func silenceTimeout(answers *roundtrip.Estimator) time.Duration {
+	return min(max(answers.Timeout(), minSilence), maxSilence)
 }
 
 // connections has the long-lived connections of a daemon made anew when one of them was found
 // dead. It may be used by several goroutines.
-type connections struct {
+type connectionRenewer struct {
 	events  eventLog
 	clock   func() time.Duration
 	context context.Context
 	running *sync.WaitGroup
-	eras    *eras
+	eras    *eraTracker
 	// renew has calls from now on made over new connections, renewStore those to the store only.
 	// They must not block.
-	renew      func()
-	renewStore func()
+	replaceConnections      func()
+	replaceStoreConnections func()
 
-	mutex   sync.Mutex
-	decider renewal.Scheduler
+	mutex     sync.Mutex
+	scheduler renewal.Scheduler
 	// epoch ends with the next renewal, by endEpoch.
 	epoch    context.Context
 	endEpoch func()
 }
 
 // start begins the first epoch.
-func (c *connections) start() { c.epoch, c.endEpoch = context.WithCancel(c.context) }
+func (c *connectionRenewer) start() { c.epoch, c.endEpoch = context.WithCancel(c.context) }
 
 // The places that connections lead to, in logs.
 const (
-	placeStore = "store"
-	placePeer  = "peer"
+	remoteStore = "store"
+	remotePeer  = "peer"
 )
 
 // dead takes that a connection to a place, opened at a time, was found dead.
-func (c *connections) dead(place string, opened time.Duration) {
+func (c *connectionRenewer) reportDead(place string, opened time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.clock()
-	c.events.event("connection_dead", field("to", place), field("age_ms", milliseconds(now-opened)))
-	wait, renew := c.decider.ReportDead(now, opened)
+	c.events.event("connection_dead", field("to", place), field("age_ms", formatMillis(now-opened)))
+	wait, renew := c.scheduler.ReportDead(now, opened)
 	if !renew || c.context.Err() != nil {
 		return
 	}
@@ -77,41 +77,41 @@
 }
 
 // renewAll makes all connections anew.
-func (c *connections) renewAll() {
-	c.renew()
+func (c *connectionRenewer) renewAll() {
+	c.replaceConnections()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.decider.MarkRenewed(c.clock())
+	c.scheduler.MarkRenewed(c.clock())
 	c.nextEpoch()
 	c.events.event("connections_renewed")
 }
 
 // watchMissed takes that a watch which has waited for a time did not tell of a change that others
 // know. The connections to the store are made anew.
-func (c *connections) watchMissed(waited time.Duration) {
-	c.renewStore()
+func (c *connectionRenewer) renewAfterMissedChange(waited time.Duration) {
+	c.replaceStoreConnections()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.nextEpoch()
-	c.events.event("watch_renewed", field("waited_ms", milliseconds(waited)))
+	c.events.event("watch_renewed", field("waited_ms", formatMillis(waited)))
 }
 
 // rewatch has all watches made again, over the connections that are there.
-func (c *connections) rewatch() {
+func (c *connectionRenewer) restartWatches() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.nextEpoch()
 }
 
 // nextEpoch ends the waits of watches, so that they are made again; the lock is held.
-func (c *connections) nextEpoch() {
+func (c *connectionRenewer) nextEpoch() {
 	c.endEpoch()
 	c.epoch, c.endEpoch = context.WithCancel(c.context)
 }
 
 // untilRenewed is a context that ends with the next renewal too. renewed tells, once it has ended,
 // whether by that.
-func (c *connections) untilRenewed(parent context.Context) (ctx context.Context, renewed func() bool, cancel func()) {
+func (c *connectionRenewer) contextUntilRenewal(parent context.Context) (ctx context.Context, renewed func() bool, cancel func()) {
 	c.mutex.Lock()
 	epoch := c.epoch
 	c.mutex.Unlock()
@@ -127,12 +127,12 @@
 // watched makes a watch from a position that waits for a time at most, and makes it again over a new
 // connection whenever connections are renewed meanwhile. It fails, with nothing asked, once the era of
 // the position has ended.
-func watched[Answer any](
-	c *connections, parent context.Context, from authority.Position, bound time.Duration, watch func(context.Context) (Answer, error),
+func watchAcrossRenewals[Answer any](
+	c *connectionRenewer, parent context.Context, from authority.Position, bound time.Duration, watch func(context.Context) (Answer, error),
 ) (answer Answer, err error) {
-	for !c.eras.lapsed(from) {
+	for !c.eras.hasEnded(from) {
 		bounded, cancel := context.WithTimeout(parent, bound)
-		ctx, renewed, end := c.untilRenewed(bounded)
+		ctx, renewed, end := c.contextUntilRenewal(bounded)
 		answer, err = watch(ctx)
 		again := renewed()
 		end()
--- a/internal/hosted/contact.go
+++ b/internal/hosted/contact.go
@@ -19,36 +19,36 @@
 	contactPoll
 	// contactPeer is another daemon that called this one or answered it.
 	contactPeer
-	contactSources
+	contactSourceCount
 )
 
 // contactNames are the sources' names in logs and metrics.
-var contactNames = [contactSources]string{following.SourceStore, following.SourcePoll, following.SourcePeer}
+var contactSourceNames = [contactSourceCount]string{following.SourceStore, following.SourcePoll, following.SourcePeer}
 
 // contact keeps when each source was last heard. It may be used by several goroutines.
-type contact struct {
+type contactTimes struct {
 	clock func() time.Duration
 	// heardAt is on the clock, in nanoseconds; 0 for never.
-	heardAt [contactSources]atomic.Int64
+	contactedAt [contactSourceCount]atomic.Int64
 }
 
-func newContact(clock func() time.Duration) *contact { return &contact{clock: clock} }
+func newContactTimes(clock func() time.Duration) *contactTimes { return &contactTimes{clock: clock} }
 
-func (c *contact) note(source contactSource) { c.heardAt[source].Store(int64(c.clock())) }
+func (c *contactTimes) record(source contactSource) { c.contactedAt[source].Store(int64(c.clock())) }
 
 // age is how long ago a source was heard; false if it never was.
-func (c *contact) age(source contactSource) (age time.Duration, ever bool) {
-	heard := time.Duration(c.heardAt[source].Load())
+func (c *contactTimes) age(source contactSource) (age time.Duration, ever bool) {
+	heard := time.Duration(c.contactedAt[source].Load())
 	return c.clock() - heard, heard != 0
 }
 
 // fields tell for each source how long ago it was heard.
-func (c *contact) fields() []proxy.EventField {
-	fields := make([]proxy.EventField, 0, contactSources)
-	for source, name := range contactNames {
+func (c *contactTimes) ageFields() []proxy.EventField {
+	fields := make([]proxy.EventField, 0, contactSourceCount)
+	for source, name := range contactSourceNames {
 		text := "never"
 		if age, ever := c.age(contactSource(source)); ever {
-			text = milliseconds(age)
+			text = formatMillis(age)
 		}
 		fields = append(fields, proxy.EventField{Key: name + "_heard_ms", Value: text})
 	}
--- a/internal/hosted/daemon.go
+++ b/internal/hosted/daemon.go
@@ -37,16 +37,16 @@
 	incarnation protocol.Incarnation
 	storeCalls  storeCalls
 	// eras keeps the era of the store.
-	eras eras
+	eras eraTracker
 	// contact keeps when the store and peers were last heard.
-	contact *contact
+	contacts *contactTimes
 	// roundTrips estimates how long peers take to answer.
 	roundTrips roundtrip.Estimator
 
-	path          *proxy.Proxy
-	configuration *configuration
+	dataPath      *proxy.Proxy
+	configuration *configurationFollower
 	mesh          *mesh
-	backend       *backendSide
+	backend       *backendMonitor
 	decider       *rolloutDecider
 	evacuations   *evacuationReader
 
@@ -69,18 +69,18 @@
 		context:     ctx,
 		cancel:      cancel,
 	}
-	made.contact = newContact(made.clock)
+	made.contacts = newContactTimes(made.clock)
 	made.events = newEventLog(options.Logger, checked.Node.ID, made.clock)
 	made.requests = newRequestLog(made.events)
 	made.eras.events, made.eras.clock = made.events, made.clock
-	made.provide()
+	made.registerParts()
 	return made
 }
 
 // Start opens the addresses and begins to run. After an error nothing is left
 // running.
 func (d *Daemon) Start() error {
-	if err := d.assemble(); err != nil {
+	if err := d.buildParts(); err != nil {
 		_ = d.shutdown() // the first failure is the one to report
 		return errors.Trace(err)
 	}
@@ -89,14 +89,14 @@
 	d.backend.start()
 	d.decider.start()
 	d.evacuations.start()
-	go d.summarize(d.context)
+	go d.logSummaries(d.context)
 	d.events.event("daemon_started", field("callers", d.settings.Listen.Callers),
 		field("gate", d.settings.Listen.Gate), field("control", d.settings.Listen.Control))
 	return nil
 }
 
 // newPath makes the data path.
-func (d *Daemon) newPath(do.Injector) (*pathPart, error) {
+func (d *Daemon) newDataPath(do.Injector) (*pathPart, error) {
 	edge := d.options.Platform.Edge
 	edge.Service = d.settings.Backend.Service
 	return &pathPart{proxy.New(proxy.Config{
@@ -108,22 +108,22 @@
 		Service:              serviceRef(d.settings.Backend.Service),
 		BackendAddress:       d.settings.Backend.Address,
 		Slots:                1,
-		Limits:               pathLimits(d.settings.Drain.Grace()),
+		Limits:               proxyLimits(d.settings.Drain.Grace()),
 		RandomSeed:           0,
 		Reported:             true,
 		Edge:                 &edge,
-		RetryBudget:          d.retryBudget,
-		Spill:                stayNear,
+		RetryBudget:          d.retryLimits,
+		Spill:                spilloverLimits,
 		OnBackendUnreachable: d.reportUnreachable,
 		OnBackendFailed:      d.reportFailed,
 		OnSilent:             d.verifyPeer,
-		OnHarmful:            d.tellHarmful,
-		OnHeld:               d.keepHeld,
+		OnHarmful:            d.announceHarmful,
+		OnHeld:               d.storeHeldRequest,
 		RoundTrip:            d.roundTrips.Timeout,
 		WarmUp:               warmup.Tolerance(d.settings.WarmUp),
-		Log:                  d.logPath,
+		Log:                  d.logDataPathEvent,
 		Trace:                d.requests,
-		Freshness:            func() []proxy.EventField { return d.configuration.freshness() },
+		Freshness:            func() []proxy.EventField { return d.configuration.freshnessFields() },
 		Timings: proxy.Timings{
 			Caller:  d.timings.Caller.Seconds,
 			Turn:    d.timings.Turn.Seconds,
@@ -134,22 +134,22 @@
 }
 
 // verifyPeer asks whether a daemon whose gate is silent is there.
-func (d *Daemon) verifyPeer(node protocol.NodeID) { d.mesh.verify(node) }
+func (d *Daemon) verifyPeer(node protocol.NodeID) { d.mesh.verifyReachable(node) }
 
 // tellHarmful has other daemons told of requests that may be harmful.
-func (d *Daemon) tellHarmful(urgent bool) { d.mesh.tellHarmful(urgent) }
+func (d *Daemon) announceHarmful(urgent bool) { d.mesh.scheduleHarmfulBroadcast(urgent) }
 
 // keepHeld leaves a held request in the store.
-func (d *Daemon) keepHeld(record quarantine.Record) { d.mesh.keepHeld(record) }
+func (d *Daemon) storeHeldRequest(record quarantine.Record) { d.mesh.storeHeldRequest(record) }
 
-func (d *Daemon) reportUnreachable(start protocol.BackendStart) { d.backend.unreachable(start) }
+func (d *Daemon) reportUnreachable(start protocol.BackendStart) { d.backend.markUnreachable(start) }
 
 func (d *Daemon) reportFailed(start protocol.BackendStart, answered uint64) {
-	d.backend.failed(start, answered)
+	d.backend.recordFailure(start, answered)
 }
 
-func (d *Daemon) logPath(event proxy.Event) {
-	d.events.event(event.Name, pathFields(event)...)
+func (d *Daemon) logDataPathEvent(event proxy.Event) {
+	d.events.event(event.Name, dataPathFields(event)...)
 }
 
 // Ready reports whether callers may be sent here.
@@ -159,7 +159,9 @@
 
 // knowsPeersAndOrders reports whether the daemon has heard of its peers and of the zones that are
 // to be empty, or waited for them. The back end beside it gets no calls before.
-func (d *Daemon) knowsPeersAndOrders() bool { return d.mesh.joined() && d.evacuations.informed() }
+func (d *Daemon) knowsPeersAndOrders() bool {
+	return d.mesh.isJoined() && d.evacuations.isOrderWaitOver()
+}
 
 // Stop drains and ends the daemon. It returns within the platform's grace, or
 // soon after ctx ends.
@@ -167,21 +169,21 @@
 	began := d.clock()
 	d.draining.Store(true)
 	d.events.event("drain_started")
-	d.path.StartDrain()
-	d.backend.stop()
-	announcing := time.AfterFunc(lingerOf(d.settings.Drain.Grace())-announceAhead, d.mesh.announceStop)
+	d.dataPath.StartDrain()
+	d.backend.markStopping()
+	announcing := time.AfterFunc(drainLinger(d.settings.Drain.Grace())-stopAnnounceLead, d.mesh.announceStop)
 	defer announcing.Stop()
 	select {
-	case <-d.path.Drained():
+	case <-d.dataPath.Drained():
 	case <-ctx.Done():
 	}
-	d.mesh.leave(ctx)
-	if d.backend.leaving() {
+	d.mesh.announceLeave(ctx)
+	if d.backend.isDraining() {
 		d.mesh.unregister(ctx)
 	}
 	d.cancel()
 	err := d.shutdown()
-	d.events.event("daemon_stopped", field("took_ms", milliseconds(d.clock()-began)))
+	d.events.event("daemon_stopped", field("took_ms", formatMillis(d.clock()-began)))
 	return errors.Trace(err)
 }
 
@@ -190,7 +192,7 @@
 	d.cancel()
 	report := d.injector.Shutdown()
 	if d.configuration != nil {
-		d.configuration.stop()
+		d.configuration.wait()
 	}
 	if d.options.Platform.Close != nil {
 		d.options.Platform.Close()
@@ -206,7 +208,7 @@
 	return resource.ServiceRef{Partner: authority.Owner, Name: name}
 }
 
-func milliseconds(duration time.Duration) string {
+func formatMillis(duration time.Duration) string {
 	return strconv.FormatInt(duration.Milliseconds(), 10)
 }
 
--- a/internal/hosted/eras_test.go
+++ b/internal/hosted/eras_test.go
@@ -19,24 +19,24 @@
 	check := is.New(t)
 	var lines bytes.Buffer
 	clock := func() time.Duration { return time.Minute }
-	held := &eras{events: newEventLog(logging.NewTo(&lines, log.InfoLevel), "m", clock), clock: clock}
+	held := &eraTracker{events: newEventLog(logging.NewTo(&lines, log.InfoLevel), "m", clock), clock: clock}
 	var risen []uint64
-	held.risen = []func(uint64){func(era uint64) { risen = append(risen, era) }}
+	held.onRise = []func(uint64){func(era uint64) { risen = append(risen, era) }}
 	unreadable := result.New(result.FileBadValue, "Store-Era")
-	held.answered(0, unreadable)
-	held.answered(0, unreadable)
-	check.Equal(held.place(authority.Position{Revision: 7}), authority.Position{Revision: 7})
-	held.answered(3, nil) // the first that is known
+	held.recordAnswer(0, unreadable)
+	held.recordAnswer(0, unreadable)
+	check.Equal(held.withEra(authority.Position{Revision: 7}), authority.Position{Revision: 7})
+	held.recordAnswer(3, nil) // the first that is known
 	check.Equal(len(risen), 0)
-	held.answered(0, unreadable)
-	check.Equal(held.place(authority.Position{Revision: 7}), authority.Position{Era: 3, Revision: 7})
-	held.heard(4, "peer")
-	held.answered(3, nil) // late
-	held.heard(0, "peer that has heard of none")
+	held.recordAnswer(0, unreadable)
+	check.Equal(held.withEra(authority.Position{Revision: 7}), authority.Position{Era: 3, Revision: 7})
+	held.observe(4, "peer")
+	held.recordAnswer(3, nil) // late
+	held.observe(0, "peer that has heard of none")
 	check.Equal(risen, []uint64{4})
-	check.Equal(held.known(), uint64(4))
-	check.True(held.lapsed(authority.Position{Era: 3, Revision: 900}))
-	check.Equal(held.faultCount(), uint64(3))
+	check.Equal(held.current(), uint64(4))
+	check.True(held.hasEnded(authority.Position{Era: 3, Revision: 900}))
+	check.Equal(held.unreadableCount(), uint64(3))
 	check.Equal(strings.Count(lines.String(), "event=store_era_untold"), 1)
 	check.Equal(strings.Count(lines.String(), "event=store_era_changed"), 1)
 }
--- a/internal/hosted/evacuationreader.go
+++ b/internal/hosted/evacuationreader.go
@@ -17,14 +17,14 @@
 // longestOrderWait is how long a start waits at most for the orders before the daemon calls
 // itself ready without, however long the bound is: while the store is down nobody can tell it,
 // and callers wait.
-const longestOrderWait = 5 * time.Second
+const maxStartOrderWait = 5 * time.Second
 
 // evacuationReader reads the operator's orders to empty zones from the store: as one of the
 // few that watch them, and itself when nobody seems to have read them lately. Each reading
 // is told to all daemons, which then need not read.
 type evacuationReader struct {
 	mesh     *mesh
-	port     authority.Evacuations
+	store    authority.Evacuations
 	timing   evacuation.Timing
 	follower *orderFollower
 
@@ -34,13 +34,13 @@
 }
 
 func newEvacuationReader(mesh *mesh, port authority.Evacuations, within time.Duration) *evacuationReader {
-	made := &evacuationReader{mesh: mesh, port: port, timing: evacuation.Timing{Within: within}}
+	made := &evacuationReader{mesh: mesh, store: port, timing: evacuation.Timing{Within: within}}
 	if port == nil {
 		made.timing.Within = 0
 	}
 	made.follower = &orderFollower{
-		mesh: mesh, purpose: evacuationPurpose, count: evacuation.WatcherCount, list: made.list, watch: made.watch,
-		known: func() bool { return false }, // whoever is due reads before there are followers
+		mesh: mesh, purpose: evacuationPurpose, followerCount: evacuation.WatcherCount, list: made.listBeforeWatch, watch: made.watchAndRead,
+		hasOrders: func() bool { return false }, // whoever is due reads before there are followers
 	}
 	mesh.evacuationTiming = made.timing
 	return made
@@ -51,7 +51,7 @@
 	if r.timing.Within == 0 {
 		return
 	}
-	for _, loop := range []func(){r.follower.follow, r.keepFresh} {
+	for _, loop := range []func(){r.follower.run, r.refreshOrders} {
 		r.mesh.running.Add(1)
 		go func() {
 			defer r.mesh.running.Done()
@@ -63,26 +63,26 @@
 // informed tells whether the daemon knows the orders, or has waited for them as long as an
 // order may take to be in force, longestOrderWait at most: it can't know them where neither the
 // store nor a peer answers, and is needed all the same.
-func (r *evacuationReader) informed() bool {
+func (r *evacuationReader) isOrderWaitOver() bool {
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.evacuations.IsKnown() || m.clock() >= min(r.timing.Within, longestOrderWait)
+	return m.evacuations.IsKnown() || m.clock() >= min(r.timing.Within, maxStartOrderWait)
 }
 
 // keepFresh reads the orders whenever the newest reading known is too old, and asks a peer
 // where the store does not answer.
-func (r *evacuationReader) keepFresh() {
+func (r *evacuationReader) refreshOrders() {
 	failures := 0
 	for {
-		inARow, running := r.awaitDue(randomNumber())
+		inARow, running := r.awaitRefreshDue(randomNumber())
 		if !running {
 			return
 		}
-		if failures = r.readOnce(failures, inARow); failures == 0 {
+		if failures = r.readCountingFailures(failures, inARow); failures == 0 {
 			continue
 		}
-		r.askPeer()
+		r.compareWithRandomPeer()
 		if !pause.For(r.mesh.context, r.timing.RetryDelay(r.follower.rank(), failures)) {
 			return
 		}
@@ -91,9 +91,9 @@
 
 // awaitDue waits until the newest reading known is too old. It tells whether that was so at
 // once, with no news of a reading since the last try, and whether the daemon still runs.
-func (r *evacuationReader) awaitDue(random uint64) (atOnce, running bool) {
+func (r *evacuationReader) awaitRefreshDue(random uint64) (atOnce, running bool) {
 	for atOnce = true; ; atOnce = false {
-		wait := r.untilDue(random)
+		wait := r.timeUntilRefresh(random)
 		if wait <= 0 {
 			return atOnce, r.mesh.context.Err() == nil
 		}
@@ -105,8 +105,8 @@
 
 // readOnce reads the orders and returns how many readings in a row have failed by then. Failures
 // from before a peer told of a reading make no wait longer: the store has answered since.
-func (r *evacuationReader) readOnce(failures int, inARow bool) int {
-	_, err := r.read()
+func (r *evacuationReader) readCountingFailures(failures int, inARow bool) int {
+	_, err := r.readAndShare()
 	switch {
 	case err == nil:
 		return 0
@@ -116,7 +116,7 @@
 	return 1
 }
 
-func (r *evacuationReader) untilDue(random uint64) time.Duration {
+func (r *evacuationReader) timeUntilRefresh(random uint64) time.Duration {
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -125,27 +125,27 @@
 }
 
 // askPeer compares with a peer drawn at random: the store may answer others.
-func (r *evacuationReader) askPeer() {
+func (r *evacuationReader) compareWithRandomPeer() {
 	m := r.mesh
 	m.mutex.Lock()
-	drawn := drawn(m.peers().All(), 1)
+	drawn := samplePeers(m.peerDirectory().All(), 1)
 	m.mutex.Unlock()
 	for _, peer := range drawn {
-		m.compare(peer)
+		m.compareWith(peer)
 	}
 }
 
 // list is the first reading of a follower, after which it watches. Where the store has never
 // held an order there is nothing to watch, and keepFresh reads often enough.
-func (r *evacuationReader) list() (authority.Position, error) {
-	if r.knowsOfNone() {
+func (r *evacuationReader) listBeforeWatch() (authority.Position, error) {
+	if r.hasFreshEmptyReading() {
 		return authority.Position{}, nil
 	}
-	return r.read()
+	return r.readAndShare()
 }
 
 // knowsOfNone tells whether a reading that is not due yet has shown no position.
-func (r *evacuationReader) knowsOfNone() bool {
+func (r *evacuationReader) hasFreshEmptyReading() bool {
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -154,9 +154,9 @@
 
 // read reads all orders, puts them in force and tells all daemons. It returns the position
 // after them.
-func (r *evacuationReader) read() (authority.Position, error) {
+func (r *evacuationReader) readAndShare() (authority.Position, error) {
 	m := r.mesh
-	began, known := m.clock(), r.position()
+	began, known := m.clock(), r.knownPosition()
 	orders, faults, err := r.listOrders()
 	if err != nil {
 		return authority.Position{}, err
@@ -164,12 +164,12 @@
 	if orders.At.Before(known) {
 		return authority.Position{}, result.New(result.PlatformUnknown, "the store shows position %s after %s", orders.At, known)
 	}
-	r.noteFaults(faults)
+	r.logNewFaults(faults)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	orders = r.withLost(orders)
+	orders = r.withLostOrders(orders)
 	m.mergeEvacuations(began, sourceStore, evacuation.SharedOrders{Orders: orders, Known: true})
-	m.spreadOrders()
+	m.broadcastOrders()
 	return orders.At, nil
 }
 
@@ -178,8 +178,8 @@
 const lostOrderGrace = 5 * time.Second
 
 // withLost adds to orders those that the store may have lost; the mesh's lock is held.
-func (r *evacuationReader) withLost(orders evacuation.Orders) evacuation.Orders {
-	since, risen := r.mesh.eras.sinceRise()
+func (r *evacuationReader) withLostOrders(orders evacuation.Orders) evacuation.Orders {
+	since, risen := r.mesh.eras.timeSinceRise()
 	if !risen || since > lostOrderGrace {
 		return orders
 	}
@@ -193,17 +193,17 @@
 		faults map[string]error
 	}
 	m := r.mesh
-	bound := min(readTimeout, r.timing.Within/2)
+	bound := min(storeReadTimeout, r.timing.Within/2)
 	listed, err := readStore(m.reads, m.context, purposeEvacuation, bound, func(ctx context.Context) (listing, error) {
-		orders, faults, err := r.port.List(ctx)
-		orders.At = m.eras.place(orders.At)
+		orders, faults, err := r.store.List(ctx)
+		orders.At = m.eras.withEra(orders.At)
 		return listing{orders, faults}, err
 	})
 	return listed.orders, listed.faults, err
 }
 
 // position is the store's position of the orders that are known.
-func (r *evacuationReader) position() authority.Position {
+func (r *evacuationReader) knownPosition() authority.Position {
 	r.mesh.mutex.Lock()
 	defer r.mesh.mutex.Unlock()
 	return r.mesh.evacuations.Orders().At
@@ -211,30 +211,30 @@
 
 // watch waits for a change after a position and reads all orders when there is one: the
 // orders are taken whole or not at all.
-func (r *evacuationReader) watch(from authority.Position) (authority.Position, error) {
+func (r *evacuationReader) watchAndRead(from authority.Position) (authority.Position, error) {
 	type change struct {
 		changed bool
 		at      authority.Position
 	}
 	m := r.mesh
-	news, err := watched(m.connections, m.context, from, orderWatchWait+watchMargin, func(ctx context.Context) (change, error) {
-		changed, at, err := r.port.Watch(ctx, from, orderWatchWait)
-		m.calls.noteError(purposeEvacuation, err)
-		return change{changed, m.eras.place(at)}, err
+	news, err := watchAcrossRenewals(m.connections, m.context, from, orderWatchWait+watchTimeoutMargin, func(ctx context.Context) (change, error) {
+		changed, at, err := r.store.Watch(ctx, from, orderWatchWait)
+		m.storeCalls.recordError(purposeEvacuation, err)
+		return change{changed, m.eras.withEra(at)}, err
 	})
 	if err != nil || !news.changed {
 		return news.at, err
 	}
-	return r.read()
+	return r.readAndShare()
 }
 
 // noteFaults writes a line for each order that is newly found not to be as it should.
-func (r *evacuationReader) noteFaults(faults map[string]error) {
+func (r *evacuationReader) logNewFaults(faults map[string]error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for zone, fault := range faults {
 		if r.faults[zone] == nil {
-			r.mesh.logBadEvacuation(zone, fault)
+			r.mesh.logFaultyEvacuation(zone, fault)
 		}
 	}
 	r.faults = faults
@@ -242,14 +242,14 @@
 
 // fault is what is wrong with the order for a zone, as far as this daemon has read it; nil
 // for nothing.
-func (r *evacuationReader) fault(zone evacuatedZone) error {
+func (r *evacuationReader) orderFault(zone evacuatedZone) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if fault := r.faults[zone.zone]; fault != nil {
 		return fault
 	}
 	if zone.daemons == 0 {
-		return unknownZone(zone.zone)
+		return unknownZoneError(zone.zone)
 	}
 	return nil
 }
--- a/internal/hosted/evacuations.go
+++ b/internal/hosted/evacuations.go
@@ -16,7 +16,7 @@
 const sourceStore = "store"
 
 // evacuated tells whether the daemon's own zone is to be empty.
-func (m *mesh) evacuated() bool {
+func (m *mesh) isOwnZoneEvacuated() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.evacuations.Orders().Evacuates(m.self.Zone)
@@ -24,7 +24,7 @@
 
 // takeEvacuations takes a peer's word of orders. Its age counts from a time: that at which it
 // came, or at which it was asked for, so that no reading looks newer than it is.
-func (m *mesh) takeEvacuations(at time.Duration, source string, word evacuation.SharedOrders) {
+func (m *mesh) handleEvacuations(at time.Duration, source string, word evacuation.SharedOrders) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.mergeEvacuations(at, source, word)
@@ -41,12 +41,12 @@
 		return
 	}
 	m.publishAll()
-	m.zoneChanged()
+	m.onZoneChange()
 	made, withdrawn := lo.Difference(word.Orders.AllZones(), before.AllZones())
 	for _, zone := range made {
 		m.events.event("evacuation_heard", m.evacuationFields(zone, source)...)
-		if m.joined() && m.daemonsIn(zone) == 0 {
-			m.logBadEvacuation(zone, unknownZone(zone))
+		if m.isJoined() && m.countDaemons(zone) == 0 {
+			m.logFaultyEvacuation(zone, unknownZoneError(zone))
 		}
 	}
 	for _, zone := range withdrawn {
@@ -59,23 +59,23 @@
 	return []eventField{
 		field("zone", zone), field("source", source),
 		field("position", m.evacuations.Orders().At.String()),
-		field("daemons", strconv.Itoa(m.daemonsIn(zone))),
+		field("daemons", strconv.Itoa(m.countDaemons(zone))),
 	}
 }
 
 // logBadEvacuation writes a line for an order that is not as it should be.
-func (m *mesh) logBadEvacuation(zone string, fault error) {
+func (m *mesh) logFaultyEvacuation(zone string, fault error) {
 	m.events.event("evacuation_faulty", field("zone", zone),
-		field("code", codeText(codeOf(fault))), field("error", fault.Error()))
+		field("code", formatCode(codeOf(fault))), field("error", fault.Error()))
 }
 
 // unknownZone is the fault of an order that names a zone without daemons.
-func unknownZone(zone string) error {
+func unknownZoneError(zone string) error {
 	return result.New(result.FileBadReference, "evacuations/%s: no daemon is in that zone", strings.ToValidUTF8(zone, "?"))
 }
 
 // daemonsIn counts the daemons of a zone that have not left; the lock is held.
-func (m *mesh) daemonsIn(zone string) (count int) {
+func (m *mesh) countDaemons(zone string) (count int) {
 	m.roster.Each(func(member protocol.Member) {
 		if member.Zone == zone && member.State != protocol.MemberLeft {
 			count++
@@ -95,7 +95,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for _, zone := range m.evacuations.Orders().AllZones() {
-		zones = append(zones, evacuatedZone{zone: zone, daemons: m.daemonsIn(zone)})
+		zones = append(zones, evacuatedZone{zone: zone, daemons: m.countDaemons(zone)})
 	}
 	return zones, m.evacuations.ReadingAge(m.clock())
 }
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -17,13 +17,13 @@
 // however much goes wrong.
 const (
 	// beliefsPerSecond bounds lines on what the daemon believes.
-	beliefsPerSecond = 50
-	beliefsBurst     = 400
+	eventLogsPerSecond = 50
+	eventLogBurst      = 400
 	// requestsPerSecond bounds lines on single requests.
-	requestsPerSecond = 40
-	requestsBurst     = 200
+	requestLogsPerSecond = 40
+	requestLogBurst      = 200
 	// summaryPeriod is the time between two summaries.
-	summaryPeriod = 10 * time.Second
+	summaryInterval = 10 * time.Second
 )
 
 // eventField is one key and value of an event.
@@ -45,7 +45,7 @@
 func newEventLog(logger log.Interface, node string, clock func() time.Duration) eventLog {
 	return eventLog{
 		logger: logger, node: node, clock: clock,
-		rate: logging.NewRate(beliefsPerSecond, beliefsBurst),
+		rate: logging.NewRate(eventLogsPerSecond, eventLogBurst),
 	}
 }
 
@@ -72,7 +72,7 @@
 }
 
 func newRequestLog(events eventLog) *requestLog {
-	return &requestLog{events: events, rate: logging.NewRate(requestsPerSecond, requestsBurst)}
+	return &requestLog{events: events, rate: logging.NewRate(requestLogsPerSecond, requestLogBurst)}
 }
 
 // Wants implements proxy.Trace.
@@ -82,11 +82,11 @@
 
 // Write implements proxy.Trace.
 func (r *requestLog) Write(event proxy.Event) {
-	r.events.write(event.Name, pathFields(event))
+	r.events.write(event.Name, dataPathFields(event))
 }
 
 // pathFields are the fields of an event of the data path.
-func pathFields(event proxy.Event) []eventField {
+func dataPathFields(event proxy.Event) []eventField {
 	fields := make([]eventField, 0, len(event.Fields))
 	for _, one := range event.Fields {
 		fields = append(fields, field(one.Key, one.Value))
@@ -96,28 +96,28 @@
 
 // summarize writes what ordinary requests came to, which allowed regions are not known and
 // how many lines were dropped, until the context ends.
-func (d *Daemon) summarize(ctx context.Context) {
+func (d *Daemon) logSummaries(ctx context.Context) {
 	var last proxy.Counters
 	var regions regionCheck
 	dropped := uint64(0)
-	for pause.For(ctx, summaryPeriod) {
-		now := d.path.Counters()
+	for pause.For(ctx, summaryInterval) {
+		now := d.dataPath.Counters()
 		if now.CallerCalls != last.CallerCalls || now.GateCalls != last.GateCalls {
 			d.events.event("requests_summary",
-				field("callers", count(now.CallerCalls-last.CallerCalls)),
-				field("gate", count(now.GateCalls-last.GateCalls)),
-				field("attempts", count(now.Attempts-last.Attempts)),
-				field("retries", count(now.Retries-last.Retries)),
-				field("cut", count(now.Aborted-last.Aborted)),
+				field("callers", formatCount(now.CallerCalls-last.CallerCalls)),
+				field("gate", formatCount(now.GateCalls-last.GateCalls)),
+				field("attempts", formatCount(now.Attempts-last.Attempts)),
+				field("retries", formatCount(now.Retries-last.Retries)),
+				field("cut", formatCount(now.Aborted-last.Aborted)),
 				field("running", strconv.Itoa(now.GateRunning)),
 				field("queued", strconv.Itoa(now.GateQueued)),
-				field("version", versionText(d.configuration.version())))
+				field("version", formatVersion(d.configuration.version())))
 		}
 		last = now
-		d.summarizeStoreCalls()
-		regions.look(d.configuration.built.Load(), d.mesh.regions(), d.events)
+		d.logStoreSummary()
+		regions.logUnknownRegions(d.configuration.currentSnapshot.Load(), d.mesh.knownRegions(), d.events)
 		if total := d.linesDropped(); total != dropped {
-			d.events.event("log_lines_dropped", field("lines", count(total-dropped)))
+			d.events.event("log_lines_dropped", field("lines", formatCount(total-dropped)))
 			dropped = total
 		}
 	}
@@ -125,7 +125,7 @@
 
 // summarizeStoreCalls writes how many calls to the store were made since the start,
 // by their purpose.
-func (d *Daemon) summarizeStoreCalls() {
+func (d *Daemon) logStoreSummary() {
 	totals := map[storePurpose]uint64{}
 	failed := uint64(0)
 	for call, made := range d.storeCalls.snapshot() {
@@ -134,9 +134,9 @@
 			failed += made
 		}
 	}
-	fields := []eventField{field("failed", count(failed))}
+	fields := []eventField{field("failed", formatCount(failed))}
 	for _, purpose := range storePurposes {
-		fields = append(fields, field(string(purpose), count(totals[purpose])))
+		fields = append(fields, field(string(purpose), formatCount(totals[purpose])))
 	}
 	d.events.event("store_summary", fields...)
 }
@@ -150,4 +150,4 @@
 	return total
 }
 
-func count(value uint64) string { return strconv.FormatUint(value, 10) }
+func formatCount(value uint64) string { return strconv.FormatUint(value, 10) }
--- a/internal/hosted/hosted_test.go
+++ b/internal/hosted/hosted_test.go
@@ -53,63 +53,63 @@
 }
 
 // follower is a configuration with what it did.
-type follower struct {
-	*configuration
-	swapped []protocol.Version
+type testConfiguration struct {
+	*configurationFollower
+	appliedVersions []protocol.Version
 	// announced tells of each announcement whether the version was polled.
-	announced []bool
-	log       bytes.Buffer
+	announcedAsPolled []bool
+	log               bytes.Buffer
 }
 
-func newFollower() *follower {
-	made := &follower{}
+func newTestConfiguration() *testConfiguration {
+	made := &testConfiguration{}
 	clock := func() time.Duration { return time.Minute }
-	made.configuration = &configuration{
-		source: scriptedSource{}, clock: clock, calls: &storeCalls{}, contact: newContact(clock),
-		events:   newEventLog(logging.NewTo(&made.log, log.InfoLevel), "n", clock),
-		swap:     func(built *snapshot.Snapshot) { made.swapped = append(made.swapped, built.Version) },
-		limit:    func(authority.RequestLimits) {},
-		announce: func(polled bool) { made.announced = append(made.announced, polled) },
-		follower: following.New(following.DefaultConfig(), func() uint64 { return 0 }),
+	made.configurationFollower = &configurationFollower{
+		source: scriptedSource{}, clock: clock, calls: &storeCalls{}, contacts: newContactTimes(clock),
+		events:          newEventLog(logging.NewTo(&made.log, log.InfoLevel), "n", clock),
+		applySnapshot:   func(built *snapshot.Snapshot) { made.appliedVersions = append(made.appliedVersions, built.Version) },
+		applyLimits:     func(authority.RequestLimits) {},
+		announceVersion: func(polled bool) { made.announcedAsPolled = append(made.announcedAsPolled, polled) },
+		follower:        following.New(following.DefaultConfig(), func() uint64 { return 0 }),
 	}
 	return made
 }
 
-func (f *follower) offer(version protocol.Version, body, source string) {
+func (f *testConfiguration) adoptDocument(version protocol.Version, body, source string) {
 	f.adopt(following.Action{Source: source, Document: authority.Document{Version: version, Body: []byte(body)}})
 }
 
-func TestAVersionThatCantBeUsedLeavesTheOneBefore(t *testing.T) {
+func TestUnusableVersionLeavesPreviousInForce(t *testing.T) {
 	check := is.New(t)
-	held := newFollower()
-	held.offer(3, "sound", following.SourceStore)
-	held.offer(5, "unreadable", following.SourceStore)
-	held.offer(6, "dangling", following.SourceStore)
+	held := newTestConfiguration()
+	held.adoptDocument(3, "sound", following.SourceStore)
+	held.adoptDocument(5, "unreadable", following.SourceStore)
+	held.adoptDocument(6, "dangling", following.SourceStore)
 	check.Equal(held.version(), protocol.Version(3))
-	check.Equal(held.swapped, []protocol.Version{3})
+	check.Equal(held.appliedVersions, []protocol.Version{3})
 	check.Equal(strings.Count(held.log.String(), "event=configuration_refused"), 2)
 	check.True(strings.Contains(held.log.String(), "routes.timeout_ms")) // the field is named
-	held.offer(7, "sound", following.SourceStore)
+	held.adoptDocument(7, "sound", following.SourceStore)
 	check.Equal(held.version(), protocol.Version(7))
 	check.Equal(held.healthPath(serviceRef("app")), "/health")
 	check.Equal(held.healthPath(serviceRef("other")), "")
 }
 
-func TestOnlyWhatWatchesMayHaveMissedIsAnnounced(t *testing.T) {
+func TestOnlyVersionsNotReadByWatchAreAnnounced(t *testing.T) {
 	check := is.New(t)
-	held := newFollower()
-	held.offer(3, "sound", following.SourceStore)
-	check.Equal(len(held.announced), 0)
-	held.offer(4, "sound", following.SourcePoll)
-	held.offer(5, "sound", following.SourcePeer)
-	check.Equal(held.announced, []bool{true, false})
+	held := newTestConfiguration()
+	held.adoptDocument(3, "sound", following.SourceStore)
+	check.Equal(len(held.announcedAsPolled), 0)
+	held.adoptDocument(4, "sound", following.SourcePoll)
+	held.adoptDocument(5, "sound", following.SourcePeer)
+	check.Equal(held.announcedAsPolled, []bool{true, false})
 }
 
-func TestDocumentsCrossWholeAndBounded(t *testing.T) {
+func TestPackedDocumentUnpacksWithinSizeLimit(t *testing.T) {
 	check := is.New(t)
-	held := newFollower()
+	held := newTestConfiguration()
 	check.Equal(held.packedDocument(0), protocol.DocumentReply{}) // nothing is held
-	held.offer(9, "sound", following.SourceStore)
+	held.adoptDocument(9, "sound", following.SourceStore)
 	check.Equal(held.packedDocument(9), protocol.DocumentReply{}) // the peer has it
 	packed := held.packedDocument(3)
 	unpacked, err := unpackDocument(packed, 1<<20)
@@ -117,7 +117,7 @@
 	check.Equal(unpacked, authority.Document{Version: 9, Body: []byte("sound")})
 	_, err = unpackDocument(packed, 3)
 	check.True(err != nil) // more than a document may hold
-	held.offer(10, "sound", following.SourceStore)
+	held.adoptDocument(10, "sound", following.SourceStore)
 	check.Equal(held.packedDocument(9).Version, protocol.Version(10)) // not what was packed before
 	packed.Compressed = packed.Compressed[:len(packed.Compressed)/2]
 	_, err = unpackDocument(packed, 1<<20)
@@ -125,8 +125,8 @@
 }
 
 // testReads makes calls to the store without a second try.
-func testReads() *storeReads {
-	return &storeReads{clock: func() time.Duration { return 0 }, running: &sync.WaitGroup{}, calls: &storeCalls{}}
+func testReads() *hedgedReads {
+	return &hedgedReads{clock: func() time.Duration { return 0 }, running: &sync.WaitGroup{}, calls: &storeCalls{}}
 }
 
 // newTestMesh is a mesh of one daemon that knows others, and calls nobody.
@@ -134,21 +134,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // no loop runs and nothing is sent
 	made := &mesh{
-		clock:      func() time.Duration { return 0 },
-		contact:    newContact(func() time.Duration { return 0 }),
-		reads:      testReads(),
-		eras:       &eras{clock: func() time.Duration { return 0 }},
-		publish:    func(proxy.MeshState) {},
-		harmful:    proxy.New(proxy.Config{Clock: func() time.Duration { return 0 }}),
-		rollouts:   newRolloutTable(0),
-		version:    func() protocol.Version { return 0 },
-		context:    ctx,
-		roster:     membership.NewRoster(),
-		lost:       map[protocol.NodeID]bool{},
-		verifying:  map[protocol.NodeID]bool{},
-		batch:      dissemination.NewBatch(batchPeriod),
-		roundTrips: &roundtrip.Estimator{},
-		self:       protocol.Member{ID: "m", Zone: zone, Incarnation: 5, Sequence: 1, State: protocol.MemberAlive},
+		clock:        func() time.Duration { return 0 },
+		contacts:     newContactTimes(func() time.Duration { return 0 }),
+		reads:        testReads(),
+		eras:         &eraTracker{clock: func() time.Duration { return 0 }},
+		publishState: func(proxy.MeshState) {},
+		harmful:      proxy.New(proxy.Config{Clock: func() time.Duration { return 0 }}),
+		rollouts:     newRolloutTable(0),
+		version:      func() protocol.Version { return 0 },
+		context:      ctx,
+		roster:       membership.NewRoster(),
+		lostPeers:    map[protocol.NodeID]bool{},
+		verifying:    map[protocol.NodeID]bool{},
+		batch:        dissemination.NewBatch(minBroadcastInterval),
+		roundTrips:   &roundtrip.Estimator{},
+		self:         protocol.Member{ID: "m", Zone: zone, Incarnation: 5, Sequence: 1, State: protocol.MemberAlive},
 	}
 	made.roster.Merge(0, made.self, membership.SourceSubtree)
 	for _, other := range others {
@@ -157,61 +157,61 @@
 	return made
 }
 
-func member(id protocol.NodeID, zone string) protocol.Member {
+func aliveMember(id protocol.NodeID, zone string) protocol.Member {
 	return protocol.Member{ID: id, Zone: zone, Incarnation: 1, Sequence: 1, State: protocol.MemberAlive}
 }
 
-func TestThePollersOfAZoneAreItsFirstThatAnswer(t *testing.T) {
+func TestPollersAreFirstAnsweringDaemonsOfZone(t *testing.T) {
 	check := is.New(t)
 	polls := func(held *mesh) bool {
-		role, _ := held.pollRole()
+		role, _ := held.currentPollRole()
 		return role == polling
 	}
 	check.True(polls(newTestMesh("z1"))) // alone
-	check.True(polls(newTestMesh("z1", member("a", "z1"), member("b", "z1"), member("c", "z1"))))
-	check.True(!polls(newTestMesh("z1", member("a", "z1"), member("b", "z1"), member("c", "z1"), member("d", "z1"))))
-	four := newTestMesh("z1", member("a", "z1"), member("b", "z2"), member("c", "z3"), member("d", "z4"))
+	check.True(polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"))))
+	check.True(!polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"), aliveMember("d", "z1"))))
+	four := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
 	check.True(!polls(four)) // one a zone, and that is a
-	four.lost["a"] = true
+	four.lostPeers["a"] = true
 	check.True(polls(four))
 }
 
-func TestAMeshOfManyZonesPollsTheStoreNoMoreOften(t *testing.T) {
+func TestPollRateIsIndependentOfZoneCount(t *testing.T) {
 	check := is.New(t)
 	var others []protocol.Member
 	for zone := range 8 {
-		others = append(others, member(protocol.NodeID(fmt.Sprint("n", zone)), fmt.Sprint("z", zone)))
+		others = append(others, aliveMember(protocol.NodeID(fmt.Sprint("n", zone)), fmt.Sprint("z", zone)))
 		held := newTestMesh("z0", others...)
-		pollers := max(pollersWanted, zone+1)
-		_, period := held.pollRole()
-		check.Equal(time.Duration(pollers)*pollPeriod/period, time.Duration(pollersWanted))
+		pollers := max(targetPollers, zone+1)
+		_, period := held.currentPollRole()
+		check.Equal(time.Duration(pollers)*pollInterval/period, time.Duration(targetPollers))
 	}
 }
 
-func TestADaemonDefendsItsRecordAgainstAnEarlierStart(t *testing.T) {
+func TestDaemonRefutesRecordOfEarlierStart(t *testing.T) {
 	check := is.New(t)
 	held := newTestMesh("z1")
 	earlier := held.self
 	earlier.Incarnation = 9 // its clock was ahead then
 	earlier.Endpoint = protocol.EndpointReady
-	held.takeCompared("z1", []protocol.Member{earlier})
+	held.mergeCompared("z1", []protocol.Member{earlier})
 	check.Equal(held.self.Incarnation, protocol.Incarnation(10))
 	known, _ := held.roster.Get("m")
 	check.Equal(known.Incarnation, protocol.Incarnation(10))
 }
 
-func TestAComparisonTellsOnlyWhatDiffers(t *testing.T) {
+func TestComparisonReturnsOnlyDifferences(t *testing.T) {
 	check := is.New(t)
-	held := newTestMesh("z1", member("a", "z1"), member("b", "z2"))
-	held.heardOf = func(protocol.NodeID, protocol.Version) {}
-	same := held.answerExchange(&protocol.ExchangeRequest{From: "x", Total: held.roster.BucketSums().Total()})
+	held := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"))
+	held.onPeerVersion = func(protocol.NodeID, protocol.Version) {}
+	same := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Total: held.roster.BucketSums().Total()})
 	check.Equal(len(same.Sums)+len(same.Members), 0)
-	differs := held.answerExchange(&protocol.ExchangeRequest{From: "x", Total: 1})
+	differs := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Total: 1})
 	check.Equal(len(differs.Sums), membership.BucketCount)
 	empty := membership.BucketSums{}
-	whole := held.answerExchange(&protocol.ExchangeRequest{From: "x", Sums: empty[:]})
+	whole := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Sums: empty[:]})
 	check.Equal(len(whole.Members), 3)
-	pushed := held.answerExchange(&protocol.ExchangeRequest{From: "x", Zone: "z1", Push: true, Total: 1, Members: []protocol.Member{member("c", "z1")}})
+	pushed := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Zone: "z1", Push: true, Total: 1, Members: []protocol.Member{aliveMember("c", "z1")}})
 	check.Equal(len(pushed.Sums)+len(pushed.Members), 0)
 	_, known := held.roster.Get("c")
 	check.True(known)
@@ -219,32 +219,32 @@
 	check.True(err != nil)
 }
 
-func TestDrawnPeersDiffer(t *testing.T) {
+func TestSamplePeersReturnsDistinctPeers(t *testing.T) {
 	check := is.New(t)
 	peers := []dissemination.Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	for range 50 {
-		two := drawn(peers, 2)
+		two := samplePeers(peers, 2)
 		check.Equal(len(two), 2)
 		check.True(two[0].ID != two[1].ID)
 	}
-	check.Equal(len(drawn(peers, 9)), 3)
-	check.Equal(len(drawn(nil, 2)), 0)
+	check.Equal(len(samplePeers(peers, 9)), 3)
+	check.Equal(len(samplePeers(nil, 2)), 0)
 }
 
-func TestAStopFitsIntoTheGrace(t *testing.T) {
+func TestStopFitsIntoGracePeriod(t *testing.T) {
 	check := is.New(t)
 	for _, grace := range []time.Duration{time.Second, 6 * time.Second, 30 * time.Second} {
-		check.True(lingerOf(grace) < drainBound(grace))
-		check.True(drainBound(grace) < grace)
+		check.True(drainLinger(grace) < drainTimeout(grace))
+		check.True(drainTimeout(grace) < grace)
 	}
-	check.True(drainBound(6*time.Second)+closeBound() < 6*time.Second)
+	check.True(drainTimeout(6*time.Second)+closeTimeout() < 6*time.Second)
 }
 
-func TestTheSlackOfRetriesIsDivided(t *testing.T) {
+func TestRetrySlackIsDividedAmongDaemons(t *testing.T) {
 	check := is.New(t)
 	daemon := &Daemon{settings: settings.Hosted{Retries: settings.HostedRetries{Ratio: 0.2, Slack: 64, WindowSeconds: 10}}}
 	for _, daemons := range []int{0, 1, 12, 74, 300, 1000} {
-		limits := daemon.retryBudget(daemons)
+		limits := daemon.retryLimits(daemons)
 		check.True(limits.Part*float64(daemons) <= 64)
 		check.True(limits.Ratio < 0.2)
 		budget := retry.NewBudgetWithLimits(limits)
@@ -255,24 +255,24 @@
 	}
 }
 
-func TestLinesOnRequestsAreBounded(t *testing.T) {
+func TestRequestLogIsRateLimited(t *testing.T) {
 	check := is.New(t)
 	var out bytes.Buffer
 	clock := func() time.Duration { return time.Second }
 	requests := newRequestLog(newEventLog(logging.NewTo(&out, log.InfoLevel), "n", clock))
 	written := 0
-	for range 10 * requestsBurst {
+	for range 10 * requestLogBurst {
 		if requests.Wants("request_refused") {
 			requests.Write(proxy.Event{Name: "request_refused", Fields: []proxy.EventField{{Key: "request", Value: "q"}}})
 			written++
 		}
 	}
-	check.Equal(written, requestsBurst)
+	check.Equal(written, requestLogBurst)
 	check.Equal(strings.Count(out.String(), "event=request_refused node=n request=q"), written)
-	check.Equal(requests.rate.Dropped(), uint64(9*requestsBurst))
+	check.Equal(requests.rate.Dropped(), uint64(9*requestLogBurst))
 }
 
-func TestAReloadSaysWhatItFound(t *testing.T) {
+func TestReloadLogsItsResult(t *testing.T) {
 	check := is.New(t)
 	var out bytes.Buffer
 	clock := func() time.Duration { return 0 }
@@ -289,21 +289,21 @@
 
 // A daemon is ready only once what it has heard of its peers is in force, also when another
 // publication has just been made.
-func TestADaemonThatIsReadyKnowsItsPeers(t *testing.T) {
+func TestPeersArePublishedBeforeDaemonIsReady(t *testing.T) {
 	check := is.New(t)
 	held := newTestMesh("z1")
 	now := time.Minute
 	held.clock = func() time.Duration { return now }
 	published := 0
-	held.publish = func(state proxy.MeshState) {
-		check.True(!held.joined())
+	held.publishState = func(state proxy.MeshState) {
+		check.True(!held.isJoined())
 		published = len(state.Members)
 	}
 	held.publishAll() // of its own record
-	held.takeCompared("z1", []protocol.Member{member("a", "z1"), member("b", "z1")})
+	held.mergeCompared("z1", []protocol.Member{aliveMember("a", "z1"), aliveMember("b", "z1")})
 	check.Equal(published, 1) // it waits for its time
-	held.noteJoined(dissemination.Peer{ID: "a", Zone: "z1"})
-	check.True(held.joined())
+	held.recordComparison(dissemination.Peer{ID: "a", Zone: "z1"})
+	check.True(held.isJoined())
 	check.Equal(published, 3)
-	held.noteJoined(dissemination.Peer{ID: "b", Zone: "z1"}) // nothing more
+	held.recordComparison(dissemination.Peer{ID: "b", Zone: "z1"}) // nothing more
 }
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -14,24 +14,24 @@
 	// the last, in which they are cut and connections closed.
 	graceParts = 6
 	// cutMargin is how far into the last part calls may still run.
-	cutMargin = 100 * time.Millisecond
+	drainMargin = 100 * time.Millisecond
 	// lingerLimit is the longest time that callers are served after the daemon
 	// has called itself not ready: until whoever asks for that has asked twice.
-	lingerLimit = 2500 * time.Millisecond
+	maxDrainLinger = 2500 * time.Millisecond
 	// announceAhead is how long before its gate closes a daemon that stops tells
 	// its peers to send it nothing more: longer than a relay may gather (batchPeriod)
 	// and a view may wait (publishPeriod), with as much for the way.
-	announceAhead = 700 * time.Millisecond
+	stopAnnounceLead = 700 * time.Millisecond
 	// keepIdle is how long an idle connection of a caller is kept. It is longer
 	// than what callers are told, so that they close first.
-	keepIdle = 2 * time.Minute
+	callerIdleTimeout = 2 * time.Minute
 	// gateIdle is how long a connection to another daemon's gate is kept.
-	gateIdle = 30 * time.Second
+	gateIdleTimeout = 30 * time.Second
 	// dialTimeout bounds connecting to a gate or back end. Either is a round
 	// trip away, and a silent one must leave time for another attempt.
 	dialTimeout = 150 * time.Millisecond
 	// dialLimit bounds it where peers take longer to answer: behind uploads on a slow link.
-	dialLimit = 600 * time.Millisecond
+	maxDialTimeout = 600 * time.Millisecond
 	// collectBytes holds a usual answer whole.
 	collectBytes = 64 << 10
 	// replayBytes holds a usual upload whole.
@@ -39,44 +39,44 @@
 	// startWait is how long after its start a daemon lets calls wait that it can't send yet.
 	// With the store and peers at hand it knows where to send them within half a second;
 	// one that knows nothing after this has little hope to learn it in a call's time.
-	startWait = 2 * time.Second
+	maxStartWait = 2 * time.Second
 	// queueWait bounds the expected wait at the gate; deadlines end it earlier.
-	queueWait = 2 * time.Second
+	maxQueueWait = 2 * time.Second
 	// cancelWait is how long past its deadline a back end may be at work on a call: it stops
 	// at the deadline that it is handed, later by what a busy machine takes to notice.
-	cancelWait = 500 * time.Millisecond
+	cancelGrace = 500 * time.Millisecond
 )
 
 // stayNear keeps calls in their zone until waiting there costs about as long as
 // running: bytes between zones are paid for.
-var stayNear = endpoint.Spillover{Above: 1.5, Zone: 1, Region: 4}
+var spilloverLimits = endpoint.Spillover{Above: 1.5, Zone: 1, Region: 4}
 
 // drainBound is when calls that still run are cut, after the start of a stop.
-func drainBound(grace time.Duration) time.Duration {
-	return grace - grace/graceParts + cutMargin
+func drainTimeout(grace time.Duration) time.Duration {
+	return grace - grace/graceParts + drainMargin
 }
 
 // lingerOf is how long callers are served after the start of a stop.
-func lingerOf(grace time.Duration) time.Duration {
-	return min(lingerLimit, drainBound(grace)/2)
+func drainLinger(grace time.Duration) time.Duration {
+	return min(maxDrainLinger, drainTimeout(grace)/2)
 }
 
 // pathLimits are the limits of the data path of a hosted daemon.
-func pathLimits(grace time.Duration) proxy.Limits {
+func proxyLimits(grace time.Duration) proxy.Limits {
 	limits := proxy.DefaultLimits()
-	limits.IdleTimeout = keepIdle
-	limits.UpstreamIdle = gateIdle
+	limits.IdleTimeout = callerIdleTimeout
+	limits.UpstreamIdle = gateIdleTimeout
 	limits.DialTimeout = dialTimeout
-	limits.DialLimit = dialLimit
+	limits.DialLimit = maxDialTimeout
 	limits.CollectBytes = collectBytes
 	limits.ReplayBytes = replayBytes
-	limits.QueueWait = queueWait
-	limits.CancelWait = cancelWait
-	limits.StartWait = startWait
+	limits.QueueWait = maxQueueWait
+	limits.CancelWait = cancelGrace
+	limits.StartWait = maxStartWait
 	limits.QuietClose = true
 	limits.NoSpares = true
-	limits.DrainLinger = lingerOf(grace)
-	limits.DrainBound = drainBound(grace)
+	limits.DrainLinger = drainLinger(grace)
+	limits.DrainBound = drainTimeout(grace)
 	limits.GateLingers = true
 	limits.RequestCount = 1 << 17
 	limits.KeyCount = 1 << 10
@@ -95,10 +95,10 @@
 // retryBudget is this daemon's part of the budget of all daemons: the slack is
 // divided among them, and its own calls of the present window allow the rest. So the
 // sum over all daemons stays within what is allowed for any number of daemons.
-func (d *Daemon) retryBudget(daemons int) retry.Limits {
+func (d *Daemon) retryLimits(daemons int) retry.Limits {
 	bound := d.settings.Retries
 	return retry.LimitsForChain(bound.Ratio, bound.Slack, bound.CallDepth, daemons, bound.Window())
 }
 
 // closeBound is how long the servers may take to end once nothing runs.
-func closeBound() time.Duration { return 500 * time.Millisecond }
+func closeTimeout() time.Duration { return 500 * time.Millisecond }
--- a/internal/hosted/mesh.go
+++ b/internal/hosted/mesh.go
@@ -26,19 +26,19 @@
 	controlTimeout = 500 * time.Millisecond
 	// exchangePeriod is the time between two comparisons with peers of the own
 	// zone, exchangeUrgent the same while the store does not answer.
-	exchangePeriod = time.Second
-	exchangeUrgent = 300 * time.Millisecond
+	comparisonInterval       = time.Second
+	urgentComparisonInterval = 300 * time.Millisecond
 	// farEvery is how many comparisons pass between two with other zones.
-	farEvery = 2
+	otherZoneRounds = 2
 	// joinWait is how long a start waits to hear from a peer before the daemon
 	// calls itself ready without.
-	joinWait = 1500 * time.Millisecond
+	maxJoinWait = 1500 * time.Millisecond
 	// registryLag is how old the registry's list may be (seed_lag_s of the sites):
 	// who has registered lists again after that, so that daemons that started
 	// together find each other.
 	registryLag = 3 * time.Second
 	// returnWait is how long a daemon that has left is still asked.
-	returnWait = time.Minute
+	leftPeerRetention = time.Minute
 	// isolatedAfter is when a daemon that no peer has answered lists the
 	// registry again.
 	isolatedAfter = 5 * time.Second
@@ -47,59 +47,59 @@
 // mesh knows the other daemons and the back ends beside them. Records spread by
 // broadcasts when they change and by comparisons of sums ever after.
 type mesh struct {
-	events   eventLog
-	clock    func() time.Duration
-	registry authority.Registry
-	calls    *storeCalls
-	contact  *contact
+	events     eventLog
+	clock      func() time.Duration
+	registry   authority.Registry
+	storeCalls *storeCalls
+	contacts   *contactTimes
 	// reads makes calls to the store that are answered at once, connections those that wait.
-	reads       *storeReads
-	connections *connections
-	eras        *eras
+	reads       *hedgedReads
+	connections *connectionRenewer
+	eras        *eraTracker
 	client      *control.Client
 	// publish gives the data path what is known of the others.
-	publish func(proxy.MeshState)
-	harmful harmfulRequests
+	publishState func(proxy.MeshState)
+	harmful      harmfulRequests
 	// held keeps requests that are held, for a start at which nobody remembers them.
-	held authority.HeldRequests
+	heldStore authority.HeldRequests
 	// kept are the held requests that this daemon has written to the store or read there;
 	// guarded by mutex.
-	kept map[quarantine.Signature]keptRequest
+	storedHeld map[quarantine.Signature]storedRequest
 	// settled are those that stand there no more by the daemon's or an operator's doing, while
 	// a late write may still change that; guarded by mutex.
-	settled map[quarantine.Signature]settledHeld
+	absentHeld map[quarantine.Signature]absentRequest
 	// rollouts are the orders that the daemon knows; guarded by mutex.
 	rollouts *rolloutTable
 	// evacuations are the zones to be empty; guarded by mutex. zoneChanged is told when
 	// that is news; it must not call back.
-	evacuations evacuation.Table
-	zoneChanged func()
+	evacuations  evacuation.Table
+	onZoneChange func()
 	// evacuationTiming says how soon orders are in force; the zero value heeds none.
 	evacuationTiming evacuation.Timing
 	version          func() protocol.Version
 	// document is the configuration in force, packed for a peer that has an older
 	// version.
-	document   func(have protocol.Version) protocol.DocumentReply
-	heardOf    func(protocol.NodeID, protocol.Version)
-	storeFails func() bool
+	documentFor        func(have protocol.Version) protocol.DocumentReply
+	onPeerVersion      func(protocol.NodeID, protocol.Version)
+	isStoreUnavailable func() bool
 	// counted is what the gate has counted of the back end's answers, and how many calls
 	// run or wait there; countAnswers has it begin or end.
-	counted      func() (rollout.Evidence, int)
-	countAnswers func(bool)
+	readEvidence func() (rollout.Evidence, int)
+	setCounting  func(bool)
 	// listOrders reads the orders of roll-outs once, and tells whether the store answered;
 	// nil where none are followed.
-	listOrders func() bool
+	listRolloutOrders func() bool
 	// poll reads the store once, and tells whether it answered.
-	poll func() bool
+	pollStore func() bool
 	// pollNow wakes the loop that polls. The others are guarded by mutex: until when this daemon
 	// polls for another one, whether its last poll failed, and when that was.
-	pollNow    chan struct{}
-	pollUntil  time.Duration
-	pollsFail  bool
-	polledAt   time.Duration
-	valueBytes int
-	context    context.Context
-	running    sync.WaitGroup
+	pollRequested    chan struct{}
+	substituteUntil  time.Duration
+	lastPollFailed   bool
+	lastPollAt       time.Duration
+	maxDocumentBytes int
+	context          context.Context
+	running          sync.WaitGroup
 
 	hasJoined atomic.Bool
 	// registering is set while the registration is written again.
@@ -108,9 +108,9 @@
 	self        protocol.Member
 	roster      *membership.Roster
 	// registered are daemons that the registry names.
-	registered []authority.Registration
+	registrations []authority.Registration
 	// index holds the other daemons; see peers.
-	index peerIndex
+	directoryCache cachedDirectory
 	// batch gathers the records that this daemon broadcasts as the relay of its
 	// zone.
 	batch *dissemination.Batch
@@ -119,18 +119,18 @@
 	publishing  bool
 	publishedAt time.Duration
 	// lost are the peers that did not answer last time.
-	lost map[protocol.NodeID]bool
+	lostPeers map[protocol.NodeID]bool
 	// verifying are the daemons that are being asked whether they are there.
 	verifying map[protocol.NodeID]bool
 	// rememberLeaving takes a peer's memory that a start of the back end beside this daemon
 	// was leaving; it must not call back.
-	rememberLeaving func(protocol.BackendStart)
-	path            reachability
+	restoreDraining func(protocol.BackendStart)
+	reachability    reachability
 	// roundTrips estimates how long peers take to answer.
 	roundTrips *roundtrip.Estimator
 	// heardAt is when a peer last answered.
-	heardAt time.Duration
-	turn    int
+	lastPeerContact time.Duration
+	comparisonTurn  int
 }
 
 // reachability is what the data path is told of daemons that do not answer.
@@ -138,14 +138,14 @@
 	// SetReachable keeps new calls from a daemon, or lets them go there again.
 	SetReachable(protocol.NodeID, bool)
 	// GiveUp has the calls at a daemon hedged by attempts elsewhere.
-	GiveUp(protocol.NodeID)
+	HedgeCalls(protocol.NodeID)
 }
 
 func (m *mesh) start() {
 	m.mutex.Lock()
 	m.roster.Merge(m.clock(), m.self, membership.SourceSubtree)
 	m.mutex.Unlock()
-	for _, loop := range []func(){m.register, m.compareForever, m.pollForever, m.awaitJoin, m.followHeld} {
+	for _, loop := range []func(){m.register, m.runComparisons, m.pollLoop, m.awaitJoin, m.syncHeldRequests} {
 		m.running.Add(1)
 		go func() {
 			defer m.running.Done()
@@ -155,22 +155,22 @@
 }
 
 // joined tells whether the daemon has heard of its peers, or waited for them.
-func (m *mesh) joined() bool { return m.hasJoined.Load() }
+func (m *mesh) isJoined() bool { return m.hasJoined.Load() }
 
 func (m *mesh) awaitJoin() {
-	if !pause.For(m.context, joinWait) {
+	if !pause.For(m.context, maxJoinWait) {
 		return
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.join()
+	m.markJoined()
 }
 
 // join lets the daemon call itself ready; the lock is held. What it has heard of its peers is
 // put in force before: a publication may wait for its time, and calls that come to a daemon
 // that says it is ready would find no back end meanwhile.
-func (m *mesh) join() {
-	if m.joined() {
+func (m *mesh) markJoined() {
+	if m.isJoined() {
 		return
 	}
 	m.publishAll()
@@ -178,7 +178,7 @@
 }
 
 // announce changes what the own record says of the back end, and tells peers.
-func (m *mesh) announce(view backend.View) {
+func (m *mesh) announceBackend(view backend.View) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.self.Backend = view.Start.Instance
@@ -186,7 +186,7 @@
 	m.self.Slots = view.Slots
 	m.self.Software = view.Software
 	m.self.Endpoint = view.State
-	m.pushSelf()
+	m.announceSelf()
 }
 
 // announceStop tells peers that this daemon takes no more work.
@@ -194,19 +194,19 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.self.State = protocol.MemberDraining
-	m.pushSelf()
+	m.announceSelf()
 }
 
 // pushSelf raises the own record and tells peers; the lock is held.
-func (m *mesh) pushSelf() {
+func (m *mesh) announceSelf() {
 	m.self.Sequence++
 	m.roster.Merge(m.clock(), m.self, membership.SourceSubtree)
 	m.publishAll()
-	m.broadcastSelf()
+	m.broadcastOwnRecord()
 }
 
 // drawn returns up to count peers at random.
-func drawn(peers []dissemination.Peer, count int) []dissemination.Peer {
+func samplePeers(peers []dissemination.Peer, count int) []dissemination.Peer {
 	shuffled := slices.Clone(peers)
 	for index := range min(count, len(shuffled)) {
 		other := index + int(randomNumber()%uint64(len(shuffled)-index))
@@ -219,13 +219,13 @@
 func (m *mesh) push(targets []dissemination.Peer, records ...protocol.Member) {
 	for _, target := range targets {
 		if !m.isLost(target.ID) {
-			m.deliver([]dissemination.Peer{target}, m.pushRequest(records), false)
+			m.sendToFirstReachable([]dissemination.Peer{target}, m.newPushRequest(records), false)
 		}
 	}
 }
 
 // call sends one request to a peer; nil means that there was no answer.
-func (m *mesh) call(target dissemination.Peer, request *protocol.ExchangeRequest) *protocol.ExchangeReply {
+func (m *mesh) callPeer(target dissemination.Peer, request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	ctx, cancel := context.WithTimeout(m.context, controlTimeout)
 	defer cancel()
 	asked := m.clock()
@@ -237,44 +237,44 @@
 		m.roundTrips.Observe(m.clock() - asked)
 	}
 	reply, _ := body.(*protocol.ExchangeReply)
-	m.noteAnswer(target, err == nil && reply != nil)
+	m.recordPeerAnswer(target, err == nil && reply != nil)
 	if err != nil || reply == nil {
 		return nil
 	}
-	m.eras.heard(reply.Era, string(target.ID))
-	m.heardOf(target.ID, reply.Version)
-	m.takeRollouts(reply.Rollouts)
-	m.takeEvacuations(asked, string(target.ID), reply.Evacuations)
-	m.takeHarmful(string(target.ID), reply.Harmful, len(request.Harmful) > 0)
+	m.eras.observe(reply.Era, string(target.ID))
+	m.onPeerVersion(target.ID, reply.Version)
+	m.handlePeerRollouts(reply.Rollouts)
+	m.handleEvacuations(asked, string(target.ID), reply.Evacuations)
+	m.mergeHarmful(string(target.ID), reply.Harmful, len(request.Harmful) > 0)
 	return reply
 }
 
 // noteAnswer logs when a peer is lost and regained.
-func (m *mesh) noteAnswer(target dissemination.Peer, answered bool) {
+func (m *mesh) recordPeerAnswer(target dissemination.Peer, answered bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if answered {
-		m.heardAt = m.clock()
-		m.contact.note(contactPeer)
+		m.lastPeerContact = m.clock()
+		m.contacts.record(contactPeer)
 	}
-	if m.lost[target.ID] == !answered {
+	if m.lostPeers[target.ID] == !answered {
 		return
 	}
 	if answered {
-		delete(m.lost, target.ID)
+		delete(m.lostPeers, target.ID)
 		m.events.event("peer_regained", field("peer", string(target.ID)))
 		return
 	}
-	m.lost[target.ID] = true
+	m.lostPeers[target.ID] = true
 	m.events.event("peer_lost", field("peer", string(target.ID)))
 	if member, known := m.roster.Get(target.ID); !known || member.State != protocol.MemberLeft {
-		m.verifyLocked(target)
+		m.verifyReachableLocked(target)
 	}
 }
 
 // take merges records that a daemon of a zone has sent, and returns those that were news; the
 // lock is held.
-func (m *mesh) take(members []protocol.Member) []protocol.Member {
+func (m *mesh) mergeMembers(members []protocol.Member) []protocol.Member {
 	var news []protocol.Member
 	for _, member := range members {
 		if member.ID == m.self.ID {
@@ -287,19 +287,19 @@
 			continue
 		}
 		news = append(news, member)
-		if known && forgetsDrain(remembered, member) {
-			m.remind(remembered, member)
+		if known && isUnawareOfDrain(remembered, member) {
+			m.sendEarlierRecord(remembered, member)
 		}
 	}
 	if len(news) > 0 {
-		m.publishSoon()
-		m.logNews(news)
+		m.schedulePublish()
+		m.logChanges(news)
 	}
 	return news
 }
 
 // logNews writes a line for each endpoint whose state is news.
-func (m *mesh) logNews(news []protocol.Member) {
+func (m *mesh) logChanges(news []protocol.Member) {
 	for _, member := range news {
 		m.events.event("endpoint_news", field("peer", string(member.ID)), field("instance", member.Backend), bornField(member.Born),
 			field("state", member.Endpoint.String()), field("member", member.State.String()))
@@ -307,18 +307,18 @@
 }
 
 // lostCount is how many peers did not answer when they were last asked.
-func (m *mesh) lostCount() int {
+func (m *mesh) lostPeerCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return len(m.lost)
+	return len(m.lostPeers)
 }
 
 // size is how many daemons are known, this one included.
-func (m *mesh) size() int {
+func (m *mesh) daemonCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return len(m.peers().All()) + 1
+	return len(m.peerDirectory().All()) + 1
 }
 
 // stop waits until nothing runs any more; the context must have ended.
-func (m *mesh) stop() { m.running.Wait() }
+func (m *mesh) awaitStopped() { m.running.Wait() }
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -34,16 +34,16 @@
 	}
 	metrics.Ready.Send(out, ready)
 	metrics.Version.Send(out, float64(c.daemon.configuration.version()))
-	metrics.VersionAge.Send(out, c.daemon.configuration.age().Seconds())
-	for source, name := range contactNames {
-		if age, ever := c.daemon.contact.age(contactSource(source)); ever {
+	metrics.VersionAge.Send(out, c.daemon.configuration.versionAge().Seconds())
+	for source, name := range contactSourceNames {
+		if age, ever := c.daemon.contacts.age(contactSource(source)); ever {
 			metrics.HeardAge.Send(out, age.Seconds(), name)
 		}
 	}
-	metrics.StoreEra.Send(out, float64(c.daemon.eras.known()))
-	metrics.StoreEraFaults.Send(out, float64(c.daemon.eras.faultCount()))
-	metrics.Members.Send(out, float64(c.daemon.mesh.size()))
-	metrics.PeersLost.Send(out, float64(c.daemon.mesh.lostCount()))
+	metrics.StoreEra.Send(out, float64(c.daemon.eras.current()))
+	metrics.StoreEraFaults.Send(out, float64(c.daemon.eras.unreadableCount()))
+	metrics.Members.Send(out, float64(c.daemon.mesh.daemonCount()))
+	metrics.PeersLost.Send(out, float64(c.daemon.mesh.lostPeerCount()))
 	metrics.LogLinesDropped.Send(out, float64(c.daemon.linesDropped()))
 	for call, count := range c.daemon.storeCalls.snapshot() {
 		metrics.StoreCalls.Send(out, float64(count), string(call.purpose), strconv.Itoa(int(call.code)), call.code.Name())
@@ -52,7 +52,7 @@
 		metrics.RolloutStage.Send(out, float64(record.Stage), record.Service.Name, record.Target)
 	}
 	c.daemon.evacuations.collect(out)
-	daemon.CollectPath(out, c.daemon.path.Counters())
+	daemon.CollectPath(out, c.daemon.dataPath.Counters())
 }
 
 // collect sends what the daemon knows of orders to empty zones; nothing where it follows none.
@@ -62,7 +62,7 @@
 	}
 	zones, age := r.mesh.evacuatedZones()
 	for _, zone := range zones {
-		code := codeOf(r.fault(zone))
+		code := codeOf(r.orderFault(zone))
 		metrics.EvacuatedZoneDaemons.Send(out, float64(zone.daemons), zone.zone, strconv.Itoa(int(code)), code.Name())
 	}
 	metrics.EvacuationsAge.Send(out, age.Seconds())
--- a/internal/hosted/news_bench_test.go
+++ b/internal/hosted/news_bench_test.go
@@ -46,13 +46,13 @@
 }
 
 // benchPath is the data path of a daemon that holds a configuration of some routes.
-func benchPath(b *testing.B, routes int) *proxy.Proxy {
+func benchProxy(b *testing.B, routes int) *proxy.Proxy {
 	b.Helper()
 	began := time.Now()
 	made := proxy.New(proxy.Config{
 		Clock: func() time.Duration { return time.Since(began) }, NodeID: "x", Incarnation: 1, Region: "r", Zone: "z1",
-		Reported: true, Slots: 1, BackendAddress: "127.0.0.1:1", Limits: pathLimits(10 * time.Second),
-		RetryBudget: (&Daemon{}).retryBudget, Spill: stayNear,
+		Reported: true, Slots: 1, BackendAddress: "127.0.0.1:1", Limits: proxyLimits(10 * time.Second),
+		RetryBudget: (&Daemon{}).retryLimits, Spill: spilloverLimits,
 	})
 	b.Cleanup(made.Close)
 	made.Swap(benchSnapshot(b, 1, routes))
@@ -76,9 +76,9 @@
 }
 
 // silentPeer answers pushes without doing anything.
-type silentPeer struct{}
+type emptyReplyPeer struct{}
 
-func (silentPeer) HandlePeer(context.Context, control.Peer, any) (any, error) {
+func (emptyReplyPeer) HandlePeer(context.Context, control.Peer, any) (any, error) {
 	return &protocol.ExchangeReply{}, nil
 }
 
@@ -87,7 +87,7 @@
 func BenchmarkPush(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(b).NoErr(err)
-	server := control.NewServer(listener, nil, silentPeer{}, controlLimits(), control.NewMeter())
+	server := control.NewServer(listener, nil, emptyReplyPeer{}, controlLimits(), control.NewMeter())
 	server.Start()
 	defer server.Close()
 	push := func(client *control.Client, records []protocol.Member) {
@@ -121,7 +121,7 @@
 func BenchmarkPublish(b *testing.B) {
 	for _, daemons := range []int{25, 74, 295, 1000} {
 		b.Run(strconv.Itoa(daemons), func(b *testing.B) {
-			path := benchPath(b, 600)
+			path := benchProxy(b, 600)
 			members := benchMembers(daemons)
 			round := 0
 			b.ReportAllocs()
@@ -139,7 +139,7 @@
 func BenchmarkAdopt(b *testing.B) {
 	for _, routes := range []int{600, 2200} {
 		b.Run(strconv.Itoa(routes), func(b *testing.B) {
-			path := benchPath(b, routes)
+			path := benchProxy(b, routes)
 			path.PublishMembers(benchMembers(295))
 			version := protocol.Version(1)
 			b.ReportAllocs()
--- a/internal/hosted/ordereras_test.go
+++ b/internal/hosted/ordereras_test.go
@@ -14,68 +14,68 @@
 )
 
 // deafOrders is a store of orders whose watches tell nothing until they are given up.
-type deafOrders struct {
+type silentRolloutStore struct {
 	orderStore
 	// watching takes the position of each watch.
-	watching chan authority.Position
+	watchedFrom chan authority.Position
 }
 
-func (d *deafOrders) wait(ctx context.Context, from authority.Position) error {
-	d.watching <- from
+func (d *silentRolloutStore) blockWatch(ctx context.Context, from authority.Position) error {
+	d.watchedFrom <- from
 	<-ctx.Done()
 	return result.New(result.PlatformUnknown, "given up")
 }
 
-func (d *deafOrders) Watch(ctx context.Context, from authority.Position, _ time.Duration) ([]authority.RolloutOrder, authority.Position, error) {
-	return nil, authority.Position{}, d.wait(ctx, from)
+func (d *silentRolloutStore) Watch(ctx context.Context, from authority.Position, _ time.Duration) ([]authority.RolloutOrder, authority.Position, error) {
+	return nil, authority.Position{}, d.blockWatch(ctx, from)
 }
 
 // deafZones is the same for orders to empty zones.
-type deafZones struct{ deafOrders }
+type silentEvacuationStore struct{ silentRolloutStore }
 
-func (d *deafZones) List(context.Context) (evacuation.Orders, map[string]error, error) {
+func (d *silentEvacuationStore) List(context.Context) (evacuation.Orders, map[string]error, error) {
 	return evacuation.Orders{}, nil, nil
 }
 
-func (d *deafZones) Watch(ctx context.Context, from authority.Position, _ time.Duration) (bool, authority.Position, error) {
-	return false, authority.Position{}, d.wait(ctx, from)
+func (d *silentEvacuationStore) Watch(ctx context.Context, from authority.Position, _ time.Duration) (bool, authority.Position, error) {
+	return false, authority.Position{}, d.blockWatch(ctx, from)
 }
 
 // eraMesh is a mesh whose watches are made again when the store's era rises.
-func eraMesh(t *testing.T) *mesh {
+func newEraMesh(t *testing.T) *mesh {
 	made := newTestMesh("z")
 	made.context = t.Context()
-	made.calls = &storeCalls{}
-	made.connections = &connections{clock: made.clock, context: t.Context(), running: &sync.WaitGroup{}, eras: made.eras}
+	made.storeCalls = &storeCalls{}
+	made.connections = &connectionRenewer{clock: made.clock, context: t.Context(), running: &sync.WaitGroup{}, eras: made.eras}
 	made.connections.start()
-	made.eras.risen = []func(uint64){func(uint64) { made.connections.rewatch() }}
-	made.eras.heard(1, "store")
+	made.eras.onRise = []func(uint64){func(uint64) { made.connections.restartWatches() }}
+	made.eras.observe(1, "store")
 	return made
 }
 
 // A watch of orders that waits while the store comes back from an older copy is not made again from a
 // revision of before, which would be told nothing: the orders are listed anew.
-func TestWatchesOfOrdersEndWithTheirEra(t *testing.T) {
+func TestOrderWatchesEndWhenEraRises(t *testing.T) {
 	from := authority.Position{Era: 1, Revision: 900}
-	rollouts := &deafOrders{watching: make(chan authority.Position, 9)}
-	zones := &deafZones{deafOrders{watching: make(chan authority.Position, 9)}}
+	rollouts := &silentRolloutStore{watchedFrom: make(chan authority.Position, 9)}
+	zones := &silentEvacuationStore{silentRolloutStore{watchedFrom: make(chan authority.Position, 9)}}
 	for name, watch := range map[string]func(*mesh) (authority.Position, error){
 		"rollouts": func(m *mesh) (authority.Position, error) { return newRolloutDecider(m, rollouts).watch(from) },
 		"evacuations": func(m *mesh) (authority.Position, error) {
-			return newEvacuationReader(m, zones, time.Second).watch(from)
+			return newEvacuationReader(m, zones, time.Second).watchAndRead(from)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
-			mesh := eraMesh(t)
+			mesh := newEraMesh(t)
 			ended := make(chan error, 1)
 			go func() {
 				_, err := watch(mesh)
 				ended <- err
 			}()
-			watching := map[string]chan authority.Position{"rollouts": rollouts.watching, "evacuations": zones.watching}[name]
+			watching := map[string]chan authority.Position{"rollouts": rollouts.watchedFrom, "evacuations": zones.watchedFrom}[name]
 			check.Equal(<-watching, from)
-			mesh.eras.heard(2, "peer")
+			mesh.eras.observe(2, "peer")
 			select {
 			case err := <-ended:
 				check.Equal(codeOf(err), result.PlatformCompacted)
--- a/internal/hosted/orderfollower.go
+++ b/internal/hosted/orderfollower.go
@@ -10,15 +10,15 @@
 
 const (
 	// followerPause is the time between two looks whether this daemon follows orders.
-	followerPause = time.Second
+	followerCheckInterval = time.Second
 	// orderWatchWait is how long the store may hold a watch of orders without news: its
 	// longest, for each watch is a call.
 	orderWatchWait = 30 * time.Second
 	// orderRelist is the time between two lists while the store knows no orders at all.
-	orderRelist = 2 * time.Second
+	orderRelistInterval = 2 * time.Second
 	// followerStart is how long after its start a daemon that knows of no order may first
 	// follow them: until it knows the others, for each that knows nobody ranks first.
-	followerStart = 5 * time.Second
+	followerStartDelay = 5 * time.Second
 )
 
 // orderFollower lists and watches one kind of the operator's orders while this daemon is
@@ -28,14 +28,14 @@
 	// purpose names the ranking: another one for each kind, so that the work is divided.
 	purpose string
 	// count is how many daemons follow.
-	count int
+	followerCount int
 	// list reads all orders and puts them in force. It returns the position after them, the
 	// start where the store knows none.
 	list func() (authority.Position, error)
 	// watch waits for changes after a position and puts them in force.
 	watch func(from authority.Position) (authority.Position, error)
 	// known tells whether the daemon has an order to follow.
-	known func() bool
+	hasOrders func() bool
 }
 
 // rank is the daemon's place among all that may follow; 0 is the first.
@@ -50,7 +50,7 @@
 func (m *mesh) rankFor(purpose string) int {
 	own := membership.Score(purpose, m.self.ID)
 	rank := 0
-	for _, peer := range m.peers().All() {
+	for _, peer := range m.peerDirectory().All() {
 		if peer.Relays && !m.isLost(peer.ID) && membership.Score(purpose, peer.ID) > own {
 			rank++
 		}
@@ -59,18 +59,18 @@
 }
 
 // follows tells whether this daemon is one of those that follow.
-func (f *orderFollower) follows() bool { return f.rank() < f.count }
+func (f *orderFollower) isSelected() bool { return f.rank() < f.followerCount }
 
 // follow lists and watches until the daemon ends.
-func (f *orderFollower) follow() {
+func (f *orderFollower) run() {
 	failures := 0
 	f.awaitPeers()
-	for pause.For(f.mesh.context, followerPause) {
-		if !f.follows() {
+	for pause.For(f.mesh.context, followerCheckInterval) {
+		if !f.isSelected() {
 			continue
 		}
 		at, err := f.list()
-		for err == nil && !at.IsEraStart() && f.follows() {
+		for err == nil && !at.IsEraStart() && f.isSelected() {
 			at, err = f.watch(at)
 		}
 		switch {
@@ -78,7 +78,7 @@
 			failures++
 			pause.For(f.mesh.context, registryBackoff.Delay(failures, randomNumber()))
 		case at.IsEraStart(): // the store knows no orders at all, so there is nothing to watch
-			pause.For(f.mesh.context, orderRelist)
+			pause.For(f.mesh.context, orderRelistInterval)
 		default:
 			failures = 0
 		}
@@ -87,8 +87,8 @@
 
 // awaitPeers waits until the daemon may know the others, or has an order to follow.
 func (f *orderFollower) awaitPeers() {
-	for began := f.mesh.clock(); f.mesh.clock()-began < followerStart; {
-		if f.known() || !pause.For(f.mesh.context, followerPause) {
+	for began := f.mesh.clock(); f.mesh.clock()-began < followerStartDelay; {
+		if f.hasOrders() || !pause.For(f.mesh.context, followerCheckInterval) {
 			return
 		}
 	}
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -16,36 +16,36 @@
 		if request.Format != protocol.Format {
 			return nil, result.New(result.UnknownFormat, "format %d of a peer", request.Format)
 		}
-		return m.answerExchange(request), nil
+		return m.handleExchangeRequest(request), nil
 	case *protocol.EvidenceRequest:
 		if request.Format != protocol.Format {
 			return nil, result.New(result.UnknownFormat, "format %d of a peer", request.Format)
 		}
-		return m.answerEvidence(request), nil
+		return m.handleEvidenceRequest(request), nil
 	case *protocol.DocumentRequest:
-		reply := m.document(request.Have)
+		reply := m.documentFor(request.Have)
 		return &reply, nil
 	}
 	return nil, result.New(result.UnknownFormat, "%T is not answered by a hosted daemon", body)
 }
 
 // answerExchange merges what a peer has sent and tells it what it lacks.
-func (m *mesh) answerExchange(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
-	m.eras.heard(request.Era, string(request.From))
+func (m *mesh) handleExchangeRequest(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
+	m.eras.observe(request.Era, string(request.From))
 	if request.Unregistered {
-		m.registerAgain()
+		m.restoreRegistration()
 	}
-	storeFails := request.Poll && !m.pollFor()
-	m.heardOf(request.From, request.Version)
-	m.takeRollouts(request.Rollouts)
-	m.takeEvacuations(m.clock(), string(request.From), request.Evacuations)
-	m.takeHarmful(string(request.From), request.Harmful, false)
-	reply := m.exchangeReply(request)
+	storeFails := request.Poll && !m.acceptPollRequest()
+	m.onPeerVersion(request.From, request.Version)
+	m.handlePeerRollouts(request.Rollouts)
+	m.handleEvacuations(m.clock(), string(request.From), request.Evacuations)
+	m.mergeHarmful(string(request.From), request.Harmful, false)
+	reply := m.buildExchangeReply(request)
 	reply.StoreFails = storeFails
 	if request.Push {
-		m.takePush(request)
+		m.handlePush(request)
 	} else {
-		m.takeCompared(request.Zone, request.Members)
+		m.mergeCompared(request.Zone, request.Members)
 	}
 	return reply
 }
@@ -53,13 +53,13 @@
 // exchangeReply tells a peer what it lacks. It is made before the peer's own
 // records are merged, so that one that has restarted is told what its earlier
 // start had announced.
-func (m *mesh) exchangeReply(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
+func (m *mesh) buildExchangeReply(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.heardAt = m.clock()
-	m.contact.note(contactPeer)
+	m.lastPeerContact = m.clock()
+	m.contacts.record(contactPeer)
 	reply := &protocol.ExchangeReply{
-		Version: m.version(), Era: m.eras.known(), Rollouts: m.rollouts.records(m.clock()), Harmful: m.harmfulFor(request.HarmfulSum),
+		Version: m.version(), Era: m.eras.current(), Rollouts: m.rollouts.records(m.clock()), Harmful: m.harmfulRecordsFor(request.HarmfulSum),
 		Evacuations: m.evacuations.SharedOrders(m.clock()),
 	}
 	sums := m.roster.BucketSums()
@@ -75,9 +75,9 @@
 
 // askDocument asks a peer for a document newer than a version; one without a
 // version means that there is none.
-func (m *mesh) askDocument(ctx context.Context, id protocol.NodeID, have protocol.Version) authority.Document {
+func (m *mesh) fetchDocument(ctx context.Context, id protocol.NodeID, have protocol.Version) authority.Document {
 	m.mutex.Lock()
-	target, found := m.peers().Find(id)
+	target, found := m.peerDirectory().Find(id)
 	m.mutex.Unlock()
 	if !found {
 		return authority.Document{}
@@ -90,7 +90,7 @@
 	if err != nil || !typed || reply.Version == 0 {
 		return authority.Document{}
 	}
-	document, err := unpackDocument(*reply, m.valueBytes)
+	document, err := unpackDocument(*reply, m.maxDocumentBytes)
 	if err != nil {
 		m.events.event("peer_document_refused", field("peer", string(id)), field("error", err.Error()))
 		return authority.Document{}
--- a/internal/hosted/poll_test.go
+++ b/internal/hosted/poll_test.go
@@ -12,45 +12,45 @@
 )
 
 // pollingMesh is a mesh that may be asked to poll.
-func pollingMesh(now *time.Duration, others ...protocol.Member) *mesh {
+func newPollingMesh(now *time.Duration, others ...protocol.Member) *mesh {
 	made := newTestMesh("z1", others...)
 	made.clock = func() time.Duration { return *now }
-	made.storeFails = func() bool { return false }
-	made.pollNow = make(chan struct{}, 1)
+	made.isStoreUnavailable = func() bool { return false }
+	made.pollRequested = make(chan struct{}, 1)
 	return made
 }
 
 // A daemon polls for a poller that the store refuses, for a while, and says so where it can't.
-func TestADaemonPollsForOneThatTheStoreRefuses(t *testing.T) {
+func TestDaemonPollsForOneWhoseStoreReadsFail(t *testing.T) {
 	check := is.New(t)
 	now := time.Minute
-	held := pollingMesh(&now, member("a", "z1"), member("b", "z2"), member("c", "z3"), member("d", "z4"))
+	held := newPollingMesh(&now, aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
 	role := func() pollRole {
-		found, _ := held.pollRole()
+		found, _ := held.currentPollRole()
 		return found
 	}
 	check.Equal(role(), notPolling)
-	check.True(held.pollFor())
-	check.Equal(len(held.pollNow), 1)
+	check.True(held.acceptPollRequest())
+	check.Equal(len(held.pollRequested), 1)
 	check.Equal(role(), substituting)
-	now += substituteFor
+	now += substituteDuration
 	check.Equal(role(), notPolling)
-	held.notePoll(false)
-	check.True(!held.pollFor()) // the store has just refused this one too
-	now += substituteFor
-	check.True(held.pollFor())
-	held.storeFails = func() bool { return true }
-	check.True(!held.pollFor())
+	held.recordPoll(false)
+	check.True(!held.acceptPollRequest()) // the store has just refused this one too
+	now += substituteDuration
+	check.True(held.acceptPollRequest())
+	held.isStoreUnavailable = func() bool { return true }
+	check.True(!held.acceptPollRequest())
 }
 
-func TestThePollersSubstitutesAreTheNextOfItsZone(t *testing.T) {
+func TestSubstitutesAreNextDaemonsOfZone(t *testing.T) {
 	check := is.New(t)
 	now := time.Minute
-	held := pollingMesh(&now, member("a", "z1"), member("b", "z1"), member("c", "z2"), member("x", "z1"), member("y", "z1"))
+	held := newPollingMesh(&now, aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z2"), aliveMember("x", "z1"), aliveMember("y", "z1"))
 	names := func() []protocol.NodeID {
-		return lo.Map(held.substitutes(), func(one dissemination.Peer, _ int) protocol.NodeID { return one.ID })
+		return lo.Map(held.substituteCandidates(), func(one dissemination.Peer, _ int) protocol.NodeID { return one.ID })
 	}
 	check.Equal(names(), []protocol.NodeID{"x", "y", "a"}) // it is m itself
-	held.lost["y"] = true
+	held.lostPeers["y"] = true
 	check.Equal(names(), []protocol.NodeID{"x", "a", "b"})
 }
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -26,13 +26,13 @@
 	// Ready makes the handler that tells whether callers may be sent here.
 	Ready func(ready func() bool) http.Handler
 	// Reports makes the handler that takes the heartbeats of the back end.
-	Reports func(Reports) http.Handler
+	Reports func(ReportHandler) http.Handler
 	// Probe makes the request that asks a back end for its health at a path.
 	Probe Prober
 	// OnFault has somebody told of entries of the store that are left out; nil for nobody.
-	OnFault func(TellFault)
+	OnFault func(FaultHandler)
 	// OnEra has somebody told of the era of each answer of the store; nil for nobody.
-	OnEra func(TellEra)
+	OnEra func(EraHandler)
 	// Renew has calls to the store from now on made over new connections; those under way are left
 	// alone. Nil where connections can't be told apart.
 	Renew func()
@@ -42,21 +42,21 @@
 
 // TellFault tells of an entry of the store, by its kind and name, that is left out because
 // another writer has made it or spoilt it.
-type TellFault func(kind, name string, fault error)
+type FaultHandler func(kind, name string, fault error)
 
 // TellEra tells of the era of an answer of the store: how often it has come back from an older
 // copy. It is 0 where the answer does not tell it in a way that can be read, and fault says why.
-type TellEra func(era uint64, fault error)
+type EraHandler func(era uint64, fault error)
 
 // Reports takes what the back end beside the daemon says. When a method
 // returns, what was said is in force at this daemon's gate.
-type Reports interface {
+type ReportHandler interface {
 	Heartbeat(report backend.Report)
 	// Leave takes the word of a start that it gets no more work; Born is 0 where it does not
 	// tell when it started.
 	Leave(start protocol.BackendStart)
 	// Refused is told of a report that was not taken, by the name that its sender gave.
-	Refused(instance string, failure *result.Error)
+	RecordRefusal(instance string, failure *result.Error)
 }
 
 // Prober asks the back end at an address itself. It answers with the instance
--- a/internal/hosted/probing.go
+++ b/internal/hosted/probing.go
@@ -12,16 +12,16 @@
 	probeTimeout = time.Second
 	// probePause is the time between probes of an instance that has not
 	// answered.
-	probePause = 300 * time.Millisecond
+	probeRetryInterval = 300 * time.Millisecond
 	// probeReadyPause is the time between looks whether the back end may be probed yet.
-	probeReadyPause = 50 * time.Millisecond
+	probeReadyInterval = 50 * time.Millisecond
 	// probeLimit bounds the probes for one report.
-	probeLimit = 5
+	maxProbesPerReport = 5
 )
 
 // probeSoon asks the back end itself, unless that is being done; the lock is
 // held.
-func (b *backendSide) probeSoon() {
+func (b *backendMonitor) startProbing() {
 	if b.probing {
 		return
 	}
@@ -29,13 +29,13 @@
 	b.running.Add(1)
 	go func() {
 		defer b.running.Done()
-		b.probe()
+		b.runProbes()
 	}()
 }
 
 // probe asks until every report is confirmed and the warm-up is known, a few times at most.
 // What is left open by then is asked again with the next report.
-func (b *backendSide) probe() {
+func (b *backendMonitor) runProbes() {
 	b.probeUntilConfirmed()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -43,16 +43,16 @@
 }
 
 // probeUntilConfirmed is probe without its mark that probing goes on.
-func (b *backendSide) probeUntilConfirmed() {
-	for asked := 0; asked < probeLimit; {
-		wait := probeReadyPause
+func (b *backendMonitor) probeUntilConfirmed() {
+	for asked := 0; asked < maxProbesPerReport; {
+		wait := probeReadyInterval
 		if path := b.probePath(); path != "" {
 			asked++
 			askedAt := b.clock()
-			if b.probed(askedAt, b.ask(path)) {
+			if b.handleProbe(askedAt, b.probeOnce(path)) {
 				return
 			}
-			wait = probePause
+			wait = probeRetryInterval
 		}
 		if !pause.For(b.context, wait) {
 			return
@@ -62,33 +62,33 @@
 
 // ask probes the back end once. The gate is told that it does, for a probe takes a slot there,
 // and how many calls the back end holds.
-func (b *backendSide) ask(path string) backend.ProbeResult {
-	if b.probes != nil {
-		defer b.probes()()
+func (b *backendMonitor) probeOnce(path string) backend.ProbeResult {
+	if b.beginProbe != nil {
+		defer b.beginProbe()()
 	}
-	answer := b.settings.probe(b.settings.address, path, probeTimeout)
-	if answer.TellsHeld && b.holds != nil {
-		b.holds(answer.Held)
+	answer := b.config.prober(b.config.address, path, probeTimeout)
+	if answer.TellsHeld && b.setReportedCalls != nil {
+		b.setReportedCalls(answer.Held)
 	}
 	return answer
 }
 
 // probePath is where the back end is probed; empty while it may not be yet.
-func (b *backendSide) probePath() string {
-	if !b.settings.joined() {
+func (b *backendMonitor) probePath() string {
+	if !b.config.hasJoinedMesh() {
 		return ""
 	}
-	return b.settings.healthPath()
+	return b.config.healthPath()
 }
 
 // probed takes an answer to what was asked at a time, and tells whether nothing is left to
 // confirm.
-func (b *backendSide) probed(askedAt time.Duration, answer backend.ProbeResult) bool {
+func (b *backendMonitor) handleProbe(askedAt time.Duration, answer backend.ProbeResult) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	// An answer to what was asked before the back end may have become cold says nothing of that.
-	answer.TellsWarmUp = answer.TellsWarmUp && askedAt >= b.doubtedAt
+	answer.TellsWarmUp = answer.TellsWarmUp && askedAt >= b.possiblyColdSince
 	b.tracker.HandleProbe(b.clock(), answer)
-	b.show()
+	b.publishView()
 	return !b.tracker.HasCandidates() && !b.tracker.IsAssumedCold(b.clock())
 }
--- a/internal/hosted/publishing.go
+++ b/internal/hosted/publishing.go
@@ -9,21 +9,21 @@
 
 // publishPeriod is the least time between two views built for news of other
 // daemons: a view of 295 daemons takes 0.3 to 0.7 ms to build (BenchmarkPublish).
-const publishPeriod = 100 * time.Millisecond
+const minPublishInterval = 100 * time.Millisecond
 
 // publishSoon gives the data path the newest records, within publishPeriod; the
 // lock is held.
-func (m *mesh) publishSoon() {
+func (m *mesh) schedulePublish() {
 	if m.publishing {
 		return
 	}
-	wait := m.publishedAt + publishPeriod - m.clock()
+	wait := m.publishedAt + minPublishInterval - m.clock()
 	if m.publishedAt == 0 || wait <= 0 {
 		m.publishAll()
 		return
 	}
 	m.publishing = true
-	m.later(wait, m.publishAll)
+	m.runAfter(wait, m.publishAll)
 }
 
 // publishAll gives the data path all records; the lock is held.
@@ -31,14 +31,14 @@
 	m.publishing = false
 	m.publishedAt = m.clock()
 	members := m.roster.All()
-	m.publish(proxy.MeshState{
-		Members: members, Splits: m.divide(members), Evacuations: m.evacuations.Orders(),
+	m.publishState(proxy.MeshState{
+		Members: members, Splits: m.versionSplits(members), Evacuations: m.evacuations.Orders(),
 	})
 }
 
 // later runs an action with the lock held after a time, unless the daemon ends
 // before.
-func (m *mesh) later(wait time.Duration, action func()) {
+func (m *mesh) runAfter(wait time.Duration, action func()) {
 	m.running.Add(1)
 	go func() {
 		defer m.running.Done()
--- a/internal/hosted/regions.go
+++ b/internal/hosted/regions.go
@@ -15,19 +15,19 @@
 // of the operator's, by which a route is served in fewer regions than meant, or in none. It is
 // told of each version once.
 type regionCheck struct {
-	checked protocol.Version
+	checkedVersion protocol.Version
 }
 
 // look writes a line for each such region of a version that was not looked at before.
-func (r *regionCheck) look(held *snapshot.Snapshot, known []string, events eventLog) {
-	if held == nil || held.Version == r.checked {
+func (r *regionCheck) logUnknownRegions(held *snapshot.Snapshot, known []string, events eventLog) {
+	if held == nil || held.Version == r.checkedVersion {
 		return
 	}
-	r.checked = held.Version
+	r.checkedVersion = held.Version
 	for _, route := range held.Routes {
 		for _, region := range unknownRegions(route, known) {
-			events.event("allowed_region_unknown", field("version", versionText(held.Version)),
-				field("code", codeText(result.RegionNotAllowed)), field("route", route.Name), field("region", region))
+			events.event("allowed_region_unknown", field("version", formatVersion(held.Version)),
+				field("code", formatCode(result.RegionNotAllowed)), field("route", route.Name), field("region", region))
 		}
 	}
 }
@@ -40,7 +40,7 @@
 }
 
 // regions are those in which daemons are, as far as known here.
-func (m *mesh) regions() []string {
+func (m *mesh) knownRegions() []string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	members := lo.Map(m.roster.All(), func(member protocol.Member, _ int) string { return member.Region })
--- a/internal/hosted/regions_test.go
+++ b/internal/hosted/regions_test.go
@@ -14,12 +14,12 @@
 )
 
 // lookAt has versions looked at by a daemon that knows one region, and returns the regions told.
-func lookAt(versions ...*snapshot.Snapshot) []string {
+func loggedRegions(versions ...*snapshot.Snapshot) []string {
 	written := memory.New()
 	events := newEventLog(&log.Logger{Handler: written, Level: log.DebugLevel}, "n", func() time.Duration { return 0 })
 	var check regionCheck
 	for _, version := range versions {
-		check.look(version, []string{"north"}, events)
+		check.logUnknownRegions(version, []string{"north"}, events)
 	}
 	var told []string
 	for _, entry := range written.Entries {
@@ -28,17 +28,17 @@
 	return told
 }
 
-func allowing(version protocol.Version, regions ...string) *snapshot.Snapshot {
+func snapshotAllowing(version protocol.Version, regions ...string) *snapshot.Snapshot {
 	return &snapshot.Snapshot{Version: version, Routes: []resource.Route{{Name: "route", AllowedRegions: regions}}}
 }
 
-func TestARegionWithoutDaemonsIsToldOnceAVersion(t *testing.T) {
+func TestUnknownRegionIsLoggedOncePerVersion(t *testing.T) {
 	check := is.New(t)
-	check.Equal(lookAt(allowing(1, "north", "nroth"), allowing(1, "north", "nroth")), []string{"nroth"})
-	check.Equal(lookAt(allowing(1, "nroth"), allowing(2, "nroth")), []string{"nroth", "nroth"})
+	check.Equal(loggedRegions(snapshotAllowing(1, "north", "nroth"), snapshotAllowing(1, "north", "nroth")), []string{"nroth"})
+	check.Equal(loggedRegions(snapshotAllowing(1, "nroth"), snapshotAllowing(2, "nroth")), []string{"nroth", "nroth"})
 }
 
-func TestKnownRegionsAreNotTold(t *testing.T) {
+func TestKnownRegionsAreNotLogged(t *testing.T) {
 	check := is.New(t)
-	check.Equal(len(lookAt(nil, allowing(1), allowing(2, "north"))), 0)
+	check.Equal(len(loggedRegions(nil, snapshotAllowing(1), snapshotAllowing(2, "north"))), 0)
 }
--- a/internal/hosted/registering.go
+++ b/internal/hosted/registering.go
@@ -19,33 +19,33 @@
 // reads the list again at once, so that of daemons that start together the last one
 // knows all others, and once more when what may lag behind has come.
 func (m *mesh) register() {
-	if !m.untilDone(m.readRegistry) {
+	if !m.retryUntilDone(m.readRegistry) {
 		return
 	}
-	defer m.confirmRegistered()
+	defer m.recheckRegistration()
 	if m.isRegistered() {
-		m.syncAtStart()
+		m.syncAtStartup()
 		return
 	}
-	if !m.untilDone(m.putRegistration) || !m.untilDone(m.readRegistry) {
+	if !m.retryUntilDone(m.putRegistration) || !m.retryUntilDone(m.readRegistry) {
 		return
 	}
-	m.syncAtStart()
-	if pause.For(m.context, registryLag) && m.untilDone(m.readRegistry) {
-		m.syncAtStart()
+	m.syncAtStartup()
+	if pause.For(m.context, registryLag) && m.retryUntilDone(m.readRegistry) {
+		m.syncAtStartup()
 	}
 }
 
 // lateWriteTime is within what time the store has carried out a call that it did not answer,
 // if it ever does.
-const lateWriteTime = 15 * time.Second
+const maxLateWriteDelay = 15 * time.Second
 
 // confirmRegistered looks once more, when no write of an earlier start can come any more,
 // whether the daemon is registered: such a start may have taken the registration away, and its
 // call, or the news of it, may come after this one's list.
-func (m *mesh) confirmRegistered() {
-	if pause.For(m.context, lateWriteTime) {
-		m.untilDone(m.ensureRegistered)
+func (m *mesh) recheckRegistration() {
+	if pause.For(m.context, maxLateWriteDelay) {
+		m.retryUntilDone(m.ensureRegistered)
 	}
 }
 
@@ -65,7 +65,7 @@
 	registrationCheckers = 2
 	// registrationCheckAfter is how long after that the first one looks, and by how much later
 	// the next: until then operators and back ends write again what was lost too.
-	registrationCheckAfter = 500 * time.Millisecond
+	registrationCheckDelay = 500 * time.Millisecond
 )
 
 // checkRegistrations tells the daemons whose registrations the store has lost, if this daemon is one
@@ -78,45 +78,45 @@
 		return
 	}
 	m.running.Go(func() {
-		if pause.For(m.context, registrationCheckAfter*time.Duration(rank+1)) {
-			m.untilDone(m.findUnregistered)
+		if pause.For(m.context, registrationCheckDelay*time.Duration(rank+1)) {
+			m.retryUntilDone(m.notifyUnregistered)
 		}
 	})
 }
 
 // findUnregistered reads the registry and tells the daemons that it lacks.
-func (m *mesh) findUnregistered() bool {
+func (m *mesh) notifyUnregistered() bool {
 	if !m.refreshRegistry(authority.Linearizable) {
 		return false
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	stands := lo.SliceToMap(m.registered, func(one authority.Registration) (protocol.NodeID, bool) { return one.ID, true })
+	stands := lo.SliceToMap(m.registrations, func(one authority.Registration) (protocol.NodeID, bool) { return one.ID, true })
 	m.roster.Each(func(member protocol.Member) {
 		if stands[member.ID] || member.State == protocol.MemberLeft {
 			return
 		}
 		if member.ID == m.self.ID {
-			m.registerAgain()
+			m.restoreRegistration()
 			return
 		}
-		request := m.pushRequest(nil)
+		request := m.newPushRequest(nil)
 		request.Unregistered = true
-		if peer, found := m.peers().Find(member.ID); found {
-			m.deliver([]dissemination.Peer{peer}, request, false)
+		if peer, found := m.peerDirectory().Find(member.ID); found {
+			m.sendToFirstReachable([]dissemination.Peer{peer}, request, false)
 		}
 	})
 	return true
 }
 
 // registerAgain writes the daemon's registration that the store has lost. It does not block.
-func (m *mesh) registerAgain() {
+func (m *mesh) restoreRegistration() {
 	if m.registering.Swap(true) {
 		return
 	}
 	m.running.Go(func() {
 		defer m.registering.Store(false)
-		m.untilDone(func() bool { return m.hasLeft() || m.putRegistration() })
+		m.retryUntilDone(func() bool { return m.hasLeft() || m.putRegistration() })
 		m.events.event("registration_written_again")
 	})
 }
@@ -129,7 +129,7 @@
 
 // untilDone tries a call to the store until it succeeds; false means that the
 // daemon has ended.
-func (m *mesh) untilDone(call func() bool) bool {
+func (m *mesh) retryUntilDone(call func() bool) bool {
 	for failures := 0; m.context.Err() == nil; failures++ {
 		if call() {
 			return true
@@ -148,7 +148,7 @@
 
 // refreshRegistry lists the registrations, and tells whether the store answered.
 func (m *mesh) refreshRegistry(freshness authority.Freshness) bool {
-	listed, err := readStore(m.reads, m.context, purposeList, readTimeout, func(ctx context.Context) ([]authority.Registration, error) {
+	listed, err := readStore(m.reads, m.context, purposeList, storeReadTimeout, func(ctx context.Context) ([]authority.Registration, error) {
 		return m.registry.List(ctx, freshness)
 	})
 	if err != nil {
@@ -157,12 +157,12 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.setRegistered(listed)
+	m.setRegistrations(listed)
 	return true
 }
 
 // registration is what the daemon leaves in the registry; the lock is held.
-func (m *mesh) registration() authority.Registration {
+func (m *mesh) ownRegistration() authority.Registration {
 	return authority.Registration{
 		ID: m.self.ID, Address: m.self.ControlAddress, Zone: m.self.Zone, Region: m.self.Region,
 	}
@@ -172,17 +172,17 @@
 func (m *mesh) isRegistered() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return slices.Contains(m.registered, m.registration())
+	return slices.Contains(m.registrations, m.ownRegistration())
 }
 
 func (m *mesh) putRegistration() bool {
 	m.mutex.Lock()
-	mine := m.registration()
+	mine := m.ownRegistration()
 	m.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(m.context, readTimeout)
+	ctx, cancel := context.WithTimeout(m.context, storeReadTimeout)
 	defer cancel()
 	err := m.registry.Put(ctx, mine)
-	m.calls.noteError(purposeRegister, err)
+	m.storeCalls.recordError(purposeRegister, err)
 	if err != nil {
 		m.events.event("registry_unavailable", field("error", err.Error()))
 		return false
@@ -192,34 +192,34 @@
 
 // startPeerCount is how many daemons of the own zone a start compares records with: the
 // relay, the one that is told what the relay is told, and one more.
-const startPeerCount = 3
+const startupPeerCount = 3
 
 // syncAtStart compares records with some peers, the relay of the own zone first, and has
 // the own record broadcast.
-func (m *mesh) syncAtStart() {
-	for _, target := range m.startPeers() {
-		m.compare(target)
+func (m *mesh) syncAtStartup() {
+	for _, target := range m.startupPeers() {
+		m.compareWith(target)
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.broadcastSelf()
+	m.broadcastOwnRecord()
 }
 
 // startPeers are the peers that a start compares records with.
-func (m *mesh) startPeers() []dissemination.Peer {
+func (m *mesh) startupPeers() []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near, far := m.peers().PeersInOwnZone(), m.peers().PeersInOtherZones()
-	targets := slices.Clone(near[:min(startPeerCount, len(near))])
-	return append(targets, drawn(far, 1)...)
+	near, far := m.peerDirectory().PeersInOwnZone(), m.peerDirectory().PeersInOtherZones()
+	targets := slices.Clone(near[:min(startupPeerCount, len(near))])
+	return append(targets, samplePeers(far, 1)...)
 }
 
 // relist reads the registry again when no peer answers.
-func (m *mesh) relist() {
+func (m *mesh) relistIfIsolated() {
 	m.mutex.Lock()
-	isolated := m.clock()-m.heardAt > isolatedAfter
+	isolated := m.clock()-m.lastPeerContact > isolatedAfter
 	if isolated {
-		m.heardAt = m.clock()
+		m.lastPeerContact = m.clock()
 	}
 	m.mutex.Unlock()
 	if isolated {
@@ -228,11 +228,11 @@
 }
 
 // leave tells peers that the daemon ends.
-func (m *mesh) leave(ctx context.Context) {
+func (m *mesh) announceLeave(ctx context.Context) {
 	m.mutex.Lock()
 	m.self.State = protocol.MemberLeft
-	m.pushSelf()
-	m.broadcast() // what was gathered would be lost
+	m.announceSelf()
+	m.broadcastBatch() // what was gathered would be lost
 	m.mutex.Unlock()
 	pause.For(ctx, leaveWait)
 }
@@ -245,7 +245,7 @@
 	bounded, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	err := m.registry.Remove(bounded, m.self.ID)
-	m.calls.noteError(purposeUnregister, err)
+	m.storeCalls.recordError(purposeUnregister, err)
 	if err != nil {
 		m.events.event("registry_unavailable", field("error", err.Error()))
 	}
--- a/internal/hosted/restartnews.go
+++ b/internal/hosted/restartnews.go
@@ -10,13 +10,13 @@
 // is held. That one's incarnation is the higher one where the clock was set back.
 func (m *mesh) resumeDrain(remembered protocol.Member) {
 	if remembered.Incarnation != m.self.Incarnation && remembered.Endpoint == protocol.EndpointDraining {
-		m.rememberLeaving(remembered.BackendStart())
+		m.restoreDraining(remembered.BackendStart())
 	}
 }
 
 // forgetsDrain tells whether a daemon that has started again does not know that an earlier
 // start has acknowledged that its back end is leaving.
-func forgetsDrain(remembered, started protocol.Member) bool {
+func isUnawareOfDrain(remembered, started protocol.Member) bool {
 	restarted := started.Incarnation > remembered.Incarnation
 	acknowledged := remembered.Backend != "" && remembered.Endpoint == protocol.EndpointDraining
 	renamed := started.Backend != remembered.Backend
@@ -27,8 +27,8 @@
 // remind tells a daemon that has started again what its earlier start had acknowledged; the lock is
 // held. The peer that it joined by may not have heard of that, and neither may any of its zone: the
 // relays of other zones tell it too.
-func (m *mesh) remind(remembered, started protocol.Member) {
-	if started.Zone != m.self.Zone && !m.peers().IsRelay(m.isLost) {
+func (m *mesh) sendEarlierRecord(remembered, started protocol.Member) {
+	if started.Zone != m.self.Zone && !m.peerDirectory().IsRelay(m.isLost) {
 		return
 	}
 	target := dissemination.Peer{
@@ -44,5 +44,5 @@
 		return
 	}
 	m.self.Incarnation = remembered.Incarnation + 1
-	m.pushSelf()
+	m.announceSelf()
 }
--- a/internal/hosted/rolloutdecider.go
+++ b/internal/hosted/rolloutdecider.go
@@ -25,10 +25,10 @@
 	// stage lasts some seconds; without it one that was told while its decider was cut off
 	// took up to 5 s to reach all (of 1,000 orders 0 to 3 were completed with calls at the
 	// old version).
-	respreadPeriod = time.Second
+	rebroadcastPeriod = time.Second
 	// evidenceLimit bounds the gates of each version that are asked for what they have
 	// counted; all stable ones are asked while their last calls are waited for.
-	evidenceLimit = 12
+	maxEvidenceGates = 12
 	// deciderPurpose names the ranking by which deciders are chosen.
 	deciderPurpose = "rollout"
 )
@@ -51,9 +51,9 @@
 	order   authority.RolloutOrder
 	decider *rollout.Decider
 	// spreadAt is when all daemons were last told of the present stage again.
-	spreadAt time.Duration
+	broadcastAt time.Duration
 	// dueAt is since when a stage other than the present one is decided on; 0 for not.
-	dueAt time.Duration
+	pendingSince time.Duration
 	// faultLogged is set once the order's fault has been written.
 	faultLogged bool
 }
@@ -66,13 +66,13 @@
 
 // start begins to follow orders, where the settings say that there may be any.
 func (d *rolloutDecider) start() {
-	if d.mesh.rollouts.exposure == 0 || d.port == nil {
+	if d.mesh.rollouts.exposureShare == 0 || d.port == nil {
 		return
 	}
 	d.mesh.mutex.Lock()
-	d.mesh.listOrders = d.confirm
+	d.mesh.listRolloutOrders = d.readAndMerge
 	d.mesh.mutex.Unlock()
-	for _, loop := range []func(){d.follower.follow, d.decideForever} {
+	for _, loop := range []func(){d.follower.run, d.decideLoop} {
 		d.mesh.running.Add(1)
 		go func() {
 			defer d.mesh.running.Done()
@@ -82,16 +82,16 @@
 }
 
 // decideForever steps the decisions on the orders that are under way.
-func (d *rolloutDecider) decideForever() {
+func (d *rolloutDecider) decideLoop() {
 	for pause.For(d.mesh.context, decidePeriod) {
-		for _, service := range d.openOrders() {
+		for _, service := range d.openServices() {
 			d.decide(service)
 		}
 	}
 }
 
 // openOrders are the services whose orders have no outcome yet.
-func (d *rolloutDecider) openOrders() []resource.ServiceRef {
+func (d *rolloutDecider) openServices() []resource.ServiceRef {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var open []resource.ServiceRef
@@ -119,32 +119,32 @@
 	case !found:
 		return
 	case record.Stage.Final():
-		d.writeLost(record, time.Duration(rank+1)*deciderStagger)
+		d.rewriteLostOutcome(record, time.Duration(rank+1)*deciderStagger)
 		return
 	}
-	seen := d.observe(record, target, stable)
+	seen := d.collectEvidence(record, target, stable)
 	decision, order, due := d.step(record, elapsed, seen, time.Duration(rank)*deciderStagger)
 	if due {
-		d.write(order, record, decision)
+		d.writeStatus(order, record, decision)
 	}
 }
 
 // writeLost writes the outcome of an order again that the store has held and has lost, once that
 // has stood for a time.
-func (d *rolloutDecider) writeLost(record rollout.Record, stood time.Duration) {
+func (d *rolloutDecider) rewriteLostOutcome(record rollout.Record, stood time.Duration) {
 	d.mutex.Lock()
 	known, now := d.orders[record.Service], d.mesh.clock()
 	if known == nil || recordOf(known.order).Generation != record.Generation || known.order.Status.Stage == record.Stage {
 		d.mutex.Unlock()
 		return
 	}
-	if known.dueAt == 0 {
-		known.dueAt = now
+	if known.pendingSince == 0 {
+		known.pendingSince = now
 	}
-	order, due := known.order, now-known.dueAt >= stood
+	order, due := known.order, now-known.pendingSince >= stood
 	d.mutex.Unlock()
 	if due {
-		d.write(order, record, rollout.Decision{Stage: record.Stage, Reason: "the store has lost the outcome"})
+		d.writeStatus(order, record, rollout.Decision{Stage: record.Stage, Reason: "the store has lost the outcome"})
 	}
 }
 
@@ -157,32 +157,32 @@
 	defer d.mutex.Unlock()
 	now := d.mesh.clock()
 	known := d.orders[record.Service]
-	d.respread(known, record, now)
+	d.rebroadcast(known, record, now)
 	decision = known.decider.Step(now, record, elapsed, seen)
 	if decision.Stage == record.Stage && known.order.Status.Stage == record.Stage {
-		known.dueAt = 0
+		known.pendingSince = 0
 		return decision, known.order, false
 	}
-	if known.dueAt == 0 {
-		known.dueAt = now
+	if known.pendingSince == 0 {
+		known.pendingSince = now
 	}
 	if decision.Stage == rollout.StageHalted {
 		d.halt(record, decision.Reason) // nobody needs to agree to less
 		decision.Stage = rollout.StageRolledBack
 	}
-	return decision, known.order, now-known.dueAt >= stood
+	return decision, known.order, now-known.pendingSince >= stood
 }
 
 // respread tells all daemons again of a stage that they should have heard of; the lock is
 // held.
-func (d *rolloutDecider) respread(known *followedOrder, record rollout.Record, now time.Duration) {
-	if !record.Stage.IsUrgent() || now-known.spreadAt < respreadPeriod {
+func (d *rolloutDecider) rebroadcast(known *followedOrder, record rollout.Record, now time.Duration) {
+	if !record.Stage.IsUrgent() || now-known.broadcastAt < rebroadcastPeriod {
 		return
 	}
-	known.spreadAt = now
+	known.broadcastAt = now
 	d.mesh.mutex.Lock()
 	defer d.mesh.mutex.Unlock()
-	d.mesh.spreadOrders()
+	d.mesh.broadcastOrders()
 }
 
 // halt ends the calls to the target version on all daemons.
@@ -195,39 +195,39 @@
 	if m.mergeRollouts([]rollout.Record{record}) {
 		m.events.event("rollout_decided", field("service", record.Service.Name), field("target", record.Target),
 			field("stage", record.Stage.String()), field("reason", reason))
-		m.spreadOrders()
+		m.broadcastOrders()
 	}
 }
 
 // write writes a stage into the store over an order as it was read and, when it stands
 // there, tells all daemons. A write that met another one's is read again. It holds no lock while
 // the store is called, which may be slow, so that other orders and news are not held up.
-func (d *rolloutDecider) write(order authority.RolloutOrder, record rollout.Record, decision rollout.Decision) {
-	if d.mesh.eras.lapsed(order.At) {
+func (d *rolloutDecider) writeStatus(order authority.RolloutOrder, record rollout.Record, decision rollout.Decision) {
+	if d.mesh.eras.hasEnded(order.At) {
 		d.reread() // the position may be given out again, to another change
 		return
 	}
 	status := authority.RolloutStatus{Stage: decision.Stage, Target: record.Target, Generation: record.Generation}
-	ctx, cancel := context.WithTimeout(d.mesh.context, readTimeout)
+	ctx, cancel := context.WithTimeout(d.mesh.context, storeReadTimeout)
 	defer cancel()
 	written, err := d.port.Write(ctx, order, status)
-	d.mesh.calls.noteError(purposeRollout, err)
+	d.mesh.storeCalls.recordError(purposeRollout, err)
 	d.mesh.events.event("rollout_decided", field("service", record.Service.Name), field("target", record.Target),
-		field("stage", decision.Stage.String()), field("reason", decision.Reason), field("code", codeText(codeOf(err))))
+		field("stage", decision.Stage.String()), field("reason", decision.Reason), field("code", formatCode(codeOf(err))))
 	if err != nil {
 		d.reread()
 		return
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.orders[record.Service].dueAt = 0
-	written.At = d.mesh.eras.place(written.At)
-	d.takeOne(written)
+	d.orders[record.Service].pendingSince = 0
+	written.At = d.mesh.eras.withEra(written.At)
+	d.handleOrder(written)
 }
 
 // reread lists the orders after a write that failed or was not answered: it may have
 // been done.
 func (d *rolloutDecider) reread() {
-	orders, _ := d.listAgain() // where it failed, the watch or the next write tells
-	d.take(orders)
+	orders, _ := d.listLogged() // where it failed, the watch or the next write tells
+	d.handleOrders(orders)
 }
--- a/internal/hosted/rolloutdecider_test.go
+++ b/internal/hosted/rolloutdecider_test.go
@@ -17,10 +17,10 @@
 type orderStore struct {
 	order authority.RolloutOrder
 	// losing has the next write done and its answer lost.
-	losing bool
+	loseNextAnswer bool
 	// outcome is the first outcome written; replaced says that another one came after it.
-	outcome  rollout.Stage
-	replaced bool
+	outcome         rollout.Stage
+	outcomeReplaced bool
 }
 
 func newOrderStore() *orderStore {
@@ -44,13 +44,13 @@
 	s.order.At.Revision++
 	s.order.Status = status
 	if s.outcome.Final() && status.Stage != s.outcome {
-		s.replaced = true
+		s.outcomeReplaced = true
 	}
 	if status.Stage.Final() {
 		s.outcome = status.Stage
 	}
-	if s.losing {
-		s.losing = false
+	if s.loseNextAnswer {
+		s.loseNextAnswer = false
 		return order, result.New(result.PlatformUnknown, "the answer is lost")
 	}
 	return s.order, nil
@@ -59,15 +59,15 @@
 // deciderStep is one thing that happens: a decider reads the orders, or decides on a stage
 // and writes it by what it knows; or the next answer of the store is lost.
 type deciderStep struct {
-	decider int
-	stage   rollout.Stage
-	loses   bool
+	decider     int
+	stage       rollout.Stage
+	losesAnswer bool
 }
 
 // deciderSteps are all steps of two deciders. One that has not read since the other
 // wrote is one that was paused, or that the store refused.
 func deciderSteps() []deciderStep {
-	steps := []deciderStep{{loses: true}}
+	steps := []deciderStep{{losesAnswer: true}}
 	for decider := range 2 {
 		for _, stage := range []rollout.Stage{0, rollout.StageCanary, rollout.StageShift, rollout.StageRolledBack, rollout.StageCompleted} {
 			steps = append(steps, deciderStep{decider: decider, stage: stage})
@@ -87,16 +87,16 @@
 	for index := range made.deciders {
 		mesh := newTestMesh("z")
 		mesh.rollouts = newRolloutTable(0.1)
-		mesh.calls = &storeCalls{}
+		mesh.storeCalls = &storeCalls{}
 		made.deciders[index] = newRolloutDecider(mesh, made.store)
-		made.deciders[index].take([]authority.RolloutOrder{made.store.order})
+		made.deciders[index].handleOrders([]authority.RolloutOrder{made.store.order})
 	}
 	return made
 }
 
 func (t *twoDeciders) step(step deciderStep) {
-	if step.loses {
-		t.store.losing = true
+	if step.losesAnswer {
+		t.store.loseNextAnswer = true
 		return
 	}
 	decider := t.deciders[step.decider]
@@ -108,24 +108,24 @@
 	if record.Stage.Final() || step.stage < record.Stage {
 		return // as decide does: there is nothing to decide, or no such decision
 	}
-	decider.write(decider.orders[record.Service].order, record, rollout.Decision{Stage: step.stage})
+	decider.writeStatus(decider.orders[record.Service].order, record, rollout.Decision{Stage: step.stage})
 }
 
 // holds tells whether what was promised holds: an outcome is never replaced, and what a
 // daemon believes to be the outcome is.
-func (t *twoDeciders) holds() bool {
+func (t *twoDeciders) isConsistent() bool {
 	for _, decider := range t.deciders {
 		record, _ := decider.mesh.rollouts.orders.Lookup(t.store.order.Service)
 		if record.Stage.Final() && record.Stage != t.store.outcome {
 			return false
 		}
 	}
-	return !t.store.replaced
+	return !t.store.outcomeReplaced
 }
 
 // Two deciders never write contradicting outcomes, and never believe them, in any order of
 // reads, decisions, conflicts and lost answers up to a depth.
-func TestTwoDecidersNeverContradict(t *testing.T) {
+func TestTwoDecidersNeverWriteContradictingOutcomes(t *testing.T) {
 	check := is.New(t)
 	const depth = 5
 	steps := deciderSteps()
@@ -139,7 +139,7 @@
 		for range depth {
 			run.step(steps[rest%len(steps)])
 			rest /= len(steps)
-			if !run.holds() {
+			if !run.isConsistent() {
 				t.Fatalf("sequence %d of %d breaks the outcome %v", number, sequences, run.store.outcome)
 			}
 		}
@@ -148,37 +148,37 @@
 }
 
 // slowStore answers a write when it is let.
-type slowStore struct {
+type blockingStore struct {
 	*orderStore
-	writing chan struct{}
-	let     chan struct{}
+	writeStarted chan struct{}
+	release      chan struct{}
 }
 
-func (s *slowStore) Write(ctx context.Context, order authority.RolloutOrder, status authority.RolloutStatus) (authority.RolloutOrder, error) {
-	close(s.writing)
-	<-s.let
+func (s *blockingStore) Write(ctx context.Context, order authority.RolloutOrder, status authority.RolloutStatus) (authority.RolloutOrder, error) {
+	close(s.writeStarted)
+	<-s.release
 	return s.orderStore.Write(ctx, order, status)
 }
 
 // News of orders are taken while the store is slow to answer a write.
-func TestASlowWriteHoldsNoNewsUp(t *testing.T) {
+func TestSlowWriteDoesNotBlockNewOrders(t *testing.T) {
 	check := is.New(t)
 	run := newTwoDeciders()
 	decider := run.deciders[0]
-	slow := &slowStore{orderStore: run.store, writing: make(chan struct{}), let: make(chan struct{})}
+	slow := &blockingStore{orderStore: run.store, writeStarted: make(chan struct{}), release: make(chan struct{})}
 	decider.port = slow
 	record, _ := decider.mesh.rollouts.orders.Lookup(run.store.order.Service)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		decider.write(run.store.order, record, rollout.Decision{Stage: rollout.StageShift})
+		decider.writeStatus(run.store.order, record, rollout.Decision{Stage: rollout.StageShift})
 	}()
-	<-slow.writing
+	<-slow.writeStarted
 	newer := run.store.order
 	newer.Target = "v3"
 	newer.At.Revision += 100
-	decider.take([]authority.RolloutOrder{newer}) // hangs where the write holds the lock
-	close(slow.let)
+	decider.handleOrders([]authority.RolloutOrder{newer}) // hangs where the write holds the lock
+	close(slow.release)
 	<-written
 	check.Equal(run.store.order.Status.Stage, rollout.StageShift)
 	check.Equal(decider.orders[newer.Service].order.Target, "v3") // what the write tells is older
@@ -186,7 +186,7 @@
 
 // An outcome that the store has lost with an era is written there again, over the position of the
 // new one, and by no decider that has not read that.
-func TestALostOutcomeIsWrittenAgain(t *testing.T) {
+func TestLostOutcomeIsRewritten(t *testing.T) {
 	check := is.New(t)
 	run := newTwoDeciders()
 	decider := run.deciders[0]
@@ -194,22 +194,22 @@
 	decider.mesh.clock = func() time.Duration { return now }
 	before := run.store.order
 	record, _ := decider.mesh.rollouts.orders.Lookup(before.Service)
-	decider.write(before, record, rollout.Decision{Stage: rollout.StageCompleted})
+	decider.writeStatus(before, record, rollout.Decision{Stage: rollout.StageCompleted})
 	record, _ = decider.mesh.rollouts.orders.Lookup(before.Service)
 	check.Equal(record.Stage, rollout.StageCompleted)
-	decider.writeLost(record, 0)
+	decider.rewriteLostOutcome(record, 0)
 	check.Equal(run.store.order.At.Revision, before.At.Revision+1) // it stands there
 
 	before.At.Era = 2
 	run.store.order = before // restored from a copy of before
 	run.store.order.Status = authority.RolloutStatus{Stage: rollout.StageCanary, Target: "v2", Generation: record.Generation}
-	decider.mesh.eras.heard(1, "store")
-	decider.mesh.eras.heard(2, "store")
-	decider.write(decider.orders[before.Service].order, record, rollout.Decision{Stage: rollout.StageCompleted})
+	decider.mesh.eras.observe(1, "store")
+	decider.mesh.eras.observe(2, "store")
+	decider.writeStatus(decider.orders[before.Service].order, record, rollout.Decision{Stage: rollout.StageCompleted})
 	check.Equal(run.store.order.Status.Stage, rollout.StageCanary) // read again in its place
-	decider.writeLost(record, time.Second)
+	decider.rewriteLostOutcome(record, time.Second)
 	check.Equal(run.store.order.Status.Stage, rollout.StageCanary) // it has not stood for that long
 	now += time.Second
-	decider.writeLost(record, time.Second)
+	decider.rewriteLostOutcome(record, time.Second)
 	check.Equal(run.store.order.Status.Stage, rollout.StageCompleted)
 }
--- a/internal/hosted/rolloutevidence.go
+++ b/internal/hosted/rolloutevidence.go
@@ -10,16 +10,16 @@
 )
 
 // observe asks gates for what they have counted.
-func (d *rolloutDecider) observe(record rollout.Record, target, stable []rolloutGate) rollout.Observation {
+func (d *rolloutDecider) collectEvidence(record rollout.Record, target, stable []rolloutGate) rollout.Observation {
 	seen := rollout.Observation{
 		Stable: rollout.Evidence{}, Target: rollout.Evidence{},
-		StableSlots: slotsOf(stable), TargetSlots: slotsOf(target),
+		StableSlots: totalSlots(stable), TargetSlots: totalSlots(target),
 	}
 	asked := stable
 	if record.Stage == rollout.StageCanary {
-		asked = stable[:min(evidenceLimit, len(stable))]
+		asked = stable[:min(maxEvidenceGates, len(stable))]
 	}
-	replies := d.ask(record.Service, append(asked[:len(asked):len(asked)], target[:min(evidenceLimit, len(target))]...))
+	replies := d.queryGates(record.Service, append(asked[:len(asked):len(asked)], target[:min(maxEvidenceGates, len(target))]...))
 	seen.StableKnown = true
 	for index, reply := range replies {
 		ofTarget := index >= len(asked)
@@ -37,25 +37,25 @@
 }
 
 // ask asks gates at the same time; nil stands for those that did not answer.
-func (d *rolloutDecider) ask(service resource.ServiceRef, gates []rolloutGate) []*protocol.EvidenceReply {
+func (d *rolloutDecider) queryGates(service resource.ServiceRef, gates []rolloutGate) []*protocol.EvidenceReply {
 	replies := make([]*protocol.EvidenceReply, len(gates))
 	var waiting sync.WaitGroup
 	for index, gate := range gates {
 		waiting.Add(1)
 		go func() {
 			defer waiting.Done()
-			replies[index] = d.askOne(service, gate)
+			replies[index] = d.queryGate(service, gate)
 		}()
 	}
 	waiting.Wait()
 	return replies
 }
 
-func (d *rolloutDecider) askOne(service resource.ServiceRef, gate rolloutGate) *protocol.EvidenceReply {
+func (d *rolloutDecider) queryGate(service resource.ServiceRef, gate rolloutGate) *protocol.EvidenceReply {
 	m := d.mesh
 	request := &protocol.EvidenceRequest{Format: protocol.Format, From: m.self.ID, Service: service}
 	if gate.peer.ID == m.self.ID {
-		return m.answerEvidence(request)
+		return m.handleEvidenceRequest(request)
 	}
 	ctx, cancel := context.WithTimeout(m.context, controlTimeout)
 	defer cancel()
--- a/internal/hosted/rolloutorders.go
+++ b/internal/hosted/rolloutorders.go
@@ -10,20 +10,20 @@
 // newOrderFollower follows the orders in the store.
 func (d *rolloutDecider) newOrderFollower() *orderFollower {
 	return &orderFollower{
-		mesh: d.mesh, purpose: deciderPurpose, count: deciderCount, watch: d.watch,
+		mesh: d.mesh, purpose: deciderPurpose, followerCount: deciderCount, watch: d.watch,
 		list: func() (authority.Position, error) {
 			orders, at, err := d.list()
-			d.take(orders)
+			d.handleOrders(orders)
 			return at, err
 		},
-		known: func() bool { return len(d.mesh.rolloutRecords()) > 0 },
+		hasOrders: func() bool { return len(d.mesh.rolloutRecords()) > 0 },
 	}
 }
 
 // confirm reads all orders, for a daemon that must know whether a version has one. It does
 // not tell the others: each that must know reads them itself.
-func (d *rolloutDecider) confirm() bool {
-	orders, read := d.listAgain()
+func (d *rolloutDecider) readAndMerge() bool {
+	orders, read := d.listLogged()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, order := range orders {
@@ -33,10 +33,10 @@
 }
 
 // listAgain reads all orders beside the watch, and tells whether the store answered.
-func (d *rolloutDecider) listAgain() (orders []authority.RolloutOrder, read bool) {
+func (d *rolloutDecider) listLogged() (orders []authority.RolloutOrder, read bool) {
 	orders, _, err := d.list()
 	if err != nil {
-		d.mesh.events.event("rollout_unread", field("code", codeText(codeOf(err))), field("error", err.Error()))
+		d.mesh.events.event("rollout_unread", field("code", formatCode(codeOf(err))), field("error", err.Error()))
 		return nil, false
 	}
 	return orders, true
@@ -44,9 +44,9 @@
 
 // list reads all orders and the position after them, the start where the store knows none.
 func (d *rolloutDecider) list() ([]authority.RolloutOrder, authority.Position, error) {
-	listed, err := readStore(d.mesh.reads, d.mesh.context, purposeRollout, readTimeout, func(ctx context.Context) (orderListing, error) {
+	listed, err := readStore(d.mesh.reads, d.mesh.context, purposeRollout, storeReadTimeout, func(ctx context.Context) (orderListing, error) {
 		orders, at, err := d.port.List(ctx)
-		return d.listing(orders, at), err
+		return d.placeInEra(orders, at), err
 	})
 	return listed.orders, listed.at, err
 }
@@ -58,41 +58,41 @@
 }
 
 // listing is what a call brought, with all positions in their era.
-func (d *rolloutDecider) listing(orders []authority.RolloutOrder, at authority.Position) orderListing {
+func (d *rolloutDecider) placeInEra(orders []authority.RolloutOrder, at authority.Position) orderListing {
 	for index := range orders {
-		orders[index].At = d.mesh.eras.place(orders[index].At)
+		orders[index].At = d.mesh.eras.withEra(orders[index].At)
 	}
-	return orderListing{orders, d.mesh.eras.place(at)}
+	return orderListing{orders, d.mesh.eras.withEra(at)}
 }
 
 func (d *rolloutDecider) watch(from authority.Position) (authority.Position, error) {
 	m := d.mesh
-	news, err := watched(m.connections, m.context, from, orderWatchWait+watchMargin, func(ctx context.Context) (orderListing, error) {
+	news, err := watchAcrossRenewals(m.connections, m.context, from, orderWatchWait+watchTimeoutMargin, func(ctx context.Context) (orderListing, error) {
 		orders, at, err := d.port.Watch(ctx, from, orderWatchWait)
-		m.calls.noteError(purposeRollout, err)
-		return d.listing(orders, at), err
+		m.storeCalls.recordError(purposeRollout, err)
+		return d.placeInEra(orders, at), err
 	})
-	d.take(news.orders)
+	d.handleOrders(news.orders)
 	return news.at, err
 }
 
 // take takes orders as the store has them.
-func (d *rolloutDecider) take(orders []authority.RolloutOrder) {
+func (d *rolloutDecider) handleOrders(orders []authority.RolloutOrder) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, order := range orders {
-		d.takeOne(order)
+		d.handleOrder(order)
 	}
 }
 
 // takeOne takes one order, and tells all daemons what is news; the lock is held.
-func (d *rolloutDecider) takeOne(order authority.RolloutOrder) {
+func (d *rolloutDecider) handleOrder(order authority.RolloutOrder) {
 	if !d.merge(order) {
 		return
 	}
 	d.mesh.mutex.Lock()
 	defer d.mesh.mutex.Unlock()
-	d.mesh.spreadOrders()
+	d.mesh.broadcastOrders()
 }
 
 // merge takes one order, and tells whether it was news; the lock is held. What the store
@@ -108,7 +108,7 @@
 	}
 	known.order = order
 	if order.Fault != nil {
-		d.logFault(known)
+		d.logFaultOnce(known)
 		return false
 	}
 	record := recordOf(order)
@@ -117,13 +117,13 @@
 	return d.mesh.mergeRollouts([]rollout.Record{record})
 }
 
-func (d *rolloutDecider) logFault(known *followedOrder) {
+func (d *rolloutDecider) logFaultOnce(known *followedOrder) {
 	if known.faultLogged {
 		return
 	}
 	known.faultLogged = true
 	d.mesh.events.event("rollout_refused", field("service", known.order.Service.Name),
-		field("code", codeText(codeOf(known.order.Fault))), field("error", known.order.Fault.Error()))
+		field("code", formatCode(codeOf(known.order.Fault))), field("error", known.order.Fault.Error()))
 }
 
 // recordOf is the record of an order as the store has it. A status of another target
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -13,10 +13,10 @@
 const (
 	// canaryOfExposure is the share of the allowed exposure that canaries get: the rest is
 	// for calls before all daemons have heard that a version was given up.
-	canaryOfExposure = 0.7
+	canaryExposureShare = 0.7
 	// completedTime is how long back ends of other versions get nothing after an order was
 	// completed. They stop then; what comes later is no matter of the order.
-	completedTime = 10 * time.Second
+	completedSplitTime = 10 * time.Second
 )
 
 // rolloutTable is what a daemon knows of roll-outs: orders, and since when it has seen
@@ -24,15 +24,15 @@
 type rolloutTable struct {
 	// exposure is the share that a version may get before it is known to be good; 0
 	// follows no orders.
-	exposure float64
-	orders   *rollout.Table
-	versions *sightings
+	exposureShare float64
+	orders        *rollout.Table
+	versions      *versionTracker
 	// confirming is set while the daemon reads the orders for a version that it holds back.
-	confirming bool
+	readingOrders bool
 }
 
 func newRolloutTable(exposure float64) *rolloutTable {
-	return &rolloutTable{exposure: exposure, orders: rollout.NewTable(), versions: newSightings()}
+	return &rolloutTable{exposureShare: exposure, orders: rollout.NewTable(), versions: newVersionTracker()}
 }
 
 // records are the orders as they are told to peers now.
@@ -41,26 +41,26 @@
 // divide says how the back ends of services are divided among versions; the lock is
 // held. A version that has just been seen is held back until its order is known, if there
 // is one.
-func (m *mesh) divide(members []protocol.Member) proxy.VersionSplits {
-	if m.rollouts.exposure == 0 {
+func (m *mesh) versionSplits(members []protocol.Member) proxy.VersionSplits {
+	if m.rollouts.exposureShare == 0 {
 		return nil
 	}
 	now := m.clock()
 	splits := proxy.VersionSplits{}
-	m.rollouts.versions.note(now, members)
-	for service, software := range m.rollouts.versions.held(now) {
+	m.rollouts.versions.record(now, members)
+	for service, software := range m.rollouts.versions.heldBack(now) {
 		splits[service] = proxy.VersionSplit{Target: software, Stage: rollout.StageHeld}
 	}
 	if len(splits) > 0 {
-		m.confirmOrders()
+		m.startOrdersReads()
 	}
 	for _, record := range m.rollouts.records(now) {
-		if record.Stage == rollout.StageCompleted && m.rollouts.orders.TimeInStage(now, record.Service) > completedTime {
+		if record.Stage == rollout.StageCompleted && m.rollouts.orders.TimeInStage(now, record.Service) > completedSplitTime {
 			delete(splits, record.Service)
 			continue
 		}
 		splits[record.Service] = proxy.VersionSplit{
-			Target: record.Target, Stage: record.Stage, CanaryShare: m.rollouts.exposure * canaryOfExposure,
+			Target: record.Target, Stage: record.Stage, CanaryShare: m.rollouts.exposureShare * canaryExposureShare,
 		}
 	}
 	return splits
@@ -74,8 +74,8 @@
 }
 
 // takeRollouts takes a peer's word of orders.
-func (m *mesh) takeRollouts(records []rollout.Record) {
-	if len(records) == 0 || m.rollouts.exposure == 0 {
+func (m *mesh) handlePeerRollouts(records []rollout.Record) {
+	if len(records) == 0 || m.rollouts.exposureShare == 0 {
 		return
 	}
 	m.mutex.Lock()
@@ -92,9 +92,9 @@
 		}
 		news = true
 		m.events.event("rollout_stage", field("service", record.Service.Name), field("target", record.Target),
-			field("stage", record.Stage.String()), field("elapsed_ms", milliseconds(record.Elapsed)))
+			field("stage", record.Stage.String()), field("elapsed_ms", formatMillis(record.Elapsed)))
 		if record.Service == m.self.Service {
-			m.countAnswers(!record.Stage.Final())
+			m.setCounting(!record.Stage.Final())
 		}
 	}
 	if news {
@@ -105,23 +105,23 @@
 
 // spreadOrders tells all daemons of the orders of all kinds that are known, along a tree in each
 // zone; the lock is held. Comparisons reach those that it misses.
-func (m *mesh) spreadOrders() {
-	request := m.pushRequest(nil)
-	directory := m.peers()
+func (m *mesh) broadcastOrders() {
+	request := m.newPushRequest(nil)
+	directory := m.peerDirectory()
 	for _, zone := range directory.Zones() {
-		m.sendBranches(directory.PeersInZone(zone), request)
+		m.sendAlongTree(directory.PeersInZone(zone), request)
 	}
 }
 
 // answerEvidence tells a decider what the gate has counted.
-func (m *mesh) answerEvidence(request *protocol.EvidenceRequest) *protocol.EvidenceReply {
+func (m *mesh) handleEvidenceRequest(request *protocol.EvidenceRequest) *protocol.EvidenceReply {
 	m.mutex.Lock()
 	software, mine := m.self.Software, m.self.Service == request.Service
 	m.mutex.Unlock()
 	if !mine {
 		return &protocol.EvidenceReply{}
 	}
-	evidence, outstanding := m.counted()
+	evidence, outstanding := m.readEvidence()
 	return &protocol.EvidenceReply{Software: software, Outstanding: outstanding, Evidence: evidence}
 }
 
@@ -141,7 +141,7 @@
 			gate.slots = member.Slots
 		}
 		switch {
-		case member.Software != record.Target && (takesWork || endsCalls(member.Endpoint)):
+		case member.Software != record.Target && (takesWork || mayStillRunCalls(member.Endpoint)):
 			stable = append(stable, gate)
 		case member.Software == record.Target && takesWork:
 			target = append(target, gate)
@@ -152,7 +152,7 @@
 }
 
 // endsCalls tells whether calls may still run at a back end although it gets no new ones.
-func endsCalls(state protocol.EndpointState) bool {
+func mayStillRunCalls(state protocol.EndpointState) bool {
 	return state == protocol.EndpointDraining || state == protocol.EndpointEvacuated
 }
 
@@ -164,7 +164,7 @@
 	slots int
 }
 
-func slotsOf(gates []rolloutGate) (total int) {
+func totalSlots(gates []rolloutGate) (total int) {
 	for _, gate := range gates {
 		total += gate.slots
 	}
--- a/internal/hosted/sightings.go
+++ b/internal/hosted/sightings.go
@@ -14,48 +14,48 @@
 const (
 	// heldTime is how long after a version was first seen its order may be written: an
 	// operator starts its back ends beside the order, and they may register first.
-	heldTime = 2500 * time.Millisecond
+	maxOrderDelay = 2500 * time.Millisecond
 	// heldLimit is how long a version is held back at most where the store doesn't tell
 	// whether it has an order. Peers that know of one have told by then.
-	heldLimit = 10 * time.Second
+	maxHoldBackTime = 10 * time.Second
 	// confirmPause is the time between two tries to read the orders.
-	confirmPause = 500 * time.Millisecond
+	ordersReadRetryDelay = 500 * time.Millisecond
 	// versionLimit bounds the versions of a service that are remembered as seen: more are
 	// not in use at a time.
-	versionLimit = 16
+	maxVersionsPerService = 16
 )
 
 // sightings are the software versions that a daemon has seen. A version that is new beside
 // others may have an order that limits its traffic, so it is held back until the orders
 // were read late enough to tell. Not safe for concurrent use.
-type sightings struct {
+type versionTracker struct {
 	// seen are the versions of each service and when each was first seen.
-	seen map[resource.ServiceRef]map[string]time.Duration
+	firstSeen map[resource.ServiceRef]map[string]time.Duration
 	// confirmedAt is when the orders were last read; confirmed is false before the first
 	// time.
-	confirmedAt time.Duration
-	confirmed   bool
+	ordersReadAt time.Duration
+	ordersRead   bool
 }
 
-func newSightings() *sightings {
-	return &sightings{seen: map[resource.ServiceRef]map[string]time.Duration{}}
+func newVersionTracker() *versionTracker {
+	return &versionTracker{firstSeen: map[resource.ServiceRef]map[string]time.Duration{}}
 }
 
 // note takes the versions of back ends that take work. Of those that a daemon sees first of
 // a service, the most frequent one is taken for the one that was there before.
-func (s *sightings) note(now time.Duration, members []protocol.Member) {
-	if s.knows(members) {
+func (s *versionTracker) record(now time.Duration, members []protocol.Member) {
+	if s.hasSeenAll(members) {
 		return // as nearly always, and views are built some times a second
 	}
 	for service, counts := range countVersions(members) {
-		versions := s.seen[service]
+		versions := s.firstSeen[service]
 		if versions == nil {
-			versions = map[string]time.Duration{mostFrequent(counts): now - heldLimit}
-			s.seen[service] = versions
+			versions = map[string]time.Duration{mostFrequentVersion(counts): now - maxHoldBackTime}
+			s.firstSeen[service] = versions
 		}
 		for software := range counts {
 			if _, known := versions[software]; !known {
-				forgetOldest(versions)
+				removeOldestIfFull(versions)
 				versions[software] = now
 			}
 		}
@@ -63,13 +63,13 @@
 }
 
 // knows tells whether each version that takes work was seen before.
-func (s *sightings) knows(members []protocol.Member) bool {
+func (s *versionTracker) hasSeenAll(members []protocol.Member) bool {
 	for index := range members {
 		member := &members[index]
-		if !hasVersion(member) {
+		if !reportsVersion(member) {
 			continue
 		}
-		if _, known := s.seen[member.Service][member.Software]; !known {
+		if _, known := s.firstSeen[member.Service][member.Software]; !known {
 			return false
 		}
 	}
@@ -77,7 +77,7 @@
 }
 
 // hasVersion tells whether a back end takes work and says what software it runs.
-func hasVersion(member *protocol.Member) bool {
+func reportsVersion(member *protocol.Member) bool {
 	return member.Software != "" && member.Endpoint.AcceptsCalls()
 }
 
@@ -86,7 +86,7 @@
 	counted := map[resource.ServiceRef]map[string]int{}
 	for index := range members {
 		member := &members[index]
-		if !hasVersion(member) {
+		if !reportsVersion(member) {
 			continue
 		}
 		if counted[member.Service] == nil {
@@ -99,15 +99,15 @@
 
 // mostFrequent is the version with the most back ends, and of several the first by name, so
 // that all daemons choose alike.
-func mostFrequent(counts map[string]int) string {
+func mostFrequentVersion(counts map[string]int) string {
 	return lo.MaxBy(lo.Keys(counts), func(one, best string) bool {
 		return cmp.Or(cmp.Compare(counts[one], counts[best]), cmp.Compare(best, one)) > 0
 	})
 }
 
 // forgetOldest makes room for one more version of a service.
-func forgetOldest(versions map[string]time.Duration) {
-	if len(versions) < versionLimit {
+func removeOldestIfFull(versions map[string]time.Duration) {
+	if len(versions) < maxVersionsPerService {
 		return
 	}
 	oldest := lo.MinBy(lo.Keys(versions), func(one, other string) bool { return versions[one] < versions[other] })
@@ -115,12 +115,12 @@
 }
 
 // held are the services with a version that is held back now.
-func (s *sightings) held(now time.Duration) map[resource.ServiceRef]string {
+func (s *versionTracker) heldBack(now time.Duration) map[resource.ServiceRef]string {
 	held := map[resource.ServiceRef]string{}
-	for service, versions := range s.seen {
+	for service, versions := range s.firstSeen {
 		for software, since := range versions {
-			told := s.confirmed && s.confirmedAt >= since+heldTime
-			if !told && now < since+heldLimit {
+			told := s.ordersRead && s.ordersReadAt >= since+maxOrderDelay
+			if !told && now < since+maxHoldBackTime {
 				held[service] = software
 			}
 		}
@@ -129,22 +129,22 @@
 }
 
 // confirm notes that the orders as they were at a time are known.
-func (s *sightings) confirm(at time.Duration) {
-	s.confirmedAt = max(s.confirmedAt, at)
-	s.confirmed = true
+func (s *versionTracker) recordOrdersRead(at time.Duration) {
+	s.ordersReadAt = max(s.ordersReadAt, at)
+	s.ordersRead = true
 }
 
 // confirmWait is how long to wait before the orders are read, for versions that are held
 // back. A daemon that has not read them since its start does so at once: their orders may
 // be older than it is.
-func (s *sightings) confirmWait(now time.Duration) time.Duration {
-	if !s.confirmed {
+func (s *versionTracker) ordersReadDelay(now time.Duration) time.Duration {
+	if !s.ordersRead {
 		return 0
 	}
 	latest := time.Duration(0)
-	for _, versions := range s.seen {
+	for _, versions := range s.firstSeen {
 		for _, since := range versions {
-			latest = max(latest, since+heldTime)
+			latest = max(latest, since+maxOrderDelay)
 		}
 	}
 	return max(latest-now, 0)
@@ -153,37 +153,37 @@
 // confirmOrders reads the orders from the store until no version is held back any more;
 // the lock is held. The first daemon that sees a new version and the last one each need
 // one or two calls for that, and none while versions stay the same.
-func (m *mesh) confirmOrders() {
-	if m.rollouts.confirming || m.listOrders == nil {
+func (m *mesh) startOrdersReads() {
+	if m.rollouts.readingOrders || m.listRolloutOrders == nil {
 		return
 	}
-	m.rollouts.confirming = true
+	m.rollouts.readingOrders = true
 	m.running.Add(1)
 	go func() {
 		defer m.running.Done()
-		m.confirmUntilKnown()
+		m.readOrdersWhileHeldBack()
 	}()
 }
 
-func (m *mesh) confirmUntilKnown() {
+func (m *mesh) readOrdersWhileHeldBack() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	defer func() { m.rollouts.confirming = false }()
+	defer func() { m.rollouts.readingOrders = false }()
 	versions := m.rollouts.versions
-	for wait := versions.confirmWait(m.clock()); len(versions.held(m.clock())) > 0; {
+	for wait := versions.ordersReadDelay(m.clock()); len(versions.heldBack(m.clock())) > 0; {
 		m.mutex.Unlock()
 		fine := pause.For(m.context, wait)
 		began := m.clock()
-		known := fine && m.listOrders()
+		known := fine && m.listRolloutOrders()
 		m.mutex.Lock()
 		if !fine {
 			return
 		}
-		wait = confirmPause
+		wait = ordersReadRetryDelay
 		if known {
-			versions.confirm(began)
-			wait = versions.confirmWait(m.clock())
+			versions.recordOrdersRead(began)
+			wait = versions.ordersReadDelay(m.clock())
 		}
-		m.publishSoon()
+		m.schedulePublish()
 	}
 }
--- a/internal/hosted/storecalls.go
+++ b/internal/hosted/storecalls.go
@@ -54,7 +54,7 @@
 }
 
 // note counts a call.
-func (c *storeCalls) note(purpose storePurpose, code result.Code) {
+func (c *storeCalls) record(purpose storePurpose, code result.Code) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.counts == nil {
@@ -64,8 +64,8 @@
 }
 
 // noteError counts a call by its error, which may be nil.
-func (c *storeCalls) noteError(purpose storePurpose, err error) {
-	c.note(purpose, codeOf(err))
+func (c *storeCalls) recordError(purpose storePurpose, err error) {
+	c.record(purpose, codeOf(err))
 }
 
 // codeOf is the result code of a call to the store; PlatformUnknown for an error
--- a/internal/hosted/verify.go
+++ b/internal/hosted/verify.go
@@ -14,37 +14,37 @@
 	// silent. It answers at once even when its back end is full, but an upload ahead of
 	// the answer on a slow link, or a processor whose share is spent, may hold it up:
 	// what other answers took lately makes the timeout longer (roundtrip.Estimator).
-	verifyTimeout = 150 * time.Millisecond
+	minVerifyTimeout = 150 * time.Millisecond
 	// verifyFarTimeout is the same for a daemon of another region.
-	verifyFarTimeout = 450 * time.Millisecond
+	minRemoteVerifyTimeout = 450 * time.Millisecond
 	// verifyLimit bounds the timeout: of the calls that such a question is about most
 	// have a second or two.
-	verifyLimit = 700 * time.Millisecond
+	maxVerifyTimeout = 700 * time.Millisecond
 	// questionLimit is how long an answer is waited for in all.
-	questionLimit = 2 * time.Second
+	pingTimeout = 2 * time.Second
 	// verifyLate is how late this daemon may find out that there was no answer. If
 	// it is later, it stood still itself and knows nothing of the other one.
-	verifyLate = 50 * time.Millisecond
+	maxVerifyOverrun = 50 * time.Millisecond
 	// verifyTries bounds the questions of which this daemon knows nothing.
-	verifyTries = 3
+	maxVerifyTries = 3
 	// verifyPause is the time between questions to an unreachable daemon, and
 	// verifyFor how long it is asked before only the usual comparisons do.
-	verifyPause = 300 * time.Millisecond
-	verifyFor   = 30 * time.Second
+	verifyRetryDelay  = 300 * time.Millisecond
+	verifyRetryPeriod = 30 * time.Second
 )
 
 // verify finds out whether a daemon can be reached, and tells the data path.
 // One that can't is asked again until it answers. It does not block.
-func (m *mesh) verify(id protocol.NodeID) {
+func (m *mesh) verifyReachable(id protocol.NodeID) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if target, found := m.peers().Find(id); found {
-		m.verifyLocked(target)
+	if target, found := m.peerDirectory().Find(id); found {
+		m.verifyReachableLocked(target)
 	}
 }
 
 // verifyLocked is verify with the lock held.
-func (m *mesh) verifyLocked(target dissemination.Peer) {
+func (m *mesh) verifyReachableLocked(target dissemination.Peer) {
 	if m.verifying[target.ID] || m.context.Err() != nil {
 		return
 	}
@@ -63,24 +63,24 @@
 // new calls go elsewhere, which does no harm if the daemon only stood still for a
 // moment; after the second one the calls under way are sent elsewhere as well.
 func (m *mesh) verifyUntilAnswered(target dissemination.Peer) {
-	if m.answers(target) || m.context.Err() != nil {
+	if m.isReachable(target) || m.context.Err() != nil {
 		return
 	}
 	m.events.event("peer_unreachable", field("peer", string(target.ID)))
-	m.path.SetReachable(target.ID, false)
-	if !m.answers(target) && m.context.Err() == nil {
+	m.reachability.SetReachable(target.ID, false)
+	if !m.isReachable(target) && m.context.Err() == nil {
 		m.events.event("peer_given_up", field("peer", string(target.ID)))
-		m.path.GiveUp(target.ID)
-		m.awaitAnswer(target)
+		m.reachability.HedgeCalls(target.ID)
+		m.awaitReachable(target)
 	}
-	m.path.SetReachable(target.ID, true)
+	m.reachability.SetReachable(target.ID, true)
 	m.events.event("peer_reachable", field("peer", string(target.ID)))
 }
 
 // awaitAnswer asks until the daemon answers, for a while.
-func (m *mesh) awaitAnswer(target dissemination.Peer) {
-	for began := m.clock(); m.clock()-began < verifyFor; {
-		if !pause.For(m.context, verifyPause) || m.answers(target) {
+func (m *mesh) awaitReachable(target dissemination.Peer) {
+	for began := m.clock(); m.clock()-began < verifyRetryPeriod; {
+		if !pause.For(m.context, verifyRetryDelay) || m.isReachable(target) {
 			return
 		}
 	}
@@ -88,19 +88,19 @@
 
 // answers tells whether a daemon answers in time. What this daemon learns late it
 // asks again.
-func (m *mesh) answers(target dissemination.Peer) bool {
-	least := verifyTimeout
+func (m *mesh) isReachable(target dissemination.Peer) bool {
+	least := minVerifyTimeout
 	if target.Region != m.self.Region {
-		least = verifyFarTimeout
+		least = minRemoteVerifyTimeout
 	}
-	timeout := min(max(m.roundTrips.Timeout(), least), verifyLimit)
+	timeout := min(max(m.roundTrips.Timeout(), least), maxVerifyTimeout)
 	for try := 1; ; try++ {
 		asked := m.clock()
-		if m.answersWithin(target, timeout) {
+		if m.isReachableWithin(target, timeout) {
 			return true
 		}
-		late := m.clock()-asked > timeout+verifyLate
-		if !late || try == verifyTries || m.context.Err() != nil {
+		late := m.clock()-asked > timeout+maxVerifyOverrun
+		if !late || try == maxVerifyTries || m.context.Err() != nil {
 			return false
 		}
 	}
@@ -108,12 +108,12 @@
 
 // answersWithin sends an empty push and tells whether it is answered in time. One that
 // is answered later is still waited for, so that the next timeout allows for it.
-func (m *mesh) answersWithin(target dissemination.Peer, timeout time.Duration) bool {
+func (m *mesh) isReachableWithin(target dissemination.Peer, timeout time.Duration) bool {
 	answered := make(chan bool, 1)
 	m.running.Add(1)
 	go func() {
 		defer m.running.Done()
-		answered <- m.question(target)
+		answered <- m.ping(target)
 	}()
 	bound := time.NewTimer(timeout)
 	defer bound.Stop()
@@ -127,11 +127,11 @@
 
 // question sends an empty push and measures how long its answer takes. A failure that
 // comes at once may be that of an old connection, so it is sent again over a new one.
-func (m *mesh) question(target dissemination.Peer) bool {
-	ctx, cancel := context.WithTimeout(m.context, questionLimit)
+func (m *mesh) ping(target dissemination.Peer) bool {
+	ctx, cancel := context.WithTimeout(m.context, pingTimeout)
 	defer cancel()
 	m.mutex.Lock()
-	request := m.request()
+	request := m.newComparisonRequest()
 	m.mutex.Unlock()
 	request.Push = true
 	asked := m.clock()
--- a/internal/hosted/warmth.go
+++ b/internal/hosted/warmth.go
@@ -10,49 +10,49 @@
 
 // coldWord is what the gate is told of a warm-up: of which start, and until when, on the clock,
 // that is cold; 0 when it is warm.
-type coldWord struct {
+type coldState struct {
 	start protocol.BackendStart
 	until time.Duration
 }
 
 // showWarmth tells the gate until when the back end is cold if it does not know yet, and before
 // it is opened to the start; the lock is held.
-func (b *backendSide) showWarmth(view backend.View) {
-	next := coldWord{start: view.Start, until: view.ColdUntil}
-	if next == b.toldCold {
+func (b *backendMonitor) updateGateWarmth(view backend.View) {
+	next := coldState{start: view.Start, until: view.ColdUntil}
+	if next == b.reportedCold {
 		return
 	}
-	if wasCold := b.toldCold.until > 0; wasCold != (next.until > 0) {
+	if wasCold := b.reportedCold.until > 0; wasCold != (next.until > 0) {
 		b.events.event("backend_warmth", field("instance", view.Start.Instance),
-			field("cold_ms", milliseconds(max(next.until-b.clock(), 0))))
+			field("cold_ms", formatMillis(max(next.until-b.clock(), 0))))
 	}
-	b.toldCold = next
-	b.cold(next.until)
+	b.reportedCold = next
+	b.setColdUntil(next.until)
 }
 
 // confirmWarmth is called where the back end may have become cold unseen. It counts as cold, for
 // as long as its service says, until it has answered a probe that is asked from now on. It is
 // probed at once, or with its first report where none is known yet. It does not block.
-func (b *backendSide) confirmWarmth() {
+func (b *backendMonitor) assumeCold() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.doubtWarmth()
-	b.show()
+	b.assumeColdLocked()
+	b.publishView()
 }
 
 // doubtWarmth is confirmWarmth with the lock held; it shows nothing.
-func (b *backendSide) doubtWarmth() {
-	b.doubtedAt = b.clock()
-	b.tracker.AssumeCold(b.doubtedAt, b.settings.warmUp())
+func (b *backendMonitor) assumeColdLocked() {
+	b.possiblyColdSince = b.clock()
+	b.tracker.AssumeCold(b.possiblyColdSince, b.config.warmUpTime())
 	if b.tracker.IsAssumedCold(b.clock()) {
-		b.probeSoon()
+		b.startProbing()
 	}
 }
 
 // warmUp is how long the back ends of a service are cold after a start; 0 while that is not
 // known.
-func (c *configuration) warmUp(service resource.ServiceRef) time.Duration {
-	built := c.built.Load()
+func (c *configurationFollower) warmUp(service resource.ServiceRef) time.Duration {
+	built := c.currentSnapshot.Load()
 	if built == nil {
 		return 0
 	}
--- a/internal/hosted/wiring.go
+++ b/internal/hosted/wiring.go
@@ -44,7 +44,7 @@
 // Shutdown ends the mesh's loops and calls.
 func (m *meshPart) Shutdown() error {
 	m.client.Close()
-	m.stop()
+	m.awaitStopped()
 	return nil
 }
 
@@ -56,8 +56,8 @@
 
 // provide registers the parts. do makes each when it is first asked for and
 // shuts them down in the opposite order of their dependencies.
-func (d *Daemon) provide() {
-	do.Provide(d.injector, d.newPath)
+func (d *Daemon) registerParts() {
+	do.Provide(d.injector, d.newDataPath)
 	do.Provide(d.injector, d.newMesh)
 	do.Provide(d.injector, d.newControl)
 	do.Provide(d.injector, d.newCallersServer)
@@ -68,24 +68,24 @@
 }
 
 // assemble makes all parts.
-func (d *Daemon) assemble() error {
+func (d *Daemon) buildParts() error {
 	path, err := do.Invoke[*pathPart](d.injector)
 	if err != nil {
 		return err
 	}
-	d.path = path.Proxy
+	d.dataPath = path.Proxy
 	made, err := do.Invoke[*meshPart](d.injector)
 	if err != nil {
 		return err
 	}
 	d.mesh = made.mesh
 	for _, invoke := range []func() error{
-		invoked[*controlPart](d.injector),
-		invoked[*callersServer](d.injector),
-		invoked[*gateServer](d.injector),
-		invoked[*readyServer](d.injector),
-		invoked[*reportsServer](d.injector),
-		invoked[*metricsServer](d.injector),
+		invoker[*controlPart](d.injector),
+		invoker[*callersServer](d.injector),
+		invoker[*gateServer](d.injector),
+		invoker[*readyServer](d.injector),
+		invoker[*reportsServer](d.injector),
+		invoker[*metricsServer](d.injector),
 	} {
 		if err := invoke(); err != nil {
 			return err
@@ -95,7 +95,7 @@
 }
 
 // invoked makes a part that nothing else asks for.
-func invoked[Part any](injector do.Injector) func() error {
+func invoker[Part any](injector do.Injector) func() error {
 	return func() error {
 		_, err := do.Invoke[Part](injector)
 		return err
@@ -109,32 +109,32 @@
 	if err != nil {
 		return nil, err
 	}
-	made := d.unlinkedMesh(path)
+	made := d.newUnlinkedMesh(path)
 	d.linkConnections(path, made)
 	d.configuration = d.newConfiguration(path, made)
-	made.counted = path.AnswerEvidence
-	made.countAnswers = path.SetAnswerCounting
+	made.readEvidence = path.AnswerEvidence
+	made.setCounting = path.SetAnswerCounting
 	made.version = d.configuration.version
-	made.document = d.configuration.packedDocument
-	made.heardOf = d.configuration.heardOf
-	made.storeFails = d.configuration.storeFails
-	made.poll = d.configuration.poll
-	d.configuration.announce = made.announceVersion
+	made.documentFor = d.configuration.packedDocument
+	made.onPeerVersion = d.configuration.handlePeerVersion
+	made.isStoreUnavailable = d.configuration.isStoreUnavailable
+	made.pollStore = d.configuration.pollStore
+	d.configuration.announceVersion = made.announceVersion
 	d.backend = d.newBackendSide(path, made)
-	made.rememberLeaving = d.backend.rememberLeaving
-	d.eras.risen = []func(uint64){
-		d.configuration.newEra,
-		func(uint64) { made.connections.rewatch() },
+	made.restoreDraining = d.backend.restoreDraining
+	d.eras.onRise = []func(uint64){
+		d.configuration.observeEra,
+		func(uint64) { made.connections.restartWatches() },
 		made.checkRegistrations,
 	}
 	if d.options.Platform.OnEra != nil {
-		d.options.Platform.OnEra(d.eras.answered)
+		d.options.Platform.OnEra(d.eras.recordAnswer)
 	}
 	if d.options.Platform.OnFault != nil {
-		d.options.Platform.OnFault(newFaultLog(d.events).tell)
+		d.options.Platform.OnFault(newFaultLog(d.events).logOnce)
 	}
-	d.backend.settings.takenBack = d.backend.doubtWarmth
-	made.zoneChanged = d.backend.zoneChanged
+	d.backend.config.onEvacuationEnd = d.backend.assumeColdLocked
+	made.onZoneChange = d.backend.recheckZone
 	d.decider = newRolloutDecider(made, d.options.Platform.Rollouts)
 	d.evacuations = newEvacuationReader(made, d.options.Platform.Evacuations, d.settings.Evacuations.Within())
 	path.ExtendServing(forever)
@@ -142,30 +142,30 @@
 }
 
 // unlinkedMesh makes the mesh, which does not know the configuration and the back end's side yet.
-func (d *Daemon) unlinkedMesh(path *pathPart) *mesh {
+func (d *Daemon) newUnlinkedMesh(path *pathPart) *mesh {
 	return &mesh{
-		events:     d.events,
-		clock:      d.clock,
-		registry:   d.options.Platform.Registry,
-		client:     control.NewClient(nil, controlLimits(), control.NewMeter()),
-		calls:      &d.storeCalls,
-		contact:    d.contact,
-		publish:    path.PublishState,
-		roundTrips: &d.roundTrips,
-		harmful:    path.Proxy,
-		held:       d.options.Platform.Held,
-		kept:       map[quarantine.Signature]keptRequest{},
-		eras:       &d.eras,
-		pollNow:    make(chan struct{}, 1),
-		rollouts:   newRolloutTable(d.settings.Rollouts.ExposureShare),
-		valueBytes: d.settings.Authority.ValueBytes,
-		context:    d.context,
-		roster:     membership.NewRoster(),
-		lost:       map[protocol.NodeID]bool{},
-		verifying:  map[protocol.NodeID]bool{},
-		batch:      dissemination.NewBatch(batchPeriod),
+		events:           d.events,
+		clock:            d.clock,
+		registry:         d.options.Platform.Registry,
+		client:           control.NewClient(nil, controlLimits(), control.NewMeter()),
+		storeCalls:       &d.storeCalls,
+		contacts:         d.contacts,
+		publishState:     path.PublishState,
+		roundTrips:       &d.roundTrips,
+		harmful:          path.Proxy,
+		heldStore:        d.options.Platform.Held,
+		storedHeld:       map[quarantine.Signature]storedRequest{},
+		eras:             &d.eras,
+		pollRequested:    make(chan struct{}, 1),
+		rollouts:         newRolloutTable(d.settings.Rollouts.ExposureShare),
+		maxDocumentBytes: d.settings.Authority.ValueBytes,
+		context:          d.context,
+		roster:           membership.NewRoster(),
+		lostPeers:        map[protocol.NodeID]bool{},
+		verifying:        map[protocol.NodeID]bool{},
+		batch:            dissemination.NewBatch(minBroadcastInterval),
 
-		path: path.Proxy,
+		reachability: path.Proxy,
 		self: protocol.Member{
 			ID:             protocol.NodeID(d.settings.Node.ID),
 			Incarnation:    d.incarnation,
@@ -183,74 +183,74 @@
 // that out.
 func (d *Daemon) linkConnections(path *pathPart, m *mesh) {
 	renewStore := d.options.Platform.Renew
-	m.connections = &connections{
+	m.connections = &connectionRenewer{
 		events: d.events, clock: d.clock, context: d.context, running: &m.running, eras: m.eras,
-		renewStore: func() {
+		replaceStoreConnections: func() {
 			if renewStore != nil {
 				renewStore()
 			}
 		},
 	}
-	m.connections.renew = func() {
-		m.connections.renewStore()
+	m.connections.replaceConnections = func() {
+		m.connections.replaceStoreConnections()
 		m.client.DropOpenedBefore(time.Now())
 		path.RenewConnections()
 	}
 	m.connections.start()
-	m.reads = &storeReads{
-		clock: d.clock, running: &m.running, calls: m.calls, renew: renewStore,
-		dead: func(opened time.Duration) { m.connections.dead(placeStore, opened) },
+	m.reads = &hedgedReads{
+		clock: d.clock, running: &m.running, calls: m.storeCalls, renewConnections: renewStore,
+		onDeadConnection: func(opened time.Duration) { m.connections.reportDead(remoteStore, opened) },
 	}
 	m.client.HedgeCalls(control.Hedge{
-		After: func() time.Duration { return silenceAfter(&d.roundTrips) },
+		After: func() time.Duration { return silenceTimeout(&d.roundTrips) },
 		OnDead: func(_ string, opened time.Time) {
-			m.connections.dead(placePeer, d.clock()-time.Since(opened))
+			m.connections.reportDead(remotePeer, d.clock()-time.Since(opened))
 		},
 	})
 }
 
 // newConfiguration makes what follows the authority's configuration and puts it in force.
-func (d *Daemon) newConfiguration(path *pathPart, m *mesh) *configuration {
-	return &configuration{
-		source: d.options.Platform.Source,
-		events: d.events,
-		clock:  d.clock,
-		swap:   path.Swap,
-		limit: func(limits authority.RequestLimits) {
+func (d *Daemon) newConfiguration(path *pathPart, m *mesh) *configurationFollower {
+	return &configurationFollower{
+		source:        d.options.Platform.Source,
+		events:        d.events,
+		clock:         d.clock,
+		applySnapshot: path.Swap,
+		applyLimits: func(limits authority.RequestLimits) {
 			path.SetRequestLimits(proxy.RequestLimits(limits))
 		},
-		askPeer: m.askDocument,
-		context: d.context,
-		calls:   &d.storeCalls,
-		contact: d.contact,
-		reads:   m.reads, connections: m.connections, eras: m.eras,
+		fetchFromPeer: m.fetchDocument,
+		context:       d.context,
+		calls:         &d.storeCalls,
+		contacts:      d.contacts,
+		reads:         m.reads, connections: m.connections, eras: m.eras,
 		follower: following.New(following.ConfigForApplyTime(d.settings.Authority.Apply()), randomNumber),
 	}
 }
 
 // newBackendSide makes what follows the back end; its hook for a zone that is taken back follows.
-func (d *Daemon) newBackendSide(path *pathPart, m *mesh) *backendSide {
-	return &backendSide{
-		settings: hostedBackend{
+func (d *Daemon) newBackendSide(path *pathPart, m *mesh) *backendMonitor {
+	return &backendMonitor{
+		config: backendMonitorConfig{
 			address:    d.settings.Backend.Address,
-			probe:      d.options.Platform.Probe,
+			prober:     d.options.Platform.Probe,
 			healthPath: d.healthPath,
-			warmUp: func() time.Duration {
+			warmUpTime: func() time.Duration {
 				return d.configuration.warmUp(serviceRef(d.settings.Backend.Service))
 			},
-			joined:    d.knowsPeersAndOrders,
-			evacuated: m.evacuated,
+			hasJoinedMesh:   d.knowsPeersAndOrders,
+			isZoneEvacuated: m.isOwnZoneEvacuated,
 		},
-		events:   d.events,
-		clock:    d.clock,
-		gate:     path.ReportBackend,
-		cold:     path.SetColdUntil,
-		probes:   path.BeginBackendProbe,
-		holds:    path.SetReportedCalls,
-		announce: m.announce,
-		context:  d.context,
-		tracker:  backend.NewTracker(d.settings.Backend.HeartbeatInterval()),
-		refusals: logging.NewRate(refusalsPerSecond, refusalsBurst),
+		events:           d.events,
+		clock:            d.clock,
+		reportToGate:     path.ReportBackend,
+		setColdUntil:     path.SetColdUntil,
+		beginProbe:       path.BeginBackendProbe,
+		setReportedCalls: path.SetReportedCalls,
+		announceToMesh:   m.announceBackend,
+		context:          d.context,
+		tracker:          backend.NewTracker(d.settings.Backend.HeartbeatInterval()),
+		refusalLogRate:   logging.NewRate(refusalLogsPerSecond, refusalLogBurst),
 	}
 }
 
@@ -298,7 +298,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return daemon.ServePath(listener, proxy.NewServer(side(path.Proxy), pathLimits(d.settings.Drain.Grace())), closeBound), nil
+	return daemon.ServePath(listener, proxy.NewServer(side(path.Proxy), proxyLimits(d.settings.Drain.Grace())), closeTimeout), nil
 }
 
 func (d *Daemon) newReadyServer(do.Injector) (*readyServer, error) {
@@ -339,5 +339,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return daemon.ServeWeb(listener, nil, handler, closeBound), nil
+	return daemon.ServeWeb(listener, nil, handler, closeTimeout), nil
 }
--- a/internal/lab/standin/service.go
+++ b/internal/lab/standin/service.go
@@ -161,7 +161,7 @@
 		return object.Reply{Code: result.PlatformUnavailable}
 	}
 	if !admitted {
-		return object.Reply{Code: result.PlatformReadersFull}
+		return object.Reply{Code: result.PlatformTooManyReaders}
 	}
 	defer s.locked(func(now time.Duration) { s.store.CloseWatch(now, client) })
 	return s.follow(ctx, prefix, from, deliver)
--- a/internal/lab/standin/store.go
+++ b/internal/lab/standin/store.go
@@ -105,7 +105,7 @@
 // current; lists and the machine list are as old as lag says.
 func (s *Store) Apply(now time.Duration, client string, call object.Call, lag Lag) object.Reply {
 	if isRead(call.Kind) && !s.readers.admitRead(now, client) {
-		return object.Reply{Code: result.PlatformReadersFull}
+		return object.Reply{Code: result.PlatformTooManyReaders}
 	}
 	switch call.Kind {
 	case object.CallGet:
--- a/internal/lab/standin/store_test.go
+++ b/internal/lab/standin/store_test.go
@@ -101,7 +101,7 @@
 	is.Equal(store.Apply(0, "a", get, Lag{}).Code, result.PlatformNotFound) // a watch and a read of one client: one reader
 	is.Equal(store.Apply(0, "b", get, Lag{}).Code, result.PlatformNotFound)
 	is.Equal(store.Readers(0), 2)
-	is.Equal(store.Apply(0, "c", get, Lag{}).Code, result.PlatformReadersFull)
+	is.Equal(store.Apply(0, "c", get, Lag{}).Code, result.PlatformTooManyReaders)
 	is.True(!store.OpenWatch(0, "c"))
 	is.Equal(store.Apply(limits.ReaderWindow, "c", get, Lag{}).Code, result.PlatformNotFound) // b has left the window
 	store.CloseWatch(limits.ReaderWindow, "a")
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -244,11 +244,11 @@
 // without a body, does not run while an earlier answer could still close the connection.
 func TestUnsafeRequestWaitsForEarlierAnswers(t *testing.T) {
 	for name, body := range map[string]string{"body": "hi", "none": ""} {
-		t.Run(name, func(t *testing.T) { testUnsafeWaits(t, body) })
+		t.Run(name, func(t *testing.T) { testUnsafeRequestWaits(t, body) })
 	}
 }
 
-func testUnsafeWaits(t *testing.T, body string) {
+func testUnsafeRequestWaits(t *testing.T, body string) {
 	check := is.New(t)
 	handler := newBlockingHandler()
 	conn := newTestServer(t, false, handler.serve).dial()
--- a/internal/pipeline/testserver_test.go
+++ b/internal/pipeline/testserver_test.go
@@ -41,10 +41,10 @@
 
 // testServer is a server on a pipeListener, with or without requests that run ahead.
 type testServer struct {
-	listener *pipeListener
-	server   *http.Server
-	config   *Config
-	budget   *ByteBudget
+	listener   *pipeListener
+	httpServer *http.Server
+	config     *Config
+	budget     *ByteBudget
 	// conns receives the first connection whose requests run ahead.
 	conns chan *Conn
 	// turnWaits receives how long each request has waited for its turn.
@@ -67,9 +67,9 @@
 		Calls: 4, InputBytes: 4 << 10, AnswerBytes: 2 << 10, Held: created.budget,
 		Handler: handler, MayRunAhead: isRepeatable, OnStart: func(int) { created.aheadCount.Add(1) },
 	}
-	created.server = &http.Server{Handler: handler, ErrorLog: nil}
+	created.httpServer = &http.Server{Handler: handler, ErrorLog: nil}
 	if !serial {
-		created.server.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		created.httpServer.Handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			conn := request.Context().Value(connKey{}).(*Conn)
 			call, waited := conn.BeginRequest(request)
 			select {
@@ -83,7 +83,7 @@
 			}
 			handler(writer, request)
 		})
-		created.server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
+		created.httpServer.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 			ctx = context.WithValue(ctx, connKey{}, conn)
 			conn.(*Conn).Bind(ctx)
 			return ctx
@@ -93,8 +93,8 @@
 	if !serial {
 		listener = &wrappingListener{Listener: created.listener, server: created}
 	}
-	go func() { _ = created.server.Serve(listener) }()
-	t.Cleanup(func() { _ = created.server.Close() })
+	go func() { _ = created.httpServer.Serve(listener) }()
+	t.Cleanup(func() { _ = created.httpServer.Close() })
 	return created
 }
 
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -203,5 +203,5 @@
 
 // isPlatformCode tells whether a code may answer a platform call.
 func isPlatformCode(code result.Code) bool {
-	return code == result.OK || (code >= result.PlatformUnavailable && code <= result.PlatformReadersFull)
+	return code == result.OK || (code >= result.PlatformUnavailable && code <= result.PlatformTooManyReaders)
 }
--- a/internal/platform/platformtest/faults.go
+++ b/internal/platform/platformtest/faults.go
@@ -104,8 +104,8 @@
 	watch := startWatch(b, "", 0)
 	a.create("head", "1")
 	watch.next() // the watch is open
-	is.Equal(c.get("head").Code, result.PlatformReadersFull)
-	is.Equal(startWatch(c, "", 0).end(), result.PlatformReadersFull)
+	is.Equal(c.get("head").Code, result.PlatformTooManyReaders)
+	is.Equal(startWatch(c, "", 0).end(), result.PlatformTooManyReaders)
 	is.Equal(a.get("head").Code, result.OK)      // who reads already may go on
 	is.Equal(c.create("b", "2").Code, result.OK) // writing is no reading
 	is.Equal(harness.Service.Counters().Readers, 2)
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -21,7 +21,7 @@
 	started atomic.Bool
 	// cutAt is the deadline of the drain, at which the calls still running are cancelled, on the
 	// proxy's clock.
-	cutAt atomic.Int64
+	deadline atomic.Int64
 	// refusing is set after Limits.DrainLinger; callers' requests are refused from then on.
 	refusing atomic.Bool
 	// idle receives a value when the last running call ends.
@@ -39,7 +39,7 @@
 // DrainLinger, asking callers to close their connections, and then refuses them with
 // result.Draining.
 func (p *Proxy) StartDrain() {
-	p.drain.cutAt.CompareAndSwap(0, int64(p.config.Clock()+p.limits.DrainBound))
+	p.drain.deadline.CompareAndSwap(0, int64(p.config.Clock()+p.limits.DrainBound))
 	if !p.drain.started.CompareAndSwap(false, true) {
 		return
 	}
@@ -76,7 +76,7 @@
 	if !p.drain.started.Load() {
 		return deadline
 	}
-	return min(deadline, time.Duration(p.drain.cutAt.Load()))
+	return min(deadline, time.Duration(p.drain.deadline.Load()))
 }
 
 func (p *Proxy) runDrain() {
@@ -92,7 +92,7 @@
 		return
 	}
 	p.drain.refusing.Store(true)
-	p.starting.wakeAll() // wakes calls that wait for the daemon's start, to be refused
+	p.startWaiters.wakeAll() // wakes calls that wait for the daemon's start, to be refused
 	p.closeGate()
 	for p.runningCalls() > 0 {
 		select {
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -48,7 +48,7 @@
 func statesAfterEnd(proxy *Proxy, end *backendEnd, targets ...string) string {
 	proxy.attributeEnd(end)
 	states := lo.Map(targets, func(target string, _ int) string {
-		return proxy.HarmfulBelief(signatureOf(proxy, target)).String()
+		return proxy.HarmfulState(signatureOf(proxy, target)).String()
 	})
 	return strings.Join(states, " ")
 }
@@ -103,18 +103,18 @@
 	t.Cleanup(peer.Close)
 	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
 	gate.attributeEnd(newBackendEnd(gate, "i", "/often"))
-	check.Equal(peer.MergeHarmful(gate.UntoldHarmful(), false), 0)
+	check.Equal(peer.MergeHarmful(gate.UnsentHarmful(), false), 0)
 	check.Equal(<-notified, false)
-	records := peer.UntoldHarmful()
+	records := peer.UnsentHarmful()
 	check.Equal(len(records), 1)
 	check.True(records[0].Familiar)
-	check.Equal(len(peer.UntoldHarmful()), 0) // each record is returned once
+	check.Equal(len(peer.UnsentHarmful()), 0) // each record is returned once
 	gate.MergeHarmful(records, false)
 	check.Equal(gate.HarmfulSum(), peer.HarmfulSum())
 	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
 	check.Equal(<-notified, true)
-	gate.MergeHarmful(peer.UntoldHarmful(), false)
-	check.Equal(gate.HarmfulBelief(signatureOf(gate, "/often")), quarantine.Trusted)
+	gate.MergeHarmful(peer.UnsentHarmful(), false)
+	check.Equal(gate.HarmfulState(signatureOf(gate, "/often")), quarantine.Trusted)
 }
 
 // BenchmarkUnsuspected measures the quarantine checks of a call at its entry and its gate, and the
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -56,7 +56,7 @@
 	// start is the start of the instance that the call was last sent to.
 	start protocol.BackendStart
 	// table is the routing table by which the call's region was last checked.
-	table *routing.Table
+	routingTable *routing.Table
 	// holdsSuspectTurn is set while the call, which is suspected to be harmful, holds
 	// Proxy.suspectTurn.
 	holdsSuspectTurn bool
--- a/internal/proxy/gateaccept.go
+++ b/internal/proxy/gateaccept.go
@@ -33,7 +33,7 @@
 	body.requireHash()
 	call := &gateCall{
 		proxy: p, request: request, body: body, timeout: routing.DefaultTimeout, backend: header.Get(headerBackend),
-		table: current.routes,
+		routingTable: current.routes,
 	}
 	if timeout, isStated := parseTimeout(header); isStated {
 		call.timeout = timeout
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -41,7 +41,7 @@
 }
 
 // callThroughSecondGate makes a call to hangPath while other calls are answered.
-func (m *mesh) callThroughSecondGate(t *testing.T, method string) callResult {
+func (m *mesh) callHangPath(t *testing.T, method string) callResult {
 	t.Helper()
 	results := make(chan callResult, 1)
 	go func() { results <- m.call(t, method, hangPath, "") }()
@@ -63,7 +63,7 @@
 	check := is.New(t)
 	var arrived atomic.Int64
 	mesh := startHangingMesh(t, time.Minute, &arrived)
-	check.Equal(mesh.callThroughSecondGate(t, http.MethodGet).status, http.StatusOK)
+	check.Equal(mesh.callHangPath(t, http.MethodGet).status, http.StatusOK)
 	check.Equal(arrived.Load(), int64(2))
 	check.Equal(mesh.hungCalls(), uint64(1))
 }
@@ -73,7 +73,7 @@
 	check := is.New(t)
 	var arrived atomic.Int64
 	mesh := startHangingMesh(t, time.Second, &arrived)
-	expectRefusal(check, mesh.callThroughSecondGate(t, http.MethodPost), result.DeadlineInFlight, result.RanUnknown)
+	expectRefusal(check, mesh.callHangPath(t, http.MethodPost), result.DeadlineInFlight, result.RanUnknown)
 	check.Equal(arrived.Load(), int64(1))
 	check.Equal(mesh.hungCalls(), uint64(1))
 }
@@ -214,7 +214,7 @@
 	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released })
 	call := gate.startCall(t, time.Minute)
 	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
-	gate.hangCall()
+	gate.markCallsHung()
 	call.cancel()
 	gate.proxy.ReportBackend(BackendReport{
 		Start: protocol.BackendStart{Instance: "next"}, Slots: 2, State: protocol.EndpointReady, EarlierCrashed: true,
@@ -228,7 +228,7 @@
 	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released; call.sendAnswerHead() })
 	call := gate.startCall(t, time.Minute)
 	gate.await(func() bool { return gate.arrivedCount.Load() == 1 })
-	gate.hangCall()
+	gate.markCallsHung()
 	gate.releaseCalls()
 	gate.await(func() bool { return gate.proxy.hangDetector.callCount.Load() == 0 })
 	call.cancel()
@@ -236,7 +236,7 @@
 }
 
 // hangCall marks all calls under way as hung.
-func (g *reportedGate) hangCall() {
+func (g *reportedGate) markCallsHung() {
 	for index := range g.proxy.hangDetector.cells {
 		if watched := g.proxy.hangDetector.cells[index].Load(); watched != nil {
 			watched.isHung.Store(true)
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -78,8 +78,8 @@
 // stop up to some tenths of a second late when its processor share is used up, and an attempt
 // cancelled in that time is lost. A call has at most one hedged attempt.
 type hedgedAttempt struct {
-	chosen *endpoint.Endpoint
-	sentAt time.Duration
+	endpoint *endpoint.Endpoint
+	sentAt   time.Duration
 	// set is the endpoint set that the endpoint was chosen from.
 	set     *endpoint.Set
 	pending *pendingExchange
@@ -105,7 +105,7 @@
 		ended.close()
 		return nil
 	}
-	hedgedAnswer := &attempt{endpoint: hedged.chosen, sentAt: hedged.sentAt, exchange: ended}
+	hedgedAnswer := &attempt{endpoint: hedged.endpoint, sentAt: hedged.sentAt, exchange: ended}
 	hedgedAnswer.endpoint.Begin()
 	c.classifyAttempt(hedgedAnswer, hedged.set)
 	if hedgedAnswer.outcome.Kind == retry.Answered {
@@ -165,7 +165,7 @@
 
 // isHedgedAt reports whether the hedged attempt was sent to the endpoint.
 func (c *callerCall) isHedgedAt(chosen *endpoint.Endpoint) bool {
-	return c.hedgedAttempt != nil && chosen != nil && c.hedgedAttempt.chosen.Address == chosen.Address
+	return c.hedgedAttempt != nil && chosen != nil && c.hedgedAttempt.endpoint.Address == chosen.Address
 }
 
 // abandonHedged drops the hedged attempt of a call that has ended, if it is still under way.
@@ -184,5 +184,5 @@
 	default:
 		reason = AbandonedForCallRefusal
 	}
-	c.recordAbandoned(&attempt{endpoint: abandoned.chosen, sentAt: abandoned.sentAt}, reason)
+	c.recordAbandoned(&attempt{endpoint: abandoned.endpoint, sentAt: abandoned.sentAt}, reason)
 }
