--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -15,10 +15,10 @@
 )
 
 // failureKind is how a back end ends a call.
-type failureKind int
+type backendOutcome int
 
 const (
-	succeeds failureKind = iota
+	succeeds backendOutcome = iota
 	respondsWithError
 	resetsConnection
 	// breaksMidAnswer resets the connection after a part of the answer.
@@ -30,12 +30,12 @@
 // steppedBackend is a back end that ends each call in the way that the test sends to outcomes.
 type steppedBackend struct {
 	entered   chan struct{}
-	outcomes  chan failureKind
+	outcomes  chan backendOutcome
 	cancelled chan struct{}
 }
 
 func newSteppedBackend() *steppedBackend {
-	return &steppedBackend{entered: make(chan struct{}, 9), outcomes: make(chan failureKind, 9), cancelled: make(chan struct{}, 9)}
+	return &steppedBackend{entered: make(chan struct{}, 9), outcomes: make(chan backendOutcome, 9), cancelled: make(chan struct{}, 9)}
 }
 
 func (s *steppedBackend) spec(name string) backendSpec {
@@ -43,14 +43,14 @@
 		s.entered <- struct{}{}
 		select {
 		case kind := <-s.outcomes:
-			failCall(writer, kind, name)
+			endWithOutcome(writer, kind, name)
 		case <-request.Context().Done():
 			s.cancelled <- struct{}{}
 		}
 	}}
 }
 
-func failCall(writer http.ResponseWriter, kind failureKind, name string) {
+func endWithOutcome(writer http.ResponseWriter, kind backendOutcome, name string) {
 	switch kind {
 	case succeeds:
 		_, _ = io.WriteString(writer, name)
@@ -107,7 +107,7 @@
 // silenceFirstGate marks the daemon of the first back end as unreachable at the caller's daemon.
 func (h *hedgedCall) silenceFirstGate() {
 	h.mesh.caller.SetReachable(h.firstGate.config.NodeID, false)
-	h.mesh.caller.GiveUp(h.firstGate.config.NodeID)
+	h.mesh.caller.HedgeCalls(h.firstGate.config.NodeID)
 }
 
 // closeSecondGate has the second gate refuse all calls.
@@ -158,7 +158,7 @@
 // ends only by its own answer or connection, its caller, its time or the drain's hard bound, at any
 // moment around a stop, and never because its gate is silent.
 func TestCallIsNotFailedWhileHedgedAttemptRuns(t *testing.T) {
-	secondOutcomes := map[string]failureKind{"breaks": resetsConnection, "is refused": succeeds}
+	secondOutcomes := map[string]backendOutcome{"breaks": resetsConnection, "is refused": succeeds}
 	for name, outcome := range secondOutcomes {
 		for _, moment := range []string{"never", "before the silence", "before the other ends", "after the other ended"} {
 			t.Run("the other "+name+", stop "+moment, func(t *testing.T) { testNoCallFailed(t, outcome, moment) })
@@ -166,7 +166,7 @@
 	}
 }
 
-func testNoCallFailed(t *testing.T, outcome failureKind, stopMoment string) {
+func testNoCallFailed(t *testing.T, outcome backendOutcome, stopMoment string) {
 	check := is.New(t)
 	hedged := startHedgedCall(t, func(*Config) {})
 	stopAt := func(moment string) {
@@ -233,7 +233,7 @@
 	check := is.New(t)
 	hedged := startHedgedCall(t, func(config *Config) { config.Limits.CollectBytes = 1 << 10 })
 	hedged.closeSecondGate()
-	hedged.caller.GiveUp(hedged.firstGate.config.NodeID)
+	hedged.caller.HedgeCalls(hedged.firstGate.config.NodeID)
 	hedged.requireUnanswered(t, "after the other attempt")
 	hedged.first.outcomes <- breaksMidAnswer
 	got := await(t, hedged.answers, "an answer")
@@ -338,7 +338,7 @@
 	firstName := await(t, startedBackEnds, "a run")
 	silent := mesh.gates[firstName[0]-'a'].config.NodeID
 	mesh.caller.SetReachable(silent, false)
-	mesh.caller.GiveUp(silent)
+	mesh.caller.HedgeCalls(silent)
 	await(t, startedBackEnds, "another attempt")
 	close(writeHead)
 	time.Sleep(noAnswerPeriod)
--- a/internal/proxy/openconns.go
+++ b/internal/proxy/openconns.go
@@ -17,9 +17,9 @@
 type openConns struct {
 	mutex sync.Mutex
 	// limit is the maximum number of connections; 0 for no limit.
-	limit   int
-	opening int
-	open    map[*guardedConn]struct{}
+	limit        int
+	openingCount int
+	open         map[*guardedConn]struct{}
 	// freed is closed when a connection's place may be free; nil while nobody waits.
 	freed chan struct{}
 }
@@ -69,8 +69,8 @@
 func (o *openConns) tryReserve() (freed <-chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if o.limit <= 0 || o.opening+len(o.open) < o.limit {
-		o.opening++
+	if o.limit <= 0 || o.openingCount+len(o.open) < o.limit {
+		o.openingCount++
 		return nil
 	}
 	if o.freed == nil {
@@ -93,7 +93,7 @@
 	}
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.opening--
+	o.openingCount--
 	o.wakeWaiting()
 }
 
@@ -104,7 +104,7 @@
 	conn.onReleased = o.remove
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.opening--
+	o.openingCount--
 	if o.open == nil {
 		o.open = map[*guardedConn]struct{}{}
 	}
@@ -122,7 +122,7 @@
 func (o *openConns) count() int {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.opening + len(o.open)
+	return o.openingCount + len(o.open)
 }
 
 // openedBefore returns the connections opened before the given time.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -51,8 +51,8 @@
 	suspectTurn chan struct{}
 
 	// startedAt is when the proxy was created, by Config.Clock.
-	startedAt time.Duration
-	starting  startWaiters
+	startedAt    time.Duration
+	startWaiters startWaiters
 
 	incarnations       ownIncarnations
 	reported           reportedBackend
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -95,7 +95,7 @@
 func (h *harmfulRequests) recordUnidentified(instance string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.table.RecordUnidentified(instance)
+	h.table.RecordUnidentifiedCompanions(instance)
 }
 
 // recordEnd records that an instance of the daemon's own back end ended under some requests, and
@@ -184,7 +184,7 @@
 }
 
 // HarmfulBelief returns the quarantine state of a request.
-func (p *Proxy) HarmfulBelief(signature quarantine.Signature) quarantine.State {
+func (p *Proxy) HarmfulState(signature quarantine.Signature) quarantine.State {
 	state, _ := p.harmful.view.Load().State(p.harmful.clock(), signature)
 	return state
 }
@@ -203,7 +203,7 @@
 
 // UntoldHarmful returns the records that have not been sent to other daemons, and marks them as
 // sent.
-func (p *Proxy) UntoldHarmful() []quarantine.Record {
+func (p *Proxy) UnsentHarmful() []quarantine.Record {
 	h := p.harmful
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -35,7 +35,7 @@
 	if len(lists) == 0 {
 		return
 	}
-	backendRegions := region.NewAllowed(lo.Map(s.allEndpoints.All, func(candidate *endpoint.Endpoint, _ int) string { return candidate.Region }))
+	backendRegions := region.NewSet(lo.Map(s.allEndpoints.All, func(candidate *endpoint.Endpoint, _ int) string { return candidate.Region }))
 	var pools []restrictedPool
 	for _, allowed := range lists {
 		reachable := backendRegions.Intersect(allowed)
@@ -45,7 +45,7 @@
 			shared = restrictedPool{allowed: reachable, pool: &part}
 			pools = append(pools, shared)
 		}
-		s.restricted = append(s.restricted, restrictedPool{allowed: allowed, pool: shared.pool})
+		s.restrictedPools = append(s.restrictedPools, restrictedPool{allowed: allowed, pool: shared.pool})
 	}
 }
 
@@ -56,9 +56,9 @@
 	if !allowed.Restricted() {
 		return &s.pool
 	}
-	for index := range s.restricted {
-		if s.restricted[index].allowed.Equal(allowed) {
-			return s.restricted[index].pool
+	for index := range s.restrictedPools {
+		if s.restrictedPools[index].allowed.Equal(allowed) {
+			return s.restrictedPools[index].pool
 		}
 	}
 	built := s.inRegions(allowed)
@@ -112,7 +112,7 @@
 // the call was queued, which may take some seconds.
 func (c *gateCall) recheckRegion() (Refusal, bool) {
 	current := c.proxy.view.Load()
-	if current.routes == c.table {
+	if current.routes == c.routingTable {
 		return Refusal{}, true
 	}
 	return c.proxy.checkRegion(current, c.request)
@@ -135,5 +135,5 @@
 			names = append(names, name)
 		}
 	}
-	return region.NewAllowed(names)
+	return region.NewSet(names)
 }
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -250,7 +250,7 @@
 			check := is.New(t)
 			testedService := &service{allEndpoints: newRegionalSet()}
 			testedService.applySplit(VersionSplit{Target: "v2", Stage: testCase.stage, CanaryShare: 0.5})
-			pool := testedService.poolFor(region.NewAllowed(testCase.regions))
+			pool := testedService.poolFor(region.NewSet(testCase.regions))
 			seen := map[string]bool{}
 			for range 200 {
 				chosen := pool.canary.choose(0, random.Uint64(), random.Uint64())
@@ -276,7 +276,7 @@
 	check := is.New(t)
 	testedService := &service{allEndpoints: newRegionalSet()}
 	testedService.applySplit(VersionSplit{})
-	set := testedService.poolFor(region.NewAllowed([]string{"home"})).set
+	set := testedService.poolFor(region.NewSet([]string{"home"})).set
 	random := rand.New(rand.NewPCG(3, 4))
 	var tried endpoint.Tried
 	for range 3 * len(set.All) {
@@ -322,7 +322,7 @@
 	testedService := &service{allEndpoints: newRegionalSet()}
 	testedService.applySplit(VersionSplit{})
 	lists := lo.Times(3000, func(number int) region.Set {
-		return region.NewAllowed([]string{[]string{"home", "old"}[number%2], fmt.Sprintf("elsewhere-%d", number)})
+		return region.NewSet([]string{[]string{"home", "old"}[number%2], fmt.Sprintf("elsewhere-%d", number)})
 	})
 	testedService.buildRestrictedPools(lists)
 	pools := lo.Uniq(lo.Map(lists, func(allowed region.Set, _ int) *pool { return testedService.poolFor(allowed) }))
@@ -355,12 +355,12 @@
 func TestRegionsHeaderRoundTrip(t *testing.T) {
 	for _, names := range [][]string{{}, {"north"}, {"north", "south"}, {"a,b", "c d", "é"}} {
 		check := is.New(t)
-		check.True(parseRegions(formatRegions(region.NewAllowed(names))).Equal(region.NewAllowed(names)))
+		check.True(parseRegions(formatRegions(region.NewSet(names))).Equal(region.NewSet(names)))
 	}
 }
 
 // An unreadable name must make the restriction stricter, never weaker.
 func TestUnreadableRegionsHeaderAllowsNothing(t *testing.T) {
 	check := is.New(t)
-	check.True(parseRegions("%zz").Equal(region.NewAllowed([]string{})))
+	check.True(parseRegions("%zz").Equal(region.NewSet([]string{})))
 }
--- a/internal/proxy/reported_test.go
+++ b/internal/proxy/reported_test.go
@@ -39,5 +39,5 @@
 		end.start.Born = born + 1
 		proxy.attributeEnd(end)
 	}
-	check.Equal(proxy.HarmfulBelief(signatureOf(proxy, "/a")), quarantine.Held)
+	check.Equal(proxy.HarmfulState(signatureOf(proxy, "/a")), quarantine.Held)
 }
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -144,7 +144,7 @@
 
 // GiveUp hedges the attempts at a daemon that does not answer: as far as the retry budget
 // allows, each call makes another attempt elsewhere while the first one continues.
-func (p *Proxy) GiveUp(node protocol.NodeID) {
+func (p *Proxy) HedgeCalls(node protocol.NodeID) {
 	p.forEachEndpoint(node, func(_ *endpoint.Endpoint, gateUpstream *upstream) {
 		if gateUpstream != nil {
 			gateUpstream.silence.hedgeAll()
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -61,7 +61,7 @@
 func (p *Proxy) acceptDuringStart(request *http.Request, body *upload) (*callerCall, Refusal, bool) {
 	arrivedAt := p.config.Clock()
 	for {
-		viewChanged := p.starting.nextView()
+		viewChanged := p.startWaiters.nextView()
 		current := p.view.Load()
 		now := p.config.Clock()
 		call, refusal, accepted := p.acceptCall(withTurnWait(request, turnWait(request)+now-arrivedAt))
--- a/internal/proxy/surplus.go
+++ b/internal/proxy/surplus.go
@@ -39,14 +39,14 @@
 	buffered []byte
 	// earlierIDs is a ring of the ids of the last requests, including that of attempt.
 	// sentCount is the number of all requests sent.
-	earlierIDs [rememberedRequests]string
-	sentCount  int
+	recentIDs [rememberedRequests]string
+	sentCount int
 }
 
 // recordRequest records the id of a request. It must be called before any byte of the
 // request is sent, while no other request is in progress.
 func (f *surplusFilter) recordRequest(id string) {
-	f.earlierIDs[f.sentCount%rememberedRequests] = id
+	f.recentIDs[f.sentCount%rememberedRequests] = id
 	f.sentCount++
 }
 
@@ -132,5 +132,5 @@
 func (f *surplusFilter) isSkippable(answer *http.Response) bool {
 	statesEnd := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 	answerID := answer.Header.Get(f.attempt.answerHeader)
-	return statesEnd && answerID != "" && answerID != f.attempt.answerID && slices.Contains(f.earlierIDs[:], answerID)
+	return statesEnd && answerID != "" && answerID != f.attempt.answerID && slices.Contains(f.recentIDs[:], answerID)
 }
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -145,8 +145,8 @@
 // suspicion holds what the callers' side knows about whether a call is harmful.
 type suspicion struct {
 	// signature is valid if signed is set.
-	signature quarantine.Signature
-	signed    bool
+	signature    quarantine.Signature
+	hasSignature bool
 	// instanceEnds counts the instances that have ended under the call's attempts.
 	instanceEnds int
 }
@@ -172,7 +172,7 @@
 	if view.Empty() {
 		return quarantine.Trusted, Refusal{}
 	}
-	if !c.suspicion.signed && !view.HasHead(c.headHash()) {
+	if !c.suspicion.hasSignature && !view.HasHead(c.headHash()) {
 		return quarantine.Trusted, Refusal{}
 	}
 	if !c.ensureSignature() {
@@ -198,13 +198,13 @@
 // ensureSignature computes the signature of the call if need be, which waits for the first
 // bytes of the body. It returns false if they can't be read.
 func (c *callerCall) ensureSignature() bool {
-	if c.suspicion.signed {
+	if c.suspicion.hasSignature {
 		return true
 	}
 	c.body.awaitSignatureBytes(c.context)
 	body, known := c.body.signatureHash()
 	c.suspicion.signature = quarantine.Signature{Head: c.headHash(), Body: body}
-	c.suspicion.signed = known
+	c.suspicion.hasSignature = known
 	return known
 }
 
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -151,7 +151,7 @@
 	c.proxy.trace("request_refused", func() []EventField {
 		now := c.proxy.config.Clock()
 		fields := c.identityFields()
-		if c.suspicion.signed {
+		if c.suspicion.hasSignature {
 			fields = append(fields, textField("signature", c.suspicion.signature.String()))
 		}
 		return append(fields,
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/transfer.go
@@ -15,7 +15,7 @@
 	// transferLimit is the number of large bodies that a gate receives at a time. More
 	// would not arrive sooner, and everything else that is sent to the machine, such as a
 	// configuration update, would queue behind them on a slow link.
-	transferLimit = 2
+	maxTransfers = 2
 	// maxTransferWaitShare is the maximum share of a call's remaining time that its body may
 	// be expected to wait for its turn.
 	maxTransferWaitShare = 0.3
@@ -55,7 +55,7 @@
 }
 
 func newTransferQueue() *transferQueue {
-	return &transferQueue{turns: make(chan struct{}, transferLimit)}
+	return &transferQueue{turns: make(chan struct{}, maxTransfers)}
 }
 
 // meanTime returns the mean time that it takes to receive a body; 0 if unknown.
@@ -80,9 +80,9 @@
 // without other traffic on the link.
 func (t *transferQueue) queueWait() time.Duration {
 	meanNanos := t.meanNanos.Load()
-	wait := t.waiting.Load() * meanNanos / transferLimit
-	if len(t.turns) == transferLimit {
-		wait += meanNanos / (transferLimit + 1) // the expected time until one of transferLimit turns ends
+	wait := t.waiting.Load() * meanNanos / maxTransfers
+	if len(t.turns) == maxTransfers {
+		wait += meanNanos / (maxTransfers + 1) // the expected time until one of transferLimit turns ends
 	}
 	return time.Duration(wait)
 }
@@ -90,7 +90,7 @@
 // recordWait updates the excess with how long a body has waited for its turn. The expected
 // wait is the one that queueWait returned before.
 func (t *transferQueue) recordWait(now, expected, waited time.Duration) {
-	if expected <= 0 || expected < t.meanTime()/transferLimit {
+	if expected <= 0 || expected < t.meanTime()/maxTransfers {
 		return // too short for a meaningful ratio
 	}
 	ratio := min(max(int64((waited-expected)*perMille/expected), 0), maxExcess)
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/transfer_test.go
@@ -29,7 +29,7 @@
 		_, _ = writer.Write(body)
 	}})
 	transfers := mesh.gates[0].transfers
-	for range transferLimit {
+	for range maxTransfers {
 		check.True(transfers.acquireTurn(t.Context()))
 	}
 	large := strings.Repeat("x", largeBodyBytes)
@@ -85,10 +85,10 @@
 	}})
 	transfers := mesh.gates[0].transfers
 	var stalledConns []net.Conn
-	for range transferLimit {
+	for range maxTransfers {
 		stalledConns = append(stalledConns, slowUpload(t, mesh, ""))
 	}
-	for len(transfers.turns) < transferLimit {
+	for len(transfers.turns) < maxTransfers {
 		time.Sleep(time.Millisecond)
 	}
 	results := make(chan callResult, 1)
@@ -119,7 +119,7 @@
 	mesh := startMesh(t, meshOptions{changeCaller: func(config *Config) {
 		config.NodeID, config.Incarnation, config.Backend, config.Slots = "gate-a", 7, "a", 6
 	}}, countingBackend(&localRuns), countingBackend(&otherRuns))
-	for range transferLimit {
+	for range maxTransfers {
 		check.True(mesh.gates[0].transfers.acquireTurn(t.Context())) // as for bodies from other daemons
 	}
 	large := strings.Repeat("x", largeBodyBytes)
@@ -141,7 +141,7 @@
 	queue := newTransferQueue()
 	queue.meanNanos.Store(int64(90 * time.Millisecond))
 	check.Equal(queue.expectedWait(0), time.Duration(0)) // a turn is free
-	for range transferLimit {
+	for range maxTransfers {
 		check.True(queue.acquireTurn(t.Context()))
 	}
 	check.Equal(queue.expectedWait(0), 30*time.Millisecond) // until the first turn ends
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -32,8 +32,8 @@
 	// pool holds the endpoints for calls that may run in any region; restricted holds the
 	// pools for the region restrictions of the view's routes.
 	pool
-	restricted  []restrictedPool
-	retryBudget *retry.Budget
+	restrictedPools []restrictedPool
+	retryBudget     *retry.Budget
 }
 
 // MeshState is what a daemon knows about the mesh besides the configuration.
@@ -166,7 +166,7 @@
 // connections that are no longer needed.
 func (p *Proxy) publishView(next *view) {
 	previous := p.view.Swap(next)
-	p.starting.wakeAll()
+	p.startWaiters.wakeAll()
 	for address, old := range previous.upstreams {
 		if next.upstreams[address] == nil {
 			old.close()
--- a/internal/result/entries.go
+++ b/internal/result/entries.go
@@ -188,7 +188,7 @@
 	{Code: PlatformCompacted, Name: "platform_compacted", Ran: RanNo, Exit: 14, HTTPStatus: 410,
 		Meaning: "The watch asked for a version that is compacted.",
 		Mend:    "None; springstack lists again."},
-	{Code: PlatformReadersFull, Name: "platform_readers_full", Ran: RanNo, Exit: 14, HTTPStatus: 429,
+	{Code: PlatformTooManyReaders, Name: "platform_readers_full", Ran: RanNo, Exit: 14, HTTPStatus: 429,
 		Meaning: "The platform admits no more readers.",
 		Mend:    "None; springstack backs off."},
 	{Code: SettingsInvalid, Name: "settings_invalid", Ran: RanNo, Exit: 20, HTTPStatus: 400,
--- a/internal/sim/calls/restriction.go
+++ b/internal/sim/calls/restriction.go
@@ -24,7 +24,7 @@
 		return
 	}
 	drawn := restrictions[w.nextCall%len(restrictions)]
-	c.allowed = region.NewAllowed(drawn.older).Intersect(region.NewAllowed(drawn.newer))
+	c.allowed = region.NewSet(drawn.older).Intersect(region.NewSet(drawn.newer))
 	if drawn.wanted != nil {
 		w.oracle.CallKeptTo(c.id, drawn.wanted)
 	}
--- a/internal/sim/world/platform.go
+++ b/internal/sim/world/platform.go
@@ -125,7 +125,7 @@
 			return
 		}
 		if !a.store.OpenWatch(a.world.Now(), string(p.slot.id)) {
-			a.end(opened, result.PlatformReadersFull)
+			a.end(opened, result.PlatformTooManyReaders)
 			return
 		}
 		a.watches = append(a.watches, opened)
