--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -40,8 +40,8 @@
 	inBody
 	// requestComplete: the server has read all of the current request.
 	requestComplete
-	// notFramed: from here on Conn does not know where requests end; nothing runs ahead.
-	notFramed
+	// endUnknown: from here on Conn does not know where requests end; no request runs ahead.
+	endUnknown
 )
 
 // Conn is a connection whose waiting requests run ahead of their turn. The server reads
@@ -51,7 +51,7 @@
 	config *Config
 
 	mutex sync.Mutex
-	// changed is signalled when the condition of a waiting reader may have changed.
+	// changed is signalled when a condition that awaitRoom waits for may have changed.
 	changed sync.Cond
 	// baseContext is the parent context of the requests that run ahead.
 	baseContext context.Context
@@ -62,25 +62,26 @@
 	partialHead []byte
 	// bodyRemaining is how many bytes of the current body the server has not read yet.
 	bodyRemaining int
-	// unread holds bytes from the socket that the server has not read yet. It begins with
-	// the heads of the calls in queue, queuedBytes in all. firstHeadRead is how many bytes
-	// of the first head the server has read already; these are no longer in unread.
-	unread        []byte
-	queue         []*Call
+	// unreadBytes holds bytes from the socket that the server has not read yet. It begins
+	// with the heads of queuedCalls, queuedBytes in all. firstHeadRead is how many bytes of
+	// the first head the server has read already; these are no longer in unreadBytes.
+	unreadBytes   []byte
+	queuedCalls   []*Call
 	queuedBytes   int
 	firstHeadRead int
-	// blocked is set if the request after the queue must wait for its turn.
+	// blocked is set if the request after queuedCalls must wait for its turn.
 	blocked bool
-	// unreadAt is when the last bytes of unread were received. arrivedAt is when the
+	// unreadAt is when the last bytes of unreadBytes were received. arrivedAt is when the
 	// current request was received; it is zero if the server was waiting for the request.
 	unreadAt  time.Time
 	arrivedAt time.Time
-	// current is the call of the request that the server has read, serving the call of the
-	// request whose handler runs. Each is nil if its request did not run ahead.
-	current *Call
-	serving *Call
-	// deadlinePassed is set if the last read deadline was already past when it was set. The
-	// server sets such a deadline to interrupt a read.
+	// pendingCall is the call of the request that the server has read but whose handler has not
+	// started; servingCall is that of the request whose handler runs. Each is nil if there is no
+	// such request or it did not run ahead.
+	pendingCall *Call
+	servingCall *Call
+	// deadlinePassed is true if the last read deadline lay in the past when SetReadDeadline was
+	// called. The server does this to interrupt a read.
 	deadlinePassed bool
 	readErr        error
 }
@@ -93,7 +94,7 @@
 	return wrapped
 }
 
-// Bind sets the parent context of the connection's requests.
+// Bind sets the parent context of the requests that run ahead.
 func (c *Conn) Bind(ctx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -106,8 +107,8 @@
 func (c *Conn) BeginRequest(request *http.Request) (*Call, time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	call := c.current
-	c.current = nil
+	call := c.pendingCall
+	c.pendingCall = nil
 	var waited time.Duration
 	if !c.arrivedAt.IsZero() {
 		waited = time.Since(c.arrivedAt)
@@ -116,7 +117,7 @@
 		call.drop()
 		call = nil
 	}
-	c.serving = call
+	c.servingCall = call
 	return call, waited
 }
 
@@ -125,7 +126,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.handlerReturned = true
-	c.serving = nil
+	c.servingCall = nil
 	if c.position == requestComplete {
 		c.position = inHead
 	}
@@ -136,20 +137,21 @@
 func (c *Conn) HasPendingAnswers() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return len(c.queue) > 0 || c.current != nil
+	return len(c.queuedCalls) > 0 || c.pendingCall != nil
 }
 
 // Read implements net.Conn for the server.
 func (c *Conn) Read(buffer []byte) (int, error) {
-	if c.isDisconnectProbe(buffer) {
+	if c.checkDisconnectProbe(buffer) {
 		return c.readAhead(buffer)
 	}
 	return c.readRequest(buffer)
 }
 
-// isDisconnectProbe reports whether the server reads only to detect that the client
-// disconnects. The server does so, one byte at a time, while a handler runs.
-func (c *Conn) isDisconnectProbe(buffer []byte) bool {
+// checkDisconnectProbe reports whether the server reads only to detect that the client
+// disconnects. The server does so, one byte at a time, while a handler runs. If the server
+// reads the next request instead, checkDisconnectProbe sets the position to inHead.
+func (c *Conn) checkDisconnectProbe(buffer []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.position != requestComplete {
@@ -177,7 +179,7 @@
 	c.arrivedAt = time.Time{}
 	used := c.advance(buffer[:count])
 	if used < count {
-		c.unread = append(c.unread, buffer[used:count]...)
+		c.unreadBytes = append(c.unreadBytes, buffer[used:count]...)
 		c.unreadAt = time.Now()
 		err = nil // the next read returns it again
 	}
@@ -192,24 +194,24 @@
 	if c.readErr != nil {
 		return 0, true, c.readErr
 	}
-	if len(c.unread) == 0 {
-		c.unread = nil
+	if len(c.unreadBytes) == 0 {
+		c.unreadBytes = nil
 		return 0, false, nil
 	}
 	c.arrivedAt = c.unreadAt
-	text := c.unread[:min(len(buffer), len(c.unread))]
+	text := c.unreadBytes[:min(len(buffer), len(c.unreadBytes))]
 	used := c.advance(text)
 	copy(buffer, text[:used])
-	c.unread = c.unread[used:]
+	c.unreadBytes = c.unreadBytes[used:]
 	c.changed.Broadcast()
 	return used, true, nil
 }
 
 // advance moves the position over bytes that the server reads and returns how many of
-// them it may get. The lock is held.
+// them the server may get. The lock is held.
 func (c *Conn) advance(text []byte) int {
 	switch {
-	case c.position == notFramed:
+	case c.position == endUnknown:
 		return len(text)
 	case c.position == inBody:
 		used := min(len(text), c.bodyRemaining)
@@ -218,7 +220,7 @@
 			c.markComplete()
 		}
 		return used
-	case len(c.queue) > 0:
+	case len(c.queuedCalls) > 0:
 		return c.advanceQueued(text)
 	}
 	return c.advanceHead(text)
@@ -226,14 +228,14 @@
 
 // advanceQueued is advance for the head of the first call in the queue.
 func (c *Conn) advanceQueued(text []byte) int {
-	first := c.queue[0]
+	first := c.queuedCalls[0]
 	used := min(len(text), first.headSize-c.firstHeadRead)
 	c.firstHeadRead += used
 	c.queuedBytes -= used
 	if c.firstHeadRead == first.headSize {
 		c.firstHeadRead = 0
-		c.current = first
-		c.queue = c.queue[1:]
+		c.pendingCall = first
+		c.queuedCalls = c.queuedCalls[1:]
 		c.arrivedAt = first.arrivedAt
 		c.handlerReturned = false
 		c.markComplete()
@@ -251,7 +253,7 @@
 	size := headLength(head)
 	if size < 0 {
 		if len(head) > c.config.InputBytes {
-			c.stopFraming()
+			c.stopTracking()
 			return len(text)
 		}
 		c.partialHead = append(c.partialHead, text...)
@@ -259,8 +261,8 @@
 	}
 	used := size - len(c.partialHead)
 	parsed := readFraming(head[:size])
-	if !parsed.known {
-		c.stopFraming()
+	if !parsed.isKnown {
+		c.stopTracking()
 		return len(text)
 	}
 	c.partialHead = nil
@@ -283,9 +285,9 @@
 	}
 }
 
-// stopFraming permanently stops tracking where requests end.
-func (c *Conn) stopFraming() {
-	c.position = notFramed
+// stopTracking permanently stops tracking where requests end.
+func (c *Conn) stopTracking() {
+	c.position = endUnknown
 	c.partialHead = nil
 }
 
--- a/internal/proxy/backendbounds.go
+++ b/internal/proxy/backendlimits.go
@@ -13,16 +13,16 @@
 )
 
 // reservedConnections is the number of connections to a back end that calls don't use: one for
-// its probe, one for the check whether it has ended (see refusesConnections), one that is
-// closing.
+// its probe, one for the check whether it has ended (see refusesConnections), and one that is being
+// closed.
 const reservedConnections = 3
 
 // backendLimits holds the values that limit the calls running at the back end.
 type backendLimits struct {
-	// slots is the number of calls that the back end runs concurrently, connections the maximum
-	// number of connections that its service declares; 0 if unknown.
-	slots       atomic.Int64
-	connections atomic.Int64
+	// slots is the maximum number of calls that the back end runs concurrently; 0 if unknown.
+	// maxConnections is the maximum number of connections that its service declares; 0 if none.
+	slots          atomic.Int64
+	maxConnections atomic.Int64
 	// maxCallDuration is the longest timeout of the routes in force to its service, in
 	// nanoseconds.
 	maxCallDuration atomic.Int64
@@ -45,7 +45,7 @@
 	if p.gate == nil || snap == nil {
 		return
 	}
-	p.backendLimits.connections.Store(int64(snap.Services[p.config.Service].MaxConnections))
+	p.backendLimits.maxConnections.Store(int64(snap.Services[p.config.Service].MaxConnections))
 	p.backendLimits.maxCallDuration.Store(int64(maxCallDuration(snap, p.config.Service)))
 	p.updateCallLimit()
 	p.expectOrphanedCalls()
@@ -57,7 +57,7 @@
 	p.backendLimits.applyMutex.Lock()
 	defer p.backendLimits.applyMutex.Unlock()
 	slots := int(p.backendLimits.slots.Load())
-	if maxConnections := p.backendLimits.connections.Load(); maxConnections > 0 {
+	if maxConnections := p.backendLimits.maxConnections.Load(); maxConnections > 0 {
 		callConnections := max(int(maxConnections)-reservedConnections, 1)
 		p.backend.openConns.setLimit(callConnections)
 		slots = min(slots, callConnections)
@@ -103,8 +103,8 @@
 }
 
 // SetReportedCalls sets the number of running and queued calls that the back end reported in a
-// probe answer, including the probe. Before the daemon sends calls, all others are orphaned
-// calls.
+// probe answer, including the probe. Before the daemon sends calls, all these calls but
+// the probe are orphaned calls.
 func (p *Proxy) SetReportedCalls(count int) {
 	p.backendLimits.reportedCalls.Store(max(int64(count), 1))
 }
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
 	t.Cleanup(proxy.Close)
-	proxy.counters.succeeded.Store(1)
+	proxy.counters.succeededCalls.Store(1)
 	return proxy
 }
 
@@ -77,13 +77,13 @@
 func TestEndsOfVersionWithoutAnswersSuspectNoRequest(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
-	proxy.backendEnds.succeededBeforeVersion.Store(proxy.counters.succeeded.Load())
+	proxy.backendEnds.succeededBeforeVersion.Store(proxy.counters.succeededCalls.Load())
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a"), "/a"), "trusted")
-	proxy.counters.succeeded.Add(1)
+	proxy.counters.succeededCalls.Add(1)
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a"), "/a"), "suspected")
 }
 
-// A back end whose port accepts connections has not ended; one without a listener has.
+// A back end whose port accepts connections has not ended; a back end without a listener has.
 func TestRefusesConnectionsOnlyWithoutListener(t *testing.T) {
 	check := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,15 +93,15 @@
 	check.True(refusesConnections((&Proxy{config: Config{BackendAddress: listener.Addr().String()}}).connectToBackend))
 }
 
-// A daemon whose back end has answered a request before must publish that, as Familiar, when it
-// receives the record of an end, and must publish a later answer as urgent.
+// A daemon whose back end has answered a request before must state this in the record, as
+// Familiar, when it receives the record of an end, and must publish a later answer as urgent.
 func TestFamiliarRequestIsReportedToPeers(t *testing.T) {
 	check := is.New(t)
 	notified := make(chan bool, 8)
 	gate := newProxyWithAnswers(t)
 	peer := New(Config{Clock: testClock, NodeID: "other", OnHarmful: func(urgent bool) { notified <- urgent }})
 	t.Cleanup(peer.Close)
-	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
+	peer.harmfulRequests.recordAnswered(signatureOf(peer, "/often"))
 	gate.attributeEnd(newBackendEnd(gate, "i", "/often"))
 	check.Equal(peer.MergeHarmful(gate.UnsentHarmful(), false), 0)
 	check.Equal(<-notified, false)
@@ -111,7 +111,7 @@
 	check.Equal(len(peer.UnsentHarmful()), 0) // each record is returned once
 	gate.MergeHarmful(records, false)
 	check.Equal(gate.HarmfulSum(), peer.HarmfulSum())
-	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
+	peer.harmfulRequests.recordAnswered(signatureOf(peer, "/often"))
 	check.Equal(<-notified, true)
 	gate.MergeHarmful(peer.UnsentHarmful(), false)
 	check.Equal(gate.HarmfulState(signatureOf(gate, "/often")), quarantine.Trusted)
@@ -139,8 +139,8 @@
 	})
 }
 
-// Suspected calls must run one at a time at a gate, and one whose request is held while it waits
-// must be refused.
+// Suspected calls must run one at a time at a gate, and a call must be refused if its request
+// becomes held while it waits.
 func TestSuspectedCallsRunOneAtATime(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
@@ -160,7 +160,7 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	for _, instance := range []string{"2", "3"} {
-		proxy.harmful.recordEnd(instance, signatureOf(proxy, "/b")) // after these ends the request is held
+		proxy.harmfulRequests.recordEnd(instance, signatureOf(proxy, "/b")) // after these ends the request is held
 	}
 	first.releaseSuspectTurn()
 	check.True(!<-started)
@@ -172,15 +172,15 @@
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
 	for _, test := range []struct {
 		name  string
-		tries [endDialTries]error
+		tries [maxEndDialTries]error
 		ended bool
 	}{
-		{"refused", [endDialTries]error{refused}, true},
-		{"taken, then refused", [endDialTries]error{nil, refused}, true},
-		{"late, then refused", [endDialTries]error{timeout, refused}, true},
-		{"taken", [endDialTries]error{nil, nil}, false},
-		{"late", [endDialTries]error{timeout, timeout}, false},
-		{"reset", [endDialTries]error{reset, refused}, false},
+		{"refused", [maxEndDialTries]error{refused}, true},
+		{"taken, then refused", [maxEndDialTries]error{nil, refused}, true},
+		{"late, then refused", [maxEndDialTries]error{timeout, refused}, true},
+		{"taken", [maxEndDialTries]error{nil, nil}, false},
+		{"late", [maxEndDialTries]error{timeout, timeout}, false},
+		{"reset", [maxEndDialTries]error{reset, refused}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			dials := 0
@@ -220,7 +220,7 @@
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a", "/b"), "/a"), "suspected")
 	suspected := admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/a"), context: t.Context()})
 	_, passed := suspected.isolate()
-	check.True(passed) // after one end it may still run alongside others
+	check.True(passed) // after one end it may still run alongside other calls
 	check.Equal(proxy.counters.isolatedCalls.Load(), uint64(0))
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a", "/c"), "/a"), "suspected")
 	started := make(chan bool)
@@ -241,9 +241,9 @@
 	check.True(proxy.gate.HasFreeSlot())
 }
 
-// A request with enough ends to be held, each shared with another request, must run alone. It must be
-// refused if the back end stays busy with other calls, and refused as quarantined if it becomes held
-// in the meantime.
+// A request with enough ends to be held, each shared with another request, must run alone. It must
+// be refused if the back end stays busy with other calls, and refused as quarantined if it becomes
+// held in the meantime.
 func TestCallThatMustRunAloneIsRefusedWhenGateIsBusy(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithSlots(t)
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// maxProbeFailures is how many consecutive probes must fail before a back end counts as down.
+	// maxProbeFailures is how many consecutive probes must fail before a back end is considered
+	// down.
 	maxProbeFailures = 3
 	// maxProbeAnswerBytes bounds how much is read of the answer to a probe.
 	maxProbeAnswerBytes = 4 << 10
@@ -22,16 +23,16 @@
 	firstProbeInterval = 50 * time.Millisecond
 )
 
-// health probes the back end of the daemon. An answered call outweighs a failed probe, because
-// health and load endpoints lag and mislead; a back end's own signal that it drains is always
-// followed.
+// health probes the back end of the daemon. A recently answered call outweighs a failed probe,
+// because health endpoints may respond late or wrongly; a back end's own signal that it drains is
+// always followed.
 type health struct {
 	proxy  *Proxy
 	client *http.Client
 	// lastAnswerAt is when a call was last answered, on the proxy's clock.
 	lastAnswerAt atomic.Int64
-	// wake requests an immediate probe.
-	wake chan struct{}
+	// probeRequests receives a value to request an immediate probe.
+	probeRequests chan struct{}
 	// context ends with the proxy; done is closed when run has returned.
 	context context.Context
 	cancel  context.CancelFunc
@@ -58,13 +59,13 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &health{
-		proxy:   p,
-		client:  &http.Client{Transport: transport, Timeout: p.limits.ProbeTimeout},
-		wake:    make(chan struct{}, 1),
-		context: ctx,
-		cancel:  cancel,
-		done:    make(chan struct{}),
-		state:   protocol.EndpointNone,
+		proxy:         p,
+		client:        &http.Client{Transport: transport, Timeout: p.limits.ProbeTimeout},
+		probeRequests: make(chan struct{}, 1),
+		context:       ctx,
+		cancel:        cancel,
+		done:          make(chan struct{}),
+		state:         protocol.EndpointNone,
 	}
 }
 
@@ -86,7 +87,7 @@
 // requestProbe requests an immediate probe after a call could not connect.
 func (h *health) requestProbe() {
 	select {
-	case h.wake <- struct{}{}:
+	case h.probeRequests <- struct{}{}:
 	default:
 	}
 }
@@ -125,7 +126,7 @@
 		timer := time.NewTimer(period)
 		select {
 		case <-timer.C:
-		case <-h.wake:
+		case <-h.probeRequests:
 		case <-h.context.Done():
 			timer.Stop()
 			return
@@ -224,8 +225,8 @@
 	return h.client.Do(request)
 }
 
-// applyProbe applies the result of a probe. Down needs several failures in a row, so that one lost
-// probe moves no calls; every other state applies at once.
+// applyProbe applies the result of a probe. Down requires several failures in a row, so that one
+// lost probe does not divert calls; every other state applies at once.
 func (h *health) applyProbe(state protocol.EndpointState) {
 	if state == protocol.EndpointDown {
 		h.consecutiveFailures++
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -14,8 +14,8 @@
 
 // restrictedPool holds the endpoints for calls that are restricted to some regions.
 type restrictedPool struct {
-	allowed region.Set
-	pool    *pool
+	allowedRegions region.Set
+	pool           *pool
 }
 
 // inRegions returns the part of a pool in the allowed regions. The stage of a roll-out applies
@@ -39,13 +39,13 @@
 	var pools []restrictedPool
 	for _, allowed := range lists {
 		reachable := backendRegions.Intersect(allowed)
-		shared, found := lo.Find(pools, func(candidate restrictedPool) bool { return candidate.allowed.Equal(reachable) })
+		shared, found := lo.Find(pools, func(candidate restrictedPool) bool { return candidate.allowedRegions.Equal(reachable) })
 		if !found {
 			part := s.inRegions(reachable)
-			shared = restrictedPool{allowed: reachable, pool: &part}
+			shared = restrictedPool{allowedRegions: reachable, pool: &part}
 			pools = append(pools, shared)
 		}
-		s.restrictedPools = append(s.restrictedPools, restrictedPool{allowed: allowed, pool: shared.pool})
+		s.restrictedPools = append(s.restrictedPools, restrictedPool{allowedRegions: allowed, pool: shared.pool})
 	}
 }
 
@@ -57,7 +57,7 @@
 		return &s.pool
 	}
 	for index := range s.restrictedPools {
-		if s.restrictedPools[index].allowed.Equal(allowed) {
+		if s.restrictedPools[index].allowedRegions.Equal(allowed) {
 			return s.restrictedPools[index].pool
 		}
 	}
@@ -66,8 +66,8 @@
 }
 
 // applyRegions restricts the call to the regions that the version in force allows, in addition to
-// earlier restrictions: one that is set while the call waits or is retried applies to its next
-// attempt, and one that is lifted applies to the call until it ends.
+// earlier restrictions: a restriction that is set while the call waits or is retried applies to its
+// next attempt, and a restriction that is lifted still applies to the call until the call ends.
 func (c *callerCall) applyRegions(current *view) {
 	if current.routes == c.routingTable {
 		return
@@ -82,8 +82,8 @@
 }
 
 // applyGateRegions restricts the call to the regions that a gate's refusal lists. The gate's
-// version may be newer, so a daemon without current configuration learns of restrictions call by
-// call.
+// version may be newer, so a daemon with an older version applies new restrictions at least to
+// the calls that were refused.
 func (c *callerCall) applyGateRegions(answer *http.Response) {
 	if values := answer.Header[headerRegions]; len(values) > 0 {
 		c.regions = c.regions.Intersect(parseRegions(values[0]))
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Back ends outside the allowed region get no call, whatever its request key.
+// Back ends outside the allowed region must get no calls, with any request key.
 func TestCallRunsInAllowedRegion(t *testing.T) {
 	for _, headers := range [][]string{nil, {"X-Key", "k"}} {
 		check := is.New(t)
@@ -194,7 +194,7 @@
 	check.NoErr(err)
 	defer conn.Close()
 	check.NoErr(conn.SetDeadline(time.Now().Add(10 * time.Second)))
-	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n%s\r\n", largeBodyBytes, headers)
+	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n%s\r\n", minLargeBodyBytes, headers)
 	check.NoErr(err)
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	check.NoErr(err)
@@ -270,8 +270,8 @@
 	}
 }
 
-// No method of choosing an endpoint leaves the allowed regions, whatever was tried or ejected
-// before.
+// No method of choosing an endpoint may leave the allowed regions, whichever endpoints were tried
+// or ejected before.
 func TestEveryChoiceStaysInAllowedRegions(t *testing.T) {
 	check := is.New(t)
 	testedService := &service{allEndpoints: newRegionalSet()}
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -12,13 +12,13 @@
 const (
 	// minSilence is how long a gate may answer no call of this daemon while an attempt waits
 	// there, before Config.OnSilent requests a check of the gate's daemon. If the route has a
-	// target, the limit is at least silenceTargetShare of it: among hundreds of daemons each
-	// calls a gate so rarely that one answer says little about the next, and most long calls
-	// would cause a check (78 checks in 10 s at each of 295 daemons, half of all messages
-	// between daemons).
+	// target, the limit is at least silenceTargetShare of it: with hundreds of daemons, each
+	// calls a gate so rarely that the time since its last answer says little, and most long calls
+	// would cause a check: 78 checks in 10 s at each of 295 daemons, half of all messages
+	// between daemons.
 	minSilence         = 120 * time.Millisecond
 	silenceTargetShare = 0.5
-	// silenceCheckInterval is the minimum time between two such checks of one daemon.
+	// silenceCheckInterval is the minimum time between two checks of one daemon for silence.
 	silenceCheckInterval = 250 * time.Millisecond
 )
 
@@ -28,7 +28,7 @@
 	return max(minSilence, time.Duration(float64(target)*silenceTargetShare))
 }
 
-// silenceMonitor detects that a gate answers nothing. The connections alone don't show
+// silenceMonitor detects that a gate answers no calls. The connections alone don't show
 // whether such a gate is busy or whether it is disconnected, paused or without power.
 type silenceMonitor struct {
 	// answeredAt is when the gate last answered a call, checkedAt when a check of its daemon
@@ -37,9 +37,9 @@
 	checkedAt  atomic.Int64
 
 	mutex sync.Mutex
-	// hedgeable holds the waiting attempts that may be hedged, each with the function that
+	// hedgeableAttempts holds the waiting attempts that may be hedged, each with the function that
 	// hedges it.
-	hedgeable map[*attempt]func()
+	hedgeableAttempts map[*attempt]func()
 }
 
 // watchSilence requests a check of an endpoint's daemon if its gate is silent for longer
@@ -89,38 +89,38 @@
 func (s *silenceMonitor) addHedgeable(waiting *attempt, hedge func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.hedgeable == nil {
-		s.hedgeable = map[*attempt]func(){}
+	if s.hedgeableAttempts == nil {
+		s.hedgeableAttempts = map[*attempt]func(){}
 	}
-	s.hedgeable[waiting] = hedge
+	s.hedgeableAttempts[waiting] = hedge
 }
 
 func (s *silenceMonitor) removeHedgeable(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.hedgeable, waiting)
+	delete(s.hedgeableAttempts, waiting)
 }
 
-// hedge hedges one attempt if it is in hedgeable.
+// hedge hedges one attempt if it is in hedgeableAttempts.
 func (s *silenceMonitor) hedge(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if startHedge := s.hedgeable[waiting]; startHedge != nil {
+	if startHedge := s.hedgeableAttempts[waiting]; startHedge != nil {
 		startHedge()
 	}
 }
 
-// hedgeAll hedges all attempts in hedgeable.
+// hedgeAll hedges all attempts in hedgeableAttempts.
 func (s *silenceMonitor) hedgeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, startHedge := range s.hedgeable {
+	for _, startHedge := range s.hedgeableAttempts {
 		startHedge()
 	}
 }
 
-// SetReachable records whether a daemon answers its peers. New calls avoid a daemon that
-// does not. The idle connections to its gate are closed, so that calls which are still
+// SetReachable records whether a daemon answers its peers. New calls avoid an
+// unreachable daemon. The idle connections to its gate are closed, so that calls which are still
 // sent there fail to connect instead of being lost on a dead connection.
 func (p *Proxy) SetReachable(node protocol.NodeID, reachable bool) {
 	p.forEachEndpoint(node, func(candidate *endpoint.Endpoint, gateUpstream *upstream) {
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -16,7 +16,7 @@
 const startWaitDivisor = 4
 
 // startWaiters wakes the calls that wait because the daemon has just started and does not
-// know yet where to send them. After a restart of all machines, the first calls arrive some
+// yet have the data to route them. After a restart of all machines, the first calls arrive some
 // tenths of a second before the configuration and the members are known. If they were
 // refused at once, callers would only repeat them at other daemons in the same state.
 type startWaiters struct {
@@ -78,7 +78,7 @@
 }
 
 // totalTimeout returns the time that a call may take, including the time that it has waited
-// for the start. A nil call is one that was refused.
+// for the start. A nil call means that the call was refused.
 func (p *Proxy) totalTimeout(request *http.Request, call *callerCall, waited time.Duration) time.Duration {
 	if call != nil {
 		return call.timeout + waited
@@ -97,7 +97,7 @@
 	case refusal.Code == result.NotServing:
 		return v.snapshot == nil
 	case refusal.Code == result.RegionNotAllowed:
-		return len(v.mesh.Members) <= 1 // only this daemon
+		return len(v.meshState.Members) <= 1 // only this daemon
 	case !accepted:
 		return false
 	}
