--- a/internal/hosted/backendside.go
+++ b/internal/hosted/backendside.go
@@ -15,80 +15,83 @@
 )
 
 const (
-	// refusalsPerSecond and refusalsBurst bound the lines on reports that were not taken.
+	// refusalLogsPerSecond and refusalLogBurst limit the rate of log lines on refused reports.
 	refusalLogsPerSecond = 1
 	refusalLogBurst      = 5
-	// backendTick is how often the passing of time is looked at.
+	// backendCheckInterval is the interval at which state that changes with time alone is checked.
 	backendCheckInterval = 250 * time.Millisecond
 )
 
-// backendSide follows the back end beside the daemon: its reports and its answers to probes
-// come in, the gate and the mesh are told.
+// backendMonitor tracks the state of the daemon's own back end from its reports and its answers to
+// probes, and reports the state to the gate and to the mesh.
 type backendMonitor struct {
 	config       backendMonitorConfig
 	events       eventLog
 	clock        func() time.Duration
 	reportToGate func(proxy.BackendReport)
-	// cold tells the gate until when the back end is cold.
+	// setColdUntil sets the time until which the gate treats the back end as cold.
 	setColdUntil func(until time.Duration)
-	// probes tells the gate that the back end is asked, until what it returns is called; nil
-	// for nobody.
+	// beginProbe, unless nil, occupies a slot of the gate for a probe until the returned function is
+	// called.
 	beginProbe func() (ended func())
-	// holds tells the gate how many calls the back end says to hold, with a probe; nil for
-	// nobody.
+	// setReportedCalls, unless nil, passes to the gate the number of calls that the back end
+	// reported in its answer to a probe.
 	setReportedCalls func(count int)
-	// announce tells the mesh; it must not block.
+	// announceToMesh passes a changed view to the mesh; it must not block.
 	announceToMesh func(backend.View)
 	context        context.Context
 	running        sync.WaitGroup
-	// refusals bounds the lines on reports that were not taken.
+	// refusalLogRate limits the log lines on refused reports.
 	refusalLogRate *logging.Rate
 
 	mutex   sync.Mutex
 	tracker *backend.Tracker
-	// shown is the view that the gate and the mesh were last told, without ColdUntil.
+	// publishedView is the view that was last reported to the gate and the mesh, without ColdUntil.
 	publishedView backend.View
 	probing       bool
-	// doubtedAt is since when the back end may have become cold unseen, on the clock.
+	// possiblyColdSince is the time on the clock since which the back end may have become cold
+	// unnoticed. Answers to earlier probes say nothing about the warm-up.
 	possiblyColdSince time.Duration
-	// toldCold is what the gate was last told of the back end's warm-up.
+	// reportedCold is the warm-up state that was last reported to the gate.
 	reportedCold coldState
-	// stopping is set once the daemon leaves: the gate, which is closing, is not
-	// opened again.
+	// stopping is set when the daemon stops: from then on the gate, which is closing, is
+	// not opened again.
 	stopping bool
-	// emptied is set while the zone is to be empty, and until its back end takes work again.
+	// evacuating is set while the zone is evacuated, and after that until the back end accepts calls
+	// again.
 	evacuating bool
 }
 
-// hostedBackend is what the side needs of the settings.
+// backendMonitorConfig holds the settings and dependencies of a backendMonitor.
 type backendMonitorConfig struct {
 	address string
 	prober  Prober
-	// healthPath is the health path as the configuration has it; empty while
-	// that is not known.
+	// healthPath returns the path for probes from the configuration; empty while no
+	// configuration is in force.
 	healthPath func() string
-	// joined tells whether peers have told what an earlier start of this daemon
-	// has acknowledged, and which zones are to be empty.
+	// hasJoinedMesh reports whether the daemon has received from peers what an earlier
+	// start of it has acknowledged, and the evacuation orders, or has waited for both long
+	// enough. The back end is not probed before.
 	hasJoinedMesh func() bool
-	// warmUp is how long the service calls its back ends cold after a start; 0 while that
-	// is not known.
+	// warmUpTime returns how long back ends of the service are cold after a start; 0 while
+	// no configuration is in force.
 	warmUpTime func() time.Duration
-	// evacuated tells whether the zone is to be empty.
+	// isZoneEvacuated reports whether an order to evacuate the daemon's zone is in force.
 	isZoneEvacuated func() bool
-	// takenBack is called, with the lock held, before the back end of a zone that was to be
-	// empty gets calls again: it may have become cold unseen. Nil for nothing.
+	// onEvacuationEnd, unless nil, is called with the lock held before the back end accepts
+	// calls again after an evacuation. The back end may have become cold unnoticed.
 	onEvacuationEnd func()
 }
 
-// start begins to follow the back end. It may be cold, whatever an earlier start of this daemon
-// knew.
+// start starts monitoring. The back end may be cold, since it may have restarted while the daemon
+// was not running.
 func (b *backendMonitor) start() {
 	b.assumeCold()
 	b.running.Add(1)
 	go b.checkPeriodically()
 }
 
-// Heartbeat implements Reports.
+// Heartbeat implements ReportHandler.
 func (b *backendMonitor) Heartbeat(report backend.Report) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -99,7 +102,7 @@
 	b.publishView()
 }
 
-// Leave implements Reports.
+// Leave implements ReportHandler.
 func (b *backendMonitor) Leave(start protocol.BackendStart) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -108,8 +111,8 @@
 	b.publishView()
 }
 
-// Refused implements Reports. Others may send whatever they like, so the lines have a rate of
-// their own.
+// RecordRefusal implements ReportHandler. Any client can send invalid reports, so these log lines
+// have a rate limit of their own.
 func (b *backendMonitor) RecordRefusal(instance string, failure *result.Error) {
 	if b.refusalLogRate.Allow(b.clock()) {
 		b.events.event("report_refused", field("instance", strconv.QuoteToASCII(instance)),
@@ -117,7 +120,7 @@
 	}
 }
 
-// unreachable is called when a call met no connection.
+// markUnreachable marks a start of the back end as down after a call could not connect to it.
 func (b *backendMonitor) markUnreachable(start protocol.BackendStart) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -125,18 +128,18 @@
 	b.publishView()
 }
 
-// failed is called when the back end has failed a call, with the count of all
-// calls so far that it answered well.
-func (b *backendMonitor) recordFailure(start protocol.BackendStart, answered uint64) {
+// recordFailure records a failed call of a start of the back end. succeeded is the total count
+// of successful calls so far.
+func (b *backendMonitor) recordFailure(start protocol.BackendStart, succeeded uint64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.tracker.RecordFailure(b.clock(), start, answered) {
+	if b.tracker.RecordFailure(b.clock(), start, succeeded) {
 		b.publishView()
 	}
 }
 
-// rememberLeaving takes a peer's memory that a start of the back end was leaving before
-// this daemon started. It does not block.
+// restoreDraining marks a start of the back end as draining. A peer has reported that an earlier
+// start of this daemon had acknowledged the drain. It does not block.
 func (b *backendMonitor) restoreDraining(start protocol.BackendStart) {
 	b.running.Add(1)
 	go func() {
@@ -149,22 +152,22 @@
 	}()
 }
 
-// stop keeps the gate from being opened again.
+// markStopping keeps the gate from being opened again.
 func (b *backendMonitor) markStopping() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.stopping = true
 }
 
-// leaving tells whether the back end itself is leaving.
+// isDraining reports whether the back end itself drains or has left.
 func (b *backendMonitor) isDraining() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.tracker.IsDraining()
 }
 
-// show tells the gate and the mesh the present view where it differs from the last one, and the
-// gate first until when the back end is cold; the lock is held.
+// publishView reports the current view to the gate and the mesh if it differs from the published
+// one. Before that it reports a changed warm-up state to the gate. The lock is held.
 func (b *backendMonitor) publishView() {
 	view := b.currentView()
 	if b.evacuating && view.State.AcceptsCalls() {
@@ -174,7 +177,7 @@
 		return
 	}
 	b.updateGateWarmth(view)
-	view.ColdUntil = 0 // a change of it alone is no news to the mesh
+	view.ColdUntil = 0 // a change of this field alone is not announced to the mesh
 	if view == b.publishedView {
 		return
 	}
@@ -188,8 +191,9 @@
 	b.announceToMesh(view)
 }
 
-// view is the state of the back end and of its zone; the lock is held. A back end that takes
-// no work for a reason of its own keeps that one: it does not come back with its zone.
+// currentView returns the state of the back end, or EndpointEvacuated if the zone is evacuated and
+// the back end would otherwise accept calls. A back end that accepts none keeps its own state, so
+// that it does not accept calls when the evacuation ends. The lock is held.
 func (b *backendMonitor) currentView() backend.View {
 	view := b.tracker.View(b.clock())
 	if !b.config.isZoneEvacuated() {
@@ -202,8 +206,9 @@
 	return view
 }
 
-// takeBack is called when the back end would take work again after its zone was to be empty. It
-// returns the view by which it does, which may be a colder one; the lock is held.
+// endEvacuation runs onEvacuationEnd when the back end is about to accept calls again after an
+// evacuation. It returns the view to publish: the hook may have changed it, since it may assume
+// the back end to be cold. The lock is held.
 func (b *backendMonitor) endEvacuation(view backend.View) backend.View {
 	b.evacuating = false
 	if b.config.onEvacuationEnd == nil {
@@ -213,7 +218,7 @@
 	return b.currentView()
 }
 
-// zoneChanged looks again whether the zone is to be empty. It does not block.
+// recheckZone publishes the view after a change of the evacuation orders. It does not block.
 func (b *backendMonitor) recheckZone() {
 	b.running.Add(1)
 	go func() {
@@ -224,7 +229,7 @@
 	}()
 }
 
-// tick looks at what time alone changes.
+// checkPeriodically publishes changes of the view that are caused by time alone.
 func (b *backendMonitor) checkPeriodically() {
 	defer b.running.Done()
 	for pause.For(b.context, backendCheckInterval) {
--- a/internal/hosted/broadcasting.go
+++ b/internal/hosted/broadcasting.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// batchPeriod is the least time between two broadcasts of one relay. A stop is
-	// announced longer than this before its gate closes (announceAhead).
+	// minBroadcastInterval is the minimum time between two broadcasts of one relay. The
+	// time between the announcement of a daemon's stop and the closing of its gate must be
+	// longer (stopAnnounceLead).
 	minBroadcastInterval = 200 * time.Millisecond
-	// relayTries is how many relays of a zone are tried for one message.
+	// maxRelayAttempts is the maximum number of relays of a zone to which sending one message
+	// is attempted.
 	maxRelayAttempts = 3
 )
 
-// broadcastSelf tells the relays of all zones of the own record; the lock is held. In
-// the own zone a second daemon is told as well, so that what this daemon has
-// acknowledged is remembered although the relay ends before its broadcast.
+// broadcastOwnRecord sends the daemon's own record to the relays of all zones. In the own
+// zone it also sends it to a second daemon, so that what this daemon has acknowledged is
+// not lost if the relay ends before its broadcast. The lock is held.
 func (m *mesh) broadcastOwnRecord() {
 	directory := m.peerDirectory()
 	request := m.newPushRequest([]protocol.Member{m.self})
@@ -30,18 +32,18 @@
 			m.sendToFirstReachable(m.reachableRelays(zone), request, false)
 		}
 	}
-	near := m.reachableRelays(m.self.Zone)
+	ownZoneRelays := m.reachableRelays(m.self.Zone)
 	if directory.IsRelay(m.isLost) {
 		m.scheduleBroadcast(m.self.ID)
 	} else {
-		m.sendToFirstReachable(near, request, false)
-		near = near[1:]
+		m.sendToFirstReachable(ownZoneRelays, request, false)
+		ownZoneRelays = ownZoneRelays[1:]
 	}
-	m.push(near[:min(1, len(near))], m.self)
+	m.push(ownZoneRelays[:min(1, len(ownZoneRelays))], m.self)
 }
 
-// broadcastInZone has records of other zones broadcast in the own zone; the lock is
-// held.
+// broadcastInOwnZone broadcasts records of other zones in the own zone, through the relay of
+// the zone; the lock is held.
 func (m *mesh) broadcastInOwnZone(records []protocol.Member) {
 	if m.peerDirectory().IsRelay(m.isLost) {
 		m.scheduleBroadcast(memberIDs(records)...)
@@ -52,14 +54,14 @@
 	m.sendToFirstReachable(m.reachableRelays(m.self.Zone), request, false)
 }
 
-// relays are the first relays of a zone that answer; the lock is held.
+// reachableRelays returns the best maxRelayAttempts reachable relays of a zone; the lock is held.
 func (m *mesh) reachableRelays(zone string) []dissemination.Peer {
-	found := m.peerDirectory().Relays(zone, m.isLost)
-	return found[:min(maxRelayAttempts, len(found))]
+	relays := m.peerDirectory().Relays(zone, m.isLost)
+	return relays[:min(maxRelayAttempts, len(relays))]
 }
 
-// pushRequest is a message with records that asks for no comparison; the lock is
-// held.
+// newPushRequest returns a push: a message that carries records and requests no
+// comparison. The lock is held.
 func (m *mesh) newPushRequest(records []protocol.Member) protocol.ExchangeRequest {
 	return protocol.ExchangeRequest{
 		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.current(),
@@ -68,8 +70,9 @@
 	}
 }
 
-// deliver sends a push to the first of some peers that answers, without waiting
-// for it. With forward, that peer is asked to pass it on to those after it.
+// sendToFirstReachable sends a push to the candidates in order until one answers. It
+// does not block. If forward is set, the push requests that the receiver forwards it to the
+// candidates after it.
 func (m *mesh) sendToFirstReachable(candidates []dissemination.Peer, request protocol.ExchangeRequest, forward bool) {
 	if len(candidates) == 0 {
 		return
@@ -78,58 +81,61 @@
 	go func() {
 		defer m.running.Done()
 		for index, candidate := range candidates {
-			sent := request
+			push := request
 			if forward {
-				sent.Forward = toDestinations(candidates[index+1:])
+				push.Forward = toDestinations(candidates[index+1:])
 			}
-			if m.callPeer(candidate, &sent) != nil || m.context.Err() != nil {
+			if m.callPeer(candidate, &push) != nil || m.context.Err() != nil {
 				return
 			}
 		}
 	}()
 }
 
-// takePush merges the records of a push and passes them on as it asks.
+// handlePush merges the records of a push, and broadcasts or forwards them as the push requests.
 func (m *mesh) handlePush(request *protocol.ExchangeRequest) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	news := m.mergeMembers(request.Members)
+	changed := m.mergeMembers(request.Members)
 	if request.Relay {
-		m.scheduleBroadcast(memberIDs(m.recordsToRelay(request, news))...)
+		m.scheduleBroadcast(memberIDs(m.recordsToRelay(request, changed))...)
 	}
 	m.forwardPush(request)
 }
 
-// relayed are the records of a push that the relay broadcasts: the sender's own,
-// which it tells once, and what is news here; the lock is held.
-func (m *mesh) recordsToRelay(request *protocol.ExchangeRequest, news []protocol.Member) []protocol.Member {
+// recordsToRelay returns the records of a push that the relay broadcasts: the sender's own
+// record, unless a newer one is known, and the changed records. The sender sends its own
+// record only once, so it is broadcast even if it has already arrived by another way.
+// The lock is held.
+func (m *mesh) recordsToRelay(request *protocol.ExchangeRequest, changed []protocol.Member) []protocol.Member {
 	own := lo.Filter(request.Members, func(member protocol.Member, _ int) bool {
-		known, found := m.roster.Get(member.ID)
-		return member.ID == request.From && found && !membership.Newer(known, member)
+		current, found := m.roster.Get(member.ID)
+		return member.ID == request.From && found && !membership.Newer(current, member)
 	})
-	return append(own, news...)
+	return append(own, changed...)
 }
 
-// passOn sends a push to the daemons that it names; the lock is held.
+// forwardPush forwards a push to the daemons listed in it; the lock is held.
 func (m *mesh) forwardPush(request *protocol.ExchangeRequest) {
-	targets := lo.Map(request.Forward, func(to protocol.Destination, _ int) dissemination.Peer {
-		return dissemination.Peer{ID: to.ID, Address: to.Address, Zone: m.self.Zone, Region: m.self.Region}
+	targets := lo.Map(request.Forward, func(destination protocol.Destination, _ int) dissemination.Peer {
+		return dissemination.Peer{ID: destination.ID, Address: destination.Address, Zone: m.self.Zone, Region: m.self.Region}
 	})
-	passed := m.newPushRequest(request.Members)
-	passed.Harmful = request.Harmful
-	m.sendAlongTree(targets, passed)
+	forwarded := m.newPushRequest(request.Members)
+	forwarded.Harmful = request.Harmful
+	m.sendAlongTree(targets, forwarded)
 }
 
-// sendBranches sends a push to all targets along a tree; the lock is held.
+// sendAlongTree sends a push to all reachable targets along a forwarding tree; the lock is held.
 func (m *mesh) sendAlongTree(targets []dissemination.Peer, request protocol.ExchangeRequest) {
-	reachable := lo.Reject(targets, func(one dissemination.Peer, _ int) bool { return m.isLost(one.ID) })
+	reachable := lo.Reject(targets, func(peer dissemination.Peer, _ int) bool { return m.isLost(peer.ID) })
 	for _, branch := range dissemination.Branches(reachable) {
 		m.sendToFirstReachable(branch, request, true)
 	}
 }
 
-// broadcastSoon has the records of some daemons broadcast in the own zone with
-// all others that come within the same period; the lock is held.
+// scheduleBroadcast adds the records of the given daemons to the next broadcast in the own
+// zone. It sends the broadcast at once unless the last one was less than minBroadcastInterval
+// ago. The lock is held.
 func (m *mesh) scheduleBroadcast(ids ...protocol.NodeID) {
 	wait, schedule := m.batch.Add(m.clock(), ids...)
 	switch {
@@ -141,12 +147,12 @@
 	}
 }
 
-// broadcast sends what was gathered to all daemons of the own zone; the lock is
+// broadcastBatch sends the collected records to all daemons of the own zone; the lock is
 // held.
 func (m *mesh) broadcastBatch() {
 	var records []protocol.Member
 	for _, id := range m.batch.Take(m.clock()) {
-		if member, known := m.roster.Get(id); known {
+		if member, found := m.roster.Get(id); found {
 			records = append(records, member)
 		}
 	}
@@ -160,7 +166,7 @@
 }
 
 func toDestinations(peers []dissemination.Peer) []protocol.Destination {
-	return lo.Map(peers, func(one dissemination.Peer, _ int) protocol.Destination {
-		return protocol.Destination{ID: one.ID, Address: one.Address}
+	return lo.Map(peers, func(peer dissemination.Peer, _ int) protocol.Destination {
+		return protocol.Destination{ID: peer.ID, Address: peer.Address}
 	})
 }
--- a/internal/hosted/comparing.go
+++ b/internal/hosted/comparing.go
@@ -9,7 +9,7 @@
 	"github.com/springstack/springstack/internal/pause"
 )
 
-// compareForever compares records with one peer after the other.
+// runComparisons periodically compares records with peers until the daemon ends.
 func (m *mesh) runComparisons() {
 	for round := 0; m.context.Err() == nil; round++ {
 		for _, target := range m.nextComparisonPeers(round) {
@@ -26,27 +26,29 @@
 	}
 }
 
-// nextTargets are the peers of one round: the next one of the own zone, and
-// now and then one of another zone.
+// nextComparisonPeers returns the peers for one round: the next one of the own zone, and
+// in some rounds a random one of another zone.
 func (m *mesh) nextComparisonPeers(round int) []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near, far := m.peerDirectory().PeersInOwnZone(), m.peerDirectory().PeersInOtherZones()
+	ownZonePeers, otherPeers := m.peerDirectory().PeersInOwnZone(), m.peerDirectory().PeersInOtherZones()
 	var targets []dissemination.Peer
-	if len(near) > 0 {
-		targets = append(targets, near[m.comparisonTurn%len(near)])
+	if len(ownZonePeers) > 0 {
+		targets = append(targets, ownZonePeers[m.comparisonTurn%len(ownZonePeers)])
 		m.comparisonTurn++
 	}
-	if round%otherZoneRounds == 0 || len(near) == 0 {
-		// Each zone speaks for itself about as often, however many daemons it has.
-		if len(far) > 0 && (round == 0 || randomNumber()%uint64(len(near)+1) == 0) {
-			targets = append(targets, samplePeers(far, 1)...)
+	if round%otherZoneRounds == 0 || len(ownZonePeers) == 0 {
+		// The daemons of a zone share its comparisons with other zones, so that their rate does
+		// not depend on the number of daemons.
+		if len(otherPeers) > 0 && (round == 0 || randomNumber()%uint64(len(ownZonePeers)+1) == 0) {
+			targets = append(targets, samplePeers(otherPeers, 1)...)
 		}
 	}
 	return targets
 }
 
-// compare brings the records of both sides to the same.
+// compareWith compares checksums with a peer and exchanges the records in buckets that differ,
+// so that both hold the same records.
 func (m *mesh) compareWith(target dissemination.Peer) {
 	m.mutex.Lock()
 	request := m.newComparisonRequest()
@@ -56,7 +58,7 @@
 		return
 	}
 	if len(reply.Sums) != membership.BucketCount {
-		m.recordComparison(target) // both know the same
+		m.recordComparison(target) // the records are equal
 		return
 	}
 	m.mutex.Lock()
@@ -71,29 +73,31 @@
 	}
 }
 
-// takeCompared merges records that a comparison with a daemon of a zone brought.
-// News from another zone is told to the own one.
+// mergeCompared merges records received in a comparison with a daemon of the given zone.
+// Changes received from another zone are broadcast in the own zone.
 func (m *mesh) mergeCompared(fromZone string, members []protocol.Member) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	news := m.mergeMembers(members)
-	if len(news) > 0 && fromZone != m.self.Zone {
-		m.broadcastInOwnZone(news)
+	changed := m.mergeMembers(members)
+	if len(changed) > 0 && fromZone != m.self.Zone {
+		m.broadcastInOwnZone(changed)
 	}
 }
 
-// noteJoined notes that the records of a peer have come. Those of the own zone
-// know what an earlier start of this daemon announced, others may not, so they
-// count only where the zone has nobody else.
-func (m *mesh) recordComparison(from dissemination.Peer) {
+// recordComparison marks the daemon as joined after a comparison with a peer of the own
+// zone. Daemons of other zones may not know what an earlier start of this daemon
+// announced, so a comparison with one of them suffices only if no other daemon of the own
+// zone is known.
+func (m *mesh) recordComparison(peer dissemination.Peer) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if from.Zone == m.self.Zone || len(m.peerDirectory().PeersInOwnZone()) == 0 {
+	if peer.Zone == m.self.Zone || len(m.peerDirectory().PeersInOwnZone()) == 0 {
 		m.markJoined()
 	}
 }
 
-// request is an empty comparison; the lock is held.
+// newComparisonRequest returns a comparison request with the total checksum and without
+// records; the lock is held.
 func (m *mesh) newComparisonRequest() *protocol.ExchangeRequest {
 	return &protocol.ExchangeRequest{
 		Format: protocol.Format, From: m.self.ID, Zone: m.self.Zone, Version: m.version(), Era: m.eras.current(),
--- a/internal/hosted/configuration.go
+++ b/internal/hosted/configuration.go
@@ -18,47 +18,48 @@
 )
 
 const (
-	// readTimeout bounds one reading call to the store.
+	// storeReadTimeout bounds one read call to the store.
 	storeReadTimeout = 1500 * time.Millisecond
-	// watchMargin is how much later than it promised a watch may be answered
-	// before its connection is given up.
+	// watchTimeoutMargin is the time by which the timeout of a watch exceeds the wait
+	// requested of the store.
 	watchTimeoutMargin = time.Second
 )
 
-// configuration follows the authority and puts versions in force.
+// configurationFollower reads and watches the configuration in the store, or fetches it from
+// peers, and puts new versions in force.
 type configurationFollower struct {
 	source        authority.Source
 	events        eventLog
 	clock         func() time.Duration
 	applySnapshot func(*snapshot.Snapshot)
 	applyLimits   func(authority.RequestLimits)
-	// announce tells peers of the version in force, which their watches may have
-	// missed too; polled says that the store itself was read. It must not wait.
+	// announceVersion sends the version in force to peers, whose watches may have missed it
+	// too. polled is set if a poll read it from the store. It must not block.
 	announceVersion func(polled bool)
 	fetchFromPeer   func(context.Context, protocol.NodeID, protocol.Version) authority.Document
 	context         context.Context
 	inForce         atomic.Pointer[authority.Document]
-	// packing guards packed, the document that peers were last given.
+	// packMutex guards packedReply, the compressed document that was last sent to peers.
 	packMutex       sync.Mutex
 	packedReply     protocol.DocumentReply
 	currentSnapshot atomic.Pointer[snapshot.Snapshot]
 	running         sync.WaitGroup
 	mutex           sync.Mutex
 	follower        *following.Follower
-	// calls counts the calls to the store; reads makes those that are answered at once, connections
-	// those that wait.
+	// calls counts the calls to the store. reads makes the read calls and hedges them over new
+	// connections; connections restarts watches when connections are renewed.
 	calls       *storeCalls
 	reads       *hedgedReads
 	connections *connectionRenewer
 	eras        *eraTracker
-	// changedAt is when the version in force came, and changedBy its source.
+	// adoptedAt is when the version in force was adopted, and adoptedFrom its source.
 	adoptedAt   time.Duration
 	adoptedFrom string
-	// watchedAt is when the watch that waits began; 0 while none waits.
+	// watchStartedAt is when the pending watch started; 0 while none is pending.
 	watchStartedAt time.Duration
-	// contact keeps when the store and peers were last heard.
+	// contacts holds the time of the last contact with the store and with any peer.
 	contacts *contactTimes
-	// storeLost is set while the store does not answer.
+	// storeUnavailable is set if the last read or watch of the store failed, polls excluded.
 	storeUnavailable bool
 }
 
@@ -68,41 +69,41 @@
 	c.runActions(c.follower.Start())
 }
 
-// version is the version in force; 0 for none.
+// version returns the version in force, or 0 if there is none.
 func (c *configurationFollower) version() protocol.Version {
-	if held := c.inForce.Load(); held != nil {
-		return held.Version
+	if document := c.inForce.Load(); document != nil {
+		return document.Version
 	}
 	return 0
 }
 
-// packedDocument is what is in force for a peer that has an older version; one
-// without a version means that there is nothing newer. It is packed once for all
-// peers.
+// packedDocument returns the document in force for a peer that has the given version, or a
+// reply with version 0 if the peer's version is not older. The document is compressed once
+// for all peers.
 func (c *configurationFollower) packedDocument(have protocol.Version) protocol.DocumentReply {
-	held := c.inForce.Load()
-	if held == nil || held.Version <= have {
+	document := c.inForce.Load()
+	if document == nil || document.Version <= have {
 		return protocol.DocumentReply{}
 	}
 	c.packMutex.Lock()
 	defer c.packMutex.Unlock()
-	if c.packedReply.Version != held.Version {
-		c.packedReply = packDocument(*held)
+	if c.packedReply.Version != document.Version {
+		c.packedReply = packDocument(*document)
 	}
 	return c.packedReply
 }
 
-// healthPath is where the back ends of a service answer probes; empty while
-// that is not known.
+// healthPath returns the path at which the back ends of a service answer probes; empty while
+// no version is in force.
 func (c *configurationFollower) healthPath(service resource.ServiceRef) string {
-	built := c.currentSnapshot.Load()
-	if built == nil {
+	current := c.currentSnapshot.Load()
+	if current == nil {
 		return ""
 	}
-	return built.Services[service].HealthPath
+	return current.Services[service].HealthPath
 }
 
-// age is how long ago the version in force came; 0 without one.
+// versionAge returns the time since the version in force was adopted, or 0 if there is none.
 func (c *configurationFollower) versionAge() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -112,29 +113,30 @@
 	return c.clock() - c.adoptedAt
 }
 
-// storeFails tells whether the store's last answer was a failure.
+// isStoreUnavailable reports whether the last read or watch of the store failed, polls excluded.
 func (c *configurationFollower) isStoreUnavailable() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.storeUnavailable
 }
 
-// newEra takes that the store has come back from an older copy.
+// observeEra records a later era of the store, which begins when the store is restored from an
+// older copy.
 func (c *configurationFollower) observeEra(era uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.follower.ObserveEra(era)
 }
 
-// heardOf takes a peer's word of the version that it has in force.
+// handlePeerVersion handles the version that a peer reports to have in force.
 func (c *configurationFollower) handlePeerVersion(peer protocol.NodeID, version protocol.Version) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.runActions(c.follower.HandlePeerVersion(c.clock(), peer, version))
 }
 
-// carryOut does what the follower has decided; the lock is held. Reads and
-// watches run on goroutines of their own and come back with their results.
+// runActions runs the actions that the follower returned. Each action other than Adopt runs on
+// a goroutine of its own, and its result, if any, is passed back to the follower. The lock is held.
 func (c *configurationFollower) runActions(actions []following.Action) {
 	for _, action := range actions {
 		if action.Kind == following.Adopt {
@@ -149,7 +151,7 @@
 	}
 }
 
-// ask carries out an action that waits for an answer.
+// runAction runs an action other than Adopt after its delay.
 func (c *configurationFollower) runAction(action following.Action) {
 	if !pause.For(c.context, action.After) {
 		return
@@ -175,29 +177,30 @@
 	c.runActions(c.follower.HandleStoreRead(c.clock(), reading))
 }
 
-// rewatch makes a watch again over a new connection, unless it has been answered.
-func (c *configurationFollower) renewPendingWatch(turn uint64) {
+// renewPendingWatch restarts the watch with the given number over a new connection, unless it has
+// been answered.
+func (c *configurationFollower) renewPendingWatch(watchNumber uint64) {
 	c.mutex.Lock()
-	waits, waited := c.follower.IsWatchPending(turn), c.clock()-c.watchStartedAt
+	pending, waited := c.follower.IsWatchPending(watchNumber), c.clock()-c.watchStartedAt
 	c.mutex.Unlock()
-	if waits {
+	if pending {
 		c.connections.renewAfterMissedChange(waited)
 	}
 }
 
-// askIfLacking asks a peer for its document, unless its version has come from
-// elsewhere meanwhile.
+// fetchIfNewer fetches the document of a peer, unless its version has been received from another
+// source in the meantime.
 func (c *configurationFollower) fetchIfNewer(action following.Action) authority.Document {
 	c.mutex.Lock()
-	lacking := c.follower.IsNewer(action.Version)
+	newer := c.follower.IsNewer(action.Version)
 	c.mutex.Unlock()
-	if !lacking {
+	if !newer {
 		return authority.Document{}
 	}
 	return c.fetchFromPeer(c.context, action.Peer, c.version())
 }
 
-// poll reads the store besides the watch, and tells whether it answered.
+// pollStore reads the store in addition to the watch and reports whether the read succeeded.
 func (c *configurationFollower) pollStore() bool {
 	reading := c.readCurrent(purposePoll, authority.Linearizable)
 	if c.context.Err() != nil {
@@ -212,7 +215,7 @@
 	return reading.Code == result.OK
 }
 
-// read makes one call to the store.
+// readOrWatch runs a Read or Watch action.
 func (c *configurationFollower) readOrWatch(action following.Action) authority.Reading {
 	var reading authority.Reading
 	if action.Kind == following.Watch {
@@ -226,7 +229,7 @@
 	return reading
 }
 
-// watch waits for a change after a position.
+// watch waits until the configuration changes after a position, or watchWait has passed.
 func (c *configurationFollower) watch(from authority.Position) authority.Reading {
 	reading, err := watchAcrossRenewals(c.connections, c.context, from, watchWait+watchTimeoutMargin, func(ctx context.Context) (authority.Reading, error) {
 		c.setWatchStart(c.clock())
@@ -234,7 +237,7 @@
 		reading := c.source.Watch(ctx, from, watchWait)
 		c.calls.record(purposeWatch, reading.Code)
 		reading.At = c.eras.withEra(reading.At)
-		return reading, nil // its code tells
+		return reading, nil // reading.Code holds the failure
 	})
 	if err != nil {
 		return authority.Reading{Code: codeOf(err), Detail: err.Error()}
@@ -242,7 +245,7 @@
 	return reading
 }
 
-// readNow reads what the store holds now.
+// readCurrent reads the configuration that the store holds now.
 func (c *configurationFollower) readCurrent(purpose storePurpose, freshness authority.Freshness) authority.Reading {
 	reading, _ := readStore(c.reads, c.context, purpose, storeReadTimeout, func(ctx context.Context) (authority.Reading, error) {
 		reading := c.source.Read(ctx, freshness)
@@ -252,51 +255,52 @@
 	return reading
 }
 
-// noteWatch notes when the watch that waits began; 0 says that it has ended.
-func (c *configurationFollower) setWatchStart(began time.Duration) {
+// setWatchStart sets the start time of the pending watch; 0 if it has ended.
+func (c *configurationFollower) setWatchStart(startedAt time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.watchStartedAt = began
+	c.watchStartedAt = startedAt
 }
 
-// freshness tells, for the log of a decision by the version in force, how that came and when
-// each source of newer ones was last heard.
+// freshnessFields returns log fields for decisions that depend on the version in force: its source
+// and age, and the time since the last contact with each source of newer versions.
 func (c *configurationFollower) freshnessFields() []proxy.EventField {
 	c.mutex.Lock()
-	source, age, watched := c.adoptedFrom, c.clock()-c.adoptedAt, c.watchStartedAt
+	source, age, watchStart := c.adoptedFrom, c.clock()-c.adoptedAt, c.watchStartedAt
 	c.mutex.Unlock()
 	fields := []proxy.EventField{{Key: "version_age_ms", Value: formatMillis(age)}, {Key: "version_source", Value: source}}
-	if watched != 0 {
-		fields = append(fields, proxy.EventField{Key: "watch_waits_ms", Value: formatMillis(c.clock() - watched)})
+	if watchStart != 0 {
+		fields = append(fields, proxy.EventField{Key: "watch_waits_ms", Value: formatMillis(c.clock() - watchStart)})
 	}
 	return append(fields, c.contacts.ageFields()...)
 }
 
-// noteStore logs when the store is lost and regained; the lock is held.
+// updateStoreAvailability logs when the store becomes unavailable and available again. An answer that
+// the history for a watch is gone (PlatformCompacted) counts as available. The lock is held.
 func (c *configurationFollower) updateStoreAvailability(reading authority.Reading) {
-	lost := reading.Code != result.OK && reading.Code != result.PlatformCompacted
-	if lost == c.storeUnavailable {
+	unavailable := reading.Code != result.OK && reading.Code != result.PlatformCompacted
+	if unavailable == c.storeUnavailable {
 		return
 	}
-	c.storeUnavailable = lost
-	if lost {
+	c.storeUnavailable = unavailable
+	if unavailable {
 		c.events.event("store_lost", field("code", formatCode(reading.Code)), field("detail", reading.Detail))
 		return
 	}
 	c.events.event("store_regained")
 }
 
-// adopt puts a document in force whole, or leaves what is in force; the lock
-// is held, so versions come in order.
+// adopt puts a document in force as a whole, or keeps the present one if the document is
+// invalid. The lock is held, so that versions are adopted in order.
 func (c *configurationFollower) adopt(action following.Action) {
 	document := action.Document
 	decoded, err := c.source.Decode(document)
 	if err == nil {
-		var built *snapshot.Snapshot
-		if built, err = snapshot.FromDecoded(decoded.Version, decoded.Services, decoded.Routes); err == nil {
+		var adopted *snapshot.Snapshot
+		if adopted, err = snapshot.FromDecoded(decoded.Version, decoded.Services, decoded.Routes); err == nil {
 			c.applyLimits(decoded.Limits)
-			c.applySnapshot(built)
-			c.currentSnapshot.Store(built)
+			c.applySnapshot(adopted)
+			c.currentSnapshot.Store(adopted)
 			c.inForce.Store(&document)
 			c.adoptedAt = c.clock()
 			c.adoptedFrom = action.Source
@@ -315,7 +319,7 @@
 		field("source", action.Source), field("routes", strconv.Itoa(len(decoded.Routes))))
 }
 
-// logFaults writes a line for each part of a version that can't be carried out.
+// logFaults logs each part of an accepted version that daemons cannot apply.
 func (c *configurationFollower) logFaults(version protocol.Version, faults []error) {
 	for _, fault := range faults {
 		c.events.event("configuration_fault", field("version", formatVersion(version)),
@@ -323,7 +327,7 @@
 	}
 }
 
-// stop waits until nothing runs any more; the context must have ended.
+// wait waits until all running actions have ended; the context must have ended before.
 func (c *configurationFollower) wait() { c.running.Wait() }
 
 func formatVersion(version protocol.Version) string { return strconv.FormatUint(uint64(version), 10) }
--- a/internal/hosted/connections.go
+++ b/internal/hosted/connections.go
@@ -13,58 +13,61 @@
 )
 
 const (
-	// leastSilence is how long a connection that owes an answer may say nothing at least before
-	// a new one is tried beside it: longer than a busy daemon or store usually takes.
+	// minSilence is the minimum time to wait for an answer on a connection before the call is also
+	// made over a new one: longer than a busy daemon or store usually takes.
 	minSilence = 200 * time.Millisecond
-	// mostSilence is that bound however slow answers were lately: with it, what waits for a
-	// daemon's comparison still comes within the time in which a version has to be in force.
+	// maxSilence is the maximum of that time, however slow recent answers were. With it, a version
+	// that a daemon learns of only by a comparison is still in force within the required time.
 	maxSilence = 700 * time.Millisecond
 )
 
-// lateAnswer is how much later than the answer over a new connection the one over the old may come
-// without that being taken for dead: a store that stood still answers both at once.
+// oldConnectionGrace is the time after an answer over a new connection within which the old
+// connection must answer too, or else it is considered dead. A store that was only paused answers
+// over both at about the same time.
 const oldConnectionGrace = 100 * time.Millisecond
 
-// silenceAfter is how long a connection may owe an answer where answers take as long as estimated.
-func silenceTimeout(answers *roundtrip.Estimator) time.Duration {
-	return min(max(answers.Timeout(), minSilence), maxSilence)
+// silenceTimeout returns how long to wait for an answer before the call is also made over a new
+// connection, given the estimated answer time.
+func silenceTimeout(answerTimes *roundtrip.Estimator) time.Duration {
+	return min(max(answerTimes.Timeout(), minSilence), maxSilence)
 }
 
-// connections has the long-lived connections of a daemon made anew when one of them was found
-// dead. It may be used by several goroutines.
+// connectionRenewer replaces the long-lived connections of a daemon when one of them is found dead.
+// It is safe for concurrent use.
 type connectionRenewer struct {
 	events  eventLog
 	clock   func() time.Duration
 	context context.Context
 	running *sync.WaitGroup
 	eras    *eraTracker
-	// renew has calls from now on made over new connections, renewStore those to the store only.
-	// They must not block.
+	// replaceConnections makes all later calls use new connections, replaceStoreConnections only
+	// those to the store. They must not block.
 	replaceConnections      func()
 	replaceStoreConnections func()
 
 	mutex     sync.Mutex
 	scheduler renewal.Scheduler
-	// epoch ends with the next renewal, by endEpoch.
+	// epoch is cancelled by endEpoch when the pending watches are to be restarted.
 	epoch    context.Context
 	endEpoch func()
 }
 
-// start begins the first epoch.
+// start starts the first epoch. It must be called before any other method.
 func (c *connectionRenewer) start() { c.epoch, c.endEpoch = context.WithCancel(c.context) }
 
-// The places that connections lead to, in logs.
+// The remote ends of connections, as logged.
 const (
 	remoteStore = "store"
 	remotePeer  = "peer"
 )
 
-// dead takes that a connection to a place, opened at a time, was found dead.
-func (c *connectionRenewer) reportDead(place string, opened time.Duration) {
+// reportDead schedules the renewal of all connections, unless they have been renewed since the dead
+// one was opened. opened may also be a later time at which the dead connection was in use.
+func (c *connectionRenewer) reportDead(remote string, opened time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.clock()
-	c.events.event("connection_dead", field("to", place), field("age_ms", formatMillis(now-opened)))
+	c.events.event("connection_dead", field("to", remote), field("age_ms", formatMillis(now-opened)))
 	wait, renew := c.scheduler.ReportDead(now, opened)
 	if !renew || c.context.Err() != nil {
 		return
@@ -76,7 +79,7 @@
 	})
 }
 
-// renewAll makes all connections anew.
+// renewAll replaces all connections and restarts the pending watches.
 func (c *connectionRenewer) renewAll() {
 	c.replaceConnections()
 	c.mutex.Lock()
@@ -86,8 +89,8 @@
 	c.events.event("connections_renewed")
 }
 
-// watchMissed takes that a watch which has waited for a time did not tell of a change that others
-// know. The connections to the store are made anew.
+// renewAfterMissedChange replaces the connections to the store and restarts all watches, because a
+// watch pending for the time waited has not reported a change that a poll or a peer has.
 func (c *connectionRenewer) renewAfterMissedChange(waited time.Duration) {
 	c.replaceStoreConnections()
 	c.mutex.Lock()
@@ -96,51 +99,50 @@
 	c.events.event("watch_renewed", field("waited_ms", formatMillis(waited)))
 }
 
-// rewatch has all watches made again, over the connections that are there.
+// restartWatches restarts all pending watches over the existing connections.
 func (c *connectionRenewer) restartWatches() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.nextEpoch()
 }
 
-// nextEpoch ends the waits of watches, so that they are made again; the lock is held.
+// nextEpoch cancels the pending watches, so that they are restarted; the lock is held.
 func (c *connectionRenewer) nextEpoch() {
 	c.endEpoch()
 	c.epoch, c.endEpoch = context.WithCancel(c.context)
 }
 
-// untilRenewed is a context that ends with the next renewal too. renewed tells, once it has ended,
-// whether by that.
+// contextUntilRenewal returns a context that ends with parent or with the present epoch. renewed
+// reports whether the epoch has ended and parent has not. cancel releases the context.
 func (c *connectionRenewer) contextUntilRenewal(parent context.Context) (ctx context.Context, renewed func() bool, cancel func()) {
 	c.mutex.Lock()
 	epoch := c.epoch
 	c.mutex.Unlock()
-	ctx, end := context.WithCancel(parent)
-	stop := context.AfterFunc(epoch, end)
+	ctx, cancelContext := context.WithCancel(parent)
+	detach := context.AfterFunc(epoch, cancelContext)
 	renewed = func() bool { return epoch.Err() != nil && parent.Err() == nil }
 	return ctx, renewed, func() {
-		stop()
-		end()
+		detach()
+		cancelContext()
 	}
 }
 
-// watched makes a watch from a position that waits for a time at most, and makes it again over a new
-// connection whenever connections are renewed meanwhile. It fails, with nothing asked, once the era of
-// the position has ended.
+// watchAcrossRenewals calls watch with a timeout, and calls it again whenever the epoch ends
+// meanwhile. Once the era of the position has ended it fails with PlatformCompacted instead.
 func watchAcrossRenewals[Answer any](
-	c *connectionRenewer, parent context.Context, from authority.Position, bound time.Duration, watch func(context.Context) (Answer, error),
+	c *connectionRenewer, parent context.Context, from authority.Position, timeout time.Duration, watch func(context.Context) (Answer, error),
 ) (answer Answer, err error) {
 	for !c.eras.hasEnded(from) {
-		bounded, cancel := context.WithTimeout(parent, bound)
-		ctx, renewed, end := c.contextUntilRenewal(bounded)
+		bounded, cancelTimeout := context.WithTimeout(parent, timeout)
+		ctx, renewed, release := c.contextUntilRenewal(bounded)
 		answer, err = watch(ctx)
-		again := renewed()
-		end()
-		cancel()
-		if !again {
+		restart := renewed()
+		release()
+		cancelTimeout()
+		if !restart {
 			return answer, err
 		}
 	}
-	var none Answer
-	return none, result.New(result.PlatformCompacted, "the store's era has changed")
+	var empty Answer
+	return empty, result.New(result.PlatformCompacted, "the era of the watch position has ended")
 }
--- a/internal/hosted/contact.go
+++ b/internal/hosted/contact.go
@@ -8,27 +8,27 @@
 	"github.com/springstack/springstack/internal/proxy"
 )
 
-// contactSource is somebody who tells a daemon of versions.
+// contactSource is a source from which a daemon learns of configuration versions.
 type contactSource int
 
 // The sources.
 const (
-	// contactWatch is a read or watch of the store that keeps up with its changes.
+	// contactWatch is the store, by a watch or by a read other than a poll.
 	contactWatch contactSource = iota
-	// contactPoll is a read of the store beside the watch.
+	// contactPoll is the store, by a poll in addition to the watch.
 	contactPoll
-	// contactPeer is another daemon that called this one or answered it.
+	// contactPeer is any other daemon that called this one or answered it.
 	contactPeer
 	contactSourceCount
 )
 
-// contactNames are the sources' names in logs and metrics.
+// contactSourceNames are the names of the sources in logs and metrics.
 var contactSourceNames = [contactSourceCount]string{following.SourceStore, following.SourcePoll, following.SourcePeer}
 
-// contact keeps when each source was last heard. It may be used by several goroutines.
+// contactTimes holds the time of the last contact with each source. It is safe for concurrent use.
 type contactTimes struct {
 	clock func() time.Duration
-	// heardAt is on the clock, in nanoseconds; 0 for never.
+	// contactedAt is the time on the clock, in nanoseconds; 0 if there was no contact.
 	contactedAt [contactSourceCount]atomic.Int64
 }
 
@@ -36,18 +36,18 @@
 
 func (c *contactTimes) record(source contactSource) { c.contactedAt[source].Store(int64(c.clock())) }
 
-// age is how long ago a source was heard; false if it never was.
-func (c *contactTimes) age(source contactSource) (age time.Duration, ever bool) {
-	heard := time.Duration(c.contactedAt[source].Load())
-	return c.clock() - heard, heard != 0
+// age returns the time since the last contact with a source, and false if there was none.
+func (c *contactTimes) age(source contactSource) (age time.Duration, contacted bool) {
+	last := time.Duration(c.contactedAt[source].Load())
+	return c.clock() - last, last != 0
 }
 
-// fields tell for each source how long ago it was heard.
+// ageFields returns for each source a log field with the time since its last contact.
 func (c *contactTimes) ageFields() []proxy.EventField {
 	fields := make([]proxy.EventField, 0, contactSourceCount)
 	for source, name := range contactSourceNames {
 		text := "never"
-		if age, ever := c.age(contactSource(source)); ever {
+		if age, contacted := c.age(contactSource(source)); contacted {
 			text = formatMillis(age)
 		}
 		fields = append(fields, proxy.EventField{Key: name + "_heard_ms", Value: text})
--- a/internal/hosted/daemon.go
+++ b/internal/hosted/daemon.go
@@ -23,7 +23,7 @@
 	"github.com/springstack/springstack/internal/settings"
 )
 
-// Daemon is one hosted springstackd. It is started and stopped once.
+// Daemon is a hosted springstackd process. It can be started and stopped only once.
 type Daemon struct {
 	settings settings.Hosted
 	options  Options
@@ -33,14 +33,14 @@
 	timings  metrics.Timings
 	injector *do.RootScope
 	draining atomic.Bool
-	// incarnation tells this start from earlier ones.
+	// incarnation distinguishes this start of the daemon from earlier ones.
 	incarnation protocol.Incarnation
 	storeCalls  storeCalls
-	// eras keeps the era of the store.
+	// eras tracks the era of the store.
 	eras eraTracker
-	// contact keeps when the store and peers were last heard.
+	// contacts holds the time of the last contact with the store and with any peer.
 	contacts *contactTimes
-	// roundTrips estimates how long peers take to answer.
+	// roundTrips estimates the answer time of peers.
 	roundTrips roundtrip.Estimator
 
 	dataPath      *proxy.Proxy
@@ -54,12 +54,12 @@
 	cancel  context.CancelFunc
 }
 
-// New returns a daemon that does not run yet. The settings must have been
-// checked.
-func New(checked settings.Hosted, options Options) *Daemon {
+// New returns a daemon that has not been started. The settings must have been
+// validated.
+func New(validated settings.Hosted, options Options) *Daemon {
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &Daemon{
-		settings: checked,
+	d := &Daemon{
+		settings: validated,
 		options:  options,
 		clock:    daemon.NewClock(),
 		injector: do.New(),
@@ -69,19 +69,19 @@
 		context:     ctx,
 		cancel:      cancel,
 	}
-	made.contacts = newContactTimes(made.clock)
-	made.events = newEventLog(options.Logger, checked.Node.ID, made.clock)
-	made.requests = newRequestLog(made.events)
-	made.eras.events, made.eras.clock = made.events, made.clock
-	made.registerParts()
-	return made
+	d.contacts = newContactTimes(d.clock)
+	d.events = newEventLog(options.Logger, validated.Node.ID, d.clock)
+	d.requests = newRequestLog(d.events)
+	d.eras.events, d.eras.clock = d.events, d.clock
+	d.registerParts()
+	return d
 }
 
-// Start opens the addresses and begins to run. After an error nothing is left
-// running.
+// Start opens the listeners and starts all parts of the daemon. If it returns an
+// error, nothing is left running.
 func (d *Daemon) Start() error {
 	if err := d.buildParts(); err != nil {
-		_ = d.shutdown() // the first failure is the one to report
+		_ = d.shutdown() // report the first error, not that of the shutdown
 		return errors.Trace(err)
 	}
 	d.mesh.start()
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// newPath makes the data path.
+// newDataPath creates the data path.
 func (d *Daemon) newDataPath(do.Injector) (*pathPart, error) {
 	edge := d.options.Platform.Edge
 	edge.Service = d.settings.Backend.Service
@@ -133,46 +133,47 @@
 	})}, nil
 }
 
-// verifyPeer asks whether a daemon whose gate is silent is there.
+// verifyPeer checks whether a daemon is reachable after its gate stopped answering calls.
 func (d *Daemon) verifyPeer(node protocol.NodeID) { d.mesh.verifyReachable(node) }
 
-// tellHarmful has other daemons told of requests that may be harmful.
+// announceHarmful sends new records of harmful requests to other daemons.
 func (d *Daemon) announceHarmful(urgent bool) { d.mesh.scheduleHarmfulBroadcast(urgent) }
 
-// keepHeld leaves a held request in the store.
+// storeHeldRequest writes the record of a held request to the store.
 func (d *Daemon) storeHeldRequest(record quarantine.Record) { d.mesh.storeHeldRequest(record) }
 
 func (d *Daemon) reportUnreachable(start protocol.BackendStart) { d.backend.markUnreachable(start) }
 
-func (d *Daemon) reportFailed(start protocol.BackendStart, answered uint64) {
-	d.backend.recordFailure(start, answered)
+func (d *Daemon) reportFailed(start protocol.BackendStart, succeeded uint64) {
+	d.backend.recordFailure(start, succeeded)
 }
 
 func (d *Daemon) logDataPathEvent(event proxy.Event) {
 	d.events.event(event.Name, dataPathFields(event)...)
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether callers may send requests to this daemon.
 func (d *Daemon) Ready() bool {
 	return !d.draining.Load() && d.configuration.version() > 0 && d.knowsPeersAndOrders()
 }
 
-// knowsPeersAndOrders reports whether the daemon has heard of its peers and of the zones that are
-// to be empty, or waited for them. The back end beside it gets no calls before.
+// knowsPeersAndOrders reports whether the daemon has received the records of its peers and the
+// evacuation orders, or has waited for each of them long enough. Its back end is not probed, and
+// so receives no calls, before that.
 func (d *Daemon) knowsPeersAndOrders() bool {
 	return d.mesh.isJoined() && d.evacuations.isOrderWaitOver()
 }
 
-// Stop drains and ends the daemon. It returns within the platform's grace, or
-// soon after ctx ends.
+// Stop drains the daemon and shuts it down. It returns within the platform's grace
+// period, or soon after ctx ends.
 func (d *Daemon) Stop(ctx context.Context) error {
-	began := d.clock()
+	startedAt := d.clock()
 	d.draining.Store(true)
 	d.events.event("drain_started")
 	d.dataPath.StartDrain()
 	d.backend.markStopping()
-	announcing := time.AfterFunc(drainLinger(d.settings.Drain.Grace())-stopAnnounceLead, d.mesh.announceStop)
-	defer announcing.Stop()
+	announceTimer := time.AfterFunc(drainLinger(d.settings.Drain.Grace())-stopAnnounceLead, d.mesh.announceStop)
+	defer announceTimer.Stop()
 	select {
 	case <-d.dataPath.Drained():
 	case <-ctx.Done():
@@ -183,11 +184,11 @@
 	}
 	d.cancel()
 	err := d.shutdown()
-	d.events.event("daemon_stopped", field("took_ms", formatMillis(d.clock()-began)))
+	d.events.event("daemon_stopped", field("took_ms", formatMillis(d.clock()-startedAt)))
 	return errors.Trace(err)
 }
 
-// shutdown ends every part that was made.
+// shutdown stops all parts that have been created.
 func (d *Daemon) shutdown() error {
 	d.cancel()
 	report := d.injector.Shutdown()
@@ -203,7 +204,7 @@
 	return report
 }
 
-// serviceRef is the reference of a service by its name on the platform.
+// serviceRef returns the reference to the service with the given name on the platform.
 func serviceRef(name string) resource.ServiceRef {
 	return resource.ServiceRef{Partner: authority.Owner, Name: name}
 }
@@ -212,13 +213,13 @@
 	return strconv.FormatInt(duration.Milliseconds(), 10)
 }
 
-// newIncarnation is a number that grows with each start as long as the clock
-// does; the mesh raises it above what peers remember.
+// newIncarnation returns the wall-clock time, which increases with each start unless the
+// clock was set back. In that case the mesh raises the incarnation above the one that peers know.
 func newIncarnation() protocol.Incarnation { return protocol.Incarnation(time.Now().UnixNano()) }
 
 func randomNumber() uint64 { return rand.Uint64() }
 
-// listen opens one address of the settings.
+// listen opens a TCP listener. name is the setting that holds the address, for errors.
 func listen(name, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	return listener, errors.Annotate(err, name)
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -9,19 +9,20 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// directoryLife is how long a directory of peers may be used although the
-// passing of time changes it too: a peer that has left is dropped returnWait
-// after that, which need not be exact.
+// maxDirectoryAge is the maximum age of a cached directory of peers. Its contents also
+// depend on time, since a peer is dropped leftPeerRetention after it has left, but that time
+// need not be exact.
 const maxDirectoryAge = 5 * time.Second
 
-// peerIndex is the directory of the other daemons and what it was made of.
+// cachedDirectory is a directory of the other daemons with the roster's structure revision and the
+// time at which it was built.
 type cachedDirectory struct {
 	directory         *dissemination.Directory
 	structureRevision uint64
 	builtAt           time.Duration
 }
 
-// peers returns the other daemons known; the lock is held.
+// peerDirectory returns the directory of the other known daemons; the lock is held.
 func (m *mesh) peerDirectory() *dissemination.Directory {
 	now := m.clock()
 	structure := m.roster.StructureRevision()
@@ -35,15 +36,15 @@
 	return m.directoryCache.directory
 }
 
-// listPeers lists the other daemons known; the lock is held. One that has left is
-// still asked for a while: most come back, and one that the store refuses then
-// finds nobody by itself.
+// listPeers returns the other known daemons. A daemon that has left stays a peer for
+// leftPeerRetention: most daemons return, and one whose store calls are then refused finds its
+// peers only if they contact it. The lock is held.
 func (m *mesh) listPeers(now time.Duration) []dissemination.Peer {
-	var found []dissemination.Peer
+	var peers []dissemination.Peer
 	m.roster.Each(func(member protocol.Member) {
-		left := member.State == protocol.MemberLeft && now-m.roster.ChangedAt(member.ID) > leftPeerRetention
-		if member.ID != m.self.ID && !left {
-			found = append(found, dissemination.Peer{
+		expired := member.State == protocol.MemberLeft && now-m.roster.ChangedAt(member.ID) > leftPeerRetention
+		if member.ID != m.self.ID && !expired {
+			peers = append(peers, dissemination.Peer{
 				ID: member.ID, Address: member.ControlAddress, Zone: member.Zone, Region: member.Region,
 				Relays: membership.MayBeParent(member),
 			})
@@ -51,20 +52,20 @@
 	})
 	for _, registration := range m.registrations {
 		if _, known := m.roster.Get(registration.ID); !known {
-			found = append(found, dissemination.Peer{
+			peers = append(peers, dissemination.Peer{
 				ID: registration.ID, Address: registration.Address, Zone: registration.Zone, Region: registration.Region,
 				Relays: true,
 			})
 		}
 	}
-	return found
+	return peers
 }
 
-// setRegistered takes the daemons that the registry names; the lock is held.
-func (m *mesh) setRegistrations(listed []authority.Registration) {
-	m.registrations = listed
+// setRegistrations replaces the registrations last read from the registry; the lock is held.
+func (m *mesh) setRegistrations(registrations []authority.Registration) {
+	m.registrations = registrations
 	m.directoryCache.directory = nil
 }
 
-// isLost tells whether a peer did not answer last time; the lock is held.
+// isLost reports whether a peer did not answer the last call to it; the lock is held.
 func (m *mesh) isLost(id protocol.NodeID) bool { return m.lostPeers[id] }
--- a/internal/hosted/doc.go
+++ b/internal/hosted/doc.go
@@ -1,6 +1,6 @@
-// Package hosted is the daemon on a platform that holds the configuration
-// itself: an external authority has accepted each version before a daemon
-// hears of it, back ends report their own state, and no machine has a disk.
-// The package wires the product's cores to sockets and to the ports of
-// package authority; it knows no platform by name.
+// Package hosted implements the daemon for a platform that stores the configuration
+// itself: an external authority accepts each version before any daemon receives it,
+// back ends report their own state, and the machines have no disks. The package
+// connects the packages below internal/core to sockets and to the ports of package
+// authority. It contains no code for a particular platform.
 package hosted
--- a/internal/hosted/document.go
+++ b/internal/hosted/document.go
@@ -6,7 +6,7 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// packDocument packs a document for peers.
+// packDocument compresses a document for sending it to peers.
 func packDocument(document authority.Document) protocol.DocumentReply {
 	return protocol.DocumentReply{
 		Version:    document.Version,
@@ -15,7 +15,8 @@
 	}
 }
 
-// unpackDocument unpacks a peer's document of at most limit bytes.
+// unpackDocument decompresses a document received from a peer. It fails if the document is longer
+// than limit bytes.
 func unpackDocument(reply protocol.DocumentReply, limit int) (authority.Document, error) {
 	body, err := compression.Unpack(reply.Compressed, limit)
 	if err != nil {
--- a/internal/hosted/eras.go
+++ b/internal/hosted/eras.go
@@ -8,44 +8,47 @@
 	"github.com/springstack/springstack/internal/authority"
 )
 
-// eras keeps the era of the store that this daemon knows of: it rises when the store has come back
-// from an older copy. It may be used by several goroutines.
+// eraTracker tracks the newest known era of the store. An era is the time between two restorations of
+// the store from an older copy; eras are numbered in ascending order. It is safe for concurrent use.
 type eraTracker struct {
 	events eventLog
 	clock  func() time.Duration
-	// risen are called after each rise, without a lock; they must not block.
+	// onRise holds functions that are called after each rise of the era, without the lock. They must
+	// not block.
 	onRise []func(era uint64)
 
 	mutex sync.Mutex
 	era   uint64
-	// risenAt is when the era rose last; 0 when it has not since the daemon's start.
+	// risenAt is when the era last rose; 0 if it has not risen since the start of the daemon.
 	risenAt time.Duration
-	// faults counts the answers that did not tell their era.
+	// unreadableEras counts the answers of the store without a readable era.
 	unreadableEras uint64
 }
 
-// known is the newest era known; 0 for none.
+// current returns the newest known era, or 0 if none is known.
 func (e *eraTracker) current() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.era
 }
 
-// faultCount is how many answers of the store did not tell their era.
+// unreadableCount returns the number of answers of the store without a readable era.
 func (e *eraTracker) unreadableCount() uint64 {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.unreadableEras
 }
 
-// sinceRise is how long ago the era rose; false if it has not since the daemon's start.
+// timeSinceRise returns the time since the era last rose, and false if it has not risen since the
+// start of the daemon.
 func (e *eraTracker) timeSinceRise() (time.Duration, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.clock() - e.risenAt, e.risenAt != 0
 }
 
-// answered takes the era of an answer of the store; 0 and a fault where it can't be read.
+// recordAnswer records the era of an answer of the store, or the fault that made it unreadable. It
+// implements EraHandler.
 func (e *eraTracker) recordAnswer(era uint64, fault error) {
 	if fault != nil {
 		e.recordFault(fault)
@@ -54,6 +57,7 @@
 	e.observe(era, sourceStore)
 }
 
+// recordFault counts an answer without a readable era, and logs the first one.
 func (e *eraTracker) recordFault(fault error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -63,42 +67,44 @@
 	}
 }
 
-// heard takes word of an era, by a source. An earlier one than is known moves nothing back.
+// observe records an era reported by a source and calls onRise if the era has risen. Eras that are
+// not later than the known one are ignored.
 func (e *eraTracker) observe(era uint64, source string) {
 	if !e.advance(era, source) {
 		return
 	}
-	for _, risen := range e.onRise {
-		risen(era)
+	for _, notify := range e.onRise {
+		notify(era)
 	}
 }
 
-// rises keeps an era that is news, and tells whether it is a later one than the daemon has known.
+// advance stores an era if it is later than the known one, and reports whether that is a rise. The
+// first known era is no rise.
 func (e *eraTracker) advance(era uint64, source string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	before := e.era
-	if era <= before {
+	previous := e.era
+	if era <= previous {
 		return false
 	}
 	e.era = era
-	if before == 0 {
+	if previous == 0 {
 		return false
 	}
 	e.risenAt = e.clock()
 	e.events.event("store_era_changed", field("era", strconv.FormatUint(era, 10)),
-		field("before", strconv.FormatUint(before, 10)), field("source", source))
+		field("before", strconv.FormatUint(previous, 10)), field("source", source))
 	return true
 }
 
-// place is a position as an answer of the store told it. One without an era is taken for one of the
-// era that is known.
-func (e *eraTracker) withEra(at authority.Position) authority.Position {
-	if at.Era == 0 {
-		at.Era = e.current()
+// withEra returns a position from an answer of the store. A position without an era is assumed to
+// be of the current era.
+func (e *eraTracker) withEra(position authority.Position) authority.Position {
+	if position.Era == 0 {
+		position.Era = e.current()
 	}
-	return at
+	return position
 }
 
-// lapsed tells whether a position is of an era that has ended.
-func (e *eraTracker) hasEnded(at authority.Position) bool { return at.Era < e.current() }
+// hasEnded reports whether the era of a position has ended.
+func (e *eraTracker) hasEnded(position authority.Position) bool { return position.Era < e.current() }
--- a/internal/hosted/evacuationreader.go
+++ b/internal/hosted/evacuationreader.go
@@ -11,17 +11,17 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// evacuationPurpose names the ranking by which the followers of evacuations are chosen.
+// evacuationPurpose is the purpose for ranking the daemons that watch the evacuation orders.
 const evacuationPurpose = "evacuation"
 
-// longestOrderWait is how long a start waits at most for the orders before the daemon calls
-// itself ready without, however long the bound is: while the store is down nobody can tell it,
-// and callers wait.
+// maxStartOrderWait is the maximum time for which a starting daemon waits for the orders before it
+// reports itself ready without them, however long the bound for orders is. While the store is down
+// nothing may be able to provide them, and callers wait.
 const maxStartOrderWait = 5 * time.Second
 
-// evacuationReader reads the operator's orders to empty zones from the store: as one of the
-// few that watch them, and itself when nobody seems to have read them lately. Each reading
-// is told to all daemons, which then need not read.
+// evacuationReader reads the operator's evacuation orders from the store: by a watch if this daemon
+// is one of the few watchers, and by a list call if the newest known reading is too old. Each
+// reading is sent to all daemons, so that they need not read the orders themselves.
 type evacuationReader struct {
 	mesh     *mesh
 	store    authority.Evacuations
@@ -29,24 +29,24 @@
 	follower *orderFollower
 
 	mutex sync.Mutex
-	// faults are the orders that could not be read whole, by the zone.
+	// faults holds, by zone, the faults of orders that the last reading could not read completely.
 	faults map[string]error
 }
 
-func newEvacuationReader(mesh *mesh, port authority.Evacuations, within time.Duration) *evacuationReader {
-	made := &evacuationReader{mesh: mesh, store: port, timing: evacuation.Timing{Within: within}}
-	if port == nil {
-		made.timing.Within = 0
+func newEvacuationReader(mesh *mesh, store authority.Evacuations, orderBound time.Duration) *evacuationReader {
+	reader := &evacuationReader{mesh: mesh, store: store, timing: evacuation.Timing{Within: orderBound}}
+	if store == nil {
+		reader.timing.Within = 0
 	}
-	made.follower = &orderFollower{
-		mesh: mesh, purpose: evacuationPurpose, followerCount: evacuation.WatcherCount, list: made.listBeforeWatch, watch: made.watchAndRead,
-		hasOrders: func() bool { return false }, // whoever is due reads before there are followers
+	reader.follower = &orderFollower{
+		mesh: mesh, purpose: evacuationPurpose, followerCount: evacuation.WatcherCount, list: reader.listBeforeWatch, watch: reader.watchAndRead,
+		hasOrders: func() bool { return false }, // refreshOrders reads the orders before the watchers start
 	}
-	mesh.evacuationTiming = made.timing
-	return made
+	mesh.evacuationTiming = reader.timing
+	return reader
 }
 
-// start begins to read orders, where the settings say that there may be any.
+// start starts reading the orders, unless evacuation is disabled.
 func (r *evacuationReader) start() {
 	if r.timing.Within == 0 {
 		return
@@ -60,9 +60,10 @@
 	}
 }
 
-// informed tells whether the daemon knows the orders, or has waited for them as long as an
-// order may take to be in force, longestOrderWait at most: it can't know them where neither the
-// store nor a peer answers, and is needed all the same.
+// isOrderWaitOver reports whether the daemon knows the orders or has waited for them long enough:
+// for the time within which an order must be in force, or maxStartOrderWait if that is shorter. If
+// neither the store nor a peer answers, the daemon serves calls without the orders. The clock is 0 at
+// the start of the daemon.
 func (r *evacuationReader) isOrderWaitOver() bool {
 	m := r.mesh
 	m.mutex.Lock()
@@ -70,16 +71,16 @@
 	return m.evacuations.IsKnown() || m.clock() >= min(r.timing.Within, maxStartOrderWait)
 }
 
-// keepFresh reads the orders whenever the newest reading known is too old, and asks a peer
-// where the store does not answer.
+// refreshOrders reads the orders whenever the newest known reading is too old. If the read fails, it
+// compares records with a peer, which also exchanges the orders.
 func (r *evacuationReader) refreshOrders() {
 	failures := 0
 	for {
-		inARow, running := r.awaitRefreshDue(randomNumber())
+		consecutive, running := r.awaitRefreshDue(randomNumber())
 		if !running {
 			return
 		}
-		if failures = r.readCountingFailures(failures, inARow); failures == 0 {
+		if failures = r.readCountingFailures(failures, consecutive); failures == 0 {
 			continue
 		}
 		r.compareWithRandomPeer()
@@ -89,8 +90,9 @@
 	}
 }
 
-// awaitDue waits until the newest reading known is too old. It tells whether that was so at
-// once, with no news of a reading since the last try, and whether the daemon still runs.
+// awaitRefreshDue waits until the newest known reading is too old. atOnce is true if it already was
+// at the call, so that no newer reading has been received since the last attempt. running is false
+// if the daemon ends.
 func (r *evacuationReader) awaitRefreshDue(random uint64) (atOnce, running bool) {
 	for atOnce = true; ; atOnce = false {
 		wait := r.timeUntilRefresh(random)
@@ -103,40 +105,44 @@
 	}
 }
 
-// readOnce reads the orders and returns how many readings in a row have failed by then. Failures
-// from before a peer told of a reading make no wait longer: the store has answered since.
-func (r *evacuationReader) readCountingFailures(failures int, inARow bool) int {
+// readCountingFailures reads the orders and returns the new number of consecutive failures, given
+// the previous one. consecutive is false if a newer reading was received from a peer since the last
+// attempt. Earlier failures then do not count, since the store has answered in the meantime.
+func (r *evacuationReader) readCountingFailures(failures int, consecutive bool) int {
 	_, err := r.readAndShare()
 	switch {
 	case err == nil:
 		return 0
-	case inARow:
+	case consecutive:
 		return failures + 1
 	}
 	return 1
 }
 
+// timeUntilRefresh returns the time until the newest known reading is too old; not positive if it is.
 func (r *evacuationReader) timeUntilRefresh(random uint64) time.Duration {
 	m := r.mesh
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	due := r.timing.RefreshAge(m.rankFor(evacuationPurpose), m.evacuations.IsKnown(), random)
-	return due - m.evacuations.ReadingAge(m.clock())
+	refreshAge := r.timing.RefreshAge(m.rankFor(evacuationPurpose), m.evacuations.IsKnown(), random)
+	return refreshAge - m.evacuations.ReadingAge(m.clock())
 }
 
-// askPeer compares with a peer drawn at random: the store may answer others.
+// compareWithRandomPeer compares records, and with them the orders, with a random peer: the store
+// may answer other daemons.
 func (r *evacuationReader) compareWithRandomPeer() {
 	m := r.mesh
 	m.mutex.Lock()
-	drawn := samplePeers(m.peerDirectory().All(), 1)
+	targets := samplePeers(m.peerDirectory().All(), 1)
 	m.mutex.Unlock()
-	for _, peer := range drawn {
+	for _, peer := range targets {
 		m.compareWith(peer)
 	}
 }
 
-// list is the first reading of a follower, after which it watches. Where the store has never
-// held an order there is nothing to watch, and keepFresh reads often enough.
+// listBeforeWatch reads the orders and returns the position from which to watch them. It does not
+// read if a recent reading showed that the store holds no orders of its era: there is nothing to
+// watch then, and refreshOrders reads often enough.
 func (r *evacuationReader) listBeforeWatch() (authority.Position, error) {
 	if r.hasFreshEmptyReading() {
 		return authority.Position{}, nil
@@ -144,7 +150,8 @@
 	return r.readAndShare()
 }
 
-// knowsOfNone tells whether a reading that is not due yet has shown no position.
+// hasFreshEmptyReading reports whether the newest known reading is at the start of an era, which
+// means that the store held no order of that era, and is younger than half of the bound for orders.
 func (r *evacuationReader) hasFreshEmptyReading() bool {
 	m := r.mesh
 	m.mutex.Lock()
@@ -152,49 +159,50 @@
 	return m.evacuations.IsKnown() && m.evacuations.Orders().At.IsEraStart() && m.evacuations.ReadingAge(m.clock()) < r.timing.Within/2
 }
 
-// read reads all orders, puts them in force and tells all daemons. It returns the position
-// after them.
+// readAndShare reads all orders, puts them in force and sends them to all daemons. It returns the
+// position of the store at the read.
 func (r *evacuationReader) readAndShare() (authority.Position, error) {
 	m := r.mesh
-	began, known := m.clock(), r.knownPosition()
+	startedAt, known := m.clock(), r.knownPosition()
 	orders, faults, err := r.listOrders()
 	if err != nil {
 		return authority.Position{}, err
 	}
 	if orders.At.Before(known) {
-		return authority.Position{}, result.New(result.PlatformUnknown, "the store shows position %s after %s", orders.At, known)
+		return authority.Position{}, result.New(result.PlatformUnknown, "store returned position %s, which is before the known position %s", orders.At, known)
 	}
 	r.logNewFaults(faults)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	orders = r.withLostOrders(orders)
-	m.mergeEvacuations(began, sourceStore, evacuation.SharedOrders{Orders: orders, Known: true})
+	m.mergeEvacuations(startedAt, sourceStore, evacuation.SharedOrders{Orders: orders, Known: true})
 	m.broadcastOrders()
 	return orders.At, nil
 }
 
-// lostOrderGrace is how long after the store has come back from an older copy an order that it does
-// not hold any more goes on binding: its operator writes again what the store has lost.
+// lostOrderGrace is the time after a restoration of the store from an older copy for which orders that
+// the store has lost by it stay in force, so that the operator can issue them again.
 const lostOrderGrace = 5 * time.Second
 
-// withLost adds to orders those that the store may have lost; the mesh's lock is held.
+// withLostOrders returns orders just read, extended by the known ones that the store may have lost if
+// the era rose less than lostOrderGrace ago; the mesh's lock is held.
 func (r *evacuationReader) withLostOrders(orders evacuation.Orders) evacuation.Orders {
-	since, risen := r.mesh.eras.timeSinceRise()
-	if !risen || since > lostOrderGrace {
+	sinceRise, risen := r.mesh.eras.timeSinceRise()
+	if !risen || sinceRise > lostOrderGrace {
 		return orders
 	}
 	return orders.WithLost(r.mesh.evacuations.Orders())
 }
 
-// listOrders lists the orders in the store, and what is wrong with them.
+// listOrders returns the orders in the store, and their faults by zone.
 func (r *evacuationReader) listOrders() (evacuation.Orders, map[string]error, error) {
 	type listing struct {
 		orders evacuation.Orders
 		faults map[string]error
 	}
 	m := r.mesh
-	bound := min(storeReadTimeout, r.timing.Within/2)
-	listed, err := readStore(m.reads, m.context, purposeEvacuation, bound, func(ctx context.Context) (listing, error) {
+	timeout := min(storeReadTimeout, r.timing.Within/2)
+	listed, err := readStore(m.reads, m.context, purposeEvacuation, timeout, func(ctx context.Context) (listing, error) {
 		orders, faults, err := r.store.List(ctx)
 		orders.At = m.eras.withEra(orders.At)
 		return listing{orders, faults}, err
@@ -202,33 +210,33 @@
 	return listed.orders, listed.faults, err
 }
 
-// position is the store's position of the orders that are known.
+// knownPosition returns the position of the known orders.
 func (r *evacuationReader) knownPosition() authority.Position {
 	r.mesh.mutex.Lock()
 	defer r.mesh.mutex.Unlock()
 	return r.mesh.evacuations.Orders().At
 }
 
-// watch waits for a change after a position and reads all orders when there is one: the
-// orders are taken whole or not at all.
+// watchAndRead waits for a change after a position and then reads all orders, since orders are only
+// put in force as a whole.
 func (r *evacuationReader) watchAndRead(from authority.Position) (authority.Position, error) {
 	type change struct {
 		changed bool
 		at      authority.Position
 	}
 	m := r.mesh
-	news, err := watchAcrossRenewals(m.connections, m.context, from, orderWatchWait+watchTimeoutMargin, func(ctx context.Context) (change, error) {
+	observed, err := watchAcrossRenewals(m.connections, m.context, from, orderWatchWait+watchTimeoutMargin, func(ctx context.Context) (change, error) {
 		changed, at, err := r.store.Watch(ctx, from, orderWatchWait)
 		m.storeCalls.recordError(purposeEvacuation, err)
 		return change{changed, m.eras.withEra(at)}, err
 	})
-	if err != nil || !news.changed {
-		return news.at, err
+	if err != nil || !observed.changed {
+		return observed.at, err
 	}
 	return r.readAndShare()
 }
 
-// noteFaults writes a line for each order that is newly found not to be as it should.
+// logNewFaults logs each fault of an order that had none at the previous reading.
 func (r *evacuationReader) logNewFaults(faults map[string]error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -240,8 +248,8 @@
 	r.faults = faults
 }
 
-// fault is what is wrong with the order for a zone, as far as this daemon has read it; nil
-// for nothing.
+// orderFault returns the fault of the order for a zone, or nil. It knows faults in the text of an
+// order only from readings of this daemon.
 func (r *evacuationReader) orderFault(zone evacuatedZone) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/hosted/evacuations.go
+++ b/internal/hosted/evacuations.go
@@ -12,38 +12,40 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// sourceStore is the source of orders that the daemon has read itself; others are peers.
+// sourceStore is the logged source of orders and eras read from the store by this daemon. Otherwise
+// the source is the ID of the peer that sent them.
 const sourceStore = "store"
 
-// evacuated tells whether the daemon's own zone is to be empty.
+// isOwnZoneEvacuated reports whether an order to evacuate the daemon's own zone is in force.
 func (m *mesh) isOwnZoneEvacuated() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.evacuations.Orders().Evacuates(m.self.Zone)
 }
 
-// takeEvacuations takes a peer's word of orders. Its age counts from a time: that at which it
-// came, or at which it was asked for, so that no reading looks newer than it is.
-func (m *mesh) handleEvacuations(at time.Duration, source string, word evacuation.SharedOrders) {
+// handleEvacuations merges the orders received from a peer. Their age is relative to at, the time at
+// which they arrived or, in a reply, at which the request was sent. So no reading appears newer than
+// it is.
+func (m *mesh) handleEvacuations(at time.Duration, source string, received evacuation.SharedOrders) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.mergeEvacuations(at, source, word)
+	m.mergeEvacuations(at, source, received)
 }
 
-// mergeEvacuations takes word of orders and puts what is news in force; the lock is held.
-// Where the settings follow no orders, none is heeded.
-func (m *mesh) mergeEvacuations(at time.Duration, source string, word evacuation.SharedOrders) {
+// mergeEvacuations merges orders and puts the changes in force. If evacuation is disabled in the
+// settings, it ignores them. The lock is held.
+func (m *mesh) mergeEvacuations(at time.Duration, source string, received evacuation.SharedOrders) {
 	if m.evacuationTiming.Within == 0 {
 		return
 	}
-	before := m.evacuations.Orders()
-	if !m.evacuations.Merge(at, word) {
+	previous := m.evacuations.Orders()
+	if !m.evacuations.Merge(at, received) {
 		return
 	}
 	m.publishAll()
 	m.onZoneChange()
-	made, withdrawn := lo.Difference(word.Orders.AllZones(), before.AllZones())
-	for _, zone := range made {
+	issued, withdrawn := lo.Difference(received.Orders.AllZones(), previous.AllZones())
+	for _, zone := range issued {
 		m.events.event("evacuation_heard", m.evacuationFields(zone, source)...)
 		if m.isJoined() && m.countDaemons(zone) == 0 {
 			m.logFaultyEvacuation(zone, unknownZoneError(zone))
@@ -54,7 +56,7 @@
 	}
 }
 
-// evacuationFields are the fields of a line on an order that is news; the lock is held.
+// evacuationFields returns the log fields for a new or withdrawn order; the lock is held.
 func (m *mesh) evacuationFields(zone, source string) []eventField {
 	return []eventField{
 		field("zone", zone), field("source", source),
@@ -63,18 +65,18 @@
 	}
 }
 
-// logBadEvacuation writes a line for an order that is not as it should be.
+// logFaultyEvacuation logs a fault of an order.
 func (m *mesh) logFaultyEvacuation(zone string, fault error) {
 	m.events.event("evacuation_faulty", field("zone", zone),
 		field("code", formatCode(codeOf(fault))), field("error", fault.Error()))
 }
 
-// unknownZone is the fault of an order that names a zone without daemons.
+// unknownZoneError returns the fault of an order for a zone without daemons.
 func unknownZoneError(zone string) error {
 	return result.New(result.FileBadReference, "evacuations/%s: no daemon is in that zone", strings.ToValidUTF8(zone, "?"))
 }
 
-// daemonsIn counts the daemons of a zone that have not left; the lock is held.
+// countDaemons returns the number of daemons of a zone that have not left; the lock is held.
 func (m *mesh) countDaemons(zone string) (count int) {
 	m.roster.Each(func(member protocol.Member) {
 		if member.Zone == zone && member.State != protocol.MemberLeft {
@@ -84,13 +86,13 @@
 	return count
 }
 
-// evacuatedZone is a zone to be empty as metrics tell it.
+// evacuatedZone is a zone to evacuate and its number of daemons, for metrics.
 type evacuatedZone struct {
 	zone    string
 	daemons int
 }
 
-// evacuatedZones are the zones to be empty, and how old the newest reading of them is.
+// evacuatedZones returns the zones to evacuate and the age of the newest known reading of the orders.
 func (m *mesh) evacuatedZones() (zones []evacuatedZone, age time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/hosted/evacuations_test.go
+++ b/internal/hosted/evacuations_test.go
@@ -21,43 +21,45 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
+// testOrderBound is the time within which orders must be in force in these tests.
 const testOrderBound = 5 * time.Second
 
-// zoneSide is the side of a back end whose zone is emptied and taken back.
+// zoneBackend monitors a back end whose zone is evacuated and used again.
 type zoneBackend struct {
 	*backendMonitor
 	now       time.Duration
 	evacuated bool
-	// takenBack counts the calls of the hook, reported are the states told to the gate.
+	// evacuationEnds counts the calls of onEvacuationEnd. reportedStates are the states reported to
+	// the gate, announcedStates those announced to the mesh.
 	evacuationEnds  int
 	reportedStates  []protocol.EndpointState
 	announcedStates []protocol.EndpointState
 }
 
 func newZoneBackend() *zoneBackend {
-	made := &zoneBackend{}
-	made.backendMonitor = &backendMonitor{
+	zone := &zoneBackend{}
+	zone.backendMonitor = &backendMonitor{
 		config: backendMonitorConfig{
 			healthPath:      func() string { return "" },
 			hasJoinedMesh:   func() bool { return false },
-			isZoneEvacuated: func() bool { return made.evacuated },
-			onEvacuationEnd: func() { made.evacuationEnds++ },
+			isZoneEvacuated: func() bool { return zone.evacuated },
+			onEvacuationEnd: func() { zone.evacuationEnds++ },
 		},
-		clock:          func() time.Duration { return made.now },
-		reportToGate:   func(report proxy.BackendReport) { made.reportedStates = append(made.reportedStates, report.State) },
+		clock:          func() time.Duration { return zone.now },
+		reportToGate:   func(report proxy.BackendReport) { zone.reportedStates = append(zone.reportedStates, report.State) },
 		setColdUntil:   func(time.Duration) {},
-		announceToMesh: func(view backend.View) { made.announcedStates = append(made.announcedStates, view.State) },
+		announceToMesh: func(view backend.View) { zone.announcedStates = append(zone.announcedStates, view.State) },
 		context:        context.Background(),
 		tracker:        backend.NewTracker(time.Hour),
 	}
 	report := backend.Report{Instance: "i", Sequence: 1, Slots: 6}
-	made.tracker.HandleReport(0, report)
-	made.tracker.HandleProbe(0, backend.ProbeResult{Instance: "i", Healthy: true})
-	made.setEvacuated(false)
-	return made
+	zone.tracker.HandleReport(0, report)
+	zone.tracker.HandleProbe(0, backend.ProbeResult{Instance: "i", Healthy: true})
+	zone.setEvacuated(false)
+	return zone
 }
 
-// zone empties the zone or takes it back.
+// setEvacuated starts or ends the evacuation of the zone.
 func (s *zoneBackend) setEvacuated(evacuated bool) {
 	s.evacuated = evacuated
 	s.recheckZone()
@@ -66,55 +68,56 @@
 
 func TestBackEndOfAnEvacuatedZoneAcceptsNoCalls(t *testing.T) {
 	check := is.New(t)
-	side := newZoneBackend()
-	side.setEvacuated(true)
-	side.setEvacuated(true) // told twice
-	side.setEvacuated(false)
+	zone := newZoneBackend()
+	zone.setEvacuated(true)
+	zone.setEvacuated(true) // a repeated order changes nothing
+	zone.setEvacuated(false)
 	states := []protocol.EndpointState{protocol.EndpointReady, protocol.EndpointEvacuated, protocol.EndpointReady}
-	check.Equal(side.reportedStates, states)
-	check.Equal(side.announcedStates, states)
-	check.Equal(side.evacuationEnds, 1) // it may have become cold unseen
+	check.Equal(zone.reportedStates, states)
+	check.Equal(zone.announcedStates, states)
+	check.Equal(zone.evacuationEnds, 1) // once per evacuation
 }
 
 func TestDrainingBackEndStaysClosedAfterEvacuation(t *testing.T) {
 	check := is.New(t)
-	side := newZoneBackend()
-	side.setEvacuated(true)
-	side.Leave(protocol.BackendStart{Instance: "i"})
-	side.setEvacuated(false)
-	check.Equal(side.reportedStates[len(side.reportedStates)-1], protocol.EndpointDraining)
-	check.Equal(side.evacuationEnds, 0)
+	zone := newZoneBackend()
+	zone.setEvacuated(true)
+	zone.Leave(protocol.BackendStart{Instance: "i"})
+	zone.setEvacuated(false)
+	check.Equal(zone.reportedStates[len(zone.reportedStates)-1], protocol.EndpointDraining)
+	check.Equal(zone.evacuationEnds, 0)
 }
 
-// A back end that failed or came back while its zone was to be empty may have become cold too.
+// The hook also runs for a back end that was down at the end of the evacuation, once it accepts calls
+// again: it may have become cold meanwhile.
 func TestEvacuationEndHookRunsForABackEndThatWasDown(t *testing.T) {
 	check := is.New(t)
-	side := newZoneBackend()
-	side.setEvacuated(true)
-	side.markUnreachable(protocol.BackendStart{Instance: "i"})
-	side.setEvacuated(false)
-	check.Equal(side.evacuationEnds, 0) // it takes no work yet
-	side.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6})
-	check.Equal(side.reportedStates[len(side.reportedStates)-1], protocol.EndpointReady)
-	check.Equal(side.evacuationEnds, 1)
+	zone := newZoneBackend()
+	zone.setEvacuated(true)
+	zone.markUnreachable(protocol.BackendStart{Instance: "i"})
+	zone.setEvacuated(false)
+	check.Equal(zone.evacuationEnds, 0) // the back end accepts no calls yet
+	zone.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6})
+	check.Equal(zone.reportedStates[len(zone.reportedStates)-1], protocol.EndpointReady)
+	check.Equal(zone.evacuationEnds, 1)
 }
 
-// The hook is the word of another part; without it the back end counts as it was.
+// Without the hook the back end accepts calls after the evacuation as before.
 func TestEvacuationEndsWithoutAHook(t *testing.T) {
 	check := is.New(t)
-	side := newZoneBackend()
-	side.config.onEvacuationEnd = nil
-	side.setEvacuated(true)
-	side.setEvacuated(false)
-	check.Equal(side.reportedStates[len(side.reportedStates)-1], protocol.EndpointReady)
+	zone := newZoneBackend()
+	zone.config.onEvacuationEnd = nil
+	zone.setEvacuated(true)
+	zone.setEvacuated(false)
+	check.Equal(zone.reportedStates[len(zone.reportedStates)-1], protocol.EndpointReady)
 }
 
-// orderReader is a store of orders as a daemon reads it.
+// fakeOrderStore is a fake store of evacuation orders. It supports no watches.
 type fakeOrderStore struct {
 	orders evacuation.Orders
 	faults map[string]error
 	err    error
-	// listed counts the lists; onList is called for each one, nil for nothing.
+	// listCount counts the calls of List; onList, unless nil, is called by each.
 	listCount int
 	onList    func()
 }
@@ -128,10 +131,11 @@
 }
 
 func (o *fakeOrderStore) Watch(context.Context, authority.Position, time.Duration) (bool, authority.Position, error) {
-	return false, authority.Position{}, result.New(result.PlatformUnavailable, "nothing is watched here")
+	return false, authority.Position{}, result.New(result.PlatformUnavailable, "the fake store supports no watches")
 }
 
-// evacuationMesh is a mesh that reads a store of orders, and what it logs.
+// evacuationMesh is a mesh with a reader of a fake order store. It records the log and the states
+// published to the data path.
 type evacuationMesh struct {
 	*mesh
 	reader    *evacuationReader
@@ -146,165 +150,167 @@
 }
 
 func newEvacuationMeshWith(others ...protocol.Member) *evacuationMesh {
-	made := &evacuationMesh{mesh: newTestMesh("z1", others...), store: &fakeOrderStore{}}
-	made.clock = func() time.Duration { return made.now }
-	made.storeCalls = &storeCalls{}
-	made.client = control.NewClient(nil, controlLimits(), control.NewMeter())
-	made.events = newEventLog(logging.NewTo(&made.log, log.InfoLevel), "m", made.clock)
-	made.onZoneChange = func() {}
-	made.publishState = func(state proxy.MeshState) { made.published = append(made.published, state) }
-	made.reader = newEvacuationReader(made.mesh, made.store, testOrderBound)
-	made.hasJoined.Store(true)
-	return made
+	m := &evacuationMesh{mesh: newTestMesh("z1", others...), store: &fakeOrderStore{}}
+	m.clock = func() time.Duration { return m.now }
+	m.storeCalls = &storeCalls{}
+	m.client = control.NewClient(nil, controlLimits(), control.NewMeter())
+	m.events = newEventLog(logging.NewTo(&m.log, log.InfoLevel), "m", m.clock)
+	m.onZoneChange = func() {}
+	m.publishState = func(state proxy.MeshState) { m.published = append(m.published, state) }
+	m.reader = newEvacuationReader(m.mesh, m.store, testOrderBound)
+	m.hasJoined.Store(true)
+	return m
 }
 
 func TestOrderFromAPeerIsInForceAtOnce(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
-	check.Equal(held.published[0].Evacuations.Zones, []string{"z1"})
-	check.True(held.isOwnZoneEvacuated())
-	check.True(strings.Contains(held.log.String(), "event=evacuation_heard"))
-	held.handleEvacuations(0, "b", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 6}, nil), Known: true}) // crossed
-	check.True(held.isOwnZoneEvacuated())
-	held.store.orders = evacuation.NewOrders(position.Position{Revision: 9}, nil)
-	_, err := held.reader.readAndShare()
+	m := newEvacuationMesh()
+	m.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
+	check.Equal(m.published[0].Evacuations.Zones, []string{"z1"})
+	check.True(m.isOwnZoneEvacuated())
+	check.True(strings.Contains(m.log.String(), "event=evacuation_heard"))
+	m.handleEvacuations(0, "b", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 6}, nil), Known: true}) // an older message that arrives late
+	check.True(m.isOwnZoneEvacuated())
+	m.store.orders = evacuation.NewOrders(position.Position{Revision: 9}, nil)
+	_, err := m.reader.readAndShare()
 	check.NoErr(err)
-	check.True(!held.isOwnZoneEvacuated())
-	check.True(strings.Contains(held.log.String(), "event=evacuation_withdrawn"))
-	check.Equal(len(held.published), 2)
+	check.True(!m.isOwnZoneEvacuated())
+	check.True(strings.Contains(m.log.String(), "event=evacuation_withdrawn"))
+	check.Equal(len(m.published), 2)
 }
 
-// All that daemons tell each other carries the orders.
+// Comparisons, pushes and replies all carry the orders.
 func TestAllMessagesCarryOrders(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.onPeerVersion = func(protocol.NodeID, protocol.Version) {}
-	held.store.orders = evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"})
-	_, err := held.reader.readAndShare()
+	m := newEvacuationMesh()
+	m.onPeerVersion = func(protocol.NodeID, protocol.Version) {}
+	m.store.orders = evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"})
+	_, err := m.reader.readAndShare()
 	check.NoErr(err)
-	want := evacuation.SharedOrders{Orders: held.store.orders, Known: true}
-	check.Equal(held.newComparisonRequest().Evacuations, want)
-	check.Equal(held.newPushRequest(nil).Evacuations, want)
-	check.Equal(held.handleExchangeRequest(&protocol.ExchangeRequest{From: "a", Zone: "z1", Push: true}).Evacuations, want)
+	want := evacuation.SharedOrders{Orders: m.store.orders, Known: true}
+	check.Equal(m.newComparisonRequest().Evacuations, want)
+	check.Equal(m.newPushRequest(nil).Evacuations, want)
+	check.Equal(m.handleExchangeRequest(&protocol.ExchangeRequest{From: "a", Zone: "z1", Push: true}).Evacuations, want)
 }
 
-// A daemon says that it is ready once it knows the orders, or has waited for them as long as
-// they may take.
+// A daemon is not ready before it knows the orders or has waited for them for the bound for orders.
 func TestReadinessWaitsForTheOrders(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	check.True(!held.reader.isOrderWaitOver())
-	held.now = testOrderBound
-	check.True(held.reader.isOrderWaitOver())
-	held.now = 0
-	held.handleEvacuations(0, "a", evacuation.SharedOrders{Known: true})
-	check.True(held.reader.isOrderWaitOver())
+	m := newEvacuationMesh()
+	check.True(!m.reader.isOrderWaitOver())
+	m.now = testOrderBound
+	check.True(m.reader.isOrderWaitOver())
+	m.now = 0
+	m.handleEvacuations(0, "a", evacuation.SharedOrders{Known: true})
+	check.True(m.reader.isOrderWaitOver())
 }
 
 func TestEarlierStorePositionWithdrawsNoOrder(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.store.orders = evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"})
-	_, err := held.reader.readAndShare()
+	m := newEvacuationMesh()
+	m.store.orders = evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"})
+	_, err := m.reader.readAndShare()
 	check.NoErr(err)
-	held.store.orders = evacuation.Orders{} // it does not know the kind
-	_, err = held.reader.readAndShare()
+	m.store.orders = evacuation.Orders{} // position 0, as of a store that does not know this kind of object
+	_, err = m.reader.readAndShare()
 	check.Equal(codeOf(err), result.PlatformUnknown)
-	check.Equal(held.evacuations.Orders().Zones, []string{"z2"})
+	check.Equal(m.evacuations.Orders().Zones, []string{"z2"})
 }
 
-// A store that shows less than it did, as one that was restored does, is asked again after a
-// while only: each list is a call.
+// If the store returns a position before the known one, as a restored store may, it is listed again only
+// after a delay: each list costs it a call.
 func TestStoreAtAnEarlierPositionIsNotListedAgainAtOnce(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMeshWith() // nobody to ask
-	held.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
-	held.now = 2 * testOrderBound // the reading is due
-	held.store.orders = evacuation.NewOrders(position.Position{Revision: 3}, nil)
-	running, end := context.WithTimeout(context.Background(), held.reader.timing.RelistInterval()/4)
-	defer end()
-	held.context = running
-	held.store.onList = func() {
-		if held.store.listCount > 1 {
-			end() // one too many
+	m := newEvacuationMeshWith() // without peers
+	m.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
+	m.now = 2 * testOrderBound // the reading is due
+	m.store.orders = evacuation.NewOrders(position.Position{Revision: 3}, nil)
+	ctx, cancel := context.WithTimeout(context.Background(), m.reader.timing.RelistInterval()/4)
+	defer cancel()
+	m.context = ctx
+	m.store.onList = func() {
+		if m.store.listCount > 1 {
+			cancel() // a second list would be too many
 		}
 	}
-	held.reader.refreshOrders()
-	check.Equal(held.store.listCount, 1)
-	check.Equal(held.evacuations.Orders().Zones, []string{"z2"})
+	m.reader.refreshOrders()
+	check.Equal(m.store.listCount, 1)
+	check.Equal(m.evacuations.Orders().Zones, []string{"z2"})
 }
 
-// A list that was overtaken by a peer's newer word is no failure: the store has not gone back.
+// If a peer sends newer orders during a list, the list does not fail: the store's position has not gone
+// back.
 func TestListOlderThanAPeerReadingIsNoFailure(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.store.orders = evacuation.NewOrders(position.Position{Revision: 3}, nil)
-	held.store.onList = func() {
-		held.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
+	m := newEvacuationMesh()
+	m.store.orders = evacuation.NewOrders(position.Position{Revision: 3}, nil)
+	m.store.onList = func() {
+		m.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z2"}), Known: true})
 	}
-	_, err := held.reader.readAndShare()
+	_, err := m.reader.readAndShare()
 	check.NoErr(err)
-	check.Equal(held.evacuations.Orders().Zones, []string{"z2"})
+	check.Equal(m.evacuations.Orders().Zones, []string{"z2"})
 }
 
-// Failures of long ago make no wait longer: peers have told the daemon since.
+// Failures before a newer reading was received from a peer do not lengthen the delay.
 func TestOnlyConsecutiveFailuresLengthenWaits(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.store.err = result.New(result.PlatformUnavailable, "refused")
-	check.Equal(held.reader.readCountingFailures(6, true), 7)
-	check.Equal(held.reader.readCountingFailures(6, false), 1)
-	held.store.err = nil
-	check.Equal(held.reader.readCountingFailures(6, true), 0)
+	m := newEvacuationMesh()
+	m.store.err = result.New(result.PlatformUnavailable, "refused")
+	check.Equal(m.reader.readCountingFailures(6, true), 7)
+	check.Equal(m.reader.readCountingFailures(6, false), 1)
+	m.store.err = nil
+	check.Equal(m.reader.readCountingFailures(6, true), 0)
 }
 
-// Where the store knows no orders at all, the reader that keeps them fresh is enough.
+// If the store holds no orders, a watcher does not list them while the newest reading is fresh:
+// refreshOrders reads often enough.
 func TestAStoreWithoutOrdersIsListedOnce(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
+	m := newEvacuationMesh()
 	for range 3 {
-		at, err := held.reader.follower.list()
+		at, err := m.reader.follower.list()
 		check.NoErr(err)
 		check.True(at.IsEraStart())
 	}
-	check.Equal(held.store.listCount, 1)
-	held.now = testOrderBound
-	_, err := held.reader.follower.list()
+	check.Equal(m.store.listCount, 1)
+	m.now = testOrderBound
+	_, err := m.reader.follower.list()
 	check.NoErr(err)
-	check.Equal(held.store.listCount, 2) // nobody else seems to read
+	check.Equal(m.store.listCount, 2) // the newest reading is no longer fresh
 }
 
-// A long bound does not keep a mesh that starts while the store is down from serving.
+// A daemon that starts while the store is down becomes ready after maxStartOrderWait, however long the
+// bound for orders is.
 func TestLongBoundDoesNotDelayReadiness(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.reader.timing.Within = 10 * time.Minute
-	held.now = maxStartOrderWait
-	check.True(held.reader.isOrderWaitOver())
+	m := newEvacuationMesh()
+	m.reader.timing.Within = 10 * time.Minute
+	m.now = maxStartOrderWait
+	check.True(m.reader.isOrderWaitOver())
 }
 
 func TestFaultyOrderIsLoggedOnceAndInForce(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.store.orders = evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1", "z8"})
-	held.store.faults = map[string]error{"z1": result.New(result.FileWrongType, "specification")}
+	m := newEvacuationMesh()
+	m.store.orders = evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1", "z8"})
+	m.store.faults = map[string]error{"z1": result.New(result.FileWrongType, "specification")}
 	for range 3 {
-		_, err := held.reader.readAndShare()
+		_, err := m.reader.readAndShare()
 		check.NoErr(err)
 	}
-	check.Equal(strings.Count(held.log.String(), "event=evacuation_faulty"), 2) // z1 for its text, z8 for its name
-	check.True(held.isOwnZoneEvacuated())
-	zones, _ := held.evacuatedZones()
-	check.Equal(codeOf(held.reader.orderFault(zones[0])), result.FileWrongType)
-	check.Equal(codeOf(held.reader.orderFault(zones[1])), result.FileBadReference)
+	check.Equal(strings.Count(m.log.String(), "event=evacuation_faulty"), 2) // z1 for its contents, z8 because it has no daemon
+	check.True(m.isOwnZoneEvacuated())
+	zones, _ := m.evacuatedZones()
+	check.Equal(codeOf(m.reader.orderFault(zones[0])), result.FileWrongType)
+	check.Equal(codeOf(m.reader.orderFault(zones[1])), result.FileBadReference)
 }
 
-// Where the settings have no bound, nothing that peers say is heeded.
+// If the settings hold no bound for orders, evacuation is disabled and orders from peers are ignored.
 func TestOrdersAreIgnoredWithoutABound(t *testing.T) {
 	check := is.New(t)
-	held := newEvacuationMesh()
-	held.evacuationTiming = evacuation.Timing{}
-	held.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
-	check.True(!held.isOwnZoneEvacuated())
+	m := newEvacuationMesh()
+	m.evacuationTiming = evacuation.Timing{}
+	m.handleEvacuations(0, "a", evacuation.SharedOrders{Orders: evacuation.NewOrders(position.Position{Revision: 7}, []string{"z1"}), Known: true})
+	check.True(!m.isOwnZoneEvacuated())
 }
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -13,28 +13,29 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// The rates of lines, so that logging stays a small part of the daemon's work
-// however much goes wrong.
+// Limits on the rate of log lines, so that logging remains a small part of the daemon's
+// work even if many failures occur.
 const (
-	// beliefsPerSecond bounds lines on what the daemon believes.
+	// eventLogsPerSecond and eventLogBurst limit the events that concern the state of the daemon,
+	// its peers and its back end.
 	eventLogsPerSecond = 50
 	eventLogBurst      = 400
-	// requestsPerSecond bounds lines on single requests.
+	// requestLogsPerSecond and requestLogBurst limit the events that concern single requests.
 	requestLogsPerSecond = 40
 	requestLogBurst      = 200
-	// summaryPeriod is the time between two summaries.
+	// summaryInterval is the interval between two summaries.
 	summaryInterval = 10 * time.Second
 )
 
-// eventField is one key and value of an event.
+// eventField is one key-value pair of an event.
 type eventField struct{ key, value string }
 
 func field(key, value string) eventField { return eventField{key: key, value: value} }
 
-// bornField tells which start of an instance a line speaks of.
+// bornField returns the field with the start time of a back-end instance, which tells its starts apart.
 func bornField(born int64) eventField { return field("born", strconv.FormatInt(born, 10)) }
 
-// eventLog writes events with the daemon's name, within a rate.
+// eventLog writes events with the daemon's node ID, at a limited rate.
 type eventLog struct {
 	logger log.Interface
 	node   string
@@ -58,14 +59,14 @@
 func (l eventLog) write(name string, fields []eventField) {
 	values := make(log.Fields, len(fields)+1)
 	values["node"] = l.node
-	for _, one := range fields {
-		values[one.key] = one.value
+	for _, pair := range fields {
+		values[pair.key] = pair.value
 	}
 	l.logger.WithFields(values).Info(name)
 }
 
-// requestLog writes the decisions that touch requests. It implements
-// proxy.Trace.
+// requestLog writes events that concern single requests, at a limited rate. It implements
+// proxy.Tracer.
 type requestLog struct {
 	events eventLog
 	rate   *logging.Rate
@@ -75,45 +76,45 @@
 	return &requestLog{events: events, rate: logging.NewRate(requestLogsPerSecond, requestLogBurst)}
 }
 
-// Wants implements proxy.Trace.
+// Wants implements proxy.Tracer.
 func (r *requestLog) Wants(string) bool {
 	return r.events.logger != nil && r.rate.Allow(r.events.clock())
 }
 
-// Write implements proxy.Trace.
+// Write implements proxy.Tracer.
 func (r *requestLog) Write(event proxy.Event) {
 	r.events.write(event.Name, dataPathFields(event))
 }
 
-// pathFields are the fields of an event of the data path.
+// dataPathFields returns the fields of an event of the data path.
 func dataPathFields(event proxy.Event) []eventField {
 	fields := make([]eventField, 0, len(event.Fields))
-	for _, one := range event.Fields {
-		fields = append(fields, field(one.Key, one.Value))
+	for _, pair := range event.Fields {
+		fields = append(fields, field(pair.Key, pair.Value))
 	}
 	return fields
 }
 
-// summarize writes what ordinary requests came to, which allowed regions are not known and
-// how many lines were dropped, until the context ends.
+// logSummaries periodically logs the counts of requests and of calls to the store, routes that allow
+// regions without daemons, and the number of dropped log lines, until the context ends.
 func (d *Daemon) logSummaries(ctx context.Context) {
 	var last proxy.Counters
 	var regions regionCheck
 	dropped := uint64(0)
 	for pause.For(ctx, summaryInterval) {
-		now := d.dataPath.Counters()
-		if now.CallerCalls != last.CallerCalls || now.GateCalls != last.GateCalls {
+		current := d.dataPath.Counters()
+		if current.CallerCalls != last.CallerCalls || current.GateCalls != last.GateCalls {
 			d.events.event("requests_summary",
-				field("callers", formatCount(now.CallerCalls-last.CallerCalls)),
-				field("gate", formatCount(now.GateCalls-last.GateCalls)),
-				field("attempts", formatCount(now.Attempts-last.Attempts)),
-				field("retries", formatCount(now.Retries-last.Retries)),
-				field("cut", formatCount(now.Aborted-last.Aborted)),
-				field("running", strconv.Itoa(now.GateRunning)),
-				field("queued", strconv.Itoa(now.GateQueued)),
+				field("callers", formatCount(current.CallerCalls-last.CallerCalls)),
+				field("gate", formatCount(current.GateCalls-last.GateCalls)),
+				field("attempts", formatCount(current.Attempts-last.Attempts)),
+				field("retries", formatCount(current.Retries-last.Retries)),
+				field("cut", formatCount(current.Aborted-last.Aborted)),
+				field("running", strconv.Itoa(current.GateRunning)),
+				field("queued", strconv.Itoa(current.GateQueued)),
 				field("version", formatVersion(d.configuration.version())))
 		}
-		last = now
+		last = current
 		d.logStoreSummary()
 		regions.logUnknownRegions(d.configuration.currentSnapshot.Load(), d.mesh.knownRegions(), d.events)
 		if total := d.linesDropped(); total != dropped {
@@ -123,15 +124,15 @@
 	}
 }
 
-// summarizeStoreCalls writes how many calls to the store were made since the start,
-// by their purpose.
+// logStoreSummary logs the number of calls to the store since the start, by purpose, and
+// the number of those that failed.
 func (d *Daemon) logStoreSummary() {
 	totals := map[storePurpose]uint64{}
 	failed := uint64(0)
-	for call, made := range d.storeCalls.snapshot() {
-		totals[call.purpose] += made
-		if call.code != result.OK {
-			failed += made
+	for kind, calls := range d.storeCalls.snapshot() {
+		totals[kind.purpose] += calls
+		if kind.code != result.OK {
+			failed += calls
 		}
 	}
 	fields := []eventField{field("failed", formatCount(failed))}
@@ -141,7 +142,8 @@
 	d.events.event("store_summary", fields...)
 }
 
-// linesDropped is how many log lines were not written since the start.
+// linesDropped returns the number of log lines dropped since the start, by the rate limits on events
+// and requests and by the log output.
 func (d *Daemon) linesDropped() uint64 {
 	total := d.events.rate.Dropped() + d.requests.rate.Dropped()
 	if d.options.LinesDropped != nil {
--- a/internal/hosted/faults.go
+++ b/internal/hosted/faults.go
@@ -5,11 +5,12 @@
 	"sync"
 )
 
-// toldLimit bounds the entries of the store whose faults are remembered as told.
+// maxLoggedFaults bounds the number of faults that are logged and remembered. Further ones are not
+// logged.
 const maxLoggedFaults = 256
 
-// faultLog tells once of each entry of the store that is left out. It may be used by several
-// goroutines.
+// faultLog logs each fault of an ignored store entry once. It is safe for concurrent
+// use.
 type faultLog struct {
 	events eventLog
 
@@ -21,7 +22,7 @@
 	return &faultLog{events: events, logged: map[string]bool{}}
 }
 
-// tell implements TellFault.
+// logOnce logs a fault unless it has been logged before. It implements FaultHandler.
 func (l *faultLog) logOnce(kind, name string, fault error) {
 	key := kind + "/" + name + ": " + fault.Error()
 	l.mutex.Lock()
