--- a/internal/hosted/harmful.go
+++ b/internal/hosted/harmful.go
@@ -6,45 +6,48 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
-// Where many daemons have something to add to the same news, they do so in turn, within
-// harmfulStep for each daemon of the mesh and harmfulSpread at most: most of them find then
-// that another one has told it. A small mesh has all news within some milliseconds, so that
-// nothing is decided on a part of it; a large one sends a few hundred messages in place of
-// the square of its daemons.
+// Many daemons may have something to add to the same record. Each broadcasts its addition after a
+// random delay of up to harmfulDelayPerDaemon for each daemon of the mesh, at most maxHarmfulDelay,
+// so that most receive the same addition from another daemon first. In a small mesh all additions
+// arrive within milliseconds, before a decision would be based on only some of them. A large mesh
+// is meant to send a few hundred messages instead of the square of its number of daemons.
 const (
 	harmfulDelayPerDaemon = 500 * time.Microsecond
 	maxHarmfulDelay       = 50 * time.Millisecond
 )
 
-// harmfulRequests is what the data path knows of requests that may end the back ends that
-// run them.
+// harmfulRequests holds the data path's records of requests that may end the back ends that run
+// them.
 type harmfulRequests interface {
-	// MergeHarmful takes a peer's records, and tells how many can't be true. What is news is
-	// told to all daemons in turn where pass is set.
+	// MergeHarmful merges a peer's records, and returns how many were invalid. New records are
+	// sent on to all daemons if pass is set.
 	MergeHarmful(records []quarantine.Record, pass bool) (refused int)
-	// HarmfulRecords are all records, UntoldHarmful those that nobody has been told of.
+	// HarmfulRecords returns all records, UnsentHarmful those that have not been sent to other
+	// daemons, which it then marks as sent.
 	HarmfulRecords() []quarantine.Record
 	UnsentHarmful() []quarantine.Record
-	// HarmfulSum is the same on daemons that know the same.
+	// HarmfulSum returns a checksum that is equal on daemons with equal records.
 	HarmfulSum() uint64
-	// HarmfulBelief is what is believed of a request, ReleaseHarmful has it trusted again.
+	// HarmfulState returns the quarantine state of a request, ReleaseHarmful has all daemons
+	// trust it again.
 	HarmfulState(quarantine.Signature) quarantine.State
 	ReleaseHarmful(quarantine.Signature)
 }
 
-// tellHarmful has all daemons told of news of harmful requests: at once if the next request
-// that comes anywhere may depend on it. It does not block.
+// scheduleHarmfulBroadcast has the unsent records of harmful requests broadcast to all daemons:
+// without a delay if urgent is set, because the next request at any daemon may depend on them. It
+// does not block.
 func (m *mesh) scheduleHarmfulBroadcast(urgent bool) {
-	wait := time.Duration(0)
+	delay := time.Duration(0)
 	if !urgent {
-		most := min(harmfulDelayPerDaemon*time.Duration(m.daemonCount()), maxHarmfulDelay)
-		wait = time.Duration(randomNumber() % uint64(most))
+		maxDelay := min(harmfulDelayPerDaemon*time.Duration(m.daemonCount()), maxHarmfulDelay)
+		delay = time.Duration(randomNumber() % uint64(maxDelay))
 	}
-	m.runAfter(wait, m.broadcastHarmful)
+	m.runAfter(delay, m.broadcastHarmful)
 }
 
-// spreadHarmful tells all daemons of what they have not been told yet, along a tree in each
-// zone; the lock is held. Comparisons of sums reach those that it misses.
+// broadcastHarmful sends the unsent records of harmful requests to all daemons, along a tree in
+// each zone; the lock is held. Daemons that the broadcast misses get them by comparing HarmfulSum.
 func (m *mesh) broadcastHarmful() {
 	records := m.harmful.UnsentHarmful()
 	if len(records) == 0 {
@@ -58,7 +61,8 @@
 	}
 }
 
-// takeHarmful takes a peer's records of harmful requests.
+// mergeHarmful merges records of harmful requests that a peer sent, and logs if some are invalid.
+// New records are sent on to all daemons if pass is set.
 func (m *mesh) mergeHarmful(from string, records []quarantine.Record, pass bool) {
 	if len(records) == 0 {
 		return
@@ -68,8 +72,8 @@
 	}
 }
 
-// harmfulFor are the records for a peer that knows something else; nil when it knows the
-// same.
+// harmfulRecordsFor returns all records for a peer with the given HarmfulSum; nil if that equals
+// the sum of this daemon.
 func (m *mesh) harmfulRecordsFor(sum uint64) []quarantine.Record {
 	if sum == m.harmful.HarmfulSum() {
 		return nil
--- a/internal/hosted/heldrequests.go
+++ b/internal/hosted/heldrequests.go
@@ -11,17 +11,17 @@
 	"github.com/springstack/springstack/internal/pause"
 )
 
-// Peers tell a daemon that starts what they hold. The store is for a start at which there
-// are none, and for operators: they see there what is held, and release a request by
-// removing it. It costs one write for each request that is held, one list at each start and,
-// while something is held, a list each heldPeriod by the daemons that wrote or read it. These
-// lists may lag; only one that misses a request is confirmed by one that may not.
+// A starting daemon receives the held requests from its peers. The store keeps them for a start
+// without peers and for operators, who see there which requests are held and release a request by
+// removing its entry. This costs one write for each held request, one list at each start and,
+// while a request is held, one list per heldCheckInterval by each daemon that wrote or read its
+// entry. These lists may lag, so a list in which an entry is missing is repeated linearizably.
 
-// heldPeriod is the time between two looks at what is held in the store.
+// heldCheckInterval is the mean time between two comparisons with the held requests in the store.
 const heldCheckInterval = 3 * time.Second
 
-// followHeld takes what the store knows of held requests, and then looks for what operators
-// have removed there.
+// syncHeldRequests loads the held requests from the store, and then compares them with the store
+// periodically, mainly to find entries that operators have removed.
 func (m *mesh) syncHeldRequests() {
 	if m.heldStore == nil || !m.retryUntilDone(m.loadHeldRequests) {
 		return
@@ -33,34 +33,35 @@
 	}
 }
 
-// listHeld reads what the store knows, and tells whether it answered.
+// listHeldRequests lists the held requests in the store, and reports whether the store answered.
 func (m *mesh) listHeldRequests(freshness authority.Freshness) ([]authority.HeldRequest, bool) {
-	listed, err := readStore(m.reads, m.context, purposeHeld, storeReadTimeout, func(ctx context.Context) ([]authority.HeldRequest, error) {
+	entries, err := readStore(m.reads, m.context, purposeHeld, storeReadTimeout, func(ctx context.Context) ([]authority.HeldRequest, error) {
 		return m.heldStore.List(ctx, freshness)
 	})
-	return listed, err == nil
+	return entries, err == nil
 }
 
-// loadHeld takes what the store knows of held requests, and removes what counts no more.
+// loadHeldRequests merges the held requests of the store, removes expired ones there, and reports
+// whether the store answered.
 func (m *mesh) loadHeldRequests() bool {
-	listed, read := m.listHeldRequests(authority.Lagging)
-	records := make([]quarantine.Record, 0, len(listed))
-	for _, one := range listed {
-		record := one.Record
-		// A clock that stands back makes an end younger than it is, and never of the future.
-		record.Age = max(time.Since(one.EndedAt), 0)
+	entries, answered := m.listHeldRequests(authority.Lagging)
+	records := make([]quarantine.Record, 0, len(entries))
+	for _, entry := range entries {
+		record := entry.Record
+		// With a clock that is behind, an end seems more recent than it is, but never in the future.
+		record.Age = max(time.Since(entry.EndedAt), 0)
 		if record.Age > quarantine.MaxRecordAge {
 			m.removeHeldRequest(record.Signature)
 			continue
 		}
 		records = append(records, record)
-		m.recordStored(one)
+		m.recordStored(entry)
 	}
 	m.mergeHarmful("store", records, false)
-	return read
+	return answered
 }
 
-// keepHeld writes a held request to the store; it does not block.
+// storeHeldRequest writes a request that has become held to the store; it does not block.
 func (m *mesh) storeHeldRequest(record quarantine.Record) {
 	if m.heldStore == nil {
 		return
@@ -68,159 +69,165 @@
 	m.putHeldRequest(authority.HeldRequest{Record: record, EndedAt: time.Now().Add(-record.Age)})
 }
 
-// writeHeld writes a held request to the store until it stands there; it does not block.
-func (m *mesh) putHeldRequest(held authority.HeldRequest) {
+// putHeldRequest writes an entry to the store and retries until the store acknowledges it; it does
+// not block.
+func (m *mesh) putHeldRequest(entry authority.HeldRequest) {
 	m.running.Add(1)
 	go func() {
 		defer m.running.Done()
 		written := m.retryUntilDone(func() bool {
 			ctx, cancel := context.WithTimeout(m.context, storeReadTimeout)
 			defer cancel()
-			err := m.heldStore.Put(ctx, held)
+			err := m.heldStore.Put(ctx, entry)
 			m.storeCalls.recordError(purposeHeld, err)
 			return err == nil
 		})
 		if written {
-			m.recordStored(held)
+			m.recordStored(entry)
 		}
 	}()
 }
 
-// keptRequest is a held request that stands in the store as far as this daemon knows, and the era
-// in which it was seen there last.
+// storedRequest is a held request that is in the store as far as this daemon knows, and the latest
+// era in which it was known to be there.
 type storedRequest struct {
 	request authority.HeldRequest
 	seenEra uint64
 }
 
-// keep notes that a request stands in the store.
-func (m *mesh) recordStored(held authority.HeldRequest) {
+// recordStored records that a held request is in the store.
+func (m *mesh) recordStored(entry authority.HeldRequest) {
 	era := m.eras.current()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.storedHeld[held.Record.Signature] = storedRequest{request: held, seenEra: era}
+	m.storedHeld[entry.Record.Signature] = storedRequest{request: entry, seenEra: era}
 }
 
-// seeKept notes that a request which is kept was seen in the store.
+// updateSeenEra records that a stored request was found in the store in an era.
 func (m *mesh) updateSeenEra(signature quarantine.Signature, era uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if kept, found := m.storedHeld[signature]; found {
-		kept.seenEra = max(kept.seenEra, era)
-		m.storedHeld[signature] = kept
+	if stored, found := m.storedHeld[signature]; found {
+		stored.seenEra = max(stored.seenEra, era)
+		m.storedHeld[signature] = stored
 	}
 }
 
-// lostByStore tells whether a request that stands in the store no more was seen there in an
-// earlier era only: then the store has lost it, and no operator need have removed it.
+// findLostRequest returns the stored request with a signature, and whether it was last seen in the
+// store in an earlier era. If such a request is missing now, the store may have lost it by
+// returning to an older copy, so this is not taken for a release by an operator.
 func (m *mesh) findLostRequest(signature quarantine.Signature, era uint64) (authority.HeldRequest, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	kept, found := m.storedHeld[signature]
-	return kept.request, found && kept.seenEra < era
+	stored, found := m.storedHeld[signature]
+	return stored.request, found && stored.seenEra < era
 }
 
-// keeping are the requests that stand in the store as far as this daemon knows.
+// storedSignatures returns the signatures of the requests that are in the store as far as this
+// daemon knows.
 func (m *mesh) storedSignatures() []quarantine.Signature {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return lo.Keys(m.storedHeld)
 }
 
-// settledHeld is how a request came to stand in the store no more.
+// absentRequest describes a request that is no longer in the store.
 type absentRequest struct {
+	// absentSince is when the request was first found missing or removed, on the mesh's clock.
 	absentSince time.Duration
-	// removed says that this daemon has removed it.
+	// removedHere is true if this daemon has removed the request.
 	removedHere bool
 }
 
-// watched are the requests that this daemon looks for in the store: those that stand there,
-// and those that a late write may still put there or take from there.
+// signaturesToCheck returns the requests that this daemon looks for in the store: those that are
+// there as far as it knows, and those that a delayed call to the store may still write or remove.
 func (m *mesh) signaturesToCheck() []quarantine.Signature {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for signature, settled := range m.absentHeld {
-		if m.clock()-settled.absentSince > maxLateWriteDelay {
+	for signature, absent := range m.absentHeld {
+		if m.clock()-absent.absentSince > maxLateWriteDelay {
 			delete(m.absentHeld, signature)
 		}
 	}
 	return lo.Union(lo.Keys(m.storedHeld), lo.Keys(m.absentHeld))
 }
 
-// settle notes that a request stands in the store no more.
-func (m *mesh) markAbsent(signature quarantine.Signature, removed bool) {
+// markAbsent records that a request is no longer in the store, and whether this daemon removed it.
+func (m *mesh) markAbsent(signature quarantine.Signature, removedHere bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.absentHeld == nil {
 		m.absentHeld = map[quarantine.Signature]absentRequest{}
 	}
-	if _, known := m.absentHeld[signature]; !known || removed {
-		m.absentHeld[signature] = absentRequest{absentSince: m.clock(), removedHere: removed}
+	if _, known := m.absentHeld[signature]; !known || removedHere {
+		m.absentHeld[signature] = absentRequest{absentSince: m.clock(), removedHere: removedHere}
 	}
 	delete(m.storedHeld, signature)
 }
 
-// isRelease tells whether an operator has removed a request that stands in the store no more.
-// One that is not kept may be held anew and not be written yet. Of one that this daemon has
-// removed lately, that call may have been carried out after it was written again.
+// isOperatorRelease reports whether a request that is missing in the store was removed by an
+// operator. A request that is not known to be stored may have been held again and not be written
+// yet. If this daemon removed the request within maxLateWriteDelay, the delayed removal may have
+// been executed after the request was written again.
 func (m *mesh) isOperatorRelease(signature quarantine.Signature) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	settled, found := m.absentHeld[signature]
-	removedLately := found && settled.removedHere && m.clock()-settled.absentSince <= maxLateWriteDelay
-	_, kept := m.storedHeld[signature]
-	return kept && !removedLately
+	absent, wasAbsent := m.absentHeld[signature]
+	removedRecently := wasAbsent && absent.removedHere && m.clock()-absent.absentSince <= maxLateWriteDelay
+	_, isStored := m.storedHeld[signature]
+	return isStored && !removedRecently
 }
 
-// compareHeld releases what operators have removed from the store, and removes there what
-// was cleared or counts no more.
+// reconcileHeldRequests releases the requests that operators have removed from the store, removes
+// from the store those that are trusted again, and writes again those that the store has lost.
 func (m *mesh) reconcileHeldRequests() {
-	kept, era := m.signaturesToCheck(), m.eras.current()
-	stands, read := m.readStoredSet(authority.Lagging)
-	missing := lo.SomeBy(kept, func(signature quarantine.Signature) bool { return !stands[signature] })
-	if read && missing {
-		stands, read = m.readStoredSet(authority.Linearizable)
+	signatures, era := m.signaturesToCheck(), m.eras.current()
+	stored, answered := m.readStoredSet(authority.Lagging)
+	missing := lo.SomeBy(signatures, func(signature quarantine.Signature) bool { return !stored[signature] })
+	if answered && missing {
+		stored, answered = m.readStoredSet(authority.Linearizable)
 	}
-	if !read || m.eras.current() != era {
-		return // the next look tells
+	if !answered || m.eras.current() != era {
+		return // the next comparison decides
 	}
-	for _, signature := range kept {
-		m.reconcileHeldRequest(signature, stands[signature], era)
+	for _, signature := range signatures {
+		m.reconcileHeldRequest(signature, stored[signature], era)
 	}
 }
 
-// standing are the requests that stand in the store.
+// readStoredSet returns the signatures of the requests in the store, and whether the store
+// answered.
 func (m *mesh) readStoredSet(freshness authority.Freshness) (map[quarantine.Signature]bool, bool) {
-	listed, read := m.listHeldRequests(freshness)
-	return lo.SliceToMap(listed, func(one authority.HeldRequest) (quarantine.Signature, bool) {
-		return one.Record.Signature, true
-	}), read
+	entries, answered := m.listHeldRequests(freshness)
+	return lo.SliceToMap(entries, func(entry authority.HeldRequest) (quarantine.Signature, bool) {
+		return entry.Record.Signature, true
+	}), answered
 }
 
-// settleKept compares what is believed of one request with whether it stands in the store, in an
-// era.
-func (m *mesh) reconcileHeldRequest(signature quarantine.Signature, stands bool, era uint64) {
+// reconcileHeldRequest compares the quarantine state of one request with whether the store has its
+// entry, as read in an era, and corrects the one that is out of date.
+func (m *mesh) reconcileHeldRequest(signature quarantine.Signature, isStored bool, era uint64) {
 	trusted := m.harmful.HarmfulState(signature) == quarantine.Trusted
-	held, lost := m.findLostRequest(signature, era)
+	entry, lost := m.findLostRequest(signature, era)
 	switch {
-	case stands && !trusted:
+	case isStored && !trusted:
 		m.updateSeenEra(signature, era)
 		return
-	case lost && !stands && !trusted:
+	case lost && !isStored && !trusted:
 		m.events.event("harmful_written_again", field("signature", signature.String()))
-		m.putHeldRequest(held)
+		m.putHeldRequest(entry)
 		return
-	case stands:
+	case isStored:
 		m.removeHeldRequest(signature)
 	case !trusted && m.isOperatorRelease(signature):
 		m.events.event("harmful_released", field("signature", signature.String()))
 		m.harmful.ReleaseHarmful(signature)
 	}
-	m.markAbsent(signature, stands)
+	m.markAbsent(signature, isStored)
 }
 
-// removeHeld takes a request from the store. Should that fail, the next daemon that starts
-// does it.
+// removeHeldRequest removes a request from the store. If that fails, daemons that start later read
+// the entry and remove it.
 func (m *mesh) removeHeldRequest(signature quarantine.Signature) {
 	ctx, cancel := context.WithTimeout(m.context, storeReadTimeout)
 	defer cancel()
--- a/internal/hosted/heldrequests_test.go
+++ b/internal/hosted/heldrequests_test.go
@@ -11,7 +11,7 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
-// heldInStore are held requests in a store, whose lagging lists miss everything.
+// laggingHeldStore is a store of held requests that returns nothing to lagging lists.
 type laggingHeldStore map[quarantine.Signature]bool
 
 func (h laggingHeldStore) List(_ context.Context, freshness authority.Freshness) (found []authority.HeldRequest, err error) {
@@ -34,38 +34,40 @@
 	return nil
 }
 
-// believed is what a data path believes of requests.
+// fakeHarmfulRequests is a data path with fixed quarantine states of requests. It records which
+// requests are released.
 type fakeHarmfulRequests struct {
 	harmfulRequests
 	states   map[quarantine.Signature]quarantine.State
 	released []quarantine.Signature
 }
 
-func (b *fakeHarmfulRequests) HarmfulState(signature quarantine.Signature) quarantine.State {
-	return b.states[signature]
+func (f *fakeHarmfulRequests) HarmfulState(signature quarantine.Signature) quarantine.State {
+	return f.states[signature]
 }
 
-func (b *fakeHarmfulRequests) ReleaseHarmful(signature quarantine.Signature) {
-	b.released = append(b.released, signature)
+func (f *fakeHarmfulRequests) ReleaseHarmful(signature quarantine.Signature) {
+	f.released = append(f.released, signature)
 }
 
-// What a daemon has written to the store is compared with what it believes: what is missing
-// there was removed by an operator, unless the list lags; what was cleared goes.
+// A daemon compares the store with its quarantine states. It releases a request that a linearizable
+// list does not contain, which an operator has removed, and removes the entry of a request that is
+// trusted again. A lagging list alone releases nothing.
 func TestHeldRequestsAreReconciledWithStore(t *testing.T) {
 	check := is.New(t)
-	held, cleared, removed, lapsed := testSignature("held"), testSignature("cleared"), testSignature("removed"), testSignature("lapsed")
+	held, cleared, removed, expired := testSignature("held"), testSignature("cleared"), testSignature("removed"), testSignature("lapsed")
 	store := laggingHeldStore{held: true, cleared: true}
-	path := &fakeHarmfulRequests{states: map[quarantine.Signature]quarantine.State{
+	harmful := &fakeHarmfulRequests{states: map[quarantine.Signature]quarantine.State{
 		held: quarantine.Held, removed: quarantine.Suspected,
 	}}
 	mesh := &mesh{
-		clock: func() time.Duration { return 0 }, context: t.Context(), storeCalls: &storeCalls{}, heldStore: store, harmful: path,
+		clock: func() time.Duration { return 0 }, context: t.Context(), storeCalls: &storeCalls{}, heldStore: store, harmful: harmful,
 		reads: testReads(), eras: &eraTracker{},
-		storedHeld: map[quarantine.Signature]storedRequest{held: {}, cleared: {}, removed: {}, lapsed: {}},
+		storedHeld: map[quarantine.Signature]storedRequest{held: {}, cleared: {}, removed: {}, expired: {}},
 	}
 	mesh.reconcileHeldRequests()
 	check.Equal(store, laggingHeldStore{held: true})
-	check.Equal(path.released, []quarantine.Signature{removed})
+	check.Equal(harmful.released, []quarantine.Signature{removed})
 	check.Equal(mesh.storedSignatures(), []quarantine.Signature{held})
 }
 
--- a/internal/hosted/hosted_test.go
+++ b/internal/hosted/hosted_test.go
@@ -29,7 +29,7 @@
 	"github.com/springstack/springstack/internal/settings"
 )
 
-// scriptedSource decodes documents by their text alone.
+// scriptedSource decodes a document to a fixed configuration; the document's text selects a fault.
 type scriptedSource struct{}
 
 func (scriptedSource) Read(context.Context, authority.Freshness) authority.Reading {
@@ -52,88 +52,88 @@
 	return decoded, nil
 }
 
-// follower is a configuration with what it did.
+// testConfiguration is a configuration follower that records what it applies, announces and logs.
 type testConfiguration struct {
 	*configurationFollower
 	appliedVersions []protocol.Version
-	// announced tells of each announcement whether the version was polled.
+	// announcedAsPolled holds the argument polled of each announcement.
 	announcedAsPolled []bool
 	log               bytes.Buffer
 }
 
 func newTestConfiguration() *testConfiguration {
-	made := &testConfiguration{}
+	fake := &testConfiguration{}
 	clock := func() time.Duration { return time.Minute }
-	made.configurationFollower = &configurationFollower{
+	fake.configurationFollower = &configurationFollower{
 		source: scriptedSource{}, clock: clock, calls: &storeCalls{}, contacts: newContactTimes(clock),
-		events:          newEventLog(logging.NewTo(&made.log, log.InfoLevel), "n", clock),
-		applySnapshot:   func(built *snapshot.Snapshot) { made.appliedVersions = append(made.appliedVersions, built.Version) },
+		events:          newEventLog(logging.NewTo(&fake.log, log.InfoLevel), "n", clock),
+		applySnapshot:   func(built *snapshot.Snapshot) { fake.appliedVersions = append(fake.appliedVersions, built.Version) },
 		applyLimits:     func(authority.RequestLimits) {},
-		announceVersion: func(polled bool) { made.announcedAsPolled = append(made.announcedAsPolled, polled) },
+		announceVersion: func(polled bool) { fake.announcedAsPolled = append(fake.announcedAsPolled, polled) },
 		follower:        following.New(following.DefaultConfig(), func() uint64 { return 0 }),
 	}
-	return made
+	return fake
 }
 
-func (f *testConfiguration) adoptDocument(version protocol.Version, body, source string) {
-	f.adopt(following.Action{Source: source, Document: authority.Document{Version: version, Body: []byte(body)}})
+func (c *testConfiguration) adoptDocument(version protocol.Version, body, source string) {
+	c.adopt(following.Action{Source: source, Document: authority.Document{Version: version, Body: []byte(body)}})
 }
 
 func TestUnusableVersionLeavesPreviousInForce(t *testing.T) {
 	check := is.New(t)
-	held := newTestConfiguration()
-	held.adoptDocument(3, "sound", following.SourceStore)
-	held.adoptDocument(5, "unreadable", following.SourceStore)
-	held.adoptDocument(6, "dangling", following.SourceStore)
-	check.Equal(held.version(), protocol.Version(3))
-	check.Equal(held.appliedVersions, []protocol.Version{3})
-	check.Equal(strings.Count(held.log.String(), "event=configuration_refused"), 2)
-	check.True(strings.Contains(held.log.String(), "routes.timeout_ms")) // the field is named
-	held.adoptDocument(7, "sound", following.SourceStore)
-	check.Equal(held.version(), protocol.Version(7))
-	check.Equal(held.healthPath(serviceRef("app")), "/health")
-	check.Equal(held.healthPath(serviceRef("other")), "")
+	configuration := newTestConfiguration()
+	configuration.adoptDocument(3, "sound", following.SourceStore)
+	configuration.adoptDocument(5, "unreadable", following.SourceStore)
+	configuration.adoptDocument(6, "dangling", following.SourceStore)
+	check.Equal(configuration.version(), protocol.Version(3))
+	check.Equal(configuration.appliedVersions, []protocol.Version{3})
+	check.Equal(strings.Count(configuration.log.String(), "event=configuration_refused"), 2)
+	check.True(strings.Contains(configuration.log.String(), "routes.timeout_ms")) // names the invalid field
+	configuration.adoptDocument(7, "sound", following.SourceStore)
+	check.Equal(configuration.version(), protocol.Version(7))
+	check.Equal(configuration.healthPath(serviceRef("app")), "/health")
+	check.Equal(configuration.healthPath(serviceRef("other")), "")
 }
 
 func TestOnlyVersionsNotReadByWatchAreAnnounced(t *testing.T) {
 	check := is.New(t)
-	held := newTestConfiguration()
-	held.adoptDocument(3, "sound", following.SourceStore)
-	check.Equal(len(held.announcedAsPolled), 0)
-	held.adoptDocument(4, "sound", following.SourcePoll)
-	held.adoptDocument(5, "sound", following.SourcePeer)
-	check.Equal(held.announcedAsPolled, []bool{true, false})
+	configuration := newTestConfiguration()
+	configuration.adoptDocument(3, "sound", following.SourceStore)
+	check.Equal(len(configuration.announcedAsPolled), 0)
+	configuration.adoptDocument(4, "sound", following.SourcePoll)
+	configuration.adoptDocument(5, "sound", following.SourcePeer)
+	check.Equal(configuration.announcedAsPolled, []bool{true, false})
 }
 
 func TestPackedDocumentUnpacksWithinSizeLimit(t *testing.T) {
 	check := is.New(t)
-	held := newTestConfiguration()
-	check.Equal(held.packedDocument(0), protocol.DocumentReply{}) // nothing is held
-	held.adoptDocument(9, "sound", following.SourceStore)
-	check.Equal(held.packedDocument(9), protocol.DocumentReply{}) // the peer has it
-	packed := held.packedDocument(3)
+	configuration := newTestConfiguration()
+	check.Equal(configuration.packedDocument(0), protocol.DocumentReply{}) // there is no configuration yet
+	configuration.adoptDocument(9, "sound", following.SourceStore)
+	check.Equal(configuration.packedDocument(9), protocol.DocumentReply{}) // the peer has it
+	packed := configuration.packedDocument(3)
 	unpacked, err := unpackDocument(packed, 1<<20)
 	check.NoErr(err)
 	check.Equal(unpacked, authority.Document{Version: 9, Body: []byte("sound")})
 	_, err = unpackDocument(packed, 3)
-	check.True(err != nil) // more than a document may hold
-	held.adoptDocument(10, "sound", following.SourceStore)
-	check.Equal(held.packedDocument(9).Version, protocol.Version(10)) // not what was packed before
+	check.True(err != nil) // exceeds the size limit
+	configuration.adoptDocument(10, "sound", following.SourceStore)
+	check.Equal(configuration.packedDocument(9).Version, protocol.Version(10)) // not the cached reply
 	packed.Compressed = packed.Compressed[:len(packed.Compressed)/2]
 	_, err = unpackDocument(packed, 1<<20)
 	check.True(err != nil)
 }
 
-// testReads makes calls to the store without a second try.
+// testReads returns a hedgedReads that makes calls to the store without hedging them.
 func testReads() *hedgedReads {
 	return &hedgedReads{clock: func() time.Duration { return 0 }, running: &sync.WaitGroup{}, calls: &storeCalls{}}
 }
 
-// newTestMesh is a mesh of one daemon that knows others, and calls nobody.
+// newTestMesh returns a mesh of one daemon with the records of others. It makes no calls.
 func newTestMesh(zone string, others ...protocol.Member) *mesh {
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // no loop runs and nothing is sent
-	made := &mesh{
+	cancel() // runs no loops and sends nothing
+	mesh := &mesh{
 		clock:        func() time.Duration { return 0 },
 		contacts:     newContactTimes(func() time.Duration { return 0 }),
 		reads:        testReads(),
@@ -150,11 +150,11 @@
 		roundTrips:   &roundtrip.Estimator{},
 		self:         protocol.Member{ID: "m", Zone: zone, Incarnation: 5, Sequence: 1, State: protocol.MemberAlive},
 	}
-	made.roster.Merge(0, made.self, membership.SourceSubtree)
+	mesh.roster.Merge(0, mesh.self, membership.SourceSubtree)
 	for _, other := range others {
-		made.roster.Merge(0, other, membership.SourceSubtree)
+		mesh.roster.Merge(0, other, membership.SourceSubtree)
 	}
-	return made
+	return mesh
 }
 
 func aliveMember(id protocol.NodeID, zone string) protocol.Member {
@@ -163,17 +163,17 @@
 
 func TestPollersAreFirstAnsweringDaemonsOfZone(t *testing.T) {
 	check := is.New(t)
-	polls := func(held *mesh) bool {
-		role, _ := held.currentPollRole()
+	polls := func(mesh *mesh) bool {
+		role, _ := mesh.currentPollRole()
 		return role == polling
 	}
 	check.True(polls(newTestMesh("z1"))) // alone
 	check.True(polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"))))
 	check.True(!polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"), aliveMember("d", "z1"))))
-	four := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
-	check.True(!polls(four)) // one a zone, and that is a
-	four.lostPeers["a"] = true
-	check.True(polls(four))
+	fourZones := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
+	check.True(!polls(fourZones)) // the zone has one poller, which is a
+	fourZones.lostPeers["a"] = true
+	check.True(polls(fourZones))
 }
 
 func TestPollRateIsIndependentOfZoneCount(t *testing.T) {
@@ -181,41 +181,41 @@
 	var others []protocol.Member
 	for zone := range 8 {
 		others = append(others, aliveMember(protocol.NodeID(fmt.Sprint("n", zone)), fmt.Sprint("z", zone)))
-		held := newTestMesh("z0", others...)
+		mesh := newTestMesh("z0", others...)
 		pollers := max(targetPollers, zone+1)
-		_, period := held.currentPollRole()
+		_, period := mesh.currentPollRole()
 		check.Equal(time.Duration(pollers)*pollInterval/period, time.Duration(targetPollers))
 	}
 }
 
 func TestDaemonRefutesRecordOfEarlierStart(t *testing.T) {
 	check := is.New(t)
-	held := newTestMesh("z1")
-	earlier := held.self
-	earlier.Incarnation = 9 // its clock was ahead then
+	mesh := newTestMesh("z1")
+	earlier := mesh.self
+	earlier.Incarnation = 9 // the clock was ahead at the earlier start
 	earlier.Endpoint = protocol.EndpointReady
-	held.mergeCompared("z1", []protocol.Member{earlier})
-	check.Equal(held.self.Incarnation, protocol.Incarnation(10))
-	known, _ := held.roster.Get("m")
+	mesh.mergeCompared("z1", []protocol.Member{earlier})
+	check.Equal(mesh.self.Incarnation, protocol.Incarnation(10))
+	known, _ := mesh.roster.Get("m")
 	check.Equal(known.Incarnation, protocol.Incarnation(10))
 }
 
 func TestComparisonReturnsOnlyDifferences(t *testing.T) {
 	check := is.New(t)
-	held := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"))
-	held.onPeerVersion = func(protocol.NodeID, protocol.Version) {}
-	same := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Total: held.roster.BucketSums().Total()})
-	check.Equal(len(same.Sums)+len(same.Members), 0)
-	differs := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Total: 1})
-	check.Equal(len(differs.Sums), membership.BucketCount)
-	empty := membership.BucketSums{}
-	whole := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Sums: empty[:]})
-	check.Equal(len(whole.Members), 3)
-	pushed := held.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Zone: "z1", Push: true, Total: 1, Members: []protocol.Member{aliveMember("c", "z1")}})
-	check.Equal(len(pushed.Sums)+len(pushed.Members), 0)
-	_, known := held.roster.Get("c")
+	mesh := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"))
+	mesh.onPeerVersion = func(protocol.NodeID, protocol.Version) {}
+	equalReply := mesh.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Total: mesh.roster.BucketSums().Total()})
+	check.Equal(len(equalReply.Sums)+len(equalReply.Members), 0)
+	sumsReply := mesh.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Total: 1})
+	check.Equal(len(sumsReply.Sums), membership.BucketCount)
+	noSums := membership.BucketSums{}
+	allReply := mesh.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Sums: noSums[:]})
+	check.Equal(len(allReply.Members), 3)
+	pushReply := mesh.handleExchangeRequest(&protocol.ExchangeRequest{From: "x", Zone: "z1", Push: true, Total: 1, Members: []protocol.Member{aliveMember("c", "z1")}})
+	check.Equal(len(pushReply.Sums)+len(pushReply.Members), 0)
+	_, known := mesh.roster.Get("c")
 	check.True(known)
-	_, err := held.HandlePeer(context.Background(), control.Peer{}, &protocol.ExchangeRequest{Format: protocol.Format + 1})
+	_, err := mesh.HandlePeer(context.Background(), control.Peer{}, &protocol.ExchangeRequest{Format: protocol.Format + 1})
 	check.True(err != nil)
 }
 
@@ -251,7 +251,7 @@
 		for range 20 {
 			budget.Deposit(time.Second, 0)
 		}
-		check.True(budget.Withdraw(time.Second, 0, 1, false)) // what calls earn allows one in any case
+		check.True(budget.Withdraw(time.Second, 0, 1, false)) // 20 calls allow one retry without the slack
 	}
 }
 
@@ -287,23 +287,23 @@
 	}
 }
 
-// A daemon is ready only once what it has heard of its peers is in force, also when another
-// publication has just been made.
+// Guards against a daemon that reports itself ready before its data path has the records of its
+// peers, because their publication is delayed by a recent one.
 func TestPeersArePublishedBeforeDaemonIsReady(t *testing.T) {
 	check := is.New(t)
-	held := newTestMesh("z1")
+	mesh := newTestMesh("z1")
 	now := time.Minute
-	held.clock = func() time.Duration { return now }
+	mesh.clock = func() time.Duration { return now }
 	published := 0
-	held.publishState = func(state proxy.MeshState) {
-		check.True(!held.isJoined())
+	mesh.publishState = func(state proxy.MeshState) {
+		check.True(!mesh.isJoined())
 		published = len(state.Members)
 	}
-	held.publishAll() // of its own record
-	held.mergeCompared("z1", []protocol.Member{aliveMember("a", "z1"), aliveMember("b", "z1")})
-	check.Equal(published, 1) // it waits for its time
-	held.recordComparison(dissemination.Peer{ID: "a", Zone: "z1"})
-	check.True(held.isJoined())
+	mesh.publishAll() // with its own record only
+	mesh.mergeCompared("z1", []protocol.Member{aliveMember("a", "z1"), aliveMember("b", "z1")})
+	check.Equal(published, 1) // the next publication is scheduled
+	mesh.recordComparison(dissemination.Peer{ID: "a", Zone: "z1"})
+	check.True(mesh.isJoined())
 	check.Equal(published, 3)
-	held.recordComparison(dissemination.Peer{ID: "b", Zone: "z1"}) // nothing more
+	mesh.recordComparison(dissemination.Peer{ID: "b", Zone: "z1"}) // publishes nothing
 }
--- a/internal/hosted/latewrites_test.go
+++ b/internal/hosted/latewrites_test.go
@@ -12,16 +12,16 @@
 	"github.com/springstack/springstack/internal/core/quarantine"
 )
 
-// lateRegistry is a registry that carries out a call of an earlier start of the daemon after
-// some calls of the present one.
+// lateRegistry is a registry that executes a delayed call of an earlier start of the daemon after
+// some calls of the current start.
 type lateRegistry struct {
 	registrations map[protocol.NodeID]authority.Registration
-	// after is how many calls come before the late one.
+	// callsBeforeLate is the number of calls that are executed before the delayed one.
 	callsBeforeLate int
 	lateCall        func(map[protocol.NodeID]authority.Registration)
 }
 
-// called counts a call, and carries out the late one when its time has come.
+// countCall counts a call, and executes the delayed call first if it is due.
 func (r *lateRegistry) countCall() {
 	if r.callsBeforeLate == 0 {
 		r.lateCall(r.registrations)
@@ -31,15 +31,15 @@
 
 func (r *lateRegistry) List(context.Context, authority.Freshness) (found []authority.Registration, err error) {
 	r.countCall()
-	for _, one := range r.registrations {
-		found = append(found, one)
+	for _, registration := range r.registrations {
+		found = append(found, registration)
 	}
 	return found, nil
 }
 
-func (r *lateRegistry) Put(_ context.Context, one authority.Registration) error {
+func (r *lateRegistry) Put(_ context.Context, registration authority.Registration) error {
 	r.countCall()
-	r.registrations[one.ID] = one
+	r.registrations[registration.ID] = registration
 	return nil
 }
 
@@ -49,63 +49,67 @@
 	return nil
 }
 
-// Whenever the call of an earlier start is carried out: once no such call can come any more
-// the daemon is registered as it is.
+// The registry may execute a write of an earlier start after the current start has registered. The
+// check after maxLateWriteDelay must restore the registration, whenever that write is executed.
 func TestLateCallOfEarlierStartIsCorrected(t *testing.T) {
-	made := newTestMesh("z1")
-	made.context, made.storeCalls = t.Context(), &storeCalls{}
-	mine := made.ownRegistration()
-	elsewhere := mine
-	elsewhere.Address = "10.0.0.9:1"
+	mesh := newTestMesh("z1")
+	mesh.context, mesh.storeCalls = t.Context(), &storeCalls{}
+	ownRegistration := mesh.ownRegistration()
+	movedRegistration := ownRegistration
+	movedRegistration.Address = "10.0.0.9:1"
 	lateCalls := map[string]func(map[protocol.NodeID]authority.Registration){
-		"remove": func(held map[protocol.NodeID]authority.Registration) { delete(held, mine.ID) },
-		"create": func(held map[protocol.NodeID]authority.Registration) {
-			if _, exists := held[mine.ID]; !exists {
-				held[mine.ID] = elsewhere
+		"remove": func(registrations map[protocol.NodeID]authority.Registration) {
+			delete(registrations, ownRegistration.ID)
+		},
+		"create": func(registrations map[protocol.NodeID]authority.Registration) {
+			if _, exists := registrations[ownRegistration.ID]; !exists {
+				registrations[ownRegistration.ID] = movedRegistration
 			}
 		},
-		"replace": func(held map[protocol.NodeID]authority.Registration) { held[mine.ID] = elsewhere },
+		"replace": func(registrations map[protocol.NodeID]authority.Registration) {
+			registrations[ownRegistration.ID] = movedRegistration
+		},
 	}
-	before := map[string][]authority.Registration{"nothing": nil, "the same": {mine}, "another": {elsewhere}}
-	for name, late := range lateCalls {
-		for stood, registrations := range before {
-			for after := range 5 { // a start makes four calls at most before its last look
-				registry := &lateRegistry{registrations: map[protocol.NodeID]authority.Registration{}, callsBeforeLate: after, lateCall: late}
-				for _, one := range registrations {
-					registry.registrations[one.ID] = one
+	initialStates := map[string][]authority.Registration{"nothing": nil, "the same": {ownRegistration}, "another": {movedRegistration}}
+	for lateCallName, lateCall := range lateCalls {
+		for initialState, initialRegistrations := range initialStates {
+			for callsBeforeLate := range 5 { // a start makes at most four calls before its last check
+				registry := &lateRegistry{registrations: map[protocol.NodeID]authority.Registration{}, callsBeforeLate: callsBeforeLate, lateCall: lateCall}
+				for _, registration := range initialRegistrations {
+					registry.registrations[registration.ID] = registration
 				}
-				made.registry = registry
-				made.readRegistry()
-				if !made.isRegistered() {
-					made.putRegistration()
-					made.readRegistry()
+				mesh.registry = registry
+				mesh.readRegistry()
+				if !mesh.isRegistered() {
+					mesh.putRegistration()
+					mesh.readRegistry()
 				}
-				if registry.callsBeforeLate >= 0 { // the latest moment at which it may come
+				if registry.callsBeforeLate >= 0 { // the latest time at which the delayed call may be executed
 					registry.callsBeforeLate = 0
 					registry.countCall()
 				}
-				made.ensureRegistered()
-				if registry.registrations[mine.ID] != mine {
-					t.Errorf("late %s after %d calls over %s: %v", name, after, stood, registry.registrations)
+				mesh.ensureRegistered()
+				if registry.registrations[ownRegistration.ID] != ownRegistration {
+					t.Errorf("delayed %s after %d calls, initially registered %s: got %v", lateCallName, callsBeforeLate, initialState, registry.registrations)
 				}
 			}
 		}
 	}
 }
 
-// A daemon that ends within 15 s of its start, and has taken its registration away, does not
-// write it again.
+// A daemon that ends within maxLateWriteDelay of its start, and has removed its registration, must
+// not write it again by its last check.
 func TestLeavingDaemonIsNotRegisteredAgain(t *testing.T) {
-	made := newTestMesh("z1")
-	made.context, made.storeCalls = t.Context(), &storeCalls{}
+	mesh := newTestMesh("z1")
+	mesh.context, mesh.storeCalls = t.Context(), &storeCalls{}
 	registry := &lateRegistry{registrations: map[protocol.NodeID]authority.Registration{}, callsBeforeLate: -1}
-	made.registry = registry
-	made.self.State = protocol.MemberLeft
-	is.New(t).True(made.ensureRegistered())
+	mesh.registry = registry
+	mesh.self.State = protocol.MemberLeft
+	is.New(t).True(mesh.ensureRegistered())
 	is.New(t).Equal(len(registry.registrations), 0)
 }
 
-// lateHeldStore is a store of held requests whose lists never lag.
+// currentHeldStore is a store of held requests whose lists never lag.
 type currentHeldStore map[quarantine.Signature]bool
 
 func (h currentHeldStore) List(context.Context, authority.Freshness) (found []authority.HeldRequest, err error) {
@@ -125,80 +129,81 @@
 	return nil
 }
 
-// heldMesh is a mesh that has written a held request, whose store and data path the test moves.
+// newHeldRequestMesh returns a mesh that has written a held request, its store and data path, which
+// the test changes, and the request's signature.
 func newHeldRequestMesh(t *testing.T, now *time.Duration) (*mesh, currentHeldStore, *fakeHarmfulRequests, quarantine.Signature) {
 	signature := testSignature("one")
 	store := currentHeldStore{signature: true}
-	path := &fakeHarmfulRequests{states: map[quarantine.Signature]quarantine.State{signature: quarantine.Held}}
-	made := &mesh{
-		clock: func() time.Duration { return *now }, context: t.Context(), storeCalls: &storeCalls{}, heldStore: store, harmful: path,
+	harmful := &fakeHarmfulRequests{states: map[quarantine.Signature]quarantine.State{signature: quarantine.Held}}
+	mesh := &mesh{
+		clock: func() time.Duration { return *now }, context: t.Context(), storeCalls: &storeCalls{}, heldStore: store, harmful: harmful,
 		reads: testReads(), eras: &eraTracker{},
 		storedHeld: map[quarantine.Signature]storedRequest{signature: {}},
 	}
-	return made, store, path, signature
+	return mesh, store, harmful, signature
 }
 
-// An operator has removed a request, and then a first try to write it is carried out: a
-// daemon that starts must not find it.
+// After an operator has removed a request from the store, the store may execute a delayed first
+// attempt to write it. The entry must be removed again, so that a starting daemon does not read it.
 func TestLateWriteDoesNotRestoreReleasedRequest(t *testing.T) {
-	for looks := 1; looks <= 3; looks++ { // before it comes
+	for comparisons := 1; comparisons <= 3; comparisons++ { // comparisons before the delayed write
 		check := is.New(t)
 		now := time.Duration(0)
-		made, store, path, signature := newHeldRequestMesh(t, &now)
+		mesh, store, harmful, signature := newHeldRequestMesh(t, &now)
 		delete(store, signature)
-		for range looks {
-			made.reconcileHeldRequests()
-			path.states[signature] = quarantine.Trusted
+		for range comparisons {
+			mesh.reconcileHeldRequests()
+			harmful.states[signature] = quarantine.Trusted
 			now += heldCheckInterval
 		}
 		store[signature] = true
-		made.reconcileHeldRequests()
+		mesh.reconcileHeldRequests()
 		check.Equal(len(store), 0)
-		check.Equal(path.released, []quarantine.Signature{signature})
+		check.Equal(harmful.released, []quarantine.Signature{signature})
 		now += maxLateWriteDelay + 1
-		check.Equal(len(made.signaturesToCheck()), 0)
+		check.Equal(len(mesh.signaturesToCheck()), 0)
 	}
 }
 
-// A daemon has removed a request that was cleared; it is held again, and then the removal is
-// carried out: no operator has released it.
+// After a daemon has removed a request that was cleared, the request is held and written again, and
+// then the store executes the delayed removal. This must not be taken for a release by an operator.
 func TestLateRemovalIsNotTakenForRelease(t *testing.T) {
 	check := is.New(t)
 	now := time.Duration(0)
-	made, store, path, signature := newHeldRequestMesh(t, &now)
-	path.states[signature] = quarantine.Trusted
-	made.reconcileHeldRequests() // it is removed
+	mesh, store, harmful, signature := newHeldRequestMesh(t, &now)
+	harmful.states[signature] = quarantine.Trusted
+	mesh.reconcileHeldRequests() // removes the entry
 	check.Equal(len(store), 0)
-	path.states[signature] = quarantine.Held
+	harmful.states[signature] = quarantine.Held
 	store[signature] = true
-	made.recordStored(heldRequest(signature))
-	delete(store, signature) // late
+	mesh.recordStored(heldRequest(signature))
+	delete(store, signature) // by the delayed removal
 	now += heldCheckInterval
-	made.reconcileHeldRequests()
-	check.Equal(len(path.released), 0)
+	mesh.reconcileHeldRequests()
+	check.Equal(len(harmful.released), 0)
 	store[signature] = true // written by another daemon
-	made.recordStored(heldRequest(signature))
+	mesh.recordStored(heldRequest(signature))
 	now += maxLateWriteDelay + 1
 	delete(store, signature) // by an operator
-	made.reconcileHeldRequests()
-	check.Equal(path.released, []quarantine.Signature{signature})
+	mesh.reconcileHeldRequests()
+	check.Equal(harmful.released, []quarantine.Signature{signature})
 }
 
-// A request that is held again soon after an operator released it is not released while its
-// write is under way.
+// A request that is held again soon after an operator released it must not be released because its
+// write has not been executed yet.
 func TestRequestHeldAgainIsNotReleasedBeforeItIsWritten(t *testing.T) {
 	check := is.New(t)
 	now := time.Duration(0)
-	made, store, path, signature := newHeldRequestMesh(t, &now)
+	mesh, store, harmful, signature := newHeldRequestMesh(t, &now)
 	delete(store, signature) // by an operator
-	made.reconcileHeldRequests()
-	check.Equal(len(path.released), 1)
-	path.states[signature] = quarantine.Held // anew
-	made.reconcileHeldRequests()
-	check.Equal(len(path.released), 1)
+	mesh.reconcileHeldRequests()
+	check.Equal(len(harmful.released), 1)
+	harmful.states[signature] = quarantine.Held // again
+	mesh.reconcileHeldRequests()
+	check.Equal(len(harmful.released), 1)
 }
 
-// heldOf is a held request of a signature as it stands in the store.
+// heldRequest returns the store's entry of a held request.
 func heldRequest(signature quarantine.Signature) authority.HeldRequest {
 	return authority.HeldRequest{Record: quarantine.Record{Signature: signature}}
 }
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -10,58 +10,64 @@
 )
 
 const (
-	// graceParts divides the platform's grace: calls may run for all parts but
-	// the last, in which they are cut and connections closed.
+	// graceParts is the number of equal parts of the platform's grace period. Calls may run in
+	// all parts but the last, in which they are cancelled and connections are closed.
 	graceParts = 6
-	// cutMargin is how far into the last part calls may still run.
+	// drainMargin is how far into the last part calls may still run.
 	drainMargin = 100 * time.Millisecond
-	// lingerLimit is the longest time that callers are served after the daemon
-	// has called itself not ready: until whoever asks for that has asked twice.
+	// maxDrainLinger is the longest time for which callers are served after the daemon has
+	// reported itself not ready, which is enough for two readiness checks.
 	maxDrainLinger = 2500 * time.Millisecond
-	// announceAhead is how long before its gate closes a daemon that stops tells
-	// its peers to send it nothing more: longer than a relay may gather (batchPeriod)
-	// and a view may wait (publishPeriod), with as much for the way.
+	// stopAnnounceLead is how long before its gate closes a stopping daemon announces to its peers
+	// that it accepts no more calls: longer than a relay may delay a broadcast
+	// (minBroadcastInterval) and a peer its view (minPublishInterval), and as much again for
+	// transmission.
 	stopAnnounceLead = 700 * time.Millisecond
-	// keepIdle is how long an idle connection of a caller is kept. It is longer
-	// than what callers are told, so that they close first.
+	// callerIdleTimeout is how long an idle connection of a caller is kept. It is longer than the
+	// time announced to callers, so that they close first.
 	callerIdleTimeout = 2 * time.Minute
-	// gateIdle is how long a connection to another daemon's gate is kept.
+	// gateIdleTimeout is how long an idle connection to another daemon's gate is kept.
 	gateIdleTimeout = 30 * time.Second
-	// dialTimeout bounds connecting to a gate or back end. Either is a round
-	// trip away, and a silent one must leave time for another attempt.
+	// dialTimeout limits the time to connect to a gate or back end. This takes one round trip; if
+	// there is no response, time must be left for another attempt.
 	dialTimeout = 150 * time.Millisecond
-	// dialLimit bounds it where peers take longer to answer: behind uploads on a slow link.
+	// maxDialTimeout limits it instead while peers take longer to answer, as when uploads fill a
+	// slow link.
 	maxDialTimeout = 600 * time.Millisecond
-	// collectBytes holds a usual answer whole.
+	// collectBytes is the size up to which an answer is read completely before it is sent on. A
+	// typical answer fits.
 	collectBytes = 64 << 10
-	// replayBytes holds a usual upload whole.
+	// replayBytes is the number of bytes of a request's body that are kept for another attempt. A
+	// typical upload fits.
 	replayBytes = 512 << 10
-	// startWait is how long after its start a daemon lets calls wait that it can't send yet.
-	// With the store and peers at hand it knows where to send them within half a second;
-	// one that knows nothing after this has little hope to learn it in a call's time.
+	// maxStartWait is the time after its start during which a daemon lets calls wait that it can't
+	// send yet. If the store and peers are available, it has routes and endpoints within half a
+	// second. If it has none after maxStartWait, it is unlikely to get them before a call's
+	// deadline.
 	maxStartWait = 2 * time.Second
-	// queueWait bounds the expected wait at the gate; deadlines end it earlier.
+	// maxQueueWait limits the expected wait at the gate; a call's deadline may end it earlier.
 	maxQueueWait = 2 * time.Second
-	// cancelWait is how long past its deadline a back end may be at work on a call: it stops
-	// at the deadline that it is handed, later by what a busy machine takes to notice.
+	// cancelGrace is how long after its deadline a call may still run at a back end. The back end
+	// receives the deadline and stops at it, but a busy machine may notice it late.
 	cancelGrace = 500 * time.Millisecond
 )
 
-// stayNear keeps calls in their zone until waiting there costs about as long as
-// running: bytes between zones are paid for.
+// spilloverLimits keep calls in their zone until waiting there takes about as long as the call
+// itself, because traffic between zones is charged for.
 var spilloverLimits = endpoint.Spillover{Above: 1.5, Zone: 1, Region: 4}
 
-// drainBound is when calls that still run are cut, after the start of a stop.
+// drainTimeout returns the time after the start of a stop at which the calls still running are
+// cancelled.
 func drainTimeout(grace time.Duration) time.Duration {
 	return grace - grace/graceParts + drainMargin
 }
 
-// lingerOf is how long callers are served after the start of a stop.
+// drainLinger returns how long callers are served after the start of a stop.
 func drainLinger(grace time.Duration) time.Duration {
 	return min(maxDrainLinger, drainTimeout(grace)/2)
 }
 
-// pathLimits are the limits of the data path of a hosted daemon.
+// proxyLimits returns the limits of the data path of a hosted daemon.
 func proxyLimits(grace time.Duration) proxy.Limits {
 	limits := proxy.DefaultLimits()
 	limits.IdleTimeout = callerIdleTimeout
@@ -83,8 +89,8 @@
 	return limits
 }
 
-// controlLimits are the limits of the control protocol: a few small messages a
-// second from each peer, and a document now and then.
+// controlLimits returns the limits of the control protocol, which carries a few small messages per
+// second from each peer and occasionally a document.
 func controlLimits() control.Limits {
 	limits := control.DefaultLimits()
 	limits.DialTimeout = controlTimeout
@@ -92,13 +98,13 @@
 	return limits
 }
 
-// retryBudget is this daemon's part of the budget of all daemons: the slack is
-// divided among them, and its own calls of the present window allow the rest. So the
-// sum over all daemons stays within what is allowed for any number of daemons.
+// retryLimits returns this daemon's part of the retry budget of all daemons. The slack is divided
+// among them, and further retries are allowed in proportion to the daemon's own calls of the
+// current window. So the sum over all daemons stays within the budget for any number of daemons.
 func (d *Daemon) retryLimits(daemons int) retry.Limits {
-	bound := d.settings.Retries
-	return retry.LimitsForChain(bound.Ratio, bound.Slack, bound.CallDepth, daemons, bound.Window())
+	retries := d.settings.Retries
+	return retry.LimitsForChain(retries.Ratio, retries.Slack, retries.CallDepth, daemons, retries.Window())
 }
 
-// closeBound is how long the servers may take to end once nothing runs.
+// closeTimeout returns how long the servers may take to close once no call runs.
 func closeTimeout() time.Duration { return 500 * time.Millisecond }
--- a/internal/hosted/mesh.go
+++ b/internal/hosted/mesh.go
@@ -22,77 +22,82 @@
 )
 
 const (
-	// controlTimeout bounds one call to a peer.
+	// controlTimeout limits the time of one call to a peer.
 	controlTimeout = 500 * time.Millisecond
-	// exchangePeriod is the time between two comparisons with peers of the own
-	// zone, exchangeUrgent the same while the store does not answer.
+	// comparisonInterval is the mean time between two comparisons of records with peers of the own
+	// zone. urgentComparisonInterval is the same until the daemon has joined the mesh, and while
+	// the store does not answer.
 	comparisonInterval       = time.Second
 	urgentComparisonInterval = 300 * time.Millisecond
-	// farEvery is how many comparisons pass between two with other zones.
+	// otherZoneRounds is the number of rounds of comparisons of which one may include a peer of
+	// another zone.
 	otherZoneRounds = 2
-	// joinWait is how long a start waits to hear from a peer before the daemon
-	// calls itself ready without.
+	// maxJoinWait is how long a starting daemon waits for the records of a peer before it joins
+	// without them.
 	maxJoinWait = 1500 * time.Millisecond
-	// registryLag is how old the registry's list may be (seed_lag_s of the sites):
-	// who has registered lists again after that, so that daemons that started
-	// together find each other.
+	// registryLag is the maximum age of a list of the registry (seed_lag_s of the sites). A daemon
+	// that has registered lists again after this time, so that daemons that start together find
+	// each other.
 	registryLag = 3 * time.Second
-	// returnWait is how long a daemon that has left is still asked.
+	// leftPeerRetention is how long a daemon that has left is still kept as a peer.
 	leftPeerRetention = time.Minute
-	// isolatedAfter is when a daemon that no peer has answered lists the
-	// registry again.
+	// isolatedAfter is the time without contact to any peer after which a daemon lists the registry
+	// again.
 	isolatedAfter = 5 * time.Second
 )
 
-// mesh knows the other daemons and the back ends beside them. Records spread by
-// broadcasts when they change and by comparisons of sums ever after.
+// mesh holds the records of all daemons and their back ends, and exchanges them with peers: by
+// broadcasts when a record changes, and by periodic comparisons of checksums.
 type mesh struct {
 	events     eventLog
 	clock      func() time.Duration
 	registry   authority.Registry
 	storeCalls *storeCalls
 	contacts   *contactTimes
-	// reads makes calls to the store that are answered at once, connections those that wait.
+	// reads makes the calls to the store that are answered at once, connections the watches, which
+	// wait for a change.
 	reads       *hedgedReads
 	connections *connectionRenewer
 	eras        *eraTracker
 	client      *control.Client
-	// publish gives the data path what is known of the others.
+	// publishState passes the records of all daemons and the orders to the data path.
 	publishState func(proxy.MeshState)
 	harmful      harmfulRequests
-	// held keeps requests that are held, for a start at which nobody remembers them.
+	// heldStore reads and writes the held requests in the store, where they are kept for a start at
+	// which no peer has them.
 	heldStore authority.HeldRequests
-	// kept are the held requests that this daemon has written to the store or read there;
+	// storedHeld are the held requests that this daemon has written to the store or read there;
 	// guarded by mutex.
 	storedHeld map[quarantine.Signature]storedRequest
-	// settled are those that stand there no more by the daemon's or an operator's doing, while
-	// a late write may still change that; guarded by mutex.
+	// absentHeld are the requests that are no longer in the store, kept while a delayed call to the
+	// store may still write or remove them; guarded by mutex.
 	absentHeld map[quarantine.Signature]absentRequest
-	// rollouts are the orders that the daemon knows; guarded by mutex.
+	// rollouts are the known roll-out orders; guarded by mutex.
 	rollouts *rolloutTable
-	// evacuations are the zones to be empty; guarded by mutex. zoneChanged is told when
-	// that is news; it must not call back.
+	// evacuations are the orders to empty zones; guarded by mutex. onZoneChange is called with the
+	// lock held when they change; it must not call the mesh.
 	evacuations  evacuation.Table
 	onZoneChange func()
-	// evacuationTiming says how soon orders are in force; the zero value heeds none.
+	// evacuationTiming holds the time within which evacuation orders take effect; with the zero
+	// value they are ignored.
 	evacuationTiming evacuation.Timing
 	version          func() protocol.Version
-	// document is the configuration in force, packed for a peer that has an older
-	// version.
+	// documentFor returns the configuration in force, packed for a peer that has an older version.
 	documentFor        func(have protocol.Version) protocol.DocumentReply
 	onPeerVersion      func(protocol.NodeID, protocol.Version)
 	isStoreUnavailable func() bool
-	// counted is what the gate has counted of the back end's answers, and how many calls
-	// run or wait there; countAnswers has it begin or end.
+	// readEvidence returns the gate's counts of the back end's answers, and how many calls run or
+	// wait there. setCounting starts or ends the counting.
 	readEvidence func() (rollout.Evidence, int)
 	setCounting  func(bool)
-	// listOrders reads the orders of roll-outs once, and tells whether the store answered;
-	// nil where none are followed.
+	// listRolloutOrders reads the roll-out orders once, and reports whether the store answered; nil
+	// if roll-out orders are not followed.
 	listRolloutOrders func() bool
-	// poll reads the store once, and tells whether it answered.
+	// pollStore reads the configuration from the store once, and reports whether the store
+	// answered.
 	pollStore func() bool
-	// pollNow wakes the loop that polls. The others are guarded by mutex: until when this daemon
-	// polls for another one, whether its last poll failed, and when that was.
+	// pollRequested wakes pollLoop. The three fields after it are guarded by mutex: until when this
+	// daemon polls as a substitute, whether its last poll failed, and when that poll ended.
 	pollRequested    chan struct{}
 	substituteUntil  time.Duration
 	lastPollFailed   bool
@@ -102,42 +107,41 @@
 	running          sync.WaitGroup
 
 	hasJoined atomic.Bool
-	// registering is set while the registration is written again.
+	// registering is true while a registration that the store has lost is written again.
 	registering atomic.Bool
 	mutex       sync.Mutex
 	self        protocol.Member
 	roster      *membership.Roster
-	// registered are daemons that the registry names.
+	// registrations are the daemons on the latest list of the registry.
 	registrations []authority.Registration
-	// index holds the other daemons; see peers.
+	// directoryCache holds the directory of the other daemons; see peerDirectory.
 	directoryCache cachedDirectory
-	// batch gathers the records that this daemon broadcasts as the relay of its
-	// zone.
+	// batch collects the records that this daemon broadcasts as the relay of its zone.
 	batch *dissemination.Batch
-	// publishing is set while a publication waits for its time; publishedAt is
-	// when the last one was.
+	// publishing is true while a publication is scheduled; publishedAt is the time of the last one.
 	publishing  bool
 	publishedAt time.Duration
-	// lost are the peers that did not answer last time.
+	// lostPeers are the peers that did not answer the last call to them.
 	lostPeers map[protocol.NodeID]bool
-	// verifying are the daemons that are being asked whether they are there.
+	// verifying are the daemons whose reachability is being verified.
 	verifying map[protocol.NodeID]bool
-	// rememberLeaving takes a peer's memory that a start of the back end beside this daemon
-	// was leaving; it must not call back.
+	// restoreDraining restores from a peer's record that an instance of this daemon's back end was
+	// draining; it must not call the mesh.
 	restoreDraining func(protocol.BackendStart)
 	reachability    reachability
 	// roundTrips estimates how long peers take to answer.
 	roundTrips *roundtrip.Estimator
-	// heardAt is when a peer last answered.
+	// lastPeerContact is when a peer last answered or called.
 	lastPeerContact time.Duration
-	comparisonTurn  int
+	// comparisonTurn counts the comparisons with peers of the own zone, and selects the next peer.
+	comparisonTurn int
 }
 
-// reachability is what the data path is told of daemons that do not answer.
+// reachability is the part of the data path that acts on daemons that do not answer.
 type reachability interface {
-	// SetReachable keeps new calls from a daemon, or lets them go there again.
+	// SetReachable records whether a daemon answers its peers; new calls avoid one that does not.
 	SetReachable(protocol.NodeID, bool)
-	// GiveUp has the calls at a daemon hedged by attempts elsewhere.
+	// HedgeCalls makes further attempts elsewhere for the calls that run at a daemon.
 	HedgeCalls(protocol.NodeID)
 }
 
@@ -154,7 +158,8 @@
 	}
 }
 
-// joined tells whether the daemon has heard of its peers, or waited for them.
+// isJoined reports whether the daemon has the records of its peers, or has waited maxJoinWait for
+// them.
 func (m *mesh) isJoined() bool { return m.hasJoined.Load() }
 
 func (m *mesh) awaitJoin() {
@@ -166,9 +171,9 @@
 	m.markJoined()
 }
 
-// join lets the daemon call itself ready; the lock is held. What it has heard of its peers is
-// put in force before: a publication may wait for its time, and calls that come to a daemon
-// that says it is ready would find no back end meanwhile.
+// markJoined lets the daemon report itself ready; the lock is held. The records of its peers are
+// published first. A scheduled publication may still be pending, and calls to a daemon that
+// reports itself ready would find no back end until then.
 func (m *mesh) markJoined() {
 	if m.isJoined() {
 		return
@@ -177,7 +182,7 @@
 	m.hasJoined.Store(true)
 }
 
-// announce changes what the own record says of the back end, and tells peers.
+// announceBackend updates the back end's state in the own record and broadcasts the record.
 func (m *mesh) announceBackend(view backend.View) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -189,7 +194,7 @@
 	m.announceSelf()
 }
 
-// announceStop tells peers that this daemon takes no more work.
+// announceStop announces to peers that this daemon accepts no more calls.
 func (m *mesh) announceStop() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -197,7 +202,8 @@
 	m.announceSelf()
 }
 
-// pushSelf raises the own record and tells peers; the lock is held.
+// announceSelf increases the sequence number of the own record, publishes it to the data path and
+// broadcasts it; the lock is held.
 func (m *mesh) announceSelf() {
 	m.self.Sequence++
 	m.roster.Merge(m.clock(), m.self, membership.SourceSubtree)
@@ -205,7 +211,7 @@
 	m.broadcastOwnRecord()
 }
 
-// drawn returns up to count peers at random.
+// samplePeers returns up to count different peers, chosen at random.
 func samplePeers(peers []dissemination.Peer, count int) []dissemination.Peer {
 	shuffled := slices.Clone(peers)
 	for index := range min(count, len(shuffled)) {
@@ -215,7 +221,8 @@
 	return shuffled[:min(count, len(shuffled))]
 }
 
-// push tells peers of records without waiting for them; the lock is held.
+// push sends records to the targets that are not lost, without waiting for answers; the lock is
+// held.
 func (m *mesh) push(targets []dissemination.Peer, records ...protocol.Member) {
 	for _, target := range targets {
 		if !m.isLost(target.ID) {
@@ -224,17 +231,18 @@
 	}
 }
 
-// call sends one request to a peer; nil means that there was no answer.
+// callPeer sends one request to a peer and applies what the reply contains, except for its member
+// records; nil means that there was no valid answer.
 func (m *mesh) callPeer(target dissemination.Peer, request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	ctx, cancel := context.WithTimeout(m.context, controlTimeout)
 	defer cancel()
-	asked := m.clock()
+	sentAt := m.clock()
 	body, err := m.client.Call(ctx, target.Address, request)
 	if m.context.Err() != nil {
 		return nil
 	}
 	if err == nil {
-		m.roundTrips.Observe(m.clock() - asked)
+		m.roundTrips.Observe(m.clock() - sentAt)
 	}
 	reply, _ := body.(*protocol.ExchangeReply)
 	m.recordPeerAnswer(target, err == nil && reply != nil)
@@ -244,12 +252,12 @@
 	m.eras.observe(reply.Era, string(target.ID))
 	m.onPeerVersion(target.ID, reply.Version)
 	m.handlePeerRollouts(reply.Rollouts)
-	m.handleEvacuations(asked, string(target.ID), reply.Evacuations)
+	m.handleEvacuations(sentAt, string(target.ID), reply.Evacuations)
 	m.mergeHarmful(string(target.ID), reply.Harmful, len(request.Harmful) > 0)
 	return reply
 }
 
-// noteAnswer logs when a peer is lost and regained.
+// recordPeerAnswer records whether a peer answered, and logs when the peer is lost or regained.
 func (m *mesh) recordPeerAnswer(target dissemination.Peer, answered bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -272,53 +280,53 @@
 	}
 }
 
-// take merges records that a daemon of a zone has sent, and returns those that were news; the
-// lock is held.
+// mergeMembers merges records that a peer has sent, and returns those that were new; the lock is
+// held.
 func (m *mesh) mergeMembers(members []protocol.Member) []protocol.Member {
-	var news []protocol.Member
+	var newRecords []protocol.Member
 	for _, member := range members {
 		if member.ID == m.self.ID {
 			m.resumeDrain(member)
 			m.refute(member)
 			continue
 		}
-		remembered, known := m.roster.Get(member.ID)
+		previous, known := m.roster.Get(member.ID)
 		if !m.roster.Merge(m.clock(), member, membership.SourceSubtree) {
 			continue
 		}
-		news = append(news, member)
-		if known && isUnawareOfDrain(remembered, member) {
-			m.sendEarlierRecord(remembered, member)
+		newRecords = append(newRecords, member)
+		if known && isUnawareOfDrain(previous, member) {
+			m.sendEarlierRecord(previous, member)
 		}
 	}
-	if len(news) > 0 {
+	if len(newRecords) > 0 {
 		m.schedulePublish()
-		m.logChanges(news)
+		m.logChanges(newRecords)
 	}
-	return news
+	return newRecords
 }
 
-// logNews writes a line for each endpoint whose state is news.
-func (m *mesh) logChanges(news []protocol.Member) {
-	for _, member := range news {
+// logChanges writes a log line for each new record.
+func (m *mesh) logChanges(newRecords []protocol.Member) {
+	for _, member := range newRecords {
 		m.events.event("endpoint_news", field("peer", string(member.ID)), field("instance", member.Backend), bornField(member.Born),
 			field("state", member.Endpoint.String()), field("member", member.State.String()))
 	}
 }
 
-// lostCount is how many peers did not answer when they were last asked.
+// lostPeerCount returns the number of peers that did not answer the last call to them.
 func (m *mesh) lostPeerCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return len(m.lostPeers)
 }
 
-// size is how many daemons are known, this one included.
+// daemonCount returns the number of known daemons, including this one.
 func (m *mesh) daemonCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return len(m.peerDirectory().All()) + 1
 }
 
-// stop waits until nothing runs any more; the context must have ended.
+// awaitStopped waits until all goroutines of the mesh have ended; the context must have ended.
 func (m *mesh) awaitStopped() { m.running.Wait() }
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -11,7 +11,7 @@
 	"github.com/springstack/springstack/internal/metrics"
 )
 
-// metricsHandler serves the daemon's counters.
+// metricsHandler returns the handler that serves the daemon's metrics.
 func (d *Daemon) metricsHandler() http.Handler {
 	registry := metrics.NewRegistry(collector{daemon: d}, d.timings.Collectors()...)
 	mux := http.NewServeMux()
@@ -19,14 +19,14 @@
 	return mux
 }
 
-// collector reads the counters of a hosted daemon when it is scraped.
+// collector reads the metrics of a hosted daemon at each scrape.
 type collector struct{ daemon *Daemon }
 
-// Describe sends nothing: the collector is unchecked, because codes appear as
-// they are met.
+// Describe sends nothing, which makes the collector unchecked: label values such as codes are not
+// known in advance.
 func (collector) Describe(chan<- *prometheus.Desc) {}
 
-// Collect sends the present values.
+// Collect sends the current values.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	ready := 0.0
 	if c.daemon.Ready() {
@@ -36,7 +36,7 @@
 	metrics.Version.Send(out, float64(c.daemon.configuration.version()))
 	metrics.VersionAge.Send(out, c.daemon.configuration.versionAge().Seconds())
 	for source, name := range contactSourceNames {
-		if age, ever := c.daemon.contacts.age(contactSource(source)); ever {
+		if age, contacted := c.daemon.contacts.age(contactSource(source)); contacted {
 			metrics.HeardAge.Send(out, age.Seconds(), name)
 		}
 	}
@@ -55,7 +55,7 @@
 	daemon.CollectPath(out, c.daemon.dataPath.Counters())
 }
 
-// collect sends what the daemon knows of orders to empty zones; nothing where it follows none.
+// collect sends the metrics of evacuation orders; none if the daemon does not follow such orders.
 func (r *evacuationReader) collect(out chan<- prometheus.Metric) {
 	if r.timing.Within == 0 {
 		return
--- a/internal/hosted/ordereras_test.go
+++ b/internal/hosted/ordereras_test.go
@@ -13,48 +13,50 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// deafOrders is a store of orders whose watches tell nothing until they are given up.
+// silentRolloutStore is a store of roll-out orders whose watches return nothing until they are
+// cancelled.
 type silentRolloutStore struct {
 	orderStore
-	// watching takes the position of each watch.
+	// watchedFrom receives the position of each watch.
 	watchedFrom chan authority.Position
 }
 
-func (d *silentRolloutStore) blockWatch(ctx context.Context, from authority.Position) error {
-	d.watchedFrom <- from
+func (s *silentRolloutStore) blockWatch(ctx context.Context, from authority.Position) error {
+	s.watchedFrom <- from
 	<-ctx.Done()
 	return result.New(result.PlatformUnknown, "given up")
 }
 
-func (d *silentRolloutStore) Watch(ctx context.Context, from authority.Position, _ time.Duration) ([]authority.RolloutOrder, authority.Position, error) {
-	return nil, authority.Position{}, d.blockWatch(ctx, from)
+func (s *silentRolloutStore) Watch(ctx context.Context, from authority.Position, _ time.Duration) ([]authority.RolloutOrder, authority.Position, error) {
+	return nil, authority.Position{}, s.blockWatch(ctx, from)
 }
 
-// deafZones is the same for orders to empty zones.
+// silentEvacuationStore is the same for evacuation orders.
 type silentEvacuationStore struct{ silentRolloutStore }
 
-func (d *silentEvacuationStore) List(context.Context) (evacuation.Orders, map[string]error, error) {
+func (s *silentEvacuationStore) List(context.Context) (evacuation.Orders, map[string]error, error) {
 	return evacuation.Orders{}, nil, nil
 }
 
-func (d *silentEvacuationStore) Watch(ctx context.Context, from authority.Position, _ time.Duration) (bool, authority.Position, error) {
-	return false, authority.Position{}, d.blockWatch(ctx, from)
+func (s *silentEvacuationStore) Watch(ctx context.Context, from authority.Position, _ time.Duration) (bool, authority.Position, error) {
+	return false, authority.Position{}, s.blockWatch(ctx, from)
 }
 
-// eraMesh is a mesh whose watches are made again when the store's era rises.
+// newEraMesh returns a mesh whose watches are restarted when the store's era rises.
 func newEraMesh(t *testing.T) *mesh {
-	made := newTestMesh("z")
-	made.context = t.Context()
-	made.storeCalls = &storeCalls{}
-	made.connections = &connectionRenewer{clock: made.clock, context: t.Context(), running: &sync.WaitGroup{}, eras: made.eras}
-	made.connections.start()
-	made.eras.onRise = []func(uint64){func(uint64) { made.connections.restartWatches() }}
-	made.eras.observe(1, "store")
-	return made
+	mesh := newTestMesh("z")
+	mesh.context = t.Context()
+	mesh.storeCalls = &storeCalls{}
+	mesh.connections = &connectionRenewer{clock: mesh.clock, context: t.Context(), running: &sync.WaitGroup{}, eras: mesh.eras}
+	mesh.connections.start()
+	mesh.eras.onRise = []func(uint64){func(uint64) { mesh.connections.restartWatches() }}
+	mesh.eras.observe(1, "store")
+	return mesh
 }
 
-// A watch of orders that waits while the store comes back from an older copy is not made again from a
-// revision of before, which would be told nothing: the orders are listed anew.
+// A watch of orders may be waiting while the store returns to an older copy. It must not be restarted
+// from a revision of the old era, from which it would receive no changes; the orders must be listed
+// again.
 func TestOrderWatchesEndWhenEraRises(t *testing.T) {
 	from := authority.Position{Era: 1, Revision: 900}
 	rollouts := &silentRolloutStore{watchedFrom: make(chan authority.Position, 9)}
@@ -73,14 +75,14 @@
 				_, err := watch(mesh)
 				ended <- err
 			}()
-			watching := map[string]chan authority.Position{"rollouts": rollouts.watchedFrom, "evacuations": zones.watchedFrom}[name]
-			check.Equal(<-watching, from)
+			watchedFrom := map[string]chan authority.Position{"rollouts": rollouts.watchedFrom, "evacuations": zones.watchedFrom}[name]
+			check.Equal(<-watchedFrom, from)
 			mesh.eras.observe(2, "peer")
 			select {
 			case err := <-ended:
 				check.Equal(codeOf(err), result.PlatformCompacted)
-			case again := <-watching:
-				t.Fatalf("watched again from %s", again)
+			case restartedFrom := <-watchedFrom:
+				t.Fatalf("watched again from %s", restartedFrom)
 			}
 		})
 	}
--- a/internal/hosted/orderfollower.go
+++ b/internal/hosted/orderfollower.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// followerPause is the time between two looks whether this daemon follows orders.
+	// followerCheckInterval is the time between two checks whether this daemon is selected to
+	// follow orders.
 	followerCheckInterval = time.Second
-	// orderWatchWait is how long the store may hold a watch of orders without news: its
-	// longest, for each watch is a call.
+	// orderWatchWait is how long the store may keep a watch of orders open without a change. It is
+	// the longest that the store allows, to save calls.
 	orderWatchWait = 30 * time.Second
-	// orderRelist is the time between two lists while the store knows no orders at all.
+	// orderRelistInterval is the time between two lists while the store has no orders.
 	orderRelistInterval = 2 * time.Second
-	// followerStart is how long after its start a daemon that knows of no order may first
-	// follow them: until it knows the others, for each that knows nobody ranks first.
+	// followerStartDelay is how long after its start a daemon that knows no order waits before it
+	// may follow orders. By then it knows the other daemons; until then it ranks itself too high.
 	followerStartDelay = 5 * time.Second
 )
 
-// orderFollower lists and watches one kind of the operator's orders while this daemon is
-// one of the first by rank.
+// orderFollower lists and watches one kind of the operator's orders while this daemon is one of the
+// first followerCount daemons by rank.
 type orderFollower struct {
 	mesh *mesh
-	// purpose names the ranking: another one for each kind, so that the work is divided.
+	// purpose names the ranking. Each kind of orders has its own, so that the work is divided.
 	purpose string
-	// count is how many daemons follow.
+	// followerCount is the number of daemons that follow these orders.
 	followerCount int
-	// list reads all orders and puts them in force. It returns the position after them, the
-	// start where the store knows none.
+	// list reads all orders and puts them in force. It returns the position after them, or the
+	// start of the era if the store has none.
 	list func() (authority.Position, error)
 	// watch waits for changes after a position and puts them in force.
 	watch func(from authority.Position) (authority.Position, error)
-	// known tells whether the daemon has an order to follow.
+	// hasOrders reports whether the daemon knows an order.
 	hasOrders func() bool
 }
 
-// rank is the daemon's place among all that may follow; 0 is the first.
+// rank returns the daemon's rank for these orders; 0 is the first.
 func (f *orderFollower) rank() int {
 	m := f.mesh
 	m.mutex.Lock()
@@ -46,22 +47,23 @@
 	return m.rankFor(f.purpose)
 }
 
-// rankFor is the daemon's place among all that answer, for a purpose; the lock is held.
+// rankFor returns the daemon's rank for a purpose: the number of peers with a higher score that may
+// relay and are not lost; the lock is held.
 func (m *mesh) rankFor(purpose string) int {
-	own := membership.Score(purpose, m.self.ID)
+	ownScore := membership.Score(purpose, m.self.ID)
 	rank := 0
 	for _, peer := range m.peerDirectory().All() {
-		if peer.Relays && !m.isLost(peer.ID) && membership.Score(purpose, peer.ID) > own {
+		if peer.Relays && !m.isLost(peer.ID) && membership.Score(purpose, peer.ID) > ownScore {
 			rank++
 		}
 	}
 	return rank
 }
 
-// follows tells whether this daemon is one of those that follow.
+// isSelected reports whether this daemon is one of those that follow the orders.
 func (f *orderFollower) isSelected() bool { return f.rank() < f.followerCount }
 
-// follow lists and watches until the daemon ends.
+// run lists and watches the orders whenever this daemon is selected, until the daemon ends.
 func (f *orderFollower) run() {
 	failures := 0
 	f.awaitPeers()
@@ -69,15 +71,15 @@
 		if !f.isSelected() {
 			continue
 		}
-		at, err := f.list()
-		for err == nil && !at.IsEraStart() && f.isSelected() {
-			at, err = f.watch(at)
+		position, err := f.list()
+		for err == nil && !position.IsEraStart() && f.isSelected() {
+			position, err = f.watch(position)
 		}
 		switch {
 		case err != nil:
 			failures++
 			pause.For(f.mesh.context, registryBackoff.Delay(failures, randomNumber()))
-		case at.IsEraStart(): // the store knows no orders at all, so there is nothing to watch
+		case position.IsEraStart(): // the store has no orders, so there is nothing to watch
 			pause.For(f.mesh.context, orderRelistInterval)
 		default:
 			failures = 0
@@ -85,9 +87,9 @@
 	}
 }
 
-// awaitPeers waits until the daemon may know the others, or has an order to follow.
+// awaitPeers waits for followerStartDelay, or until the daemon knows an order.
 func (f *orderFollower) awaitPeers() {
-	for began := f.mesh.clock(); f.mesh.clock()-began < followerStartDelay; {
+	for startedAt := f.mesh.clock(); f.mesh.clock()-startedAt < followerStartDelay; {
 		if f.hasOrders() || !pause.For(f.mesh.context, followerCheckInterval) {
 			return
 		}
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -9,7 +9,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// HandlePeer implements control.Handler: it answers other daemons.
+// HandlePeer implements control.Handler. It answers requests of other daemons.
 func (m *mesh) HandlePeer(_ context.Context, _ control.Peer, body any) (any, error) {
 	switch request := body.(type) {
 	case *protocol.ExchangeRequest:
@@ -29,7 +29,7 @@
 	return nil, result.New(result.UnknownFormat, "%T is not answered by a hosted daemon", body)
 }
 
-// answerExchange merges what a peer has sent and tells it what it lacks.
+// handleExchangeRequest merges what a peer has sent and returns what the peer lacks.
 func (m *mesh) handleExchangeRequest(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	m.eras.observe(request.Era, string(request.From))
 	if request.Unregistered {
@@ -50,9 +50,8 @@
 	return reply
 }
 
-// exchangeReply tells a peer what it lacks. It is made before the peer's own
-// records are merged, so that one that has restarted is told what its earlier
-// start had announced.
+// buildExchangeReply returns what a peer lacks. It must be called before the peer's own records are
+// merged, so that a restarted peer receives the record that its earlier run announced.
 func (m *mesh) buildExchangeReply(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -73,8 +72,8 @@
 	return reply
 }
 
-// askDocument asks a peer for a document newer than a version; one without a
-// version means that there is none.
+// fetchDocument requests a document newer than a version from a peer. The returned document has no
+// version if there is none, or if the peer did not answer.
 func (m *mesh) fetchDocument(ctx context.Context, id protocol.NodeID, have protocol.Version) authority.Document {
 	m.mutex.Lock()
 	target, found := m.peerDirectory().Find(id)
@@ -82,12 +81,12 @@
 	if !found {
 		return authority.Document{}
 	}
-	bounded, cancel := context.WithTimeout(ctx, documentTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, documentTimeout)
 	defer cancel()
 	request := &protocol.DocumentRequest{Format: protocol.Format, From: m.self.ID, Have: have}
-	body, err := m.client.Call(bounded, target.Address, request)
-	reply, typed := body.(*protocol.DocumentReply)
-	if err != nil || !typed || reply.Version == 0 {
+	body, err := m.client.Call(callCtx, target.Address, request)
+	reply, isReply := body.(*protocol.DocumentReply)
+	if err != nil || !isReply || reply.Version == 0 {
 		return authority.Document{}
 	}
 	document, err := unpackDocument(*reply, m.maxDocumentBytes)
@@ -98,5 +97,5 @@
 	return document
 }
 
-// documentTimeout bounds the call for a document.
+// documentTimeout limits the time of a request for a document.
 const documentTimeout = 2 * controlTimeout
--- a/internal/hosted/poll.go
+++ b/internal/hosted/poll.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// pollersWanted is how many daemons read the store besides their watches, by
-	// equal parts of the zones but at least one of each. A watch may lag or be silent
-	// about a change, and all watches of a mesh at the same time.
+	// targetPollers is the number of daemons that read the configuration from the store in addition
+	// to their watches. It is divided equally among the zones, but each zone has at least one
+	// poller. A watch may lag or miss a change, and all watches of a mesh may do so at once.
 	targetPollers = 4
-	// pollPeriod is the time between two such reads of one daemon where there are
-	// pollersWanted of them. Where more zones ask for more of them, each reads less
-	// often, so that the mesh makes five such reads a second.
+	// pollInterval is the mean time between two polls of one daemon if there are targetPollers of
+	// them. If more zones require more pollers, each polls less often, so that the mesh makes five
+	// polls per second.
 	pollInterval = 800 * time.Millisecond
 )
 
-// pollForever reads the store now and then while this daemon is one of the
-// pollers of its zone, and less often while the store fails.
+// pollLoop polls the store while this daemon is a poller of its zone or a substitute, and less often
+// while the store fails.
 func (m *mesh) pollLoop() {
 	wait := pollInterval
 	for m.awaitPoll(wait*3/4 + time.Duration(randomNumber()%uint64(wait/2))) {
@@ -36,30 +36,32 @@
 	}
 }
 
-// pollRole says why a daemon polls, if it does.
+// pollRole is the reason why a daemon polls the store.
 type pollRole int
 
-// The roles.
+// The poll roles.
 const (
 	notPolling pollRole = iota
-	// polling is that of the pollers of a zone.
+	// polling is the role of a zone's pollers.
 	polling
-	// substituting is that of a daemon that polls for one of them.
+	// substituting is the role of a daemon that polls at the request of a poller.
 	substituting
 )
 
 const (
-	// substituteAfter is how long a poll may go without an answer before another daemon is asked
-	// to poll. It leaves a second try over a new connection its time.
+	// substituteDelay is how long a poll may remain unanswered before another daemon is requested
+	// to poll. It leaves time for a second attempt over a new connection.
 	substituteDelay = 2 * minSilence
-	// substituteFor is how long a daemon that was asked to goes on polling: until a poller that
-	// still fails has asked again.
+	// substituteDuration is how long a substitute polls after a request. A poller that still fails
+	// requests it again within this time.
 	substituteDuration = 4 * time.Second
-	// substituteTries is how many daemons a poller asks in turn.
+	// maxSubstituteTries is the maximum number of daemons that a poller requests to poll, one after
+	// the other.
 	maxSubstituteTries = 3
 )
 
-// awaitPoll waits for a time, or until a poller asks for a poll; false means that the daemon ends.
+// awaitPoll waits for a time, or until another daemon requests a poll; false means that this daemon
+// ends.
 func (m *mesh) awaitPoll(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -71,34 +73,35 @@
 	return m.context.Err() == nil
 }
 
-// pollAs reads the store, and tells whether it answered. Where it does not answer a poller soon, it
-// may answer others of the zone: one of them is asked to poll.
+// pollInRole polls the store in a role, and reports whether the store answered. If it does not
+// answer a poller within substituteDelay, another daemon of the zone is requested to poll, because
+// the store may answer that one.
 func (m *mesh) pollInRole(role pollRole) bool {
-	answered := make(chan bool, 1)
+	result := make(chan bool, 1)
 	m.running.Go(func() {
-		fine := m.pollStore()
-		m.recordPoll(fine)
-		answered <- fine
+		answered := m.pollStore()
+		m.recordPoll(answered)
+		result <- answered
 	})
 	if role == substituting {
-		return <-answered
+		return <-result
 	}
-	bound := time.NewTimer(substituteDelay)
-	defer bound.Stop()
+	substituteTimer := time.NewTimer(substituteDelay)
+	defer substituteTimer.Stop()
 	select {
-	case fine := <-answered:
-		if !fine {
+	case answered := <-result:
+		if !answered {
 			m.requestSubstitutePoll()
 		}
-		return fine
-	case <-bound.C:
+		return answered
+	case <-substituteTimer.C:
 	}
 	m.requestSubstitutePoll()
-	return <-answered
+	return <-result
 }
 
-// askForPoll asks the daemons of the zone that come after this one by id, one after the other, until
-// one can poll.
+// requestSubstitutePoll requests the substitute candidates to poll, one after the other, until one
+// does.
 func (m *mesh) requestSubstitutePoll() {
 	for _, candidate := range m.substituteCandidates() {
 		m.mutex.Lock()
@@ -111,20 +114,21 @@
 	}
 }
 
-// substitutes are the next daemons of the zone by id that answer.
+// substituteCandidates returns the next daemons of the zone after this one, in the cyclic order of
+// their ids, without lost ones.
 func (m *mesh) substituteCandidates() []dissemination.Peer {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	near := lo.Reject(m.peerDirectory().PeersInOwnZone(), func(one dissemination.Peer, _ int) bool { return m.isLost(one.ID) })
-	slices.SortFunc(near, func(a, b dissemination.Peer) int { return cmp.Compare(a.ID, b.ID) })
-	next, _ := slices.BinarySearchFunc(near, m.self.ID, func(one dissemination.Peer, own protocol.NodeID) int {
-		return cmp.Compare(one.ID, own)
+	zonePeers := lo.Reject(m.peerDirectory().PeersInOwnZone(), func(peer dissemination.Peer, _ int) bool { return m.isLost(peer.ID) })
+	slices.SortFunc(zonePeers, func(a, b dissemination.Peer) int { return cmp.Compare(a.ID, b.ID) })
+	next, _ := slices.BinarySearchFunc(zonePeers, m.self.ID, func(peer dissemination.Peer, ownID protocol.NodeID) int {
+		return cmp.Compare(peer.ID, ownID)
 	})
-	ring := slices.Concat(near[next:], near[:next])
-	return ring[:min(maxSubstituteTries, len(ring))]
+	cyclic := slices.Concat(zonePeers[next:], zonePeers[:next])
+	return cyclic[:min(maxSubstituteTries, len(cyclic))]
 }
 
-// notePoll keeps whether a poll was answered.
+// recordPoll records whether a poll was answered.
 func (m *mesh) recordPoll(answered bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -132,42 +136,42 @@
 	m.lastPollAt = m.clock()
 }
 
-// pollFor has this daemon poll for a poller, and tells whether it does: not while the store does not
-// answer it either.
+// acceptPollRequest makes this daemon poll as a substitute, and reports whether it does. It does not
+// while the store fails to answer this daemon too.
 func (m *mesh) acceptPollRequest() bool {
-	storeFails := m.isStoreUnavailable()
+	storeUnavailable := m.isStoreUnavailable()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if storeFails || m.lastPollFailed && m.clock()-m.lastPollAt < substituteDuration {
+	if storeUnavailable || m.lastPollFailed && m.clock()-m.lastPollAt < substituteDuration {
 		return false
 	}
 	m.substituteUntil = m.clock() + substituteDuration
 	select {
 	case m.pollRequested <- struct{}{}:
-	default: // it is about to
+	default: // pollLoop is about to wake
 	}
 	return true
 }
 
-// pollRole tells whether this daemon is one of the pollers of its zone, the first
-// by id among those that answer, or polls for one, and how often it then reads the store.
+// currentPollRole returns the role of this daemon and the interval at which it then polls. The
+// pollers of a zone are the first by id of its daemons that are not lost.
 func (m *mesh) currentPollRole() (pollRole, time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	directory := m.peerDirectory()
-	before := 0
-	for _, one := range directory.PeersInOwnZone() {
-		if one.ID < m.self.ID && !m.isLost(one.ID) {
-			before++
+	lowerIDs := 0
+	for _, peer := range directory.PeersInOwnZone() {
+		if peer.ID < m.self.ID && !m.isLost(peer.ID) {
+			lowerIDs++
 		}
 	}
 	zones := len(directory.Zones())
 	if len(directory.PeersInOwnZone()) == 0 {
-		zones++ // the own one
+		zones++ // the own zone, which has no other daemon
 	}
 	period := pollInterval * time.Duration(max(zones, targetPollers)) / targetPollers
 	switch {
-	case before < max(1, targetPollers/zones):
+	case lowerIDs < max(1, targetPollers/zones):
 		return polling, period
 	case m.clock() < m.substituteUntil:
 		return substituting, period
@@ -175,15 +179,15 @@
 	return notPolling, period
 }
 
-// announceTargets is how many daemons of the own zone are told of a version that
-// watches may have missed. Each that takes it tells as many in turn, so that of a
-// large zone all but one in 150 hear of it; comparisons reach those.
+// announceTargetCount is the number of daemons of the own zone that are notified of a version that
+// watches may have missed. Each that adopts it notifies as many, so that in a large zone all but one
+// in 150 are notified; comparisons reach the rest.
 const announceTargetCount = 5
 
-// announceVersion tells some peers of the own zone and, as often as each zone has
-// about one such daemon, one of each other zone, which version is in force here.
-// polled says that this daemon has read it from the store itself. It does not
-// wait for them.
+// announceVersion notifies some peers of the own zone of the version in force here. It also notifies
+// one peer of each other zone if polled is set, which means that this daemon read the version from
+// the store itself, and otherwise with a probability at which about one daemon of the zone does so.
+// It does not wait for answers.
 func (m *mesh) announceVersion(polled bool) {
 	m.running.Add(1)
 	go func() {
@@ -191,9 +195,9 @@
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
 		directory := m.peerDirectory()
-		near := directory.PeersInOwnZone()
-		targets := samplePeers(near, announceTargetCount)
-		if polled || randomNumber()%uint64(len(near)+1) == 0 {
+		zonePeers := directory.PeersInOwnZone()
+		targets := samplePeers(zonePeers, announceTargetCount)
+		if polled || randomNumber()%uint64(len(zonePeers)+1) == 0 {
 			for _, zone := range directory.Zones() {
 				if zone != m.self.Zone {
 					targets = append(targets, samplePeers(directory.PeersInZone(zone), 1)...)
--- a/internal/hosted/poll_test.go
+++ b/internal/hosted/poll_test.go
@@ -11,46 +11,47 @@
 	"github.com/springstack/springstack/internal/core/protocol"
 )
 
-// pollingMesh is a mesh that may be asked to poll.
+// newPollingMesh returns a mesh of a daemon that may be requested to poll.
 func newPollingMesh(now *time.Duration, others ...protocol.Member) *mesh {
-	made := newTestMesh("z1", others...)
-	made.clock = func() time.Duration { return *now }
-	made.isStoreUnavailable = func() bool { return false }
-	made.pollRequested = make(chan struct{}, 1)
-	return made
+	mesh := newTestMesh("z1", others...)
+	mesh.clock = func() time.Duration { return *now }
+	mesh.isStoreUnavailable = func() bool { return false }
+	mesh.pollRequested = make(chan struct{}, 1)
+	return mesh
 }
 
-// A daemon polls for a poller that the store refuses, for a while, and says so where it can't.
+// A daemon accepts a request to poll as a substitute for substituteDuration, and refuses it while
+// the store does not answer this daemon either.
 func TestDaemonPollsForOneWhoseStoreReadsFail(t *testing.T) {
 	check := is.New(t)
 	now := time.Minute
-	held := newPollingMesh(&now, aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
+	mesh := newPollingMesh(&now, aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
 	role := func() pollRole {
-		found, _ := held.currentPollRole()
-		return found
+		current, _ := mesh.currentPollRole()
+		return current
 	}
 	check.Equal(role(), notPolling)
-	check.True(held.acceptPollRequest())
-	check.Equal(len(held.pollRequested), 1)
+	check.True(mesh.acceptPollRequest())
+	check.Equal(len(mesh.pollRequested), 1)
 	check.Equal(role(), substituting)
 	now += substituteDuration
 	check.Equal(role(), notPolling)
-	held.recordPoll(false)
-	check.True(!held.acceptPollRequest()) // the store has just refused this one too
+	mesh.recordPoll(false)
+	check.True(!mesh.acceptPollRequest()) // this daemon's last poll has just failed
 	now += substituteDuration
-	check.True(held.acceptPollRequest())
-	held.isStoreUnavailable = func() bool { return true }
-	check.True(!held.acceptPollRequest())
+	check.True(mesh.acceptPollRequest())
+	mesh.isStoreUnavailable = func() bool { return true }
+	check.True(!mesh.acceptPollRequest())
 }
 
 func TestSubstitutesAreNextDaemonsOfZone(t *testing.T) {
 	check := is.New(t)
 	now := time.Minute
-	held := newPollingMesh(&now, aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z2"), aliveMember("x", "z1"), aliveMember("y", "z1"))
-	names := func() []protocol.NodeID {
-		return lo.Map(held.substituteCandidates(), func(one dissemination.Peer, _ int) protocol.NodeID { return one.ID })
+	mesh := newPollingMesh(&now, aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z2"), aliveMember("x", "z1"), aliveMember("y", "z1"))
+	ids := func() []protocol.NodeID {
+		return lo.Map(mesh.substituteCandidates(), func(peer dissemination.Peer, _ int) protocol.NodeID { return peer.ID })
 	}
-	check.Equal(names(), []protocol.NodeID{"x", "y", "a"}) // it is m itself
-	held.lostPeers["y"] = true
-	check.Equal(names(), []protocol.NodeID{"x", "a", "b"})
+	check.Equal(ids(), []protocol.NodeID{"x", "y", "a"}) // the id of the mesh's own daemon is m
+	mesh.lostPeers["y"] = true
+	check.Equal(ids(), []protocol.NodeID{"x", "a", "b"})
 }
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -13,61 +13,64 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Platform is what an adapter to a platform gives a hosted daemon.
+// Platform contains the ports by which an adapter connects a hosted daemon to its platform.
 type Platform struct {
 	Source   authority.Source
 	Registry authority.Registry
 	Rollouts authority.Rollouts
 	Held     authority.HeldRequests
-	// Evacuations reads orders to empty zones; nil for none.
+	// Evacuations reads orders to empty zones; nil if there are none.
 	Evacuations authority.Evacuations
-	// Edge is how callers and back ends speak.
+	// Edge describes the headers and conventions of callers and back ends.
 	Edge proxy.Edge
-	// Ready makes the handler that tells whether callers may be sent here.
+	// Ready returns the handler of readiness checks, which reports whether the daemon accepts
+	// callers.
 	Ready func(ready func() bool) http.Handler
-	// Reports makes the handler that takes the heartbeats of the back end.
+	// Reports returns the handler that receives the heartbeats of the back end.
 	Reports func(ReportHandler) http.Handler
-	// Probe makes the request that asks a back end for its health at a path.
+	// Probe queries the health of a back end.
 	Probe Prober
-	// OnFault has somebody told of entries of the store that are left out; nil for nobody.
+	// OnFault sets the function that is called for entries of the store that are ignored; nil if
+	// the adapter reports none.
 	OnFault func(FaultHandler)
-	// OnEra has somebody told of the era of each answer of the store; nil for nobody.
+	// OnEra sets the function that is called with the era of each answer of the store; nil if the
+	// adapter reports none.
 	OnEra func(EraHandler)
-	// Renew has calls to the store from now on made over new connections; those under way are left
-	// alone. Nil where connections can't be told apart.
+	// Renew makes later calls to the store use new connections; running calls continue. Nil if the
+	// adapter can't do so.
 	Renew func()
-	// Close gives up the adapter's connections; nil for none.
+	// Close closes the adapter's connections; nil if there are none.
 	Close func()
 }
 
-// TellFault tells of an entry of the store, by its kind and name, that is left out because
-// another writer has made it or spoilt it.
+// FaultHandler is called with the kind and name of an entry of the store that is ignored because
+// another writer created it or made it invalid.
 type FaultHandler func(kind, name string, fault error)
 
-// TellEra tells of the era of an answer of the store: how often it has come back from an older
-// copy. It is 0 where the answer does not tell it in a way that can be read, and fault says why.
+// EraHandler is called with the era of an answer of the store: how often the store has returned to
+// an older copy. era is 0 if the answer contains no readable era; fault is then the reason.
 type EraHandler func(era uint64, fault error)
 
-// Reports takes what the back end beside the daemon says. When a method
-// returns, what was said is in force at this daemon's gate.
+// ReportHandler receives the reports of the daemon's back end. When a method returns, this daemon's
+// gate acts on the report.
 type ReportHandler interface {
 	Heartbeat(report backend.Report)
-	// Leave takes the word of a start that it gets no more work; Born is 0 where it does not
-	// tell when it started.
+	// Leave handles the report of an instance that it accepts no more work; Born is 0 if the
+	// report contains no start time.
 	Leave(start protocol.BackendStart)
-	// Refused is told of a report that was not taken, by the name that its sender gave.
+	// RecordRefusal records that a report was refused, with the instance name in the report.
 	RecordRefusal(instance string, failure *result.Error)
 }
 
-// Prober asks the back end at an address itself. It answers with the instance
-// that runs there, and whether that takes work.
-type Prober func(address, path string, within time.Duration) backend.ProbeResult
+// Prober sends a health probe to the back end at an address. The result contains the instance that
+// runs there, and whether it accepts work.
+type Prober func(address, path string, timeout time.Duration) backend.ProbeResult
 
-// Options are what a hosted daemon is given beside its settings.
+// Options configure a hosted daemon in addition to its settings.
 type Options struct {
 	Logger log.Interface
-	// LinesDropped is how many lines the logger's output has dropped; nil for
-	// none.
+	// LinesDropped returns the number of lines that the logger's output has dropped; nil if it
+	// drops none.
 	LinesDropped func() uint64
 	Platform     Platform
 }
--- a/internal/hosted/probing.go
+++ b/internal/hosted/probing.go
@@ -8,19 +8,17 @@
 )
 
 const (
-	// probeTimeout bounds one probe of the back end.
+	// probeTimeout limits the time of one probe of the back end.
 	probeTimeout = time.Second
-	// probePause is the time between probes of an instance that has not
-	// answered.
+	// probeRetryInterval is the time between a probe that left a question open and the next one.
 	probeRetryInterval = 300 * time.Millisecond
-	// probeReadyPause is the time between looks whether the back end may be probed yet.
+	// probeReadyInterval is the time between checks whether the back end may be probed yet.
 	probeReadyInterval = 50 * time.Millisecond
-	// probeLimit bounds the probes for one report.
+	// maxProbesPerReport is the maximum number of probes for one report.
 	maxProbesPerReport = 5
 )
 
-// probeSoon asks the back end itself, unless that is being done; the lock is
-// held.
+// startProbing starts probes of the back end, unless they are already running; the lock is held.
 func (b *backendMonitor) startProbing() {
 	if b.probing {
 		return
@@ -33,8 +31,8 @@
 	}()
 }
 
-// probe asks until every report is confirmed and the warm-up is known, a few times at most.
-// What is left open by then is asked again with the next report.
+// runProbes sends probes until every report is confirmed and the warm-up is known, at most
+// maxProbesPerReport. Open questions are probed again after the next report.
 func (b *backendMonitor) runProbes() {
 	b.probeUntilConfirmed()
 	b.mutex.Lock()
@@ -42,14 +40,14 @@
 	b.probing = false
 }
 
-// probeUntilConfirmed is probe without its mark that probing goes on.
+// probeUntilConfirmed runs the loop of runProbes, without resetting probing.
 func (b *backendMonitor) probeUntilConfirmed() {
-	for asked := 0; asked < maxProbesPerReport; {
+	for probeCount := 0; probeCount < maxProbesPerReport; {
 		wait := probeReadyInterval
 		if path := b.probePath(); path != "" {
-			asked++
-			askedAt := b.clock()
-			if b.handleProbe(askedAt, b.probeOnce(path)) {
+			probeCount++
+			sentAt := b.clock()
+			if b.handleProbe(sentAt, b.probeOnce(path)) {
 				return
 			}
 			wait = probeRetryInterval
@@ -60,20 +58,20 @@
 	}
 }
 
-// ask probes the back end once. The gate is told that it does, for a probe takes a slot there,
-// and how many calls the back end holds.
+// probeOnce probes the back end once. The gate is notified before, because a probe occupies a slot
+// there, and after, of the number of calls that the back end reports to hold.
 func (b *backendMonitor) probeOnce(path string) backend.ProbeResult {
 	if b.beginProbe != nil {
 		defer b.beginProbe()()
 	}
-	answer := b.config.prober(b.config.address, path, probeTimeout)
-	if answer.TellsHeld && b.setReportedCalls != nil {
-		b.setReportedCalls(answer.Held)
+	result := b.config.prober(b.config.address, path, probeTimeout)
+	if result.TellsHeld && b.setReportedCalls != nil {
+		b.setReportedCalls(result.Held)
 	}
-	return answer
+	return result
 }
 
-// probePath is where the back end is probed; empty while it may not be yet.
+// probePath returns the path of probes; empty while the back end may not be probed yet.
 func (b *backendMonitor) probePath() string {
 	if !b.config.hasJoinedMesh() {
 		return ""
@@ -81,14 +79,15 @@
 	return b.config.healthPath()
 }
 
-// probed takes an answer to what was asked at a time, and tells whether nothing is left to
-// confirm.
-func (b *backendMonitor) handleProbe(askedAt time.Duration, answer backend.ProbeResult) bool {
+// handleProbe processes the result of a probe sent at a time, and reports whether everything is
+// confirmed.
+func (b *backendMonitor) handleProbe(sentAt time.Duration, result backend.ProbeResult) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	// An answer to what was asked before the back end may have become cold says nothing of that.
-	answer.TellsWarmUp = answer.TellsWarmUp && askedAt >= b.possiblyColdSince
-	b.tracker.HandleProbe(b.clock(), answer)
+	// The result of a probe sent before the back end may have become cold does not show whether
+	// it did.
+	result.TellsWarmUp = result.TellsWarmUp && sentAt >= b.possiblyColdSince
+	b.tracker.HandleProbe(b.clock(), result)
 	b.publishView()
 	return !b.tracker.HasCandidates() && !b.tracker.IsAssumedCold(b.clock())
 }
--- a/internal/hosted/publishing.go
+++ b/internal/hosted/publishing.go
@@ -7,12 +7,12 @@
 	"github.com/springstack/springstack/internal/proxy"
 )
 
-// publishPeriod is the least time between two views built for news of other
-// daemons: a view of 295 daemons takes 0.3 to 0.7 ms to build (BenchmarkPublish).
+// minPublishInterval is the minimum time between two views that are built for changed records of
+// other daemons. A view of 295 daemons takes 0.3 to 0.7 ms to build (BenchmarkPublish).
 const minPublishInterval = 100 * time.Millisecond
 
-// publishSoon gives the data path the newest records, within publishPeriod; the
-// lock is held.
+// schedulePublish passes the latest records to the data path within minPublishInterval; the lock is
+// held.
 func (m *mesh) schedulePublish() {
 	if m.publishing {
 		return
@@ -26,7 +26,7 @@
 	m.runAfter(wait, m.publishAll)
 }
 
-// publishAll gives the data path all records; the lock is held.
+// publishAll passes all records and orders to the data path; the lock is held.
 func (m *mesh) publishAll() {
 	m.publishing = false
 	m.publishedAt = m.clock()
@@ -36,8 +36,8 @@
 	})
 }
 
-// later runs an action with the lock held after a time, unless the daemon ends
-// before.
+// runAfter runs an action with the lock held after a time, unless the daemon ends earlier. It does
+// not block.
 func (m *mesh) runAfter(wait time.Duration, action func()) {
 	m.running.Add(1)
 	go func() {
--- a/internal/hosted/regions_test.go
+++ b/internal/hosted/regions_test.go
@@ -13,19 +13,19 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// lookAt has versions looked at by a daemon that knows one region, and returns the regions told.
+// loggedRegions checks versions on a daemon that knows one region, and returns the regions logged.
 func loggedRegions(versions ...*snapshot.Snapshot) []string {
-	written := memory.New()
-	events := newEventLog(&log.Logger{Handler: written, Level: log.DebugLevel}, "n", func() time.Duration { return 0 })
+	logHandler := memory.New()
+	events := newEventLog(&log.Logger{Handler: logHandler, Level: log.DebugLevel}, "n", func() time.Duration { return 0 })
 	var check regionCheck
 	for _, version := range versions {
 		check.logUnknownRegions(version, []string{"north"}, events)
 	}
-	var told []string
-	for _, entry := range written.Entries {
-		told = append(told, entry.Fields.Get("region").(string))
+	var regions []string
+	for _, entry := range logHandler.Entries {
+		regions = append(regions, entry.Fields.Get("region").(string))
 	}
-	return told
+	return regions
 }
 
 func snapshotAllowing(version protocol.Version, regions ...string) *snapshot.Snapshot {
--- a/internal/hosted/news_bench_test.go
+++ b/internal/hosted/updates_bench_test.go
@@ -18,11 +18,11 @@
 	"github.com/springstack/springstack/internal/proxy"
 )
 
-// The benchmarks of this file say what news costs one daemon of a mesh: a message
-// with records, a view built for them, a version put in force. Times the messages
-// and views of a day they give its processor time.
+// The benchmarks of this file measure what updates cost one daemon of a mesh: a message with
+// records, a view built for them, a version put in force. Multiplied by the numbers of messages and
+// views per day, the results give the daemon's processor time for updates.
 
-// benchMember is the record of one daemon among many, in six zones and two services.
+// benchMember returns the record of one of many daemons in six zones and two services.
 func benchMember(index int) protocol.Member {
 	service := "first"
 	if index%3 == 0 {
@@ -45,18 +45,18 @@
 	return members
 }
 
-// benchPath is the data path of a daemon that holds a configuration of some routes.
+// benchProxy returns the data path of a daemon with a configuration of some routes.
 func benchProxy(b *testing.B, routes int) *proxy.Proxy {
 	b.Helper()
-	began := time.Now()
-	made := proxy.New(proxy.Config{
-		Clock: func() time.Duration { return time.Since(began) }, NodeID: "x", Incarnation: 1, Region: "r", Zone: "z1",
+	startedAt := time.Now()
+	path := proxy.New(proxy.Config{
+		Clock: func() time.Duration { return time.Since(startedAt) }, NodeID: "x", Incarnation: 1, Region: "r", Zone: "z1",
 		Reported: true, Slots: 1, BackendAddress: "127.0.0.1:1", Limits: proxyLimits(10 * time.Second),
 		RetryBudget: (&Daemon{}).retryLimits, Spill: spilloverLimits,
 	})
-	b.Cleanup(made.Close)
-	made.Swap(benchSnapshot(b, 1, routes))
-	return made
+	b.Cleanup(path.Close)
+	path.Swap(benchSnapshot(b, 1, routes))
+	return path
 }
 
 func benchSnapshot(b *testing.B, version protocol.Version, count int) *snapshot.Snapshot {
@@ -75,15 +75,15 @@
 	return built
 }
 
-// silentPeer answers pushes without doing anything.
+// emptyReplyPeer answers each push with an empty reply.
 type emptyReplyPeer struct{}
 
 func (emptyReplyPeer) HandlePeer(context.Context, control.Peer, any) (any, error) {
 	return &protocol.ExchangeReply{}, nil
 }
 
-// BenchmarkPush measures a message with records, both ends, on a kept connection
-// and on a new one.
+// BenchmarkPush measures the sending and receiving of a message with records, over a kept connection
+// and over a new one.
 func BenchmarkPush(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(b).NoErr(err)
@@ -117,25 +117,25 @@
 	})
 }
 
-// BenchmarkPublish measures a view built for news of one daemon.
+// BenchmarkPublish measures the building of a view for a changed record of one daemon.
 func BenchmarkPublish(b *testing.B) {
 	for _, daemons := range []int{25, 74, 295, 1000} {
 		b.Run(strconv.Itoa(daemons), func(b *testing.B) {
 			path := benchProxy(b, 600)
 			members := benchMembers(daemons)
-			round := 0
+			updates := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				members = append([]protocol.Member(nil), members...)
-				members[round%daemons].Sequence++
+				members[updates%daemons].Sequence++
 				path.PublishMembers(members)
-				round++
+				updates++
 			}
 		})
 	}
 }
 
-// BenchmarkAdopt measures a version put in force, without its decoding.
+// BenchmarkAdopt measures how long it takes to put a version in force, without decoding it.
 func BenchmarkAdopt(b *testing.B) {
 	for _, routes := range []int{600, 2200} {
 		b.Run(strconv.Itoa(routes), func(b *testing.B) {
