--- a/internal/hosted/harmful.go
+++ b/internal/hosted/harmful.go
@@ -7,10 +7,11 @@
 )
 
 // Many daemons may have something to add to the same record. Each broadcasts its addition after a
-// random delay of up to harmfulDelayPerDaemon for each daemon of the mesh, at most maxHarmfulDelay,
-// so that most receive the same addition from another daemon first. In a small mesh all additions
-// arrive within milliseconds, before a decision would be based on only some of them. A large mesh
-// is meant to send a few hundred messages instead of the square of its number of daemons.
+// random delay of up to harmfulDelayPerDaemon for each daemon of the mesh, at most maxHarmfulDelay.
+// In a small mesh all additions arrive within milliseconds, before a decision would be based on
+// only some of them. In a large mesh the delay is meant to let most daemons receive the same
+// addition from another daemon first, for a few hundred messages instead of the square of the
+// number of daemons.
 const (
 	harmfulDelayPerDaemon = 500 * time.Microsecond
 	maxHarmfulDelay       = 50 * time.Millisecond
