--- a/internal/hosted/backendside.go
+++ b/internal/hosted/backendside.go
@@ -107,7 +107,7 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.tracker.HandleLeave(start, time.Now().UnixMilli())
-	b.events.event("backend_left", field("instance", start.Instance), bornField(start.Born))
+	b.events.event("backend_left", field("instance", start.Instance), startTimeField(start.Born))
 	b.publishView()
 }
 
@@ -147,7 +147,7 @@
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
 		b.tracker.RestoreLeave(start)
-		b.events.event("backend_remembered", field("instance", start.Instance), bornField(start.Born), field("state", "draining"))
+		b.events.event("backend_remembered", field("instance", start.Instance), startTimeField(start.Born), field("state", "draining"))
 		b.publishView()
 	}()
 }
--- a/internal/hosted/daemon.go
+++ b/internal/hosted/daemon.go
@@ -96,10 +96,10 @@
 }
 
 // newDataPath creates the data path.
-func (d *Daemon) newDataPath(do.Injector) (*pathPart, error) {
+func (d *Daemon) newDataPath(do.Injector) (*dataPathPart, error) {
 	edge := d.options.Platform.Edge
 	edge.Service = d.settings.Backend.Service
-	return &pathPart{proxy.New(proxy.Config{
+	return &dataPathPart{proxy.New(proxy.Config{
 		Clock:                d.clock,
 		NodeID:               protocol.NodeID(d.settings.Node.ID),
 		Incarnation:          d.incarnation,
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -33,7 +33,7 @@
 func field(key, value string) eventField { return eventField{key: key, value: value} }
 
 // bornField returns the field with the start time of a back-end instance, which tells its starts apart.
-func bornField(born int64) eventField { return field("born", strconv.FormatInt(born, 10)) }
+func startTimeField(born int64) eventField { return field("born", strconv.FormatInt(born, 10)) }
 
 // eventLog writes events with the daemon's node ID, at a limited rate.
 type eventLog struct {
--- a/internal/hosted/mesh.go
+++ b/internal/hosted/mesh.go
@@ -309,7 +309,7 @@
 // logChanges writes a log line for each new record.
 func (m *mesh) logChanges(newRecords []protocol.Member) {
 	for _, member := range newRecords {
-		m.events.event("endpoint_news", field("peer", string(member.ID)), field("instance", member.Backend), bornField(member.Born),
+		m.events.event("endpoint_news", field("peer", string(member.ID)), field("instance", member.Backend), startTimeField(member.Born),
 			field("state", member.Endpoint.String()), field("member", member.State.String()))
 	}
 }
--- a/internal/hosted/poll_test.go
+++ b/internal/hosted/poll_test.go
@@ -22,7 +22,7 @@
 
 // A daemon accepts a request to poll as a substitute for substituteDuration, and refuses it while
 // the store does not answer this daemon either.
-func TestDaemonPollsForOneWhoseStoreReadsFail(t *testing.T) {
+func TestDaemonPollsAsSubstitute(t *testing.T) {
 	check := is.New(t)
 	now := time.Minute
 	mesh := newPollingMesh(&now, aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
--- a/internal/hosted/warmth_test.go
+++ b/internal/hosted/warmth_test.go
@@ -16,7 +16,7 @@
 
 // testBackendSide is a backendSide that is not connected to a gate or mesh, with the notifications
 // that it has made.
-type testBackendSide struct {
+type testBackendMonitor struct {
 	*backendMonitor
 	now           time.Duration
 	evacuated     bool
@@ -27,8 +27,8 @@
 }
 
 // newTestBackendSide returns a testBackendSide with a back end that is running and warm at time 0.
-func newTestBackendSide() *testBackendSide {
-	side := &testBackendSide{}
+func newTestBackendMonitor() *testBackendMonitor {
+	side := &testBackendMonitor{}
 	clock := func() time.Duration { return side.now }
 	side.backendMonitor = &backendMonitor{
 		config: backendMonitorConfig{hasJoinedMesh: func() bool { return false }, isZoneEvacuated: func() bool { return side.evacuated }, warmUpTime: func() time.Duration { return 3 * time.Second }},
@@ -52,13 +52,13 @@
 
 func TestGateReceivesWarmthBeforeBackendState(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	check.Equal(side.gateCalls, []string{"cold until 0s", "state of i"})
 }
 
 func TestBackendIsAssumedColdWhenEvacuationEnds(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	side.config.onEvacuationEnd = side.assumeColdLocked
 	side.evacuated = true
 	side.publishView()
@@ -73,7 +73,7 @@
 
 func TestGateReceivesWarmthOfNewInstanceBeforeItsState(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	side.gateCalls = nil
 	side.Heartbeat(backend.Report{Instance: "j", Sequence: 1, Slots: 6, WarmUp: time.Second})
 	side.handleProbe(side.now, backend.ProbeResult{Instance: "j", Healthy: true})
@@ -82,7 +82,7 @@
 
 func TestMeshIsNotifiedOnlyOfStateChanges(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	before := side.announcements
 	for beat := range 3 {
 		side.now = time.Duration(beat) * time.Second
@@ -95,7 +95,7 @@
 
 func TestAssumedColdBackendIsColdUntilProbeFindsItWarm(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	side.now = time.Second
 	side.assumeCold()
 	check.Equal(side.coldTimes[len(side.coldTimes)-1], 4*time.Second)
@@ -106,7 +106,7 @@
 
 func TestProbeSentBeforeColdAssumptionDoesNotEndIt(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	side.now = time.Second
 	side.assumeCold()
 	done := side.handleProbe(side.now-1, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
@@ -116,7 +116,7 @@
 
 // startProbing makes the back end answer probes with the given result, and returns the number of
 // probes.
-func (s *testBackendSide) startProbing(probe backend.ProbeResult) (probeCount *int) {
+func (s *testBackendMonitor) answerProbes(probe backend.ProbeResult) (probeCount *int) {
 	probeCount = new(int)
 	s.probing = false
 	s.config.hasJoinedMesh = func() bool { return true }
@@ -130,10 +130,10 @@
 
 func TestAssumedColdBackendIsProbedOnNextHeartbeat(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	side.now = time.Second
 	side.assumeCold() // no probe is sent
-	side.startProbing(backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
+	side.answerProbes(backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
 	side.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6})
 	side.running.Wait()
 	check.Equal(side.coldTimes[len(side.coldTimes)-1], time.Duration(0))
@@ -141,9 +141,9 @@
 
 func TestBackendIsProbedWhenHeartbeatContradictsLastProbe(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	side.handleProbe(side.now, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true, WarmUp: time.Hour})
-	side.startProbing(backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
+	side.answerProbes(backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true})
 	side.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6})
 	side.running.Wait()
 	check.Equal(side.coldTimes[len(side.coldTimes)-1], time.Duration(0))
@@ -151,9 +151,9 @@
 
 func TestBackendIsNotProbedWhenHeartbeatReportsItCold(t *testing.T) {
 	check := is.New(t)
-	side := newTestBackendSide()
+	side := newTestBackendMonitor()
 	side.handleProbe(side.now, backend.ProbeResult{Instance: "i", Healthy: true, TellsWarmUp: true, WarmUp: time.Second})
-	probeCount := side.startProbing(backend.ProbeResult{})
+	probeCount := side.answerProbes(backend.ProbeResult{})
 	side.Heartbeat(backend.Report{Instance: "i", Sequence: 2, Slots: 6, WarmUp: time.Second / 2})
 	side.running.Wait()
 	check.Equal(*probeCount, 0)
--- a/internal/hosted/wiring.go
+++ b/internal/hosted/wiring.go
@@ -25,7 +25,7 @@
 
 // The parts of a daemon. Each has its own type, because do identifies parts by their types.
 type (
-	pathPart      struct{ *proxy.Proxy }
+	dataPathPart  struct{ *proxy.Proxy }
 	meshPart      struct{ *mesh }
 	controlPart   struct{ *control.Server }
 	callersServer struct{ *daemon.PathServer }
@@ -36,7 +36,7 @@
 )
 
 // Shutdown closes the connections of the data path.
-func (p *pathPart) Shutdown() error {
+func (p *dataPathPart) Shutdown() error {
 	p.Close()
 	return nil
 }
@@ -69,7 +69,7 @@
 
 // buildParts builds all parts.
 func (d *Daemon) buildParts() error {
-	path, err := do.Invoke[*pathPart](d.injector)
+	path, err := do.Invoke[*dataPathPart](d.injector)
 	if err != nil {
 		return err
 	}
@@ -105,13 +105,13 @@
 // newMesh builds the mesh, the configuration follower and the back-end monitor, and connects them:
 // they call each other through function fields.
 func (d *Daemon) newMesh(injector do.Injector) (*meshPart, error) {
-	path, err := do.Invoke[*pathPart](injector)
+	path, err := do.Invoke[*dataPathPart](injector)
 	if err != nil {
 		return nil, err
 	}
 	m := d.newUnlinkedMesh(path)
 	d.linkConnections(path, m)
-	d.configuration = d.newConfiguration(path, m)
+	d.configuration = d.newConfigurationFollower(path, m)
 	m.readEvidence = path.AnswerEvidence
 	m.setCounting = path.SetAnswerCounting
 	m.version = d.configuration.version
@@ -120,7 +120,7 @@
 	m.isStoreUnavailable = d.configuration.isStoreUnavailable
 	m.pollStore = d.configuration.pollStore
 	d.configuration.announceVersion = m.announceVersion
-	d.backend = d.newBackendSide(path, m)
+	d.backend = d.newBackendMonitor(path, m)
 	m.restoreDraining = d.backend.restoreDraining
 	d.eras.onRise = []func(uint64){
 		d.configuration.observeEra,
@@ -143,7 +143,7 @@
 
 // newUnlinkedMesh builds the mesh without the function fields that call the configuration follower
 // and the back-end monitor.
-func (d *Daemon) newUnlinkedMesh(path *pathPart) *mesh {
+func (d *Daemon) newUnlinkedMesh(path *dataPathPart) *mesh {
 	return &mesh{
 		events:           d.events,
 		clock:            d.clock,
@@ -182,7 +182,7 @@
 
 // linkConnections sets up the renewal of all connections of the daemon: it takes place when any
 // part has found one of them dead.
-func (d *Daemon) linkConnections(path *pathPart, m *mesh) {
+func (d *Daemon) linkConnections(path *dataPathPart, m *mesh) {
 	renewStore := d.options.Platform.Renew
 	m.connections = &connectionRenewer{
 		events: d.events, clock: d.clock, context: d.context, running: &m.running, eras: m.eras,
@@ -211,7 +211,7 @@
 }
 
 // newConfiguration builds the follower of the authority's configuration.
-func (d *Daemon) newConfiguration(path *pathPart, m *mesh) *configurationFollower {
+func (d *Daemon) newConfigurationFollower(path *dataPathPart, m *mesh) *configurationFollower {
 	return &configurationFollower{
 		source:        d.options.Platform.Source,
 		events:        d.events,
@@ -230,7 +230,7 @@
 }
 
 // newBackendSide builds the monitor of the back end. newMesh sets its onEvacuationEnd function.
-func (d *Daemon) newBackendSide(path *pathPart, m *mesh) *backendMonitor {
+func (d *Daemon) newBackendMonitor(path *dataPathPart, m *mesh) *backendMonitor {
 	return &backendMonitor{
 		config: backendMonitorConfig{
 			address:    d.settings.Backend.Address,
@@ -290,7 +290,7 @@
 
 // servePath serves one side of the data path, for callers or for the gate, at an address.
 func (d *Daemon) servePath(injector do.Injector, name, address string, side func(*proxy.Proxy) http.Handler) (*daemon.PathServer, error) {
-	path, err := do.Invoke[*pathPart](injector)
+	path, err := do.Invoke[*dataPathPart](injector)
 	if err != nil {
 		return nil, err
 	}
