--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -78,8 +78,8 @@
 	// hangState is 0, hangMarked or hangCleared; see MarkHung.
 	hangState atomic.Int32
 	startedAt time.Duration
-	// expectedService is the service time expected when the call was queued or started.
-	expectedService time.Duration
+	// expectedServiceTime is the service time expected when the call was queued or started.
+	expectedServiceTime time.Duration
 	// startBy is the latest start with which the call is expected to meet its target, or
 	// the time of queueing if it has none. Equal priorities start in this order.
 	startBy time.Duration
--- a/internal/core/admission/cold.go
+++ b/internal/core/admission/cold.go
@@ -8,7 +8,7 @@
 
 // SetColdLimit sets the maximum number of calls that start within a window while the back end
 // is cold, as computed by warmup.Tolerance.Limit; 0 means no limit.
-// UncountedStarts is true if calls may have started before without being counted.
+// uncountedStarts is true if calls may have started before without being counted.
 func (g *Gate) SetColdLimit(now time.Duration, limit int, uncountedStarts bool) {
 	g.coldLimiter.SetLimit(now, limit, uncountedStarts)
 }
--- a/internal/core/admission/fingerprint_set.go
+++ b/internal/core/admission/fingerprint_set.go
@@ -159,9 +159,9 @@
 			return outcome
 		}
 		// If the generations were replaced meanwhile, a concurrent Add may have
-		// searched this one before the value was stored, and added the value to
-		// the newer one. Trying again resolves the race: only one of the two calls
-		// adds the value to the newer generation.
+		// searched this generation before the value was stored, and added the value to
+		// the newer generation. Trying again resolves the race: only one of the two calls
+		// adds the value there.
 		if s.generations.Load() == generations {
 			return Added
 		}
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -57,10 +57,10 @@
 	// calls of this gate; see orphans.go.
 	orphans    orphanedCalls
 	probeCount atomic.Int64
-	// meanService is the mean service time of all calls, classes holds the statistics
+	// meanServiceTime is the mean service time of all calls, classes holds the statistics
 	// of each call class.
-	meanService movingMean
-	classes     callclass.Table[classStats]
+	meanServiceTime movingMean
+	classes         callclass.Table[classStats]
 	// requests holds the ids of received attempts, keys those of started operations.
 	requests *FingerprintSet
 	keys     *FingerprintSet
@@ -148,7 +148,8 @@
 }
 
 // Admit starts, queues or refuses a call. A started call must be ended by
-// Done; a queued one is settled later, or withdrawn by Cancel.
+// Done; for a queued call, Waiter.Settle receives the final decision unless Cancel
+// withdraws the call.
 //
 // The attempt's id is recorded even if the call is refused: the sender may since
 // have sent a refused call elsewhere, so a late duplicate must not start here.
@@ -200,8 +201,8 @@
 	ticket.startedAt = now
 	decision := register(g.keys, now, ticket.Key)
 	if decision.State == StateStarted {
-		ticket.expectedService = g.expectedServiceOf(&ticket.Call)
-		g.runningWork.Add(int64(ticket.expectedService))
+		ticket.expectedServiceTime = g.expectedServiceTimeOf(&ticket.Call)
+		g.runningWork.Add(int64(ticket.expectedServiceTime))
 	}
 	return decision
 }
@@ -227,7 +228,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	partner := g.queue.partnerQueueOf(ticket.Partner)
-	ticket.expectedService = g.expectedServiceOf(&ticket.Call)
+	ticket.expectedServiceTime = g.expectedServiceTimeOf(&ticket.Call)
 	ticket.startBy = g.startByOf(now, ticket)
 	if decision := g.reserveQueuePlace(now, ticket, partner); decision.State == StateRefused {
 		return decision
@@ -265,7 +266,7 @@
 	return decision
 }
 
-// Done ends a started call and hands its slot over to the next queued call. Ran must
+// Done ends a started call and hands its slot over to the next queued call. ran must
 // be false only if the call certainly did not reach the back end; its key is then
 // removed, so that the operation may be sent again. Done must be called for each
 // started call; repeated calls have no effect.
@@ -277,9 +278,9 @@
 	if ticket.hangState.Swap(hangCleared) == hangMarked {
 		g.hungCount.Add(-1)
 	}
-	g.runningWork.Add(-int64(ticket.expectedService))
+	g.runningWork.Add(-int64(ticket.expectedServiceTime))
 	if ran && !ticket.Unmeasured {
-		g.observeService(&ticket.Call, now-ticket.startedAt)
+		g.observeServiceTime(&ticket.Call, now-ticket.startedAt)
 	}
 	if !ran && ticket.Key != 0 {
 		g.keys.Remove(ticket.Key)
@@ -302,9 +303,9 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.queue.correctCharge(ticket, heldFor.Seconds())
-	lifted := g.liftIsolation(ticket)
+	wasIsolated := g.liftIsolation(ticket)
 	g.handOverSlot(now)
-	if lifted {
+	if wasIsolated {
 		g.fillFreeSlots(now)
 	}
 	g.signalIfAlone()
@@ -336,20 +337,20 @@
 // startQueued starts or refuses a call taken from the queue and reports whether it
 // was started.
 func (g *Gate) startQueued(now time.Duration, ticket *Ticket) bool {
-	service := g.expectedServiceOf(&ticket.Call)
-	if !g.config.NoEstimate && now+service > ticket.Deadline {
+	serviceTime := g.expectedServiceTimeOf(&ticket.Call)
+	if !g.config.NoEstimate && now+serviceTime > ticket.Deadline {
 		ticket.settle(refused(result.DeadlineBeforeStart, 0))
 		return false
 	}
 	if !g.config.NoEstimate && g.queue.length > 0 && g.lateness(ticket, now) > 0 {
 		// The call would miss its target and delay the calls behind it.
-		ticket.settle(refused(result.QueueFull, service/retryAfterDivisor))
+		ticket.settle(refused(result.QueueFull, serviceTime/retryAfterDivisor))
 		return false
 	}
 	decision := g.recordStart(now, ticket)
 	if decision.State == StateStarted {
 		g.observeDelay(ticket, now-ticket.queuedAt)
-		g.queue.charge(ticket, service.Seconds())
+		g.queue.charge(ticket, serviceTime.Seconds())
 	}
 	ticket.settle(decision)
 	return decision.State == StateStarted
@@ -359,7 +360,7 @@
 // to end by its deadline. After that time the owner of the call should withdraw it and
 // answer at once that it did not run, so that the sender can still send it elsewhere.
 func (g *Gate) LatestStart(ticket *Ticket) time.Duration {
-	return ticket.Deadline - g.expectedServiceOf(&ticket.Call)
+	return ticket.Deadline - g.expectedServiceTimeOf(&ticket.Call)
 }
 
 // Cancel withdraws a queued call. It returns false if the call has been settled
--- a/internal/core/admission/orphans.go
+++ b/internal/core/admission/orphans.go
@@ -20,7 +20,7 @@
 const unknownOrphansDivisor = 4
 
 // callLimit returns the number of calls that may run now: the slots that probes and orphaned calls
-// do not occupy, but at least 1, because it takes answers to release the reserved slots early; see
+// do not occupy, but at least 1, because answered calls release the reserved slots early; see
 // RecordAnswer and CapOrphanedCalls.
 func (g *Gate) callLimit() int64 {
 	return max(g.slots.Load()-g.occupiedSlots(), 1)
@@ -36,7 +36,7 @@
 func (g *Gate) occupiedSlots() int64 { return g.orphans.count.Load() + g.probeCount.Load() }
 
 // ExpectOrphanedCalls reserves slots for calls of an earlier run of the daemon that the back end
-// may still be running but that end by the given time. Reported is the number of such calls that
+// may still be running but that end by the given time. reported is the number of such calls that
 // the back end has reported; it is negative if the back end has not reported any number.
 func (g *Gate) ExpectOrphanedCalls(now, until time.Duration, reported int) {
 	if until <= now {
--- a/internal/core/admission/orphans_test.go
+++ b/internal/core/admission/orphans_test.go
@@ -126,7 +126,7 @@
 func TestCallsDoNotWaitForHungSlots(t *testing.T) {
 	check := is.New(t)
 	gate := gateWithOrphans(0)
-	gate.observeService(&Call{}, 100*time.Millisecond)
+	gate.observeServiceTime(&Call{}, 100*time.Millisecond)
 	started, _ := startUntilQueued(gate, 0)
 	gate.Drain() // refuses the queued call, whose deadline is an hour away
 	gate.Resume()
--- a/internal/core/admission/queue.go
+++ b/internal/core/admission/queue.go
@@ -43,13 +43,13 @@
 		ticket.next.previous = ticket
 	}
 	l.length++
-	l.work += ticket.expectedService
+	l.work += ticket.expectedServiceTime
 }
 
 // workUntil returns the work of the tickets whose startBy is not after the given time.
 func (l *ticketList) workUntil(startBy time.Duration) (work time.Duration) {
 	for ticket := l.head; ticket != nil && ticket.startBy <= startBy; ticket = ticket.next {
-		work += ticket.expectedService
+		work += ticket.expectedServiceTime
 	}
 	return work
 }
@@ -68,7 +68,7 @@
 	ticket.next = nil
 	ticket.previous = nil
 	l.length--
-	l.work -= ticket.expectedService
+	l.work -= ticket.expectedServiceTime
 }
 
 // partnerQueue holds the queued calls of one partner and the slot time that it has received.
@@ -120,7 +120,7 @@
 
 // queue holds the queued calls of all partners and shares slots between the partners
 // by weighted fair queueing of slot time. Within a partner, higher priorities go first,
-// and equal ones in the order of Ticket.startBy.
+// and calls of equal priority in the order of Ticket.startBy.
 type queue struct {
 	weights []PartnerWeight
 	// partnerQueues is sorted by partner, so that every gate breaks ties in the same way.
@@ -227,9 +227,9 @@
 	return partner.weight / total
 }
 
-// mostOverShare returns, of the other partners, the queue of the one that exceeds its share
-// of the queue length most. It returns nil if there is none, or if the given partner has
-// reached its own share.
+// mostOverShare returns the queue of the partner, other than the given one, that exceeds its
+// share of the queue length most. It returns nil if no other partner exceeds its share, or if
+// the given partner has reached its own.
 func (q *queue) mostOverShare(partner *partnerQueue, limit int) *partnerQueue {
 	if float64(partner.length) >= q.share(partner)*float64(limit) {
 		return nil
--- a/internal/core/admission/queueing.go
+++ b/internal/core/admission/queueing.go
@@ -15,13 +15,13 @@
 	}
 	wait := g.expectedWait(partner, partner.workAhead(ticket))
 	remaining := ticket.Deadline - now
-	service := g.expectedServiceOf(&ticket.Call)
+	serviceTime := g.expectedServiceTimeOf(&ticket.Call)
 	if decision := g.checkTarget(now, ticket, wait); decision.State == StateRefused {
 		return decision
 	}
 	ticket.queuedAt = now
 	ticket.expectedWait = wait
-	if wait+service > remaining || wait > time.Duration(float64(remaining)*maxWaitShare) {
+	if wait+serviceTime > remaining || wait > time.Duration(float64(remaining)*maxWaitShare) {
 		return refused(result.DeadlineBeforeStart, wait)
 	}
 	if wait > g.config.QueueWait {
@@ -51,7 +51,7 @@
 			if tail == nil {
 				break
 			}
-			wait := g.expectedWait(ticket.partnerQueue, ticket.partnerQueue.workFromPriority(priority)-tail.expectedService)
+			wait := g.expectedWait(ticket.partnerQueue, ticket.partnerQueue.workFromPriority(priority)-tail.expectedServiceTime)
 			if wait <= g.config.QueueWait && now+wait <= tail.Deadline {
 				break
 			}
@@ -71,13 +71,13 @@
 	for _, partner := range g.queue.partnerQueues {
 		for priority := range priorityCount {
 			for head := partner.byPriority[priority].head; head != nil; head = partner.byPriority[priority].head {
-				higherWork := partner.workFromPriority(priority + 1)
-				wait := g.expectedWait(partner, higherWork)
-				if now+wait+g.expectedServiceOf(&head.Call) <= head.Deadline {
+				higherPriorityWork := partner.workFromPriority(priority + 1)
+				wait := g.expectedWait(partner, higherPriorityWork)
+				if now+wait+g.expectedServiceTimeOf(&head.Call) <= head.Deadline {
 					break
 				}
 				code := result.Shed
-				if higherWork == 0 {
+				if higherPriorityWork == 0 {
 					code = result.DeadlineBeforeStart
 				}
 				g.evict(head, refused(code, wait))
@@ -127,11 +127,11 @@
 // known.
 func (g *Gate) expectedWait(partner *partnerQueue, ahead time.Duration) time.Duration {
 	rate := max(float64(g.callLimit()-g.hungCount.Load()), minUsableSlots) * g.queue.share(partner)
-	return time.Duration(float64(g.meanRunningService()+ahead) / rate)
+	return time.Duration(float64(g.meanServiceTimeOfRunning()+ahead) / rate)
 }
 
-// meanRunningService returns the mean of the expected service times of the running calls.
-func (g *Gate) meanRunningService() time.Duration {
+// meanServiceTimeOfRunning returns the mean of the expected service times of the running calls.
+func (g *Gate) meanServiceTimeOfRunning() time.Duration {
 	running := int64(g.word.Load() & runningMask)
 	if running == 0 {
 		return g.MeanServiceTime()
--- a/internal/core/admission/service_time.go
+++ b/internal/core/admission/service_time.go
@@ -43,9 +43,9 @@
 	return g.classes.Get(call.Class)
 }
 
-// observeService adds the service time of a call to the means of all calls and of its class.
-func (g *Gate) observeService(call *Call, duration time.Duration) {
-	g.meanService.observe(duration)
+// observeServiceTime adds the service time of a call to the means of all calls and of its class.
+func (g *Gate) observeServiceTime(call *Call, duration time.Duration) {
+	g.meanServiceTime.observe(duration)
 	stats := g.classStatsOf(call)
 	if mean := stats.mean.value(); mean > 0 {
 		stats.deviation.observe(max(duration-mean, mean-duration))
@@ -53,16 +53,16 @@
 	stats.mean.observe(duration)
 }
 
-// expectedServiceOf returns the expected service time of a call: the mean of its class, or
+// expectedServiceTimeOf returns the expected service time of a call: the mean of its class, or
 // the mean of all calls if the class has none yet.
-func (g *Gate) expectedServiceOf(call *Call) time.Duration {
+func (g *Gate) expectedServiceTimeOf(call *Call) time.Duration {
 	return cmp.Or(g.classStatsOf(call).mean.value(), g.MeanServiceTime())
 }
 
 // CautiousServiceTime returns a cautious estimate of a call's service time, the expected
 // service time plus the mean deviation of its class; 0 if unknown.
 func (g *Gate) CautiousServiceTime(call *Call) time.Duration {
-	return g.expectedServiceOf(call) + g.classStatsOf(call).deviation.value()
+	return g.expectedServiceTimeOf(call) + g.classStatsOf(call).deviation.value()
 }
 
 // maxDelayRatio is the largest ratio of actual to expected waits that is taken into
@@ -85,9 +85,9 @@
 	}
 }
 
-// longestDecay is the fraction of its distance to the mean by which the longest service time
-// decays with each answer, so that a single outlier loses its effect after a few hundred answers.
-const longestDecay = 1.0 / 128
+// longestServiceTimeDecay is the fraction of its distance to the mean by which the longest service
+// time decays with each answer, so that a single outlier loses its effect after a few hundred answers.
+const longestServiceTimeDecay = 1.0 / 128
 
 // RecordServiceTime records the time from sending a call to the back end's answer.
 func (g *Gate) RecordServiceTime(call *Call, duration time.Duration) {
@@ -96,9 +96,9 @@
 	stats.answeredMean.observe(duration)
 	mean := stats.answeredMean.value()
 	stats.answeredDeviation.observe(max(duration-mean, mean-duration))
-	old := stats.longestAnswered.Load()
-	decayed := old - int64(float64(old-int64(mean))*longestDecay)
-	stats.longestAnswered.CompareAndSwap(old, max(decayed, int64(duration)))
+	old := stats.longestServiceTime.Load()
+	decayed := old - int64(float64(old-int64(mean))*longestServiceTimeDecay)
+	stats.longestServiceTime.CompareAndSwap(old, max(decayed, int64(duration)))
 }
 
 // longDeviations is the number of mean deviations by which ServiceTimes.Long exceeds the mean. If
@@ -121,7 +121,7 @@
 	mean := stats.answeredMean.value()
 	return ServiceTimes{
 		Mean: mean, Long: mean + longDeviations*stats.answeredDeviation.value(),
-		Longest: time.Duration(stats.longestAnswered.Load()), Seen: int(stats.answerCount.Load()),
+		Longest: time.Duration(stats.longestServiceTime.Load()), Seen: int(stats.answerCount.Load()),
 	}
 }
 
@@ -134,10 +134,10 @@
 	// only. Hung calls are left out: the time for which they hold a slot is not service time.
 	answeredMean      movingMean
 	answeredDeviation movingMean
-	// longestAnswered is the decaying maximum of the answered calls in nanoseconds, answerCount
-	// their number.
-	longestAnswered atomic.Int64
-	answerCount     atomic.Int64
+	// longestServiceTime is the decaying maximum of the service times of answered calls, in
+	// nanoseconds; answerCount is the number of these calls.
+	longestServiceTime atomic.Int64
+	answerCount        atomic.Int64
 	// deviation is the mean deviation from mean.
 	deviation movingMean
 	// delayRatio is the mean ratio of actual to expected waits; a movingMean holds durations, so
@@ -146,4 +146,4 @@
 }
 
 // MeanServiceTime returns the moving mean of the service times of all calls; 0 if unknown.
-func (g *Gate) MeanServiceTime() time.Duration { return g.meanService.value() }
+func (g *Gate) MeanServiceTime() time.Duration { return g.meanServiceTime.value() }
--- a/internal/core/admission/service_time_test.go
+++ b/internal/core/admission/service_time_test.go
@@ -11,7 +11,7 @@
 // resulting Longest.
 func recordAnswers(gate *Gate, duration time.Duration, count int) time.Duration {
 	for range count {
-		gate.observeService(&Call{}, duration)
+		gate.observeServiceTime(&Call{}, duration)
 		gate.RecordServiceTime(&Call{}, duration)
 	}
 	return gate.ServiceTimes(&Call{}).Longest
--- a/internal/core/admission/target.go
+++ b/internal/core/admission/target.go
@@ -7,7 +7,7 @@
 )
 
 // retryAfterDivisor sets the minimum RetryAfter of calls that are refused because of
-// their target: the service time divided by it.
+// their target: the service time divided by retryAfterDivisor.
 const retryAfterDivisor = 2
 
 // shortCallShare is the fraction of the mean service time below which a call counts as
@@ -15,7 +15,8 @@
 const shortCallShare = 0.75
 
 // negligibleWaitDivisor sets the longest wait that is too short to be the cause of a
-// late answer: the call's service time divided by it.
+// late answer: the call's service time divided by
+// negligibleWaitDivisor.
 const negligibleWaitDivisor = 4
 
 // startByOf returns the latest time at which a call can start and be expected to meet
@@ -24,20 +25,20 @@
 	if ticket.Target <= 0 {
 		return now
 	}
-	return ticket.Target - g.expectedServiceOf(&ticket.Call)
+	return ticket.Target - g.expectedServiceTimeOf(&ticket.Call)
 }
 
 // checkTarget refuses a call that is expected to miss its target after the given wait,
 // corrected by delayRatioOf. A call that would miss its target after a negligible wait is
 // not refused, because it would probably be as late elsewhere.
 func (g *Gate) checkTarget(now time.Duration, ticket *Ticket, wait time.Duration) Decision {
-	service := g.expectedServiceOf(&ticket.Call)
+	serviceTime := g.expectedServiceTimeOf(&ticket.Call)
 	wait = time.Duration(float64(wait) * g.delayRatioOf(&ticket.Call))
 	lateness := g.lateness(ticket, now+wait)
-	if lateness <= 0 || wait <= service/negligibleWaitDivisor {
+	if lateness <= 0 || wait <= serviceTime/negligibleWaitDivisor {
 		return Decision{State: StateQueued}
 	}
-	return refused(result.QueueFull, max(lateness, service/retryAfterDivisor))
+	return refused(result.QueueFull, max(lateness, serviceTime/retryAfterDivisor))
 }
 
 // shedMissedTargets refuses the queued calls of a partner that can't meet their targets any
@@ -50,7 +51,7 @@
 	for priority := range priorityCount {
 		for ticket := partner.byPriority[priority].tail; ticket != nil; {
 			next := ticket.previous
-			workAhead -= ticket.expectedService
+			workAhead -= ticket.expectedServiceTime
 			wait := g.expectedWait(partner, workAhead)
 			if decision := g.checkTarget(now, ticket, wait); decision.State == StateRefused {
 				g.observeDelay(ticket, now-ticket.queuedAt+wait)
@@ -65,8 +66,8 @@
 // to miss its target. It is 0 for patient calls, and for short calls: running them
 // costs little, and their callers usually can't proceed without them.
 func (g *Gate) lateness(ticket *Ticket, start time.Duration) time.Duration {
-	service := g.expectedServiceOf(&ticket.Call)
-	if ticket.Target <= 0 || ticket.Patient || float64(service) < shortCallShare*float64(g.MeanServiceTime()) {
+	serviceTime := g.expectedServiceTimeOf(&ticket.Call)
+	if ticket.Target <= 0 || ticket.Patient || float64(serviceTime) < shortCallShare*float64(g.MeanServiceTime()) {
 		return 0
 	}
 	return max(start+g.CautiousServiceTime(&ticket.Call)-ticket.Target, 0)
--- a/internal/core/admission/target_test.go
+++ b/internal/core/admission/target_test.go
@@ -106,28 +106,28 @@
 func TestShortCallsAreNotRefusedForTheirTarget(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
-	const short, long = 60 * time.Millisecond, 500 * time.Millisecond
+	const shortTarget, longTarget = 60 * time.Millisecond, 500 * time.Millisecond
 	for range 64 {
-		runCallWithTarget(gate, 0, short, 20*time.Millisecond)
-		runCallWithTarget(gate, 0, long, 200*time.Millisecond)
+		runCallWithTarget(gate, 0, shortTarget, 20*time.Millisecond)
+		runCallWithTarget(gate, 0, longTarget, 200*time.Millisecond)
 	}
-	offer(gate, 0, callWithTarget(0, long))
-	check.Equal(offer(gate, 0, callWithTarget(0, short)).state, StateQueued)
-	check.Equal(offer(gate, 0, callWithTarget(0, short)).state, StateQueued) // late but short
+	offer(gate, 0, callWithTarget(0, longTarget))
+	check.Equal(offer(gate, 0, callWithTarget(0, shortTarget)).state, StateQueued)
+	check.Equal(offer(gate, 0, callWithTarget(0, shortTarget)).state, StateQueued) // late but short
 }
 
 // Guards against classes with targets of similar size sharing one service time.
 func TestServiceTimesAreKeptPerClass(t *testing.T) {
 	check := is.New(t)
 	gate := New(0, testConfig(1))
-	const short, long = 1200 * time.Millisecond, 2000 * time.Millisecond
+	const shortTarget, longTarget = 1200 * time.Millisecond, 2000 * time.Millisecond
 	for range 64 {
-		runCallWithTarget(gate, 0, short, 230*time.Millisecond)
-		runCallWithTarget(gate, 0, long, 780*time.Millisecond)
+		runCallWithTarget(gate, 0, shortTarget, 230*time.Millisecond)
+		runCallWithTarget(gate, 0, longTarget, 780*time.Millisecond)
 	}
-	shortCall, longCall := callWithTarget(0, short), callWithTarget(0, long)
-	check.True(gate.expectedServiceOf(&shortCall) < 240*time.Millisecond)
-	check.True(gate.expectedServiceOf(&longCall) > 770*time.Millisecond)
+	shortCall, longCall := callWithTarget(0, shortTarget), callWithTarget(0, longTarget)
+	check.True(gate.expectedServiceTimeOf(&shortCall) < 240*time.Millisecond)
+	check.True(gate.expectedServiceTimeOf(&longCall) > 770*time.Millisecond)
 }
 
 // A queued call is refused as soon as later arrivals that go first make it miss its
@@ -186,22 +186,22 @@
 // would be a reason.
 func TestExpectedWaitDependsOnTheWorkAhead(t *testing.T) {
 	check := is.New(t)
-	const short, long = 200 * time.Millisecond, 1200 * time.Millisecond
-	for _, aheadSpan := range []time.Duration{short, long} {
+	const shortTarget, longTarget = 200 * time.Millisecond, 1200 * time.Millisecond
+	for _, aheadTarget := range []time.Duration{shortTarget, longTarget} {
 		gate := New(0, testConfig(1))
 		for range 64 {
-			runCallWithTarget(gate, 0, short, 50*time.Millisecond)
-			runCallWithTarget(gate, 0, long, 500*time.Millisecond)
+			runCallWithTarget(gate, 0, shortTarget, 50*time.Millisecond)
+			runCallWithTarget(gate, 0, longTarget, 500*time.Millisecond)
 		}
-		offer(gate, 0, callWithTarget(0, long)) // runs for 500 ms
+		offer(gate, 0, callWithTarget(0, longTarget)) // runs for 500 ms
 		for range 2 {
-			ahead := callWithTarget(0, aheadSpan)
+			ahead := callWithTarget(0, aheadTarget)
 			ahead.Target = 300 * time.Millisecond
 			ahead.Patient = true
 			check.Equal(offer(gate, 0, ahead).state, StateQueued)
 		}
-		last := offer(gate, 0, callWithTarget(0, long))
-		if aheadSpan == short {
+		last := offer(gate, 0, callWithTarget(0, longTarget))
+		if aheadTarget == shortTarget {
 			check.Equal(last.state, StateQueued) // 500 + 100 ms, and 500 of its own
 		} else {
 			check.Equal(last.code, result.QueueFull) // 500 + 1,000 ms
--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -39,9 +39,9 @@
 	// draining is true once the running start has reported that it drains or leaves. It is never
 	// reset for the same start.
 	draining bool
-	// down is true if the running start is unconfirmed, has refused a connection, or may not be the
-	// start that runs (see markDownIfOlderRuns). A newer report of the running start resets it, or,
-	// if that start is unconfirmed, only the answer to a probe.
+	// down is true if the start taken as running is unconfirmed, has refused a connection, or may
+	// not be the one to which calls go (see markDownIfOlderRuns). If that start is unconfirmed, only
+	// its answer to a probe resets down; otherwise its next report does.
 	down bool
 	// lastActivityAt is the time of the running start's latest report or answered call,
 	// lastReportAt the time of its latest report.
--- a/internal/core/backend/crashed_test.go
+++ b/internal/core/backend/crashed_test.go
@@ -17,7 +17,7 @@
 	check.True(!tracker.View(0).EarlierCrashed)
 }
 
-func TestAStartHasCrashedOnceTheNextOneAnswers(t *testing.T) {
+func TestAStartCountsAsCrashedAfterTheNextOneAnswers(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, reportOf(200, 1))
--- a/internal/core/backend/order_test.go
+++ b/internal/core/backend/order_test.go
@@ -56,7 +56,7 @@
 	case 2:
 		s.draining = s.isUp
 	case 3:
-		if s.isUp && len(s.pending) < persistentHeartbeats-1 { // more of them would look like a running start
+		if s.isUp && len(s.pending) < olderStartHeartbeats-1 { // more of them would look like a running start
 			s.pending = append(s.pending, s.nextReport())
 		}
 	case 4:
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -124,7 +124,7 @@
 	tracker := NewTracker(interval)
 	tracker.HandleLeave(startOf(0), 5000)
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
-	for beat := range uint64(4 * persistentHeartbeats) { // contradicts the leave repeatedly
+	for beat := range uint64(4 * olderStartHeartbeats) { // contradicts the leave repeatedly
 		now := time.Duration(beat) * interval
 		check.True(!tracker.HandleReport(now, reportOf(4000, beat)))
 		answerProbe(tracker, now)
@@ -155,15 +155,15 @@
 		check := is.New(t)
 		tracker := newTrackerRunning(t, absurd)
 		acceptedAtBeat := 0
-		for beat := 1; beat <= 2*persistentHeartbeats && acceptedAtBeat == 0; beat++ {
+		for beat := 1; beat <= 2*olderStartHeartbeats && acceptedAtBeat == 0; beat++ {
 			now := time.Duration(beat) * interval
 			if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
 				answerProbe(tracker, now)
 				acceptedAtBeat = beat
 			}
 		}
-		check.Equal(acceptedAtBeat, persistentHeartbeats+1)
-		check.Equal(tracker.View((persistentHeartbeats+1)*interval).Start, startOf(200))
+		check.Equal(acceptedAtBeat, olderStartHeartbeats+1)
+		check.Equal(tracker.View((olderStartHeartbeats+1)*interval).Start, startOf(200))
 		check.True(tracker.HandleReport(0, reportOf(201, 1))) // the next start is accepted as usual
 	}
 }
@@ -172,7 +172,7 @@
 func TestABurstOfDelayedReportsDoesNotReplaceTheRunningStart(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 200)
-	for beat := range uint64(4 * persistentHeartbeats) {
+	for beat := range uint64(4 * olderStartHeartbeats) {
 		check.True(!tracker.HandleReport(time.Minute, reportOf(100, beat)))
 	}
 }
@@ -181,7 +181,7 @@
 func TestAnOlderStartDoesNotReplaceANewerOneThatReports(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 200)
-	for beat := 1; beat <= 4*persistentHeartbeats; beat++ {
+	for beat := 1; beat <= 4*olderStartHeartbeats; beat++ {
 		now := time.Duration(beat) * interval
 		tracker.HandleReport(now, reportOf(200, uint64(beat+7)))
 		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat))))
@@ -214,13 +214,13 @@
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, reportOf(1<<62, 1)) // its probe failed
-	for beat := 1; beat <= persistentHeartbeats+1; beat++ {
+	for beat := 1; beat <= olderStartHeartbeats+1; beat++ {
 		now := time.Duration(beat) * interval
 		if tracker.HandleReport(now, reportOf(200, uint64(beat))) {
 			answerProbe(tracker, now)
 		}
 	}
-	check.Equal(tracker.View((persistentHeartbeats+1)*interval), View{
+	check.Equal(tracker.View((olderStartHeartbeats+1)*interval), View{
 		Start: startOf(200), Slots: 6, State: protocol.EndpointReady, EarlierCrashed: true,
 	})
 }
@@ -235,7 +235,7 @@
 	draining.Draining = true
 	tracker.HandleReport(0, draining)
 	tracker.HandleLeave(startOf(200), 0)
-	for beat := 1; beat <= 2*persistentHeartbeats; beat++ {
+	for beat := 1; beat <= 2*olderStartHeartbeats; beat++ {
 		now := time.Duration(beat) * interval
 		check.True(!tracker.HandleReport(now, reportOf(100, uint64(beat+1))))
 	}
@@ -266,14 +266,14 @@
 	}
 }
 
-// A start that is accepted in spite of an absurd start time is probed after each report, like any
-// other one.
-func TestAPersistentStartIsProbedUntilItAnswers(t *testing.T) {
+// A start that has reported for long enough, although a leave with an implausible start time makes
+// it appear older, is probed after each report, like any other start.
+func TestAStartAcceptedAfterALeaveIsProbedAtEachReport(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 100)
 	tracker.HandleLeave(startOf(1<<62), 0) // sent by another process
 	probes := 0
-	for beat := 1; beat <= persistentHeartbeats+3; beat++ {
+	for beat := 1; beat <= olderStartHeartbeats+3; beat++ {
 		if tracker.HandleReport(time.Duration(beat)*interval, reportOf(200, uint64(beat))) {
 			probes++ // its probe fails
 		}
@@ -293,7 +293,7 @@
 			tracker := NewTracker(interval)
 			leave(tracker)
 			now := time.Duration(0)
-			for beat := range uint64(persistentHeartbeatsAfterLeave + 1) {
+			for beat := range uint64(olderStartHeartbeatsAfterLeave + 1) {
 				check.True(!tracker.View(now).State.AcceptsCalls())
 				now += interval
 				if tracker.HandleReport(now, reportOf(200, beat+1)) {
--- a/internal/core/backend/starts.go
+++ b/internal/core/backend/starts.go
@@ -11,14 +11,14 @@
 	// endedLimit bounds the number of ended starts that are kept. It is far higher than the number
 	// of starts within the time for which a heartbeat may be delayed.
 	endedLimit = 32
-	// persistentHeartbeats is the number of consecutive heartbeats, over as many intervals, after
+	// olderStartHeartbeats is the number of consecutive heartbeats, over as many intervals, after
 	// which a start that appears to be older than a silent one is considered running: a clock must
 	// have been wrong. Delayed heartbeats arrive together and are fewer.
-	persistentHeartbeats = 8
-	// persistentHeartbeatsAfterLeave replaces persistentHeartbeats for a start that may have left
-	// itself: a start of its instance has left, and only an upper bound of that one's start time is
+	olderStartHeartbeats = 8
+	// olderStartHeartbeatsAfterLeave replaces olderStartHeartbeats for a start that may be the one
+	// that has left: a start of its instance has left, and only an upper bound of the start time is
 	// known. It is several times as long as a back end keeps running after its leave.
-	persistentHeartbeatsAfterLeave = 120
+	olderStartHeartbeatsAfterLeave = 120
 )
 
 // endedStart is a start that receives no more work.
@@ -41,9 +41,9 @@
 		return ended.mayBeEarlier && ended.start.Instance == start.Instance && start.Born < ended.start.Born
 	})
 	if mayHaveLeft {
-		return persistentHeartbeatsAfterLeave
+		return olderStartHeartbeatsAfterLeave
 	}
-	return persistentHeartbeats
+	return olderStartHeartbeats
 }
 
 // recordEnded records a start that receives no more work, without duplicates.
--- a/internal/core/distribution/acknowledgement.go
+++ b/internal/core/distribution/acknowledgement.go
@@ -26,7 +26,8 @@
 	zones map[zoneKey]*protocol.Acknowledgement
 }
 
-// NewAcknowledgementAggregator returns an empty aggregate.
+// NewAcknowledgementAggregator returns an aggregator to which no acknowledgement has been
+// added.
 func NewAcknowledgementAggregator() *AcknowledgementAggregator {
 	return &AcknowledgementAggregator{zones: map[zoneKey]*protocol.Acknowledgement{}}
 }
--- a/internal/core/distribution/rootlease.go
+++ b/internal/core/distribution/rootlease.go
@@ -82,7 +82,7 @@
 	})
 }
 
-// CanStore reports whether a write quorum of every set has replied to requests sent at
+// HasWriteQuorumSince reports whether a write quorum of every set has replied to requests sent at
 // or after since; it is true without sets. A root must not begin to store a version that
 // can't reach a write quorum: its own rounds would then find a version newer than the
 // released one, which would end its lease.
--- a/internal/core/distribution/tree.go
+++ b/internal/core/distribution/tree.go
@@ -32,9 +32,9 @@
 
 // NewTree computes the tree of the own daemon's region. The first members of each zone
 // by rendezvous rank are its relays; each takes at most fanOut children. Members for which
-// membership.MayBeParent is false get no role. Root candidates are first the readers, then
-// members that already act as root without a reader lease, as in a long platform outage,
-// then the relays, which hold all released configuration.
+// membership.MayBeParent is false get no role. The root candidates are, in this order: members
+// that hold a reader lease; members that already act as root without one, which happens in a
+// long platform outage; and the relays, which hold all released configuration.
 func NewTree(self protocol.Member, members []protocol.Member, fanOut int) *Tree {
 	tree := &Tree{self: self.ID, zone: self.Zone, relays: map[string][]protocol.Member{}}
 	live := lo.Filter(members, func(member protocol.Member, _ int) bool {
--- a/internal/core/endpoint/choose.go
+++ b/internal/core/endpoint/choose.go
@@ -33,9 +33,9 @@
 	return [tierCount]float64{0, s.Zone, s.Region}[distance]
 }
 
-// Choose picks the endpoint of a call: the less loaded of two drawn at random
-// in the own zone or, when those are nearly full, of two in other zones. random
-// must be uniform. Choose returns nil when no endpoint may receive the call;
+// Choose picks the endpoint of a call: the better of two drawn at random in the own zone or,
+// if its load is above Spillover.Above, possibly an endpoint drawn in the same way in another
+// zone or region. random must be uniform. Choose returns nil when no endpoint may receive the call;
 // endpoints in tried are chosen again only if there is no other.
 func (s *Set) Choose(now time.Duration, random uint64, tried Tried) *Endpoint {
 	chosen := s.choose(now, random, tried, true)
@@ -86,7 +86,7 @@
 
 // excludes reports whether the endpoint is skipped.
 func (x exclusions) excludes(candidate *Endpoint, now time.Duration) bool {
-	return (x.ejected && candidate.Ejected(now)) || (x.degraded && candidate.degraded())
+	return (x.ejected && candidate.Ejected(now)) || (x.degraded && candidate.isDegraded())
 }
 
 // exclusionsAt returns the exclusions that leave enough endpoints of the set in use.
@@ -98,14 +98,14 @@
 			if candidate.Ejected(now) {
 				ejected++
 			}
-			if candidate.degraded() {
+			if candidate.isDegraded() {
 				degraded++
 			}
 		}
 	}
 	return exclusions{
-		ejected:  float64(ejected) <= float64(s.usable)*ejectionFloor,
-		degraded: float64(degraded) <= float64(s.usable)*degradedLimit,
+		ejected:  float64(ejected) <= float64(s.usableCount)*ejectionFloor,
+		degraded: float64(degraded) <= float64(s.usableCount)*degradedLimit,
 	}
 }
 
@@ -122,7 +122,7 @@
 		return nil
 	}
 	second := firstUsableFrom(tier, low, now, tried, excluded, first)
-	if second != nil && first.cold() != second.cold() {
+	if second != nil && first.isCold() != second.isCold() {
 		return pickWarmOrCold(first, second, now, random)
 	}
 	if second == nil || first.preferredOver(second, now, random) {
@@ -132,7 +132,7 @@
 }
 
 // firstUsableFrom returns the first usable endpoint at or after the start position,
-// wrapping around and skipping the one already drawn.
+// wrapping around and skipping the endpoint that has been drawn already.
 func firstUsableFrom(tier []*Endpoint, start int, now time.Duration, tried Tried, excluded exclusions, drawn *Endpoint) *Endpoint {
 	for step := range tier {
 		candidate := tier[(start+step)%len(tier)]
@@ -194,20 +194,20 @@
 // ChooseRoundRobin picks endpoints round robin, regardless of load and distance. It
 // is a baseline for comparisons only.
 func (s *Set) ChooseRoundRobin(now time.Duration, turn uint64, tried Tried) *Endpoint {
-	if s.usable == 0 {
+	if s.usableCount == 0 {
 		return nil
 	}
-	for step := range uint64(s.usable) {
-		candidate := s.nth(int((turn + step) % uint64(s.usable)))
+	for step := range uint64(s.usableCount) {
+		candidate := s.nthUsable(int((turn + step) % uint64(s.usableCount)))
 		if !tried.contains(candidate) && !candidate.refusesCalls(now) {
 			return candidate
 		}
 	}
-	return s.nth(int(turn % uint64(s.usable)))
+	return s.nthUsable(int(turn % uint64(s.usableCount)))
 }
 
-// nth returns the usable endpoint at an index, counted across the tiers.
-func (s *Set) nth(index int) *Endpoint {
+// nthUsable returns the usable endpoint at an index, counted across the tiers.
+func (s *Set) nthUsable(index int) *Endpoint {
 	for _, tier := range s.tiers {
 		if index < len(tier) {
 			return tier[index]
--- a/internal/core/endpoint/cold.go
+++ b/internal/core/endpoint/cold.go
@@ -8,11 +8,12 @@
 	"github.com/springstack/springstack/internal/core/warmup"
 )
 
-// minColdShare is the minimum share of a cold endpoint. At zero its load would be infinite.
+// minColdShare is the minimum of coldCapacityShare. It is above 0 because the load of an endpoint is
+// divided by this share.
 const minColdShare = 0.02
 
-// cold reports whether the endpoint is warming up and its service configures a cold rate.
-func (e *Endpoint) cold() bool { return e.ColdRate > 0 && e.State == protocol.EndpointWarming }
+// isCold reports whether the endpoint is warming up and its service configures a cold rate.
+func (e *Endpoint) isCold() bool { return e.ColdRate > 0 && e.State == protocol.EndpointWarming }
 
 // RecordColdRefusal records that the gate refused a call because its back end is cold, and the
 // time until it accepts one of the same class. Until then it refuses lower classes as well.
@@ -32,13 +33,13 @@
 // refusesCalls reports whether the gate has refused all new calls or, because its back end is
 // cold, those of the lowest class, and that refusal still applies.
 func (e *Endpoint) refusesCalls(now time.Duration) bool {
-	return e.notAccepting(now) || e.coldWait(now, 0) > 0
+	return e.isNotAccepting(now) || e.coldWait(now, 0) > 0
 }
 
 // coldCapacityShare returns the capacity of a cold endpoint as a fraction of its capacity when
 // warm.
 func (e *Endpoint) coldCapacityShare() float64 {
-	if !e.cold() {
+	if !e.isCold() {
 		return 1
 	}
 	serviceTime := time.Duration(e.stats.serviceTime.Load())
@@ -64,7 +65,7 @@
 // divided by twice the call rate of the warm endpoint.
 func pickWarmOrCold(first, second *Endpoint, now time.Duration, random uint64) *Endpoint {
 	warm, cold := first, second
-	if first.cold() {
+	if first.isCold() {
 		warm, cold = second, first
 	}
 	probability := initialShare
@@ -84,7 +85,7 @@
 	shortest := time.Duration(0)
 	for _, tier := range s.tiers {
 		for _, candidate := range tier {
-			if candidate.notAccepting(now) || candidate.Ejected(now) {
+			if candidate.isNotAccepting(now) || candidate.Ejected(now) {
 				continue
 			}
 			wait := candidate.coldWait(now, 0)
@@ -118,5 +119,5 @@
 // refusesOnlyLowerClasses reports whether the gate has refused calls of lower classes as cold, but may
 // accept one of this class.
 func (e *Endpoint) refusesOnlyLowerClasses(now time.Duration, class int) bool {
-	return !e.notAccepting(now) && !e.Ejected(now) && e.coldWait(now, 0) > 0 && e.coldWait(now, class) == 0
+	return !e.isNotAccepting(now) && !e.Ejected(now) && e.coldWait(now, 0) > 0 && e.coldWait(now, class) == 0
 }
--- a/internal/core/endpoint/compare.go
+++ b/internal/core/endpoint/compare.go
@@ -32,24 +32,24 @@
 	if theirTime < myTime {
 		faster = other
 	}
-	if faster.hasCurrentReport(now) || faster.overloaded(now) {
+	if faster.hasCurrentReport(now) || faster.isOverloaded(now) {
 		return faster == e
 	}
-	mine, theirs := myTime*myTime, theirTime*theirTime
-	return uniformFloat(random) < theirs/(mine+theirs)
+	mySquare, theirSquare := myTime*myTime, theirTime*theirTime
+	return uniformFloat(random) < theirSquare/(mySquare+theirSquare)
 }
 
 // expectedTimes returns the expected completion times of a call at two endpoints,
 // comparable only with each other; known is false if a service time is unknown.
-func (e *Endpoint) expectedTimes(other *Endpoint, now time.Duration) (mine, theirs float64, known bool) {
-	myService := e.stats.serviceTime.Load()
-	theirService := other.stats.serviceTime.Load()
-	if myService <= 0 || theirService <= 0 {
+func (e *Endpoint) expectedTimes(other *Endpoint, now time.Duration) (myTime, theirTime float64, known bool) {
+	myServiceTime := e.stats.serviceTime.Load()
+	theirServiceTime := other.stats.serviceTime.Load()
+	if myServiceTime <= 0 || theirServiceTime <= 0 {
 		return 0, 0, false
 	}
-	mine = max(e.load(now), 1) * float64(max(myService, theirService/maxServiceRatio))
-	theirs = max(other.load(now), 1) * float64(max(theirService, myService/maxServiceRatio))
-	return mine, theirs, true
+	myTime = max(e.load(now), 1) * float64(max(myServiceTime, theirServiceTime/maxServiceRatio))
+	theirTime = max(other.load(now), 1) * float64(max(theirServiceTime, myServiceTime/maxServiceRatio))
+	return myTime, theirTime, true
 }
 
 // hasCurrentReport reports whether the last load report is current.
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -23,7 +23,7 @@
 	// maxWarmingShare is the largest share of an endpoint that reports that it is
 	// warming up.
 	maxWarmingShare = 0.5
-	// reportLifetime is the age at which a load report is ignored.
+	// reportLifetime is the age from which a load report is ignored.
 	reportLifetime = 2 * time.Second
 	// notAcceptingPeriod is how long an endpoint is avoided after its gate refused new
 	// calls. A newer member record ends it earlier.
@@ -82,7 +82,7 @@
 type stats struct {
 	outstanding atomic.Int64
 	// otherCalls is the number of other callers' calls computed from the last load report,
-	// as float64 bits; reportedAt is when that report was received.
+	// as float64 bits; reportedAt is the time at which that report was received.
 	otherCalls atomic.Uint64
 	reportedAt atomic.Int64
 	// serviceTime is the gate's mean service time, in nanoseconds.
@@ -92,15 +92,16 @@
 	serverErrors atomic.Int64
 	ejections    atomic.Int64
 	ejectedUntil atomic.Int64
-	// notAcceptingUntil is until when the endpoint is avoided after a refusal of new calls,
-	// notAcceptingSequence the sequence of the member record at that time.
+	// notAcceptingUntil is the time until which the endpoint is avoided after a refusal of new
+	// calls, notAcceptingSequence the sequence of the member record at the refusal.
 	notAcceptingUntil    atomic.Int64
 	notAcceptingSequence atomic.Uint64
-	// recordReceivedAt is when the daemon's current member record was received.
+	// recordReceivedAt is the time at which the daemon's current member record was received.
 	recordReceivedAt atomic.Int64
-	// coldUntil is, for each class, until when the gate of a cold back end accepts no call.
+	// coldUntil holds, for each class, the time until which the gate of a cold back end accepts no
+	// call of the class.
 	coldUntil [warmup.ClassCount]atomic.Int64
-	// overloadedUntil is until when overloadPenalty is added after a refusal for load.
+	// overloadedUntil is the time until which overloadPenalty is added after a refusal for load.
 	overloadedUntil atomic.Int64
 	// warmUpStartedAt is the time from which the warm-up is counted.
 	warmUpStartedAt atomic.Int64
@@ -230,14 +231,14 @@
 }
 
 // load returns the load by which choices compare endpoints: the estimated number of calls
-// including the new one, divided by the slots that count by capacityShare, plus additions
+// including the new one, divided by the slots multiplied by capacityShare, plus additions
 // for a doubted or overloaded endpoint.
 func (e *Endpoint) load(now time.Duration) float64 {
 	load := (e.calls(now) + 1) / (float64(max(e.Slots, 1)) * e.capacityShare(now))
 	if e.Doubted {
 		load++
 	}
-	if e.overloaded(now) {
+	if e.isOverloaded(now) {
 		load += overloadPenalty
 	}
 	return load
@@ -252,12 +253,12 @@
 	return calls
 }
 
-// overloaded reports whether the gate refused a call for load within overloadPeriod.
-func (e *Endpoint) overloaded(now time.Duration) bool {
+// isOverloaded reports whether the gate refused a call for load within overloadPeriod.
+func (e *Endpoint) isOverloaded(now time.Duration) bool {
 	return int64(now) < e.stats.overloadedUntil.Load()
 }
 
-// capacityShare returns the fraction of its slots that the endpoint counts for. It rises from
+// capacityShare returns the fraction of the slots with which load counts the endpoint. It rises from
 // initialShare to 1 during the warm-up.
 func (e *Endpoint) capacityShare(now time.Duration) float64 {
 	age := now - time.Duration(e.stats.warmUpStartedAt.Load())
@@ -274,9 +275,9 @@
 	return share
 }
 
-// notAccepting reports whether the gate refused new calls within notAcceptingPeriod and the
+// isNotAccepting reports whether the gate refused new calls within notAcceptingPeriod and the
 // sequence number of the member record has not risen since.
-func (e *Endpoint) notAccepting(now time.Duration) bool {
+func (e *Endpoint) isNotAccepting(now time.Duration) bool {
 	return int64(now) < e.stats.notAcceptingUntil.Load() && e.stats.notAcceptingSequence.Load() >= e.Sequence
 }
 
@@ -286,5 +287,5 @@
 	return int64(now) < e.stats.ejectedUntil.Load()
 }
 
-// degraded reports whether the member record states that the back end fails many calls.
-func (e *Endpoint) degraded() bool { return e.State == protocol.EndpointDegraded }
+// isDegraded reports whether the member record states that the back end fails many calls.
+func (e *Endpoint) isDegraded() bool { return e.State == protocol.EndpointDegraded }
--- a/internal/core/endpoint/node.go
+++ b/internal/core/endpoint/node.go
@@ -11,7 +11,7 @@
 func (s *Set) ChooseOnNode(now time.Duration, node protocol.NodeID, tried Tried) *Endpoint {
 	for _, candidate := range s.tiers[0] {
 		if candidate.Node == node && candidate.State == protocol.EndpointReady && !tried.contains(candidate) &&
-			!candidate.refusesCalls(now) && !candidate.Ejected(now) && !candidate.overloaded(now) {
+			!candidate.refusesCalls(now) && !candidate.Ejected(now) && !candidate.isOverloaded(now) {
 			return candidate
 		}
 	}
--- a/internal/core/endpoint/set.go
+++ b/internal/core/endpoint/set.go
@@ -12,7 +12,7 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// Locality is the location of the calling daemon, with the settings for its choices.
+// Locality is the location of the calling daemon, with the settings by which it chooses endpoints.
 type Locality struct {
 	Region string
 	Zone   string
@@ -37,9 +37,9 @@
 	All []*Endpoint
 	// tiers holds the endpoints that may receive new calls, by distance.
 	tiers [tierCount][]*Endpoint
-	// usable is the number of endpoints in tiers.
-	usable int
-	spill  Spillover
+	// usableCount is the number of endpoints in tiers.
+	usableCount int
+	spill       Spillover
 }
 
 // MemberIndex maps a back end to the member record of its daemon's latest incarnation. It
@@ -92,20 +92,20 @@
 	set.All = make([]*Endpoint, 0, len(backends))
 	previousByName := previous.byName()
 	for _, backend := range backends {
-		described, usable := describe(backend, index)
-		described.ColdRate = self.ColdRate
-		if usable && self.Evacuations.Evacuates(described.Zone) {
-			described.State = protocol.EndpointEvacuated
+		current, usable := newEndpoint(backend, index)
+		current.ColdRate = self.ColdRate
+		if usable && self.Evacuations.Evacuates(current.Zone) {
+			current.State = protocol.EndpointEvacuated
 			usable = false
 		}
-		endpoint := reuseOrCreate(self, previous, previousByName[backend.Name], described, now)
+		endpoint := reuseOrCreate(self, previous, previousByName[backend.Name], current, now)
 		set.All = append(set.All, endpoint)
 		if !usable {
 			continue
 		}
 		tier := distance(self, endpoint)
 		set.tiers[tier] = append(set.tiers[tier], endpoint)
-		set.usable++
+		set.usableCount++
 	}
 	return set
 }
@@ -122,12 +122,12 @@
 	return index
 }
 
-// describe combines a back end's configuration with its daemon's member record and
-// reports whether it may receive new calls. State, address and location of the record
-// take precedence over the configuration. Without a record the endpoint is usable but
-// doubted, because the record may still arrive.
-func describe(backend resource.Backend, index MemberIndex) (Endpoint, bool) {
-	described := Endpoint{
+// newEndpoint combines a back end's configuration with its daemon's member record, without
+// statistics, and reports whether the endpoint may receive new calls. State,
+// address and location of the record take precedence over the configuration. Without a
+// record the endpoint is usable but doubted, because the record may still arrive.
+func newEndpoint(backend resource.Backend, index MemberIndex) (Endpoint, bool) {
+	endpoint := Endpoint{
 		Service: backend.ServiceRef(),
 		Backend: backend.Name,
 		Address: backend.Address,
@@ -136,22 +136,22 @@
 		Slots:   backend.Slots,
 		Doubted: true,
 	}
-	member, found := index[backendKey{service: described.Service, backend: described.Backend}]
+	member, found := index[backendKey{service: endpoint.Service, backend: endpoint.Backend}]
 	if !found {
-		return described, true
+		return endpoint, true
 	}
-	described.Node = member.ID
-	described.Incarnation = member.Incarnation
-	described.Sequence = member.Sequence
-	described.State = effectiveState(member)
-	described.Doubted = member.State == protocol.MemberSuspect
-	described.Region = member.Region
-	described.Zone = member.Zone
-	described.Address = cmp.Or(member.DataAddress, described.Address)
-	described.Slots = cmp.Or(member.Slots, described.Slots)
-	described.Software = member.Software
-	described.Born = member.Born
-	return described, described.State.AcceptsCalls()
+	endpoint.Node = member.ID
+	endpoint.Incarnation = member.Incarnation
+	endpoint.Sequence = member.Sequence
+	endpoint.State = effectiveState(member)
+	endpoint.Doubted = member.State == protocol.MemberSuspect
+	endpoint.Region = member.Region
+	endpoint.Zone = member.Zone
+	endpoint.Address = cmp.Or(member.DataAddress, endpoint.Address)
+	endpoint.Slots = cmp.Or(member.Slots, endpoint.Slots)
+	endpoint.Software = member.Software
+	endpoint.Born = member.Born
+	return endpoint, endpoint.State.AcceptsCalls()
 }
 
 // effectiveState returns the state of a back end by its daemon's record. A back end whose daemon
@@ -163,16 +163,16 @@
 	return member.Endpoint
 }
 
-// reuseOrCreate returns the described endpoint: the endpoint of the previous set if nothing
-// changed, otherwise a new endpoint with the statistics that carryOverStats returns.
-func reuseOrCreate(self Locality, previous *Set, old *Endpoint, described Endpoint, now time.Duration) *Endpoint {
+// reuseOrCreate returns the endpoint of the previous set if it equals the current one, otherwise
+// the current one with the statistics that carryOverStats returns.
+func reuseOrCreate(self Locality, previous *Set, old *Endpoint, current Endpoint, now time.Duration) *Endpoint {
 	if old != nil {
-		described.stats = old.stats
-		if described == *old {
+		current.stats = old.stats
+		if current == *old {
 			return old
 		}
 	}
-	created := described
+	created := current
 	created.stats = carryOverStats(self, previous, old, &created, now)
 	return &created
 }
@@ -235,7 +235,7 @@
 		for _, endpoint := range tier {
 			if condition(endpoint) {
 				filtered.tiers[distance] = append(filtered.tiers[distance], endpoint)
-				filtered.usable++
+				filtered.usableCount++
 			}
 		}
 	}
@@ -249,12 +249,12 @@
 
 // UsableCount returns the number of endpoints that may receive new calls by the state that
 // their daemons report.
-func (s *Set) UsableCount() int { return s.usable }
+func (s *Set) UsableCount() int { return s.usableCount }
 
 // BlockedByEvacuation reports whether no endpoint may receive new calls and at least one is
 // excluded by the evacuation of its zone.
 func (s *Set) BlockedByEvacuation() bool {
-	return s.usable == 0 && slices.ContainsFunc(s.All, func(endpoint *Endpoint) bool {
+	return s.usableCount == 0 && slices.ContainsFunc(s.All, func(endpoint *Endpoint) bool {
 		return endpoint.State == protocol.EndpointEvacuated
 	})
 }
@@ -281,7 +281,7 @@
 // HasUntriedWithCapacity reports whether an untried endpoint accepts calls and has not just
 // refused one for load.
 func (s *Set) HasUntriedWithCapacity(now time.Duration, tried Tried) bool {
-	return s.hasUntriedMatching(now, tried, func(candidate *Endpoint) bool { return !candidate.overloaded(now) })
+	return s.hasUntriedMatching(now, tried, func(candidate *Endpoint) bool { return !candidate.isOverloaded(now) })
 }
 
 // hasUntriedMatching reports whether an untried endpoint accepts calls and satisfies a condition.
--- a/internal/core/evacuation/timing.go
+++ b/internal/core/evacuation/timing.go
@@ -7,21 +7,21 @@
 const WatcherCount = 3
 
 const (
-	// relistDivisor divides the bound: after this part of it the first watcher reads the orders
-	// again, since a watch may miss a change. An order that no watch reports then takes effect well
-	// within half of the bound.
+	// The first watcher reads the orders again after the bound divided by relistDivisor, since a
+	// watch may miss a change. An order that no watch reports then takes effect well within half of
+	// the bound.
 	relistDivisor = 4
-	// staggerDivisor divides the bound: each further watcher waits longer than the one before it by
-	// this part of the bound, so that usually only the first one reads.
+	// Each further watcher waits longer than the previous one by the bound divided by
+	// staggerDivisor, so that usually only the first watcher reads.
 	staggerDivisor = 20
 	// A daemon that is no watcher reads the orders itself once its latest known reading is older
-	// than staleFraction of the bound plus a random time of up to jitterFraction of it. The sum is
-	// at most half of the bound, and the first such daemon to read usually saves the others from
-	// reading.
+	// than staleFraction of the bound plus a random time of up to jitterFraction of the bound. The
+	// sum is at most half of the bound. Since daemons exchange the orders, usually only the first
+	// such daemon reads.
 	staleFraction  = 0.4
 	jitterFraction = 0.1
-	// startupDivisor divides the bound: a starting daemon waits for this part of it, plus the
-	// random time, for the orders from a peer before it reads them.
+	// A starting daemon waits for the orders from a peer, for the bound divided by startupDivisor
+	// plus the random time, before it reads them from the store.
 	startupDivisor = 16
 	// maxRetryDelayFactor is the maximum delay, as a multiple of the bound, between two attempts of
 	// a daemon that is no watcher while the store refuses them. Each attempt costs the store a
--- a/internal/core/evacuation/timing_test.go
+++ b/internal/core/evacuation/timing_test.go
@@ -130,7 +130,7 @@
 	fleet.run(10*time.Second, 40*time.Second, NewOrders(position.Position{Revision: 3}, nil))
 	fleet.reads = 0
 	fleet.run(40*time.Second, 100*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	const maxWatcherReads, maxOtherReads = 49 * WatcherCount, 7 * (77 - WatcherCount) // one per retry delay, and one more each
+	const maxWatcherReads, maxOtherReads = 49 * WatcherCount, 7 * (77 - WatcherCount) // readings at the retry delays of 1.25 s and 10 s, and one more each because the period may begin just before a reading
 	check.True(fleet.reads <= maxWatcherReads+maxOtherReads)
 }
 
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -127,13 +127,13 @@
 	// first.
 	adoptedAt  time.Duration
 	hasAdopted bool
-	// fetching holds the peers whose document is being fetched.
-	fetching map[protocol.NodeID]bool
+	// pendingFetches holds the peers whose document is being fetched.
+	pendingFetches map[protocol.NodeID]bool
 }
 
 // New returns a follower that holds no document.
 func New(config Config, random func() uint64) *Follower {
-	return &Follower{config: config, random: random, fetching: map[protocol.NodeID]bool{}}
+	return &Follower{config: config, random: random, pendingFetches: map[protocol.NodeID]bool{}}
 }
 
 // Version returns the newest version emitted for adoption.
@@ -262,10 +262,10 @@
 
 // HandlePeerVersion handles the version that a peer reports to have in force.
 func (f *Follower) HandlePeerVersion(now time.Duration, peer protocol.NodeID, version protocol.Version) []Action {
-	if version <= f.Version() || f.fetching[peer] {
+	if version <= f.Version() || f.pendingFetches[peer] {
 		return nil
 	}
-	f.fetching[peer] = true
+	f.pendingFetches[peer] = true
 	grace := f.config.PeerGrace
 	if !f.IsStoreAvailable() {
 		grace = 0
@@ -278,7 +278,7 @@
 
 // HandlePeerDocument handles a peer's document; version 0 means that the peer sent none.
 func (f *Follower) HandlePeerDocument(now time.Duration, peer protocol.NodeID, document authority.Document) []Action {
-	delete(f.fetching, peer)
+	delete(f.pendingFetches, peer)
 	return f.thenRewatch(f.adoptIfNewer(now, document, SourcePeer))
 }
 
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -95,7 +95,7 @@
 	check.True(follower.IsNewer(7))
 }
 
-func TestPeersAreFetchedFromAtOnceOnlyWhileTheStoreIsUnavailable(t *testing.T) {
+func TestPeerDocumentsAreFetchedWithoutDelayOnlyIfTheStoreIsUnavailable(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
 	check.Equal(follower.HandlePeerVersion(0, "p", 5)[0].After, time.Duration(0)) // the store has not been read yet
--- a/internal/core/hang/hang_test.go
+++ b/internal/core/hang/hang_test.go
@@ -20,7 +20,8 @@
 	is.New(t).True(hungEvidence().IsHung())
 }
 
-// A call that the back end reports as held is still running, whatever its age.
+// If the back end reports that it holds all calls in flight, none is considered hung, whatever its
+// age.
 func TestALongCallThatTheBackEndHoldsIsNotHung(t *testing.T) {
 	evidence := hungEvidence()
 	evidence.Missing = 0
--- a/internal/core/hang/missing.go
+++ b/internal/core/hang/missing.go
@@ -11,15 +11,16 @@
 	// number of missing calls in its reports, because a call that is on its way to the back end, or
 	// is answered while the report is on its way, is missing only for a few milliseconds.
 	missingPeriod = 200 * time.Millisecond
-	// minReportsPerPeriod is the number of reports that a period must contain to be valid.
+	// minReportsPerPeriod is the minimum number of reports in a period. A period with fewer is
+	// extended.
 	minReportsPerPeriod = 3
 	// maxResultAge is the time for which the result of a period remains valid.
 	maxResultAge = 2 * time.Second
 )
 
 // MissingCalls tracks the number of missing calls of a back end: the calls in flight there minus
-// those that it reports as held (running or queued). It is safe for concurrent use, and Record never blocks. The
-// zero value has no data.
+// those that it reports as held (running or queued). It is safe for concurrent use, and Record never
+// blocks. The zero value has no data.
 type MissingCalls struct {
 	mutex sync.Mutex
 	// periodStart is the start of the present period, lowestMissing the lowest number of missing
--- a/internal/core/quarantine/classify.go
+++ b/internal/core/quarantine/classify.go
@@ -180,12 +180,12 @@
 	return enough && c.hasEndWithoutOtherCause(records)
 }
 
-// countTrials returns the number of distinct trials that met unattributed ends.
+// countTrials returns the number of distinct trials in which the unattributed ends occurred.
 func (c *candidate) countTrials() int { return c.record.countTrials(c.unattributed) }
 
-// ranAloneInLaterTrial reports whether the candidate ran alone at an unattributed end after an
-// earlier trial had met one. Such an end is not part of a single failure that ended several back
-// ends at once.
+// ranAloneInLaterTrial reports whether the candidate ran alone at an unattributed end of its second
+// or a later trial. Such an end is not part of a single failure that ended several back ends at
+// once.
 func (c *candidate) ranAloneInLaterTrial() bool {
 	return slices.ContainsFunc(c.unattributed, func(end string) bool {
 		detail := c.record.detail(end)
@@ -237,13 +237,13 @@
 }
 
 // hasRival reports whether another candidate ran at all unattributed ends of this one or at all but
-// one of them, since that one may have a separate cause. A candidate that also ran at an end
+// one of them, since that end may have a separate cause. A candidate that also ran at an end
 // attributed to a harmful request is no rival: it is known to run concurrently with harmful
 // requests.
 func (c *candidate) hasRival(all []*candidate) bool {
 	return slices.ContainsFunc(all, func(other *candidate) bool {
-		ranBesideHarmful := len(other.unattributed) < len(other.record.Ends)
-		return other != c && !ranBesideHarmful && other.ranAtEndsOf(c, 1)
+		ranWithHarmful := len(other.unattributed) < len(other.record.Ends)
+		return other != c && !ranWithHarmful && other.ranAtEndsOf(c, 1)
 	})
 }
 
--- a/internal/core/quarantine/companions.go
+++ b/internal/core/quarantine/companions.go
@@ -71,14 +71,14 @@
 func mergeDetails(first, second []EndDetail) []EndDetail {
 	all := slices.Clone(first)
 	for _, detail := range second {
-		at, found := slices.BinarySearchFunc(all, detail.Instance, func(existing EndDetail, name string) int {
+		index, found := slices.BinarySearchFunc(all, detail.Instance, func(existing EndDetail, name string) int {
 			return cmp.Compare(existing.Instance, name)
 		})
 		if !found {
-			all = slices.Insert(all, at, EndDetail{Instance: detail.Instance})
+			all = slices.Insert(all, index, EndDetail{Instance: detail.Instance})
 		}
-		all[at].Trial = max(all[at].Trial, detail.Trial)
-		all[at].Beside = mergeCompanions(all[at].Beside, detail.Beside)
+		all[index].Trial = max(all[index].Trial, detail.Trial)
+		all[index].Beside = mergeCompanions(all[index].Beside, detail.Beside)
 	}
 	return all
 }
--- a/internal/core/quarantine/companions_test.go
+++ b/internal/core/quarantine/companions_test.go
@@ -27,8 +27,8 @@
 	return harmless, harmful
 }
 
-// Guards against holding a harmless request that ran concurrently with several harmful ones, before
-// each of them has enough ends to be held itself.
+// A harmless request that ran concurrently with several harmful ones is not held, even while the
+// harmful ones do not have enough ends to be held yet.
 func TestACompanionOfHarmfulRequestsIsNotHeld(t *testing.T) {
 	for furtherEnds := range 4 {
 		check := is.New(t)
--- a/internal/core/quarantine/record.go
+++ b/internal/core/quarantine/record.go
@@ -29,7 +29,7 @@
 type Rules struct {
 	// Ends is the number of ends from which a request is held if no back end answered it
 	// successfully before its first end. One end may be due to any request that ran on the
-	// instance, and a second one of the same request to coincidence.
+	// instance, and a second end of the same request to coincidence.
 	Ends int
 	// EndsFamiliar replaces Ends if the request was answered successfully before its first end.
 	// Such a request rarely becomes harmful, and it often runs while other requests end back ends.
@@ -49,9 +49,9 @@
 	LeastShare float64
 }
 
-// DefaultRules returns the rules that daemons use. Of the rules tried in simulated days with
-// harmful requests, they require the fewest ends without holding a harmless request. The results
-// are in docs/design/harmful-requests.md.
+// DefaultRules returns the rules that daemons use. Of the rules compared in simulations with harmful
+// requests, they require the fewest ends without holding a harmless request (see
+// docs/design/harmful-requests.md).
 func DefaultRules() Rules { return Rules{Ends: 3, EndsFamiliar: 4} }
 
 // Limits of records, and the durations of suspicions and holds.
@@ -72,8 +72,8 @@
 	// causes. After the hold the request is suspected again, and its next attempt, which runs
 	// separately, decides.
 	firstHold = time.Minute
-	// repeatedHold is how long a request is held after one further end. It doubles with each end
-	// after that, up to holdLimit.
+	// repeatedHold is how long a request is held after an end in one further trial. It doubles with
+	// each further trial in which an end occurs, up to holdLimit.
 	repeatedHold = 10 * time.Minute
 	holdLimit    = 2 * time.Hour
 	// suspicionAfterHold is how long a request stays suspected after its hold has expired.
@@ -105,7 +105,7 @@
 // String returns the name of the isolation level in logs.
 func (i Isolation) String() string { return isolationNames[i] }
 
-// Companion identifies a request that was in flight together with another one at an end.
+// Companion identifies a request that was in flight together with another request at an end.
 type Companion struct {
 	// Key is the key of the companion's signature (see Signature.Key); 0 if the companion is
 	// unidentified.
@@ -117,9 +117,9 @@
 // EndDetail holds the circumstances of one end of a request.
 type EndDetail struct {
 	Instance string
-	// Trial is the number, starting at 1, of the trial that met the end. All attempts that began
-	// before any end was known belong to the same trial, since the failure of a rack ends all of
-	// them at once. 0 means unknown, and counts as a separate trial.
+	// Trial is the number, starting at 1, of the trial in which the end occurred. All attempts that
+	// began before any end was known belong to the same trial, since the failure of a rack ends all
+	// of them at once. 0 means unknown, and counts as a separate trial.
 	Trial uint32
 	// Beside holds the companions at this end, in ascending order of their keys and without
 	// duplicates.
@@ -236,11 +236,11 @@
 	if !r.hasEnoughEnds(record) {
 		return 0
 	}
-	further := record.countTrials(record.Ends) - r.requiredEnds(record)
-	if further <= 0 {
+	furtherTrials := record.countTrials(record.Ends) - r.requiredEnds(record)
+	if furtherTrials <= 0 {
 		return firstHold
 	}
-	return min(repeatedHold<<(further-1), holdLimit)
+	return min(repeatedHold<<(furtherTrials-1), holdLimit)
 }
 
 // lifetime returns how long the record is valid after its latest end.
--- a/internal/core/quarantine/signature.go
+++ b/internal/core/quarantine/signature.go
@@ -7,7 +7,7 @@
 )
 
 // hashSize is the length of each half of a signature. Crafting a request with the signature of
-// another one is infeasible for 128 bits of SHA-256, so daemons need no shared key.
+// another request is infeasible for 128 bits of SHA-256, so daemons need no shared key.
 const hashSize = 16
 
 // Hash is one half of a signature.
--- a/internal/core/quarantine/table.go
+++ b/internal/core/quarantine/table.go
@@ -38,8 +38,8 @@
 	return t.RecordEndInTrial(now, signature, instance, familiar, t.lastTrial(now, signature)+1)
 }
 
-// lastTrial returns the number of the latest trial of a request that met an end; 0 if the request
-// is unknown or cleared.
+// lastTrial returns the number of the latest trial of a request in which an end occurred; 0 if
+// the request is unknown or cleared.
 func (t *Table) lastTrial(now time.Duration, signature Signature) uint32 {
 	entry := t.liveEntry(now, signature)
 	if entry == nil || entry.record.Cleared {
@@ -69,8 +69,8 @@
 	return changed
 }
 
-// RecordUnidentified records that unidentified requests were in flight as an instance ended. It
-// must be called before RecordEnd for that instance.
+// RecordUnidentifiedCompanions records that unidentified requests were in flight as an instance
+// ended. It must be called before RecordEnd for that instance.
 func (t *Table) RecordUnidentifiedCompanions(instance string) { t.observed.add(instance, Companion{}) }
 
 // linkCompanions records the requests that were in flight at an end as companions of each other.
@@ -172,25 +172,25 @@
 func (t *Table) insert(now time.Duration, added *entry) {
 	if t.entries[added.record.Signature] == nil && len(t.entries) >= tableLimit {
 		t.Expire(now)
-		t.evictOne(now)
+		t.evictIfFull(now)
 	}
 	t.entries[added.record.Signature] = added
 }
 
-func (t *Table) evictOne(now time.Duration) {
+func (t *Table) evictIfFull(now time.Duration) {
 	if len(t.entries) < tableLimit {
 		return
 	}
 	classifications := t.classify(now)
 	stateOf := func(e *entry) State { return classifications[e.record.Signature].state(now) }
-	var lowest *entry
+	var leastImportant *entry
 	for _, e := range t.entries {
-		if lowest == nil || cmp.Or(cmp.Compare(stateOf(e), stateOf(lowest)), cmp.Compare(e.latestEndAt, lowest.latestEndAt),
-			compareSignatures(e.record.Signature, lowest.record.Signature)) < 0 {
-			lowest = e
+		if leastImportant == nil || cmp.Or(cmp.Compare(stateOf(e), stateOf(leastImportant)), cmp.Compare(e.latestEndAt, leastImportant.latestEndAt),
+			compareSignatures(e.record.Signature, leastImportant.record.Signature)) < 0 {
+			leastImportant = e
 		}
 	}
-	delete(t.entries, lowest.record.Signature)
+	delete(t.entries, leastImportant.record.Signature)
 }
 
 func compareSignatures(a, b Signature) int {
@@ -307,7 +307,7 @@
 	return found
 }
 
-// Count returns the number of requests that are suspected and held at the given time.
+// Count returns the numbers of suspected and of held requests at the given time.
 func (v *View) Count(now time.Duration) map[State]int {
 	counts := map[State]int{Suspected: 0, Held: 0}
 	if v.Empty() {
@@ -330,8 +330,8 @@
 	return found.state(now), max(found.heldUntil-now, 0)
 }
 
-// LastTrial returns the number of the latest trial of a request that is known to have met an end; 0
-// if there is none.
+// LastTrial returns the number of the latest known trial of a request in which an end occurred; 0 if
+// there is none.
 func (v *View) LastTrial(signature Signature) uint32 {
 	if v.Empty() {
 		return 0
--- a/internal/core/region/allowed.go
+++ b/internal/core/region/allowed.go
@@ -16,7 +16,7 @@
 	names []string
 }
 
-// NewAllowed returns the set of the regions that a route lists: nil allows all regions, an empty
+// NewSet returns the set of the regions that a route lists: nil allows all regions, an empty
 // list none.
 func NewSet(names []string) Set {
 	if names == nil {
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -59,7 +59,7 @@
 
 // account counts the calls and retries of one service or of one class of its calls.
 type account struct {
-	// calls counts calls that ran or may have run, retries those charged to the account.
+	// calls counts calls that ran or may have run, retries the retries charged to it.
 	calls   window
 	retries window
 }
@@ -87,8 +87,8 @@
 // NewBudget returns a budget with the default limits.
 func NewBudget() *Budget { return NewBudgetWithLimits(DefaultLimits()) }
 
-// NewBudgetWithLimits returns a budget with the limits. A zero window means that of the
-// default limits.
+// NewBudgetWithLimits returns a budget with the limits. A zero window is
+// replaced by that of DefaultLimits.
 func NewBudgetWithLimits(limits Limits) *Budget {
 	budget := &Budget{
 		ratio:  int64(limits.Ratio * retryUnit),
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -86,8 +86,8 @@
 	uncertainAttempts int
 	// resolvedOutcome is the last outcome that ResolveUncertainAttempt accepted.
 	resolvedOutcome Outcome
-	// deposited is set once the call is recorded in the budget.
-	deposited bool
+	// isDeposited is set once the call is recorded in the budget.
+	isDeposited bool
 	// uncertainCode is the code of the last attempt that may have run.
 	uncertainCode result.Code
 	// retryReserved is set if the next attempt is already charged to the budget.
@@ -104,10 +104,10 @@
 
 // deposit records the call in the budget at the first attempt that may have run.
 func (c *Call) deposit(now time.Duration, outcome Outcome) {
-	if c.deposited || didNotRun(outcome) {
+	if c.isDeposited || didNotRun(outcome) {
 		return
 	}
-	c.deposited = true
+	c.isDeposited = true
 	c.budget.Deposit(now, c.policy.Class)
 }
 
@@ -126,9 +126,9 @@
 	return true
 }
 
-// ReleaseTrialRetry refunds the charge of ReserveTrialRetry unless that retry was sent. If it
-// was sent and ReserveRetry charged another one that was not, it refunds one retry of that
-// charge. It must be called when the call ends.
+// ReleaseTrialRetry refunds a retry that was charged but not sent: the one charged by
+// ReserveTrialRetry or, after that one was sent, a later one charged by ReserveRetry. It must be
+// called when the call ends.
 func (c *Call) ReleaseTrialRetry() {
 	if c.trialReserved && c.retryReserved {
 		c.retryReserved = false
@@ -147,7 +147,7 @@
 	return Step{Action: Send, Mark: c.policy.NoRetry}
 }
 
-// NextStep decides what follows an attempt.
+// NextStep returns the step that follows an attempt with the given outcome.
 func (c *Call) NextStep(now time.Duration, outcome Outcome) Step {
 	c.attempts++
 	c.deposit(now, outcome)
@@ -216,7 +216,7 @@
 		c.withdraw(now, c.attempts-c.relocations)
 }
 
-// recordUncertainty records the attempt as possibly run unless it certainly did not run.
+// recordUncertainty counts the attempt as one that may have run, unless it certainly did not run.
 func (c *Call) recordUncertainty(outcome Outcome) {
 	if didNotRun(outcome) {
 		return
@@ -232,8 +232,8 @@
 	}
 }
 
-// ResolveUncertainAttempt applies the late outcome of an attempt that Next counted as
-// possibly run. It returns true if the outcome proves that the attempt did not run, and then
+// ResolveUncertainAttempt applies the late outcome of an attempt that NextStep counted
+// as possibly run. It returns true if the outcome proves that the attempt did not run, and then
 // no longer counts it.
 func (c *Call) ResolveUncertainAttempt(outcome Outcome) bool {
 	if !didNotRun(outcome) || c.uncertainAttempts == 0 {
@@ -244,9 +244,9 @@
 	return true
 }
 
-// FinalStep returns the step to take once all attempts have ended: the decided one, unless
-// that is a refusal and ResolveUncertainAttempt has since shown that no attempt ran. Then it
-// is the refusal for the outcome resolved last.
+// FinalStep returns the step to take once all attempts have ended: the decided step, or, if that
+// step is a refusal and ResolveUncertainAttempt has since shown that no attempt ran, the refusal
+// for the outcome resolved last.
 func (c *Call) FinalStep(decided Step) Step {
 	if decided.Action != Refuse || decided.Ran == result.RanNo || c.uncertainAttempts > 0 {
 		return decided
@@ -263,8 +263,8 @@
 	return c.policy.Repeatable || c.uncertainAttempts == 0
 }
 
-// mayRelocate reports whether the call should go to another endpoint because this one did
-// not process it. That adds no load, so it needs no budget and ignores the no-retry
+// mayRelocate reports whether the call should go to another endpoint because the previous
+// endpoint did not process it. A relocation adds no load, so it needs no budget and ignores the no-retry
 // mark. Another endpoint must be available.
 func (c *Call) mayRelocate(outcome Outcome) bool {
 	if !didNotRun(outcome) || !outcome.Others || c.relocations >= relocationLimit {
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -209,7 +209,7 @@
 	check.Equal(call.NextStep(0, failed).Action, Send)
 	refusal := Outcome{Kind: Refused, Code: result.QueueFull, Ran: result.RanNo, Replayable: true}
 	check.Equal(call.NextStep(0, refusal).Action, Send)
-	check.Equal(call.NextStep(0, refusal).Ran, result.RanUnknown) // the first attempt ran
+	check.Equal(call.NextStep(0, refusal).Ran, result.RanUnknown) // the first attempt ran, so the refusal must not state that the call did not run
 }
 
 func TestGateRefusalCostsBudgetOnlyIfItReachedTheBackEnd(t *testing.T) {
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -124,7 +124,8 @@
 	return largestExcess
 }
 
-// chainArrivals limits the calls per tick at the last service, to keep the test short.
+// The calls per tick at the first service are limited so that, without repetitions, at most
+// chainArrivals reach the last service, but not to fewer than 8. This keeps the test short.
 const chainArrivals = 256
 
 // chainSlack scales the slack to the traffic of this test, which is a fraction of that of the
--- a/internal/core/retry/outcome.go
+++ b/internal/core/retry/outcome.go
@@ -66,7 +66,7 @@
 }
 
 // impliesNotRun reports whether the code states that the call did not run. Unknown codes
-// are treated as stating it.
+// are treated as if they did.
 func impliesNotRun(code result.Code) bool {
 	entry, found := result.Lookup(code)
 	return !found || entry.Ran == result.RanNo
--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -33,7 +33,7 @@
 
 // Observation is the input of a decider: the present state of a service.
 type Observation struct {
-	// Stable and Target hold what gates have counted since the order was received.
+	// Stable and Target hold the counts of the answers of each version since the order was received.
 	Stable Evidence
 	Target Evidence
 	// StableRunning is the number of calls running or queued at the stable version. StableKnown is
@@ -54,6 +54,8 @@
 // Decider decides on one order. Every daemon that may decide runs its own decider, and the store
 // accepts the first outcome that is written. It is not safe for concurrent use.
 type Decider struct {
+	// shifting is true once a step of the order has begun in StageShift; shiftedAt is the time of the
+	// first such step.
 	shiftedAt time.Duration
 	shifting  bool
 	// history holds the counts of the last recentPeriod, oldest first.
--- a/internal/core/rollout/decider_test.go
+++ b/internal/core/rollout/decider_test.go
@@ -104,24 +104,24 @@
 	return false
 }
 
-// Good versions are completed in time, even with failures that affect both versions.
-func TestGoodVersionsAreCompletedInTime(t *testing.T) {
+// Roll-outs of good versions complete in time, even with failures that affect both versions.
+func TestRolloutsOfGoodVersionsCompleteInTime(t *testing.T) {
 	check := is.New(t)
-	completed, all := 0, 0
+	completed, orderCount := 0, 0
 	for seed := range uint64(60) {
 		for _, duration := range []time.Duration{12 * time.Second, 20 * time.Second, time.Minute} {
 			for _, sharedFailures := range []float64{0, 0.06, 0.3} {
 				result := simulatedOrder{
 					target: goodVersion, duration: duration, perStep: 60, sharedFailures: sharedFailures, random: rand.New(rand.NewPCG(seed, 3)),
 				}.run()
-				all++
+				orderCount++
 				if result.outcome == StageCompleted && result.at <= duration {
 					completed++
 				}
 			}
 		}
 	}
-	check.True(float64(completed) >= 0.98*float64(all))
+	check.True(float64(completed) >= 0.98*float64(orderCount))
 }
 
 // Bad versions are rolled back before they exceed their share of requests, and receive no request
--- a/internal/core/rollout/evaluate.go
+++ b/internal/core/rollout/evaluate.go
@@ -76,14 +76,15 @@
 	return fmt.Sprintf("%d of %d answers %s, expected fraction %.3f", f.Bad, f.Answers, signNames[f.Sign], f.Expected)
 }
 
-// Evaluate compares the answers of a target version with those of the stable one in the same
-// period, for each class of calls, for all classes together and for each sign, and returns the
-// finding of the highest significance. Failures that affect both versions alike do not count
-// against the target. toleratedShare is the fraction of bad answers that is always accepted.
+// Evaluate compares the answers of the target version with those of the stable version in the same
+// period. It does so for each sign, within each class of calls and over all classes together, and
+// returns the finding of the highest significance. Failures that affect both versions alike do not
+// count against the target. toleratedShare is the fraction of bad answers that is always accepted.
 //
 // The number of bad answers is tested against a binomial distribution with the stable version's
 // fraction of bad answers, plus a tolerance for the uncertainty of that estimate. By the Chernoff
-// bound, the probability of a fraction q where p is expected is at most exp(-n KL(q, p)).
+// bound, if a fraction p of n answers is expected to be bad, the probability that a larger fraction
+// q or more is bad is at most exp(-n KL(q, p)).
 func Evaluate(target, stable Evidence, toleratedShare float64) Finding {
 	return stronger(evaluateSign(Failing, target, stable, toleratedShare), evaluateSign(Slow, target, stable, toleratedShare))
 }
@@ -158,14 +159,14 @@
 
 // slowBucket returns the latency bucket from which an answer counts as slow.
 func slowBucket(stable Counts) int {
-	timed := stable.Answers - stable.Failures
-	if timed == 0 {
+	successful := stable.Answers - stable.Failures
+	if successful == 0 {
 		return latencyBuckets
 	}
-	beyond := uint32(0)
+	tailAnswers := uint32(0)
 	for bucket := latencyBuckets - 1; bucket >= 0; bucket-- {
-		beyond += stable.Latency[bucket]
-		if float64(beyond) > slowFraction*float64(timed) {
+		tailAnswers += stable.Latency[bucket]
+		if float64(tailAnswers) > slowFraction*float64(successful) {
 			return bucket + 1 + slowBucketMargin
 		}
 	}
--- a/internal/core/rollout/evidence.go
+++ b/internal/core/rollout/evidence.go
@@ -17,7 +17,7 @@
 	classLimit = 16
 )
 
-// Counts holds the answers of one class of calls.
+// Counts holds the counts of the answers of one class of calls.
 type Counts struct {
 	// Answers is the number of calls that ended at the back end, Failures the number of those that
 	// failed.
@@ -27,7 +27,8 @@
 	Latency [latencyBuckets]uint32
 }
 
-// Evidence holds what gates have counted for the back ends of one version, by class of calls.
+// Evidence holds the counts of the answers of the back ends of one version, by class of calls. Gates
+// collect it.
 type Evidence map[callclass.Class]Counts
 
 // Add adds the counts of another gate.
--- a/internal/core/rollout/record.go
+++ b/internal/core/rollout/record.go
@@ -50,7 +50,7 @@
 // a daemon may be temporarily unreachable.
 func (s Stage) IsUrgent() bool { return s == StageShift || s == StageHalted }
 
-// Final reports whether the outcome has been written.
+// Final reports whether the stage is the last one of an order.
 func (s Stage) Final() bool { return s == StageRolledBack || s == StageCompleted }
 
 // Record is the state of a service's latest order as daemons exchange it.
--- a/internal/core/warmup/collapse_test.go
+++ b/internal/core/warmup/collapse_test.go
@@ -224,7 +224,8 @@
 	})
 }
 
-// reachBackend records the arrival of a call at the back end itself.
+// reachBackend records the arrival of a call at a cold back end, which crashes if more than
+// crashAbove calls arrived in the last second.
 func (s *simulatedService) reachBackend(b *simulatedBackend, restarts int) {
 	if b.restarts != restarts || !b.isUp || s.now >= b.coldUntil {
 		return
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -94,7 +94,8 @@
 	l.updateLimitedUntil()
 }
 
-// SetColdUntil sets the time until which the back end is cold.
+// SetColdUntil makes the back end count as cold until the given time. If it was warm, starts up to
+// now may have happened without being counted.
 func (l *Limiter) SetColdUntil(now, until time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
