--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -73,8 +73,8 @@
 	waiter Waiter
 	// state is guarded by the gate's lock once the ticket has been queued.
 	state State
-	// ended is set by Done; only the owner of the call accesses it.
-	ended bool
+	// hasEnded is set by Done; only the owner of the call accesses it.
+	hasEnded bool
 	// hangState is 0, hangMarked or hangCleared; see MarkHung.
 	hangState atomic.Int32
 	startedAt time.Duration
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -271,10 +271,10 @@
 // removed, so that the operation may be sent again. Done must be called for each
 // started call; repeated calls have no effect.
 func (g *Gate) Done(now time.Duration, ticket *Ticket, ran bool) {
-	if ticket.ended {
+	if ticket.hasEnded {
 		return
 	}
-	ticket.ended = true
+	ticket.hasEnded = true
 	if ticket.hangState.Swap(hangCleared) == hangMarked {
 		g.hungCount.Add(-1)
 	}
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -210,7 +210,7 @@
 		used[current.Partner] += service[current.Partner]
 		gate.Done(now, current, true)
 		for _, candidate := range waiting {
-			if candidate.waiter.last().State == StateStarted && !candidate.ticket.ended {
+			if candidate.waiter.last().State == StateStarted && !candidate.ticket.hasEnded {
 				current = candidate.ticket
 			}
 		}
@@ -230,7 +230,7 @@
 		running := func() (active []*offered) {
 			for _, call := range calls {
 				started := call.state == StateStarted || call.waiter.last().State == StateStarted
-				if started && !call.ticket.ended {
+				if started && !call.ticket.hasEnded {
 					active = append(active, call)
 				}
 			}
--- a/internal/core/admission/isolation.go
+++ b/internal/core/admission/isolation.go
@@ -5,8 +5,8 @@
 // isolation holds the isolated call: while it runs, no other call may start.
 type isolation struct {
 	ticket *Ticket
-	// alone is closed once no other call runs.
-	alone chan struct{}
+	// aloneSignal is closed once no other call runs.
+	aloneSignal chan struct{}
 }
 
 // Isolate prevents other calls from starting until the given started call ends or EndIsolation
@@ -18,10 +18,10 @@
 	if g.isolated.ticket != nil {
 		return nil
 	}
-	g.isolated = isolation{ticket: ticket, alone: make(chan struct{})}
+	g.isolated = isolation{ticket: ticket, aloneSignal: make(chan struct{})}
 	g.word.Or(isolatedBit)
 	g.signalIfAlone()
-	return g.isolated.alone
+	return g.isolated.aloneSignal
 }
 
 // EndIsolation ends the isolation of a call and starts queued calls; it has no effect if the
@@ -52,8 +52,8 @@
 		return
 	}
 	select {
-	case <-g.isolated.alone:
+	case <-g.isolated.aloneSignal:
 	default:
-		close(g.isolated.alone)
+		close(g.isolated.aloneSignal)
 	}
 }
--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -202,8 +202,8 @@
 	t.candidates = nil
 }
 
-// HandleLeave processes the notice of a start that it accepts no more work. If no start is known
-// yet, the one that leaves becomes the running one, so that peers store the leave and can restore
+// HandleLeave processes a leave: the notice of a start that it accepts no more work. If no start is known
+// yet, the start that leaves becomes the running one, so that peers store the leave and can restore
 // it after a restart of this daemon. If start.Born is 0, the newest known start of the instance is
 // meant. If there is none, sentAt, the time of the notice in Unix milliseconds, is stored as an
 // upper bound of the start time (see endedStart.mayBeEarlier).
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -117,8 +117,8 @@
 	check.True(tracker.HandleReport(0, reportOf(200, 1)))
 }
 
-// A daemon that knows no start of the instance applies a leave without a start time to all that
-// began before it was sent.
+// A daemon that knows no start of the instance applies a leave without a start time to all
+// starts that began before the leave was sent.
 func TestALeaveOfAnUnknownStartAppliesToAllEarlierOnes(t *testing.T) {
 	check := is.New(t)
 	tracker := NewTracker(interval)
@@ -149,11 +149,11 @@
 }
 
 // The clock that provides the start times may be set back, or another sender may have reported an
-// absurd time. The start that runs is accepted eventually.
-func TestAnAbsurdStartTimeDoesNotLockOutTheRunningStart(t *testing.T) {
-	for _, absurd := range []int64{300, 1 << 62} {
+// implausible time. The start that runs is accepted eventually.
+func TestAnImplausibleStartTimeDoesNotLockOutTheRunningStart(t *testing.T) {
+	for _, implausible := range []int64{300, 1 << 62} {
 		check := is.New(t)
-		tracker := newTrackerRunning(t, absurd)
+		tracker := newTrackerRunning(t, implausible)
 		acceptedAtBeat := 0
 		for beat := 1; beat <= 2*olderStartHeartbeats && acceptedAtBeat == 0; beat++ {
 			now := time.Duration(beat) * interval
@@ -210,7 +210,7 @@
 
 // If a start that appears to be older is accepted because a clock was wrong, it replaces the
 // unconfirmed newer one as the candidate for the probe.
-func TestAPersistentStartReplacesAnUnconfirmedAbsurdOne(t *testing.T) {
+func TestAnOlderStartThatKeepsReportingReplacesAnUnconfirmedOne(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, reportOf(1<<62, 1)) // its probe failed
@@ -244,7 +244,7 @@
 // If only a start that appears to be older than the tracker's running start reports, calls may
 // reach the older one. Once its drain is acknowledged, the back end therefore receives no more
 // calls.
-func TestADrainOfAPersistentOlderStartStopsCalls(t *testing.T) {
+func TestADrainOfAnOlderStartThatKeepsReportingStopsCalls(t *testing.T) {
 	draining := reportOf(200, 9)
 	draining.Draining = true
 	for name, announce := range map[string]func(*Tracker){
@@ -331,9 +331,9 @@
 }
 
 // If only a start that appears to be older than the tracker's running start reports, calls may
-// reach the older one. When that one reports that it is cold, the back end counts as cold until it
+// reach the older one. When the older one reports that it is cold, the back end counts as cold until it
 // answers a probe.
-func TestAPersistentOlderStartMayReportThatItIsCold(t *testing.T) {
+func TestAnOlderStartThatKeepsReportingMayReportThatItIsCold(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 300)
 	cold := reportOf(200, 3)
--- a/internal/core/backend/starts.go
+++ b/internal/core/backend/starts.go
@@ -86,7 +86,7 @@
 
 // olderStartTracker tracks a start that appears to be older than a known one and keeps reporting.
 // Start times come from clocks that may be wrong, and a running start must not be locked out by a
-// wrong start time of another one.
+// wrong start time of another start.
 type olderStartTracker struct {
 	start    protocol.BackendStart
 	sequence uint64
--- a/internal/core/backend/warmth.go
+++ b/internal/core/backend/warmth.go
@@ -3,7 +3,7 @@
 import "time"
 
 // maxColdTime bounds the time for which a start counts as cold because of a single report, probe or
-// assumption, so that an absurd value does not block calls permanently.
+// assumption, so that an implausible value does not block calls permanently.
 const maxColdTime = 10 * time.Minute
 
 // coldTimes holds the times until which a start is cold, by source, on the daemon's clock. Health
--- a/internal/core/backend/warmth_test.go
+++ b/internal/core/backend/warmth_test.go
@@ -77,7 +77,7 @@
 	check.Equal(coldUntil(tracker, 0), 2*interval)
 }
 
-func TestAnAbsurdWarmUpIsBounded(t *testing.T) {
+func TestAnImplausibleWarmUpIsBounded(t *testing.T) {
 	check := is.New(t)
 	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: -interval})
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -295,8 +295,8 @@
 	check.Equal(len(countChoices(set, time.Hour, 600)), 5)
 }
 
-// An endpoint that has just refused a call for load does not count as able to accept
-// another one.
+// An endpoint that has just refused a call for load is not expected to accept
+// another call.
 func TestOverloadedEndpointDoesNotCountAsAlternative(t *testing.T) {
 	check := is.New(t)
 	backends, members := fixture(sameZone(2)...)
--- a/internal/core/evacuation/timing_test.go
+++ b/internal/core/evacuation/timing_test.go
@@ -16,22 +16,22 @@
 // testDaemon is a daemon in virtual time, with its known orders and its connections to the store
 // and to peers.
 type testDaemon struct {
-	table        Table
-	rank         int
-	refused      bool
-	disconnected bool
-	dead         bool
-	refreshAge   time.Duration
-	retryAt      time.Duration
-	failures     int
+	table          Table
+	rank           int
+	isRefused      bool
+	isDisconnected bool
+	isDead         bool
+	refreshAge     time.Duration
+	retryAt        time.Duration
+	failures       int
 }
 
 // testFleet holds daemons that read from a store whose watches report no changes.
 type testFleet struct {
-	daemons []*testDaemon
-	random  *rand.Rand
-	timing  Timing
-	reads   int
+	daemons   []*testDaemon
+	random    *rand.Rand
+	timing    Timing
+	readCount int
 }
 
 func newFleet(count int) *testFleet {
@@ -48,7 +48,7 @@
 func (f *testFleet) run(from, to time.Duration, stored Orders) {
 	for now := from; now < to; now += 10 * time.Millisecond {
 		for _, daemon := range f.daemons {
-			if !daemon.dead && daemon.table.ReadingAge(now) >= daemon.refreshAge && now >= daemon.retryAt {
+			if !daemon.isDead && daemon.table.ReadingAge(now) >= daemon.refreshAge && now >= daemon.retryAt {
 				f.read(now, daemon, stored)
 			}
 		}
@@ -57,15 +57,15 @@
 
 // read simulates a reading by one daemon, which broadcasts the result.
 func (f *testFleet) read(now time.Duration, daemon *testDaemon, stored Orders) {
-	f.reads++
-	if daemon.refused || daemon.disconnected {
+	f.readCount++
+	if daemon.isRefused || daemon.isDisconnected {
 		daemon.failures++
 		daemon.retryAt = now + f.timing.RetryDelay(daemon.rank, daemon.failures)
 		return
 	}
 	daemon.failures = 0
 	for _, other := range f.daemons {
-		if other == daemon || !other.disconnected && !other.dead {
+		if other == daemon || !other.isDisconnected && !other.isDead {
 			other.table.Merge(now, SharedOrders{Orders: stored, Known: true})
 			other.refreshAge = f.timing.RefreshAge(other.rank, true, f.random.Uint64())
 		}
@@ -75,7 +75,7 @@
 // countUnaware returns the number of connected daemons that do not know the order for a zone.
 func (f *testFleet) countUnaware(zone string) (count int) {
 	for _, daemon := range f.daemons {
-		if !daemon.dead && !daemon.disconnected && !daemon.table.Orders().Evacuates(zone) {
+		if !daemon.isDead && !daemon.isDisconnected && !daemon.table.Orders().Evacuates(zone) {
 			count++
 		}
 	}
@@ -87,10 +87,10 @@
 func TestAnUnreportedOrderIsKnownWithinHalfOfTheBound(t *testing.T) {
 	for name, impair := range map[string]func(*testDaemon){
 		"nobody":                         func(*testDaemon) {},
-		"watchers dead":                  func(daemon *testDaemon) { daemon.dead = daemon.rank < WatcherCount },
-		"watchers refused":               func(daemon *testDaemon) { daemon.refused = daemon.rank < WatcherCount },
-		"all refused but one":            func(daemon *testDaemon) { daemon.refused = daemon.rank != 20 },
-		"watchers cut off from the rest": func(daemon *testDaemon) { daemon.disconnected = daemon.rank < WatcherCount },
+		"watchers dead":                  func(daemon *testDaemon) { daemon.isDead = daemon.rank < WatcherCount },
+		"watchers refused":               func(daemon *testDaemon) { daemon.isRefused = daemon.rank < WatcherCount },
+		"all refused but one":            func(daemon *testDaemon) { daemon.isRefused = daemon.rank != 20 },
+		"watchers cut off from the rest": func(daemon *testDaemon) { daemon.isDisconnected = daemon.rank < WatcherCount },
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := is.New(t)
@@ -114,9 +114,9 @@
 	check := is.New(t)
 	fleet := newFleet(77)
 	fleet.run(0, 10*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	fleet.reads = 0
+	fleet.readCount = 0
 	fleet.run(10*time.Second, 70*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	check.True(fleet.reads <= 49) // one per RelistInterval, and one more because the period may begin just before a reading
+	check.True(fleet.readCount <= 49) // one per RelistInterval, and one more because the period may begin just before a reading
 }
 
 // While the store refuses all calls, daemons that are no watchers call it at increasing intervals.
@@ -125,13 +125,13 @@
 	fleet := newFleet(77)
 	fleet.run(0, 10*time.Second, NewOrders(position.Position{Revision: 3}, nil))
 	for _, daemon := range fleet.daemons {
-		daemon.refused = true
+		daemon.isRefused = true
 	}
 	fleet.run(10*time.Second, 40*time.Second, NewOrders(position.Position{Revision: 3}, nil))
-	fleet.reads = 0
+	fleet.readCount = 0
 	fleet.run(40*time.Second, 100*time.Second, NewOrders(position.Position{Revision: 3}, nil))
 	const maxWatcherReads, maxOtherReads = 49 * WatcherCount, 7 * (77 - WatcherCount) // readings at the retry delays of 1.25 s and 10 s, and one more each because the period may begin just before a reading
-	check.True(fleet.reads <= maxWatcherReads+maxOtherReads)
+	check.True(fleet.readCount <= maxWatcherReads+maxOtherReads)
 }
 
 // When all daemons start at once, a few read the orders and the others receive them.
@@ -140,7 +140,7 @@
 	fleet := newFleet(77)
 	fleet.run(0, time.Second, NewOrders(position.Position{Revision: 3}, []string{"z"}))
 	check.Equal(fleet.countUnaware("z"), 0)
-	check.True(fleet.reads <= 3)
+	check.True(fleet.readCount <= 3)
 }
 
 func ExampleTiming() {
--- a/internal/core/rollout/decider.go
+++ b/internal/core/rollout/decider.go
@@ -62,7 +62,7 @@
 	history []sample
 }
 
-// sample holds the counts at one time.
+// sample holds the counts of an observation and its time.
 type sample struct {
 	at     time.Duration
 	stable Evidence
--- a/internal/core/rollout/decider_test.go
+++ b/internal/core/rollout/decider_test.go
@@ -15,24 +15,24 @@
 type simulatedOrder struct {
 	target version
 	// badFrom is the time at which the target turns bad.
-	badFrom        time.Duration
-	duration       time.Duration
-	perStep        int
-	sharedFailures float64
-	random         *rand.Rand
+	badFrom         time.Duration
+	duration        time.Duration
+	requestsPerStep int
+	sharedFailures  float64
+	random          *rand.Rand
 }
 
 // simulationResult is the result of a simulated order.
 type simulationResult struct {
-	outcome Stage
-	at      time.Duration
-	// exposed is the number of requests sent to the target, bad the number of those that it
-	// answered badly, and lastAfter the time from its 50th bad answer to the last request sent to
+	outcome   Stage
+	outcomeAt time.Duration
+	// exposedRequests is the number of requests sent to the target, badAnswers the number of its bad
+	// answers, and lastRequestDelay the time from its 50th bad answer to the last request sent to
 	// it.
-	exposed   int
-	requests  int
-	bad       int
-	lastAfter time.Duration
+	exposedRequests  int
+	requests         int
+	badAnswers       int
+	lastRequestDelay time.Duration
 }
 
 const (
@@ -55,26 +55,26 @@
 		if now-changedAt >= applyDelay {
 			applied = record.Stage
 		}
-		result.requests += o.perStep
-		for range o.perStep {
+		result.requests += o.requestsPerStep
+		for range o.requestsPerStep {
 			class := o.random.IntN(len(meanLatencies))
 			if !o.selectsTarget(applied) {
 				goodVersion.answer(o.random, stableEvidence, class, o.sharedFailures)
 				continue
 			}
-			result.exposed++
+			result.exposedRequests++
 			version := goodVersion
 			if now >= o.badFrom {
 				version = o.target
 			}
 			if version.answer(o.random, targetEvidence, class, o.sharedFailures) {
-				result.bad++
+				result.badAnswers++
 			}
-			if result.bad == 50 && fiftiethBadAt == 0 {
+			if result.badAnswers == 50 && fiftiethBadAt == 0 {
 				fiftiethBadAt = now
 			}
 			if fiftiethBadAt > 0 {
-				result.lastAfter = now - fiftiethBadAt
+				result.lastRequestDelay = now - fiftiethBadAt
 			}
 		}
 		observation := Observation{Stable: stableEvidence.Clone(), Target: targetEvidence.Clone(), StableSlots: 100, TargetSlots: 100, StableKnown: true}
@@ -87,7 +87,7 @@
 			changedAt = now
 		}
 		if record.Stage.Final() && applied == record.Stage {
-			result.outcome, result.at = record.Stage, now
+			result.outcome, result.outcomeAt = record.Stage, now
 			return result
 		}
 	}
@@ -112,10 +112,10 @@
 		for _, duration := range []time.Duration{12 * time.Second, 20 * time.Second, time.Minute} {
 			for _, sharedFailures := range []float64{0, 0.06, 0.3} {
 				result := simulatedOrder{
-					target: goodVersion, duration: duration, perStep: 60, sharedFailures: sharedFailures, random: rand.New(rand.NewPCG(seed, 3)),
+					target: goodVersion, duration: duration, requestsPerStep: 60, sharedFailures: sharedFailures, random: rand.New(rand.NewPCG(seed, 3)),
 				}.run()
 				orderCount++
-				if result.outcome == StageCompleted && result.at <= duration {
+				if result.outcome == StageCompleted && result.outcomeAt <= duration {
 					completed++
 				}
 			}
@@ -135,14 +135,14 @@
 		} {
 			for _, badFrom := range []time.Duration{0, 2 * time.Second, 4 * time.Second} {
 				order := simulatedOrder{
-					target: bad, badFrom: badFrom, duration: 20 * time.Second, perStep: 60, sharedFailures: 0.02,
+					target: bad, badFrom: badFrom, duration: 20 * time.Second, requestsPerStep: 60, sharedFailures: 0.02,
 					random: rand.New(rand.NewPCG(seed, 4)),
 				}
 				result := order.run()
 				check.Equal(result.outcome, StageRolledBack)
-				check.True(result.lastAfter <= 5*time.Second)
-				requests := float64(order.perStep) * float64(order.duration/simulationStep)
-				check.True(float64(result.exposed) <= exposureShare*requests+exposureSlack)
+				check.True(result.lastRequestDelay <= 5*time.Second)
+				requests := float64(order.requestsPerStep) * float64(order.duration/simulationStep)
+				check.True(float64(result.exposedRequests) <= exposureShare*requests+exposureSlack)
 			}
 		}
 	}
