--- a/internal/proxy/ahead.go
+++ b/internal/proxy/ahead.go
@@ -54,8 +54,9 @@
 	}
 }
 
-// replayAnswer writes the answer to a request that has run ahead, in its turn. The request
-// counts as running until then, so that a drain waits for it.
+// replayAnswer writes the answer to a request that has run ahead, when the turn of that request has
+// come. The request counts as a running call until its answer is written, so that a drain waits for
+// it.
 func (s *sideHandler) replayAnswer(writer http.ResponseWriter, request *http.Request, call *pipeline.Call) {
 	p := s.proxy
 	p.runningCallerCalls.Add(1)
@@ -74,7 +75,7 @@
 const alwaysLoggedWait = time.Second
 
 // recordTurnWait records how long a request has waited for the earlier requests of its
-// connection. ahead is set if the request has run in the meantime.
+// connection. ahead is set if the request ran while it waited.
 func (s *sideHandler) recordTurnWait(request *http.Request, waited time.Duration, ahead bool) {
 	if waited <= 0 {
 		return
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -91,7 +91,7 @@
 	answer       *http.Response
 	upload       *upload
 	stallTimeout time.Duration
-	// addHeaders, unless nil, adds headers after springstack's own have been removed.
+	// addHeaders, unless nil, adds headers after springstack's own headers have been removed.
 	addHeaders func(http.Header)
 }
 
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -49,7 +49,7 @@
 }
 
 // makeAttempt chooses an endpoint and sends the call there, with the no-retry mark if mark is set.
-// The returned attempt has its outcome; it is the hedged attempt if that was answered first.
+// It returns the attempt with its outcome, or the hedged attempt if that was answered first.
 func (c *callerCall) makeAttempt(mark bool) *attempt {
 	p := c.proxy
 	now := p.config.Clock()
@@ -79,11 +79,11 @@
 	chosen.Begin()
 	thisAttempt := &attempt{endpoint: chosen, sentAt: now, suspected: state == quarantine.Suspected}
 	c.triedEndpoints = append(c.triedEndpoints, chosen)
-	ended := c.sendAttempt(thisAttempt, gateUpstream, candidates.set, mark, now)
-	if ended == thisAttempt {
+	endedAttempt := c.sendAttempt(thisAttempt, gateUpstream, candidates.set, mark, now)
+	if endedAttempt == thisAttempt {
 		c.classifyAttempt(thisAttempt, candidates.set)
 	}
-	return ended
+	return endedAttempt
 }
 
 // checkBlocked reports whether the call must not be sent at all now, with the outcome of the
--- a/internal/proxy/attemptoutcome.go
+++ b/internal/proxy/attemptoutcome.go
@@ -121,7 +121,7 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxRefusalBytes))
 }
 
-// setEndpointOutcome sets what a refusal shows about the endpoint.
+// setEndpointOutcome sets the outcome that a refusal means for the endpoint.
 func (c *callerCall) setEndpointOutcome(current *attempt) {
 	switch current.outcome.Code {
 	case result.Draining, result.WrongBackend, result.ZoneEvacuated:
--- a/internal/proxy/bodyqueue.go
+++ b/internal/proxy/bodyqueue.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// transferLimit is the number of large bodies that a gate receives at a time. More
+	// maxTransfers is the maximum number of large bodies that a gate receives at a time. More
 	// would not arrive sooner, and everything else that is sent to the machine, such as a
 	// configuration update, would queue behind them on a slow link.
 	maxTransfers = 2
@@ -211,7 +211,7 @@
 	return found && !strings.Contains(count, "-")
 }
 
-// receiveBody reads a large body completely before the call asks for a slot, so that no
+// receiveBody reads a large body completely before the call requests a slot, so that no
 // slot is occupied while a slow link transfers it. It refuses the call if the body would
 // arrive too late.
 func (c *gateCall) receiveBody() (Refusal, bool) {
--- a/internal/proxy/bodyqueue_test.go
+++ b/internal/proxy/bodyqueue_test.go
@@ -18,7 +18,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// TestConcurrentLargeBodiesAreLimited: a gate receives at most transferLimit large bodies at
+// TestConcurrentLargeBodiesAreLimited: a gate receives at most maxTransfers large bodies at
 // a time, and small calls overtake those that wait.
 func TestConcurrentLargeBodiesAreLimited(t *testing.T) {
 	check := is.New(t)
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -96,8 +96,8 @@
 	route   *routing.Route
 	service resource.ServiceRef
 	// routingTable belongs to the newest configuration version applied to the call. regions are
-	// those allowed by all versions applied to it and by all gates that refused it because of
-	// its region.
+	// the regions allowed by all versions applied to the call and by all gates that refused the
+	// call because of their region.
 	routingTable *routing.Table
 	regions      region.Set
 	// serviceName is the text form of service.
@@ -111,8 +111,8 @@
 	// timeout is the total time of the call, deadline its end on the proxy's clock.
 	timeout  time.Duration
 	deadline time.Duration
-	// targetTime is the time by which the route's target wants the answer, on the proxy's clock;
-	// it has no meaning if the route states no target.
+	// targetTime is the time by which the call is to be answered according to the route's target,
+	// on the proxy's clock; it has no meaning if the route states no target.
 	targetTime time.Duration
 	policy     retry.Policy
 	retries    *retry.Call
@@ -270,22 +270,22 @@
 
 // deliver sends the answer to the caller. If it can't be sent completely, the caller's connection
 // is aborted.
-func (c *callerCall) deliver(answered *attempt) {
+func (c *callerCall) deliver(answeredAttempt *attempt) {
 	c.answerStarted = true
 	output := delivery{
 		writer: c.writer, control: c.control, stallTimeout: c.proxy.limits.StallTimeout,
-		answer: answered.exchange.answer, upload: c.body, addHeaders: c.addCloseHeader,
+		answer: answeredAttempt.exchange.answer, upload: c.body, addHeaders: c.addCloseHeader,
 	}
 	output.writeHead()
 	err := output.streamBody()
 	if err != nil {
-		answered.endpointOutcome = endpoint.Broken
+		answeredAttempt.endpointOutcome = endpoint.Broken
 		if c.request.Context().Err() != nil {
-			answered.endpointOutcome = endpoint.Cancelled
+			answeredAttempt.endpointOutcome = endpoint.Cancelled
 		}
 	}
-	c.traceAnswer(answered, err)
-	answered.end(c.proxy)
+	c.traceAnswer(answeredAttempt, err)
+	answeredAttempt.end(c.proxy)
 	if err != nil {
 		c.proxy.counters.abortedAnswers.Add(1)
 		panic(http.ErrAbortHandler)
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -38,10 +38,10 @@
 	Refusals map[result.Code]uint64
 	// Cold is set while the gate limits the starts of calls because the back end is cold.
 	Cold bool
-	// BackendEnds counts the ends of the back end during calls. HarmfulRequests counts the
-	// possibly harmful requests by their current state.
+	// BackendEnds counts the ends of the back end during calls.
 	BackendEnds uint64
 	// IsolatedCalls counts the calls that ran alone because their request was suspected.
+	// HarmfulRequests counts the possibly harmful requests by their current state.
 	IsolatedCalls   uint64
 	HarmfulRequests map[quarantine.State]int
 	// HungCalls counts the calls found to hang at the back end. BackendOpen is the current number
--- a/internal/proxy/division.go
+++ b/internal/proxy/division.go
@@ -102,8 +102,8 @@
 }
 
 // SetAnswerCounting starts or stops counting the back end's answers at the gate.
-func (p *Proxy) SetAnswerCounting(count bool) {
-	if count {
+func (p *Proxy) SetAnswerCounting(enabled bool) {
+	if enabled {
 		p.rolloutAnswers.Start()
 		return
 	}
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -19,8 +19,7 @@
 // drain is the state of the proxy's drain.
 type drain struct {
 	started atomic.Bool
-	// cutAt is the deadline of the drain, at which the calls still running are cancelled, on the
-	// proxy's clock.
+	// deadline is the time on the proxy's clock at which the calls still running are cancelled.
 	deadline atomic.Int64
 	// refusing is set after Limits.DrainLinger; callers' requests are refused from then on.
 	refusing atomic.Bool
@@ -131,9 +130,9 @@
 
 // addConn returns the context of a new connection, which cancelAll cancels.
 func (c *connectionContexts) addConn(ctx context.Context, conn net.Conn) context.Context {
-	cancellable, cancel := context.WithCancelCause(ctx)
+	cancellableContext, cancel := context.WithCancelCause(ctx)
 	c.cancelFuncs.Store(conn, cancel)
-	connContext := context.WithValue(cancellable, connKey{}, conn)
+	connContext := context.WithValue(cancellableContext, connKey{}, conn)
 	if counted, ok := conn.(*countedConn); ok && counted.pipelined != nil {
 		counted.pipelined.Bind(connContext)
 	}
--- a/internal/proxy/edge.go
+++ b/internal/proxy/edge.go
@@ -13,24 +13,24 @@
 
 // Edge describes the HTTP headers and conventions of the callers and back ends of a foreign
 // platform. With an Edge the proxy forwards method, path, query and body of a request unchanged.
-// All header names are in canonical form.
+// Each field except Service is the name of a header, in canonical form.
 type Edge struct {
-	// RequestID identifies one request of a caller. Back ends echo it, so an answer with another
-	// id belongs to another request.
+	// RequestID is the header that identifies one request of a caller. Back ends echo it, so an
+	// answer with another id belongs to another request.
 	RequestID string
-	// Deadline is the time left for a request, in whole milliseconds.
+	// Deadline is the header for the time left for a request, in whole milliseconds.
 	Deadline string
-	// Signature is present on every genuine answer with a success status.
+	// Signature is the header that is present on every genuine answer with a success status.
 	Signature string
-	// ExpectedInstance names the only instance that may run the request.
+	// ExpectedInstance is the header that names the only instance that may run the request.
 	ExpectedInstance string
-	// NotExecuted is present on an answer by which a back end states that it did not run the
+	// NotExecuted is the header of an answer by which a back end states that it did not run the
 	// request.
 	NotExecuted string
-	// Load is present on answers of back ends that report their load: the numbers of running
-	// calls, of queued calls and of slots, separated by commas.
+	// Load is the header in which back ends report their load with an answer: the numbers of
+	// running calls, of queued calls and of slots, separated by commas.
 	Load string
-	// CallerService is the name of the header whose value is Service.
+	// CallerService is the header whose value is Service.
 	CallerService string
 	// Service is the name of the service on this machine. It replaces the value on every request
 	// that a caller sends to this daemon.
@@ -87,15 +87,15 @@
 	if len(parts) != fields {
 		return 0, false
 	}
-	held := 0
+	heldCalls := 0
 	for _, part := range parts[:fields-1] {
 		count, err := strconv.Atoi(strings.TrimSpace(part))
 		if err != nil || count < 0 {
 			return 0, false
 		}
-		held += count
+		heldCalls += count
 	}
-	return held, true
+	return heldCalls, true
 }
 
 // refusalStatus returns the HTTP status of a refusal to callers of the platform, for whom 503
--- a/internal/proxy/ended.go
+++ b/internal/proxy/ended.go
@@ -46,9 +46,9 @@
 type backendEnd struct {
 	// start identifies the start of the instance, which may start again with the same name.
 	start protocol.BackendStart
-	// resolved is closed when ended is known and all interrupted calls have been collected.
-	resolved chan struct{}
-	ended    bool
+	// resolved is closed when instanceEnded is known and all interrupted calls have been collected.
+	resolved      chan struct{}
+	instanceEnded bool
 	// interruptedCalls are the calls whose connections broke; guarded by backendEnds.mutex, and
 	// nil once resolved is closed.
 	interruptedCalls []*gateCall
@@ -63,8 +63,8 @@
 func (c *gateCall) awaitSuspectedEnd() string {
 	end := c.proxy.addInterruptedCall(c)
 	<-end.resolved
-	signature, signed := c.signature()
-	if !end.ended || !signed || !end.suspectedRequests[signature] {
+	signature, known := c.signature()
+	if !end.instanceEnded || !known || !end.suspectedRequests[signature] {
 		return ""
 	}
 	return end.start.String()
@@ -105,7 +105,7 @@
 	}
 	p.backendEnds.mutex.Lock()
 	defer p.backendEnds.mutex.Unlock()
-	end.ended = ended
+	end.instanceEnded = ended
 	if ended {
 		p.counters.backendEnds.Add(1)
 		p.attributeEnd(end)
@@ -118,7 +118,7 @@
 }
 
 // attributeEnd records an end for the requests of the interrupted calls. quarantine.Table infers
-// from all ends which of them is harmful. A software version that has not answered any call here
+// from all ends which of the requests are harmful. A software version that has not answered any call here
 // may end under every request, so its ends are not recorded for requests.
 func (p *Proxy) attributeEnd(end *backendEnd) {
 	end.suspectedRequests = map[quarantine.Signature]bool{}
@@ -128,12 +128,12 @@
 	hasUnidentified := false
 	trials := map[quarantine.Signature]uint32{}
 	for _, call := range end.interruptedCalls {
-		signature, signed := call.signature()
-		if signed {
+		signature, known := call.signature()
+		if known {
 			end.suspectedRequests[signature] = true
 			trials[signature] = max(trials[signature], call.trial)
 		}
-		hasUnidentified = hasUnidentified || !signed
+		hasUnidentified = hasUnidentified || !known
 	}
 	if hasUnidentified {
 		p.harmfulRequests.recordUnidentified(end.start.String())
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -60,14 +60,14 @@
 	if err == nil && edge != nil {
 		err = edge.checkAnswer(outgoing.Header, answer)
 	}
-	sent := &exchange{answer: answer, err: err, guard: guard, cancel: cancel}
+	sentExchange := &exchange{answer: answer, err: err, guard: guard, cancel: cancel}
 	if err != nil {
-		sent.unsent = guard.seal()
-		sent.dropAnswer()
-		return sent
+		sentExchange.unsent = guard.seal()
+		sentExchange.dropAnswer()
+		return sentExchange
 	}
 	answer.Body = &watchedBody{ReadCloser: answer.Body, guard: guard}
-	return sent
+	return sentExchange
 }
 
 // checkAnswer returns an error if the answer switches protocols or, unless acceptsUnframed is set,
@@ -144,7 +144,7 @@
 }
 
 // peerDone is called after close. It returns a channel that is closed when the other side has
-// ended the exchange, or nil if it has ended already.
+// ended the exchange, or nil if the request was not written or the exchange has ended already.
 func (e *exchange) peerDone() <-chan struct{} { return e.guard.peerDone() }
 
 // watchedBody is the body of an answer that informs the guard when it has been read to its end.
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -55,15 +55,15 @@
 	backend string
 	// start is the start of the instance that the call was last sent to.
 	start protocol.BackendStart
-	// table is the routing table by which the call's region was last checked.
+	// routingTable is the routing table by which the call's region was last checked.
 	routingTable *routing.Table
 	// holdsSuspectTurn is set while the call, which is suspected to be harmful, holds
 	// Proxy.suspectTurn.
 	holdsSuspectTurn bool
 	// runsAlone is set once all other calls at the back end have ended; see awaitAlone.
 	runsAlone bool
-	// trial is the number of the trial of its request that the run counts as, by the ends known at
-	// its start; 0 if unknown.
+	// trial is the number that this run has among the trials of its request, by the ends that were
+	// known when the run started; 0 if unknown.
 	trial uint32
 	// relay forwards interim answers to the sender.
 	relay *interimRelay
@@ -72,7 +72,7 @@
 	dispatchCount int
 }
 
-// decisionChannel waits for the gate's decision on a queued call; it buffers that one decision.
+// decisionChannel receives the gate's decision on a queued call; it buffers one decision.
 type decisionChannel chan admission.Decision
 
 // Settle stores the decision. It never blocks, because there is only one decision per call.
@@ -165,7 +165,7 @@
 // releaseSlot closes the exchange and releases the slot once the back end has ended the call; the
 // sender does not wait for that. A call may run until its deadline. If the back end has not ended
 // it CancelWait after the deadline, it is assumed never to have started the call. A hung call keeps
-// its slot until HungWait after its deadline or until another start of the back end reports, so
+// its slot until HungWait after its deadline or until another start of the back end is reported, so
 // that a back end that hangs gets fewer calls.
 func (c *gateCall) releaseSlot(sentExchange *exchange, ran bool) {
 	sentExchange.close()
@@ -237,7 +237,7 @@
 func (c *gateCall) deliver(sentExchange *exchange) {
 	forwarding := delivery{
 		writer: c.writer, control: c.control, stallTimeout: c.proxy.limits.StallTimeout,
-		answer: sentExchange.answer, upload: c.body, addHeaders: c.answerHeaders,
+		answer: sentExchange.answer, upload: c.body, addHeaders: c.addAnswerHeaders,
 	}
 	forwarding.writeHead()
 	if err := forwarding.streamBody(); err != nil {
@@ -246,9 +246,9 @@
 	}
 }
 
-// answerHeaders adds the load report to an answer, and Connection: close if the connection
+// addAnswerHeaders adds the load report to an answer, and Connection: close if the connection
 // closes after it.
-func (c *gateCall) answerHeaders(header http.Header) {
+func (c *gateCall) addAnswerHeaders(header http.Header) {
 	header[headerLoad] = []string{c.proxy.loadHeaderValue()}
 	if c.proxy.closesAfterAnswer(c.request) {
 		header.Set("Connection", "close")
@@ -258,9 +258,9 @@
 // loadHeaderValue returns the current value of the load header.
 func (p *Proxy) loadHeaderValue() string {
 	load := p.gate.Load()
-	service := p.gate.MeanServiceTime()
-	queued := load.Queued + p.bodyQueue.equivalentQueueLength(p.config.Clock(), load.Slots, service)
-	report := endpoint.LoadReport{Running: load.Running, Queued: queued, Service: service}
+	serviceTime := p.gate.MeanServiceTime()
+	queued := load.Queued + p.bodyQueue.equivalentQueueLength(p.config.Clock(), load.Slots, serviceTime)
+	report := endpoint.LoadReport{Running: load.Running, Queued: queued, Service: serviceTime}
 	report.Own, report.OwnAge = p.health.backendLoad()
 	return formatLoad(report)
 }
--- a/internal/proxy/guard.go
+++ b/internal/proxy/guard.go
@@ -32,7 +32,7 @@
 	retired atomic.Bool
 	// onReleased is called once when the connection is released; nil calls nothing.
 	onReleased func(*guardedConn)
-	// surplus skips answers in excess of the expected one.
+	// surplus skips surplus answers.
 	surplus surplusFilter
 	// released is closed when the connection is closed for good, after any lingering.
 	released chan struct{}
@@ -62,14 +62,14 @@
 		return nil
 	}
 	writeSide, canCloseWrite := c.Conn.(writeCloser)
-	unfinished := c.unfinishedAttempt.Load()
-	if c.linger == 0 || unfinished == nil || !canCloseWrite {
+	unfinishedGuard := c.unfinishedAttempt.Load()
+	if c.linger == 0 || unfinishedGuard == nil || !canCloseWrite {
 		defer c.markReleased()
 		return c.Conn.Close()
 	}
 	// Wakes a blocked reader.
 	_ = c.Conn.SetReadDeadline(time.Now())
-	go c.awaitPeerClose(writeSide, unfinished.workEndsBy(c.linger))
+	go c.awaitPeerClose(writeSide, unfinishedGuard.workEndsBy(c.linger))
 	return nil
 }
 
@@ -94,9 +94,9 @@
 	_ = c.Conn.Close()
 }
 
-// markReleased reports that the connection is closed. It stops counting for the
-// limit of openConns before the slot of its call is released, so that the call that gets the slot
-// can open a connection.
+// markReleased is called once the connection is closed. It calls onReleased before it closes
+// released, so that the connection no longer counts for the limit of openConns when the slot of its
+// call is released. The call that gets the slot can then open a connection.
 func (c *guardedConn) markReleased() {
 	if c.onReleased != nil {
 		c.onReleased(c)
@@ -155,8 +155,8 @@
 	return until.Add(delay)
 }
 
-// mayWrite is called before each write. It sets writer before any byte is sent, so if seal
-// succeeds, no byte was sent.
+// mayWrite reports whether the attempt may be written on the connection. It is called before each
+// write and sets writer before any byte is sent, so if seal succeeds, no byte was sent.
 func (g *attemptGuard) mayWrite(conn *guardedConn) bool {
 	return g.writer.Load() == conn || g.writer.CompareAndSwap(nil, conn)
 }
@@ -169,8 +169,8 @@
 
 // gotConn assigns the connection that the library chose to the attempt.
 func (g *attemptGuard) gotConn(info httptrace.GotConnInfo) {
-	conn, guarded := info.Conn.(*guardedConn)
-	if !guarded {
+	conn, isGuarded := info.Conn.(*guardedConn)
+	if !isGuarded {
 		g.writer.CompareAndSwap(nil, unguardedWriter)
 		return
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// peerDone returns a channel that is closed when the peer has ended the attempt, or nil if it has
-// already.
+// peerDone returns a channel that is closed when the peer has ended the attempt, or nil if the
+// attempt was not written or has ended already.
 func (g *attemptGuard) peerDone() <-chan struct{} {
 	conn := g.writer.Load()
 	if conn == nil || conn.unfinishedAttempt.Load() != g {
--- a/internal/proxy/hangs.go
+++ b/internal/proxy/hangs.go
@@ -131,19 +131,19 @@
 	}
 }
 
-// hangSuspects returns the calls under way, the most overdue first, or nil if none takes long.
+// hangSuspects returns the calls under way, the most overdue first, or nil if hasOverdueCall is false.
 func (p *Proxy) hangSuspects(now time.Duration) []hangSuspect {
 	if !p.hasOverdueCall(now) {
 		return nil
 	}
-	var found []hangSuspect
+	var suspects []hangSuspect
 	for index := range p.hangDetector.cells {
 		if watched := p.hangDetector.cells[index].Load(); watched != nil {
-			found = append(found, p.newHangSuspect(now, watched))
+			suspects = append(suspects, p.newHangSuspect(now, watched))
 		}
 	}
-	slices.SortFunc(found, func(a, b hangSuspect) int { return cmp.Compare(b.overdueRatio, a.overdueRatio) })
-	return found
+	slices.SortFunc(suspects, func(a, b hangSuspect) int { return cmp.Compare(b.overdueRatio, a.overdueRatio) })
+	return suspects
 }
 
 // hasOverdueCall reports whether a call under way takes longer than most of its class. It does not
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -40,7 +40,7 @@
 	return hangingMesh
 }
 
-// callThroughSecondGate makes a call to hangPath while other calls are answered.
+// callHangPath makes a call to hangPath and, until it ends, further calls that are answered.
 func (m *mesh) callHangPath(t *testing.T, method string) callResult {
 	t.Helper()
 	results := make(chan callResult, 1)
@@ -236,7 +236,7 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// hangCall marks all calls under way as hung.
+// markCallsHung marks all calls under way at the back end as hung.
 func (g *reportedGate) markCallsHung() {
 	for index := range g.proxy.hangDetector.cells {
 		if watched := g.proxy.hangDetector.cells[index].Load(); watched != nil {
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -32,8 +32,8 @@
 	// allows.
 	headerRegions = "Springstack-Regions"
 	// headerMayHedge marks an attempt whose sender may make another attempt in parallel;
-	// headerHangs marks the gate's interim answer that the back end seems never to answer that
-	// attempt.
+	// headerHangs marks the gate's interim answer which reports that the back end will probably never
+	// answer that attempt.
 	headerMayHedge = "Springstack-May-Hedge"
 	headerHangs    = "Springstack-Hangs"
 )
@@ -60,7 +60,7 @@
 	}
 }
 
-// stripOwn removes every header of springstack, in any spelling.
+// stripOwn removes every header of springstack, in upper or lower case.
 func stripOwn(header http.Header) {
 	for name := range header {
 		if len(name) >= len(headerPrefix) && strings.EqualFold(name[:len(headerPrefix)], headerPrefix) {
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -23,10 +23,10 @@
 	firstProbeInterval = 50 * time.Millisecond
 )
 
-// health probes the back end of the daemon. A recently answered call outweighs a failed probe,
+// healthProber probes the back end of the daemon. A recently answered call outweighs a failed probe,
 // because health endpoints may respond late or wrongly; a back end's own signal that it drains is
 // always followed.
-type health struct {
+type healthProber struct {
 	proxy  *Proxy
 	client *http.Client
 	// lastAnswerAt is when a call was last answered, on the proxy's clock.
@@ -44,7 +44,7 @@
 	consecutiveFailures int
 }
 
-// backendLoad is the load that a back end reports itself.
+// backendLoad is the load that a back end reports about itself.
 type backendLoad struct {
 	running    float64
 	reportedAt time.Duration
@@ -55,10 +55,10 @@
 	Running *float64 `json:"running"`
 }
 
-func newHealth(p *Proxy) *health {
+func newHealthProber(p *Proxy) *healthProber {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	ctx, cancel := context.WithCancel(context.Background())
-	return &health{
+	return &healthProber{
 		proxy:         p,
 		client:        &http.Client{Transport: transport, Timeout: p.limits.ProbeTimeout},
 		probeRequests: make(chan struct{}, 1),
@@ -70,14 +70,14 @@
 }
 
 // stop cancels the probes and waits for run to return.
-func (h *health) stop() {
+func (h *healthProber) stop() {
 	h.cancel()
 	<-h.done
 }
 
 // recordAnswer records that a call was answered. It stores at most a few times per second, so that
 // calls do not contend on lastAnswerAt.
-func (h *health) recordAnswer() {
+func (h *healthProber) recordAnswer() {
 	now := int64(h.proxy.config.Clock())
 	if now-h.lastAnswerAt.Load() > int64(h.proxy.limits.ProbePeriod)/4 {
 		h.lastAnswerAt.Store(now)
@@ -85,7 +85,7 @@
 }
 
 // requestProbe requests an immediate probe after a call could not connect.
-func (h *health) requestProbe() {
+func (h *healthProber) requestProbe() {
 	select {
 	case h.probeRequests <- struct{}{}:
 	default:
@@ -105,7 +105,7 @@
 
 // backendLoad returns the load last reported by the back end and its age; the load is negative if
 // there is none.
-func (h *health) backendLoad() (float64, time.Duration) {
+func (h *healthProber) backendLoad() (float64, time.Duration) {
 	load := h.load.Load()
 	if load == nil {
 		return -1, 0
@@ -114,7 +114,7 @@
 }
 
 // run probes until the proxy is closed.
-func (h *health) run() {
+func (h *healthProber) run() {
 	defer close(h.done)
 	defer h.client.CloseIdleConnections()
 	for {
@@ -136,7 +136,7 @@
 }
 
 // probe queries the back end once and updates its state.
-func (h *health) probe() {
+func (h *healthProber) probe() {
 	spec, known := h.serviceSpec()
 	if !known {
 		return
@@ -152,7 +152,7 @@
 }
 
 // serviceSpec returns the service from the snapshot in force.
-func (h *health) serviceSpec() (resource.Service, bool) {
+func (h *healthProber) serviceSpec() (resource.Service, bool) {
 	current := h.proxy.view.Load().snapshot
 	if current == nil {
 		return resource.Service{}, false
@@ -163,7 +163,7 @@
 
 // probeState queries the health path, or only opens a connection if the service declares no health
 // path.
-func (h *health) probeState(spec resource.Service) protocol.EndpointState {
+func (h *healthProber) probeState(spec resource.Service) protocol.EndpointState {
 	started := h.proxy.config.Clock()
 	state := protocol.EndpointDown
 	if spec.HealthPath == "" {
@@ -182,16 +182,16 @@
 	return state
 }
 
-func (h *health) fetchHealth(path string) protocol.EndpointState {
+func (h *healthProber) fetchHealth(path string) protocol.EndpointState {
 	answer, err := h.get(path)
 	if err != nil {
 		return protocol.EndpointDown
 	}
 	defer answer.Body.Close()
 	body, _ := io.ReadAll(io.LimitReader(answer.Body, maxProbeAnswerBytes))
-	draining := answer.Header.Get(headerBackendDraining) != "" || string(body) == "draining"
+	isDraining := answer.Header.Get(headerBackendDraining) != "" || string(body) == "draining"
 	switch {
-	case draining:
+	case isDraining:
 		return protocol.EndpointDraining
 	case answer.StatusCode >= http.StatusOK && answer.StatusCode < http.StatusMultipleChoices:
 		if string(body) == "warming" {
@@ -202,7 +202,7 @@
 	return protocol.EndpointDown
 }
 
-func (h *health) fetchLoad(path string) {
+func (h *healthProber) fetchLoad(path string) {
 	answer, err := h.get(path)
 	if err != nil {
 		return
@@ -216,7 +216,7 @@
 	h.load.Store(&backendLoad{running: *report.Running, reportedAt: h.proxy.config.Clock()})
 }
 
-func (h *health) get(path string) (*http.Response, error) {
+func (h *healthProber) get(path string) (*http.Response, error) {
 	url := "http://" + h.proxy.config.BackendAddress + path
 	request, err := http.NewRequestWithContext(h.context, http.MethodGet, url, nil)
 	if err != nil {
@@ -227,7 +227,7 @@
 
 // applyProbe applies the result of a probe. Down requires several failures in a row, so that one
 // lost probe does not divert calls; every other state applies at once.
-func (h *health) applyProbe(state protocol.EndpointState) {
+func (h *healthProber) applyProbe(state protocol.EndpointState) {
 	if state == protocol.EndpointDown {
 		h.consecutiveFailures++
 		if h.consecutiveFailures < maxProbeFailures && h.state != protocol.EndpointNone {
@@ -243,7 +243,7 @@
 }
 
 // setState applies a new state to the gate and reports it to the daemon.
-func (h *health) setState(next protocol.EndpointState) {
+func (h *healthProber) setState(next protocol.EndpointState) {
 	previous := h.state
 	h.state = next
 	switch {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -14,8 +14,8 @@
 // another attempt is made while the hedged one may still be answered.
 const errHedged = errors.ConstError("the gate is silent, and the call is sent elsewhere")
 
-// newPlaceholderExchange returns the exchange of an attempt that has passed its real exchange on,
-// to a hedged attempt or another owner.
+// newPlaceholderExchange returns the exchange of an attempt whose real exchange now belongs to a
+// hedged attempt or to another owner.
 func newPlaceholderExchange() *exchange { return &exchange{err: errHedged, cancel: func() {}} }
 
 // pendingExchange is an exchange that runs in its own goroutine.
@@ -33,23 +33,23 @@
 func startExchange(send func() *exchange, collectBytes int) *pendingExchange {
 	pending := &pendingExchange{done: make(chan struct{})}
 	go func() {
-		ended := send()
-		ended.collect(collectBytes)
-		pending.finish(ended)
+		endedExchange := send()
+		endedExchange.collect(collectBytes)
+		pending.finish(endedExchange)
 		close(pending.done)
 	}()
 	return pending
 }
 
 // finish stores the ended exchange, or closes it if it was dropped.
-func (e *pendingExchange) finish(ended *exchange) {
+func (e *pendingExchange) finish(endedExchange *exchange) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.dropped {
-		ended.close()
+		endedExchange.close()
 		return
 	}
-	e.exchange = ended
+	e.exchange = endedExchange
 }
 
 // take returns the ended exchange, which the caller then owns; done must be closed.
@@ -70,7 +70,7 @@
 }
 
 // hedgedAttempt is an attempt that was followed by another one because its gate fell silent or
-// reported that the back end seems never to answer it.
+// reported that the back end will probably never answer it.
 //
 // In both cases the gate or the back end may only be slow, so the attempt is not cancelled. Like any
 // other attempt it ends by its answer, its connection, its caller, the call's deadline or the
@@ -100,12 +100,12 @@
 func (c *callerCall) takeHedgedAnswer() *attempt {
 	hedged := c.hedgedAttempt
 	c.hedgedAttempt = nil
-	ended := hedged.pendingExchange.take()
-	if ended.answer == nil && !ended.unsent {
-		ended.close()
+	endedExchange := hedged.pendingExchange.take()
+	if endedExchange.answer == nil && !endedExchange.unsent {
+		endedExchange.close()
 		return nil
 	}
-	hedgedAnswer := &attempt{endpoint: hedged.endpoint, sentAt: hedged.sentAt, exchange: ended}
+	hedgedAnswer := &attempt{endpoint: hedged.endpoint, sentAt: hedged.sentAt, exchange: endedExchange}
 	hedgedAnswer.endpoint.Begin()
 	c.classifyAttempt(hedgedAnswer, hedged.set)
 	if hedgedAnswer.outcome.Kind == retry.Answered {
@@ -173,9 +173,9 @@
 	if c.hedgedAttempt == nil {
 		return
 	}
-	abandoned := c.hedgedAttempt
+	hedged := c.hedgedAttempt
 	c.hedgedAttempt = nil
-	abandoned.pendingExchange.drop()
+	hedged.pendingExchange.drop()
 	reason, ended := c.endReason()
 	switch {
 	case ended:
@@ -184,5 +184,5 @@
 	default:
 		reason = AbandonedForCallRefusal
 	}
-	c.recordAbandoned(&attempt{endpoint: abandoned.endpoint, sentAt: abandoned.sentAt}, reason)
+	c.recordAbandoned(&attempt{endpoint: hedged.endpoint, sentAt: hedged.sentAt}, reason)
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -14,7 +14,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// failureKind is how a back end ends a call.
+// backendOutcome is how a back end ends a call.
 type backendOutcome int
 
 const (
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -30,7 +30,7 @@
 // gateFieldCount is the number of fields that describe the gate, before the semicolon.
 const gateFieldCount = 3
 
-// parseLoad parses a load report; false means that there is none or that its gate fields are
+// parseLoad parses a load report; false means that the text is empty or that its gate fields are
 // malformed.
 func parseLoad(text string) (endpoint.LoadReport, bool) {
 	gate, own, hasOwn := strings.Cut(text, ";")
@@ -55,7 +55,7 @@
 	return report, true
 }
 
-// parseOwnLoad parses the back end's part; a malformed one counts as missing.
+// parseOwnLoad parses the back end's part of a load report; a malformed part counts as missing.
 func parseOwnLoad(report *endpoint.LoadReport, text string) {
 	load, age, found := strings.Cut(text, " ")
 	own, err := strconv.ParseFloat(load, 64)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -34,7 +34,7 @@
 	gate      *admission.Gate
 	bodyQueue *bodyQueue
 	backend   *upstream
-	health    *health
+	health    *healthProber
 	// backendLimits holds the limits on calls at the back end; hangDetector finds calls that it
 	// never answers.
 	backendLimits backendLimits
@@ -124,7 +124,7 @@
 	p.backendLimits.startWallTime, p.backendLimits.startProxyTime = time.Now(), p.config.Clock()
 	p.bodyQueue = newBodyQueue()
 	go p.watchBackend()
-	p.health = newHealth(p)
+	p.health = newHealthProber(p)
 	if p.config.Reported {
 		p.gate.Drain() // until the back end reports
 		close(p.health.done)
@@ -176,7 +176,8 @@
 }
 
 // mayServe reports whether the serving lease is still valid. Each call and each attempt checks it,
-// so that a daemon that was paused does not serve when it resumes (I1).
+// so that a daemon that was paused does not serve when it resumes (I1 in
+// docs/INVARIANTS.md).
 func (p *Proxy) mayServe() bool {
 	return int64(p.config.Clock()) < p.servingUntil.Load()
 }
@@ -214,7 +215,7 @@
 	return mixed ^ mixed>>31
 }
 
-// nextRequestID returns the unique id of an attempt.
+// nextRequestID returns a new unique id for an attempt.
 func (p *Proxy) nextRequestID() string {
 	return p.requestIDPrefix + strconv.FormatUint(p.requestCount.Add(1), 36)
 }
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -15,13 +15,14 @@
 const (
 	// answeredRetention is how long the gate remembers which requests its back end answered without
 	// a server error, and maxAnsweredRequests how many at most, at 32 bytes each. A remembered
-	// request is held only after more ends of back ends than another request.
+	// request is held only after more ends of back ends than a request that is not remembered.
 	answeredRetention   = time.Minute
 	maxAnsweredRequests = 1 << 14
 )
 
-// harmfulRequests holds the daemon's records of requests that may end the back ends that run them.
-// Calls read it through an atomic pointer, at the cost of two loads if there are no records.
+// harmfulRequests holds the daemon's quarantine records. A request is recorded if running it may
+// end its back end. Calls read only view, an atomic pointer, so they need no lock; if there are no
+// records, this costs a call two loads.
 type harmfulRequests struct {
 	clock func() time.Duration
 	log   func(name string, fields ...EventField)
@@ -150,7 +151,8 @@
 }
 
 // fingerprintOf shortens a signature for the set of answered requests. If two requests share a
-// fingerprint, one of them is at worst held an end later.
+// fingerprint, one of them may be held
+// one end later than necessary.
 func fingerprintOf(signature quarantine.Signature) admission.Fingerprint {
 	return admission.Fingerprint(signature.Key())
 }
@@ -186,7 +188,7 @@
 	return refused
 }
 
-// HarmfulBelief returns the quarantine state of a request.
+// HarmfulState returns the quarantine state of a request.
 func (p *Proxy) HarmfulState(signature quarantine.Signature) quarantine.State {
 	state, _ := p.harmfulRequests.view.Load().State(p.harmfulRequests.clock(), signature)
 	return state
@@ -204,7 +206,7 @@
 	return p.harmfulRequests.table.Records(p.harmfulRequests.clock())
 }
 
-// UntoldHarmful returns the records that have not been sent to other daemons, and marks them as
+// UnsentHarmful returns the records that have not been sent to other daemons, and marks them as
 // sent.
 func (p *Proxy) UnsentHarmful() []quarantine.Record {
 	h := p.harmfulRequests
--- a/internal/proxy/reported.go
+++ b/internal/proxy/reported.go
@@ -54,7 +54,7 @@
 	return *replaced
 }
 
-// closedChannel is a closed channel.
+// closedChannel is the result of replacedChannel for a start that calls are no longer sent to.
 var closedChannel = func() <-chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -107,8 +107,8 @@
 		ErrorLog:          discardLog,
 	}
 	contexts := &connectionContexts{}
-	side, isSide := handler.(*sideHandler)
-	if isSide {
+	side, isSideHandler := handler.(*sideHandler)
+	if isSideHandler {
 		contexts = &side.proxy.connContexts
 	}
 	httpServer.ConnContext = contexts.addConn
@@ -135,15 +135,15 @@
 // Serve accepts connections until the server is closed or shut down, and then returns
 // http.ErrServerClosed.
 func (s *Server) Serve(listener net.Listener) error {
-	bounded := newBoundedListener(listener, s.limits.Connections)
-	bounded.tlsConfig = s.tlsConfig
-	bounded.closesIdleSilently = s.limits.QuietClose
-	bounded.pipelining = s.pipelineConfig
-	if !s.addListener(bounded) {
+	limitedListener := newBoundedListener(listener, s.limits.Connections)
+	limitedListener.tlsConfig = s.tlsConfig
+	limitedListener.closesIdleSilently = s.limits.QuietClose
+	limitedListener.pipelining = s.pipelineConfig
+	if !s.addListener(limitedListener) {
 		_ = listener.Close()
 		return http.ErrServerClosed
 	}
-	err := s.httpServer.Serve(bounded)
+	err := s.httpServer.Serve(limitedListener)
 	if s.isStopping() {
 		return http.ErrServerClosed
 	}
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -76,10 +76,10 @@
 // awaitRefusals waits until the refusals of new connections have been sent, for at most
 // refusalTimeout.
 func awaitRefusals(ctx context.Context, listeners []*boundedListener) {
-	bounded, cancel := context.WithTimeout(ctx, refusalTimeout)
+	limitedContext, cancel := context.WithTimeout(ctx, refusalTimeout)
 	defer cancel()
 	for _, listener := range listeners {
-		for listener.refusingCount.Load() > 0 && bounded.Err() == nil {
+		for listener.refusingCount.Load() > 0 && limitedContext.Err() == nil {
 			time.Sleep(stagePollInterval)
 		}
 	}
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -101,7 +101,7 @@
 	delete(s.hedgeableAttempts, waiting)
 }
 
-// hedge hedges one attempt if it is in hedgeableAttempts.
+// hedge starts a second attempt for the call of a waiting attempt if that attempt may be hedged.
 func (s *silenceMonitor) hedge(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// hedgeAll hedges all attempts in hedgeableAttempts.
+// hedgeAll starts a second attempt for the call of each waiting attempt that may be hedged.
 func (s *silenceMonitor) hedgeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -142,8 +142,8 @@
 	}
 }
 
-// GiveUp hedges the attempts at a daemon that does not answer: as far as the retry budget
-// allows, each call makes another attempt elsewhere while the first one continues.
+// HedgeCalls hedges the attempts at a daemon that does not answer: as far as the retry budget
+// allows, each call makes another attempt elsewhere while its first attempt continues.
 func (p *Proxy) HedgeCalls(node protocol.NodeID) {
 	p.forEachEndpoint(node, func(_ *endpoint.Endpoint, gateUpstream *upstream) {
 		if gateUpstream != nil {
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -83,11 +83,11 @@
 	if call != nil {
 		return call.timeout + waited
 	}
-	stated, found := p.requestedTimeout(request.Header)
+	statedTimeout, found := p.requestedTimeout(request.Header)
 	if !found {
-		stated = routing.DefaultTimeout
+		statedTimeout = routing.DefaultTimeout
 	}
-	return max(stated-turnWait(request), 0)
+	return max(statedTimeout-turnWait(request), 0)
 }
 
 // isIncompleteFor reports whether a call can't be sent because this view still lacks data.
--- a/internal/proxy/surplus.go
+++ b/internal/proxy/surplus.go
@@ -37,7 +37,7 @@
 	ownAnswerFound bool
 	// bufferedBytes holds bytes that were read and are passed on next.
 	bufferedBytes []byte
-	// earlierIDs is a ring of the ids of the last requests, including that of attempt.
+	// recentIDs is a ring of the ids of the last requests, including that of attempt.
 	// sentCount is the number of all requests sent.
 	recentIDs [rememberedRequests]string
 	sentCount int
@@ -50,7 +50,7 @@
 	f.sentCount++
 }
 
-// read is Read of the connection, without surplus answers. It calls owner for the current
+// read implements Read for the connection and skips surplus answers. It calls owner for the current
 // attempt only after bytes have been received, since the library starts to read a
 // connection before the next attempt is sent on it.
 func (f *surplusFilter) read(into []byte, owner func() *attemptGuard) (int, error) {
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -145,7 +145,7 @@
 
 // suspicion holds what the callers' side knows about whether a call is harmful.
 type suspicion struct {
-	// signature is valid if signed is set.
+	// signature is valid if hasSignature is set.
 	signature    quarantine.Signature
 	hasSignature bool
 	// instanceEnds counts the instances that have ended under the call's attempts.
--- a/internal/proxy/target.go
+++ b/internal/proxy/target.go
@@ -11,8 +11,8 @@
 	return strconv.FormatInt(left.Milliseconds(), 10)
 }
 
-// parseTarget parses the value of headerTarget; stated is false if there is no valid one.
-func parseTarget(text string) (left time.Duration, stated bool) {
+// parseTarget parses the value of headerTarget; isValid is false if the text is not a valid value.
+func parseTarget(text string) (left time.Duration, isValid bool) {
 	milliseconds, err := strconv.ParseInt(text, 10, 32)
 	if err != nil {
 		return 0, false
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -79,27 +79,27 @@
 
 // traceAttempt logs the outcome of a failed attempt, the state of its endpoint and the next
 // step.
-func (c *callerCall) traceAttempt(tried *attempt, step retry.Step) {
-	if tried.outcome.Kind == retry.Answered && !tried.outcome.Failed {
+func (c *callerCall) traceAttempt(triedAttempt *attempt, step retry.Step) {
+	if triedAttempt.outcome.Kind == retry.Answered && !triedAttempt.outcome.Failed {
 		return
 	}
 	c.proxy.trace("attempt_ended", func() []EventField {
 		now := c.proxy.config.Clock()
 		fields := append(c.identityFields(),
 			textField("attempt", formatInt(len(c.triedEndpoints))),
-			textField("outcome", outcomeNames[tried.outcome.Kind]),
+			textField("outcome", outcomeNames[triedAttempt.outcome.Kind]),
 			textField("left_ms", formatMillis(c.deadline-now)),
 			textField("next", stepNames[step.Action]))
-		if tried.outcome.Code != 0 {
-			fields = append(fields, textField("code", formatInt(int(tried.outcome.Code))), textField("ran", string(tried.outcome.Ran)))
+		if triedAttempt.outcome.Code != 0 {
+			fields = append(fields, textField("code", formatInt(int(triedAttempt.outcome.Code))), textField("ran", string(triedAttempt.outcome.Ran)))
 		}
-		if tried.exchange != nil && tried.exchange.answer != nil {
-			fields = append(fields, textField("status", formatInt(tried.exchange.answer.StatusCode)))
+		if triedAttempt.exchange != nil && triedAttempt.exchange.answer != nil {
+			fields = append(fields, textField("status", formatInt(triedAttempt.exchange.answer.StatusCode)))
 		}
 		if c.attemptDetail != "" {
 			fields = append(fields, textField("detail", c.attemptDetail))
 		}
-		return append(fields, endpointFields(tried.endpoint, now)...)
+		return append(fields, endpointFields(triedAttempt.endpoint, now)...)
 	})
 }
 
@@ -207,9 +207,9 @@
 }
 
 // traceAnswer logs the end of an answered call if it failed, took several attempts or is
-// sampled. The error is that by which the answer was truncated, or nil.
-func (c *callerCall) traceAnswer(tried *attempt, err error) {
-	status := tried.exchange.answer.StatusCode
+// sampled. err is the error that truncated the answer, or nil.
+func (c *callerCall) traceAnswer(triedAttempt *attempt, err error) {
+	status := triedAttempt.exchange.answer.StatusCode
 	failed := err != nil || status >= http.StatusInternalServerError || len(c.triedEndpoints) > 1
 	if !failed && !isSampled(c.proxy.requestID(c.request.Header)) {
 		return
@@ -223,7 +223,7 @@
 		if err != nil {
 			fields = append(fields, textField("detail", rootCause(err).Error()))
 		}
-		return append(fields, endpointFields(tried.endpoint, now)...)
+		return append(fields, endpointFields(triedAttempt.endpoint, now)...)
 	}
 	if err != nil {
 		c.proxy.trace("request_cut", fields)
@@ -236,8 +236,8 @@
 // back end, or it is sampled.
 func (c *gateCall) traceGate(event string, outcome result.Code, status int, waited, ran time.Duration) {
 	id := c.proxy.requestID(c.request.Header)
-	ordinary := outcome == result.OK && status < http.StatusInternalServerError
-	if ordinary && !isSampled(id) {
+	isOrdinary := outcome == result.OK && status < http.StatusInternalServerError
+	if isOrdinary && !isSampled(id) {
 		return
 	}
 	c.proxy.trace(event, func() []EventField {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -38,7 +38,7 @@
 	// nil.
 	roundTrip   func() time.Duration
 	dialLimit   time.Duration
-	spares      chan spare
+	spares      chan spareConn
 	maxSpareAge time.Duration
 	// acceptsUnframed is set if answers may end with their connection instead of stating
 	// their length.
@@ -57,8 +57,8 @@
 	cancel  context.CancelFunc
 }
 
-// spare is a connection that was opened before a call needed it.
-type spare struct {
+// spareConn is a connection that was opened before a call needed it.
+type spareConn struct {
 	conn     net.Conn
 	openedAt time.Time
 }
@@ -72,7 +72,7 @@
 		dialer:  net.Dialer{Timeout: limits.DialTimeout, KeepAliveConfig: keepAliveConfig},
 
 		dialLimit: limits.DialLimit,
-		spares:    make(chan spare, maxSpares),
+		spares:    make(chan spareConn, maxSpares),
 
 		maxSpareAge: min(maxSpareAge, limits.HeaderTimeout/2),
 		noSpares:    limits.NoSpares,
@@ -96,12 +96,12 @@
 	}
 	for {
 		select {
-		case spareConn := <-u.spares:
-			if time.Since(spareConn.openedAt) < u.maxSpareAge {
+		case spare := <-u.spares:
+			if time.Since(spare.openedAt) < u.maxSpareAge {
 				u.openSpares(1)
-				return u.newGuarded(spareConn.conn), nil
+				return u.newGuarded(spare.conn), nil
 			}
-			_ = spareConn.conn.Close()
+			_ = spare.conn.Close()
 			continue
 		default:
 		}
@@ -120,9 +120,9 @@
 	if u.openConns == nil {
 		return nil
 	}
-	bounded, cancel := context.WithTimeout(ctx, u.dialTimeout())
+	limitedContext, cancel := context.WithTimeout(ctx, u.dialTimeout())
 	defer cancel()
-	return u.openConns.reserve(bounded, u.transport.CloseIdleConnections)
+	return u.openConns.reserve(limitedContext, u.transport.CloseIdleConnections)
 }
 
 // newGuarded wraps an open connection in a guardedConn and adds it to openConns.
@@ -141,16 +141,16 @@
 // connect opens a connection, including the TLS handshake if there is one.
 func (u *upstream) connect(ctx context.Context) (net.Conn, error) {
 	timeout := u.dialTimeout()
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	limitedContext, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	dialer := u.dialer
 	dialer.Timeout = timeout
-	conn, err := dialer.DialContext(bounded, "tcp", u.address)
+	conn, err := dialer.DialContext(limitedContext, "tcp", u.address)
 	if err != nil || u.tlsConfig == nil {
 		return conn, err
 	}
 	tlsConn := tls.Client(conn, u.tlsConfig)
-	if err := tlsConn.HandshakeContext(bounded); err != nil {
+	if err := tlsConn.HandshakeContext(limitedContext); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
@@ -184,7 +184,7 @@
 		return // the next call dials itself and gets the error
 	}
 	select {
-	case u.spares <- spare{conn: conn, openedAt: time.Now()}:
+	case u.spares <- spareConn{conn: conn, openedAt: time.Now()}:
 	default:
 		_ = conn.Close()
 	}
@@ -196,8 +196,8 @@
 func (u *upstream) dropSpares() {
 	for {
 		select {
-		case spareConn := <-u.spares:
-			_ = spareConn.conn.Close()
+		case spare := <-u.spares:
+			_ = spare.conn.Close()
 		default:
 			return
 		}
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -29,7 +29,7 @@
 	name string
 	// allEndpoints holds every endpoint of the service.
 	allEndpoints *endpoint.Set
-	// pool holds the endpoints for calls that may run in any region; restricted holds the
+	// pool holds the endpoints for calls that may run in any region; restrictedPools holds the
 	// pools for the region restrictions of the view's routes.
 	pool
 	restrictedPools []restrictedPool
@@ -46,9 +46,9 @@
 }
 
 // findRoute returns the route of a request, or nil.
-func (v *view) findRoute(request *http.Request, place hostPath) *routing.Route {
+func (v *view) findRoute(request *http.Request, target hostPath) *routing.Route {
 	return v.routes.Find(routing.Query{
-		Method: request.Method, Host: place.host, Path: place.path, Header: request.Header.Get,
+		Method: request.Method, Host: target.host, Path: target.path, Header: request.Header.Get,
 	})
 }
 
