--- a/internal/pipeline/ahead.go
+++ b/internal/pipeline/ahead.go
@@ -108,7 +108,7 @@
 // newCall returns the call for the request with the given head, or nil if the request
 // must wait for its turn.
 func (c *Conn) newCall(head []byte) *Call {
-	if parsed := readFraming(head); !parsed.isKnown || parsed.bodyLength > 0 {
+	if headFraming := readFraming(head); !headFraming.isKnown || headFraming.bodyLength > 0 {
 		return nil
 	}
 	request, err := parseHead(head)
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -195,16 +195,16 @@
 // connection is kept.
 func (a *answer) replayHead(writer http.ResponseWriter) {
 	header := writer.Header()
-	connection, hasConnection := header["Connection"]
-	for _, early := range a.interimAnswers {
-		maps.Copy(header, early.header)
-		writer.WriteHeader(early.status)
+	connectionValues, hasConnection := header["Connection"]
+	for _, interim := range a.interimAnswers {
+		maps.Copy(header, interim.header)
+		writer.WriteHeader(interim.status)
 		clear(header)
 	}
 	maps.Copy(header, a.head)
 	delete(header, "Connection")
 	if hasConnection {
-		header["Connection"] = connection
+		header["Connection"] = connectionValues
 	}
 	writer.WriteHeader(a.status)
 }
@@ -223,7 +223,7 @@
 	return body
 }
 
-// replayTrailers copies the trailers that the handler has set to a header.
+// replayTrailers copies the trailers that the handler has set to the given header.
 func (a *answer) replayTrailers(header http.Header) {
 	for name, values := range a.header {
 		if strings.HasPrefix(name, http.TrailerPrefix) {
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -58,7 +58,7 @@
 	position    position
 	// handlerReturned is set once the handler of the current request has returned.
 	handlerReturned bool
-	// partialHead holds the bytes of the current head until it is complete.
+	// partialHead holds the bytes of the current head until the head is complete.
 	partialHead []byte
 	// bodyRemaining is how many bytes of the current body the server has not read yet.
 	bodyRemaining int
@@ -228,15 +228,15 @@
 
 // advanceQueued is advance for the head of the first call in the queue.
 func (c *Conn) advanceQueued(text []byte) int {
-	first := c.queuedCalls[0]
-	used := min(len(text), first.headSize-c.firstHeadRead)
+	firstCall := c.queuedCalls[0]
+	used := min(len(text), firstCall.headSize-c.firstHeadRead)
 	c.firstHeadRead += used
 	c.queuedBytes -= used
-	if c.firstHeadRead == first.headSize {
+	if c.firstHeadRead == firstCall.headSize {
 		c.firstHeadRead = 0
-		c.pendingCall = first
+		c.pendingCall = firstCall
 		c.queuedCalls = c.queuedCalls[1:]
-		c.arrivedAt = first.arrivedAt
+		c.arrivedAt = firstCall.arrivedAt
 		c.handlerReturned = false
 		c.markComplete()
 	}
@@ -260,20 +260,20 @@
 		return len(text)
 	}
 	used := size - len(c.partialHead)
-	parsed := readFraming(head[:size])
-	if !parsed.isKnown {
+	headFraming := readFraming(head[:size])
+	if !headFraming.isKnown {
 		c.stopTracking()
 		return len(text)
 	}
 	c.partialHead = nil
 	c.blocked = false
 	c.handlerReturned = false
-	if parsed.bodyLength == 0 {
+	if headFraming.bodyLength == 0 {
 		c.markComplete()
 		return used
 	}
 	c.position = inBody
-	c.bodyRemaining = parsed.bodyLength
+	c.bodyRemaining = headFraming.bodyLength
 	return used + c.advance(text[used:])
 }
 
--- a/internal/pipeline/framing.go
+++ b/internal/pipeline/framing.go
@@ -40,11 +40,11 @@
 // has an unusual request line, or a header other than a single Content-Length that may
 // affect where the request ends or whether the connection is kept.
 func readFraming(head []byte) framing {
-	first, rest, _ := bytes.Cut(head, []byte("\n"))
-	if !isPlainRequestLine(first) {
+	requestLine, rest, _ := bytes.Cut(head, []byte("\n"))
+	if !isPlainRequestLine(requestLine) {
 		return framing{}
 	}
-	parsed := framing{isKnown: true}
+	headFraming := framing{isKnown: true}
 	hasLength := false
 	for len(rest) > 0 {
 		var line []byte
@@ -62,7 +62,7 @@
 			if err != nil || hasLength {
 				return framing{}
 			}
-			parsed.bodyLength = int(length)
+			headFraming.bodyLength = int(length)
 			hasLength = true
 		case equalFold(name, "Connection"):
 			if !equalFold(value, "keep-alive") {
@@ -72,7 +72,7 @@
 			return framing{}
 		}
 	}
-	return parsed
+	return headFraming
 }
 
 // isPlainRequestLine reports whether a request line has a path as its target and the
--- a/internal/proxy/ahead_test.go
+++ b/internal/proxy/ahead_test.go
@@ -65,8 +65,8 @@
 	return &pipeliningCaller{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// readAnswer reads the next answer and returns its body, and whether it announces that the
-// connection closes.
+// readAnswer reads the next answer and returns its body, and whether the answer announces
+// that the connection closes.
 func (p *pipeliningCaller) readAnswer() (body string, closes bool) {
 	p.t.Helper()
 	answer, err := http.ReadResponse(p.reader, nil)
@@ -162,7 +162,7 @@
 	check.NoErr(<-stopped)
 }
 
-// A caller's disconnect must cancel all its calls, even if a request of it is still unread.
+// A caller's disconnect must cancel all its calls, even if one of its requests is still unread.
 func TestCallerDisconnectCancelsPipelinedCalls(t *testing.T) {
 	check := is.New(t)
 	backend := newPathBlockingBackend("/a", "/b")
--- a/internal/proxy/bodyqueue_test.go
+++ b/internal/proxy/bodyqueue_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestConcurrentLargeBodiesAreLimited: a gate receives at most maxTransfers large bodies at
-// a time, and small calls overtake those that wait.
+// a time, and calls with small bodies overtake the large bodies that wait.
 func TestConcurrentLargeBodiesAreLimited(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
@@ -193,7 +193,7 @@
 func TestBodyThatWouldArriveTooLateIsRefusedUnsent(t *testing.T) {
 	for name, changeRoute := range map[string]func(*resource.Route){
 		"deadline": nil,
-		"target":   func(changeRoute *resource.Route) { changeRoute.Target = time.Second },
+		"target":   func(route *resource.Route) { route.Target = time.Second },
 	} {
 		t.Run(name, func(t *testing.T) { expectRefusedUnsent(t, changeRoute) })
 	}
--- a/internal/proxy/division_test.go
+++ b/internal/proxy/division_test.go
@@ -91,7 +91,7 @@
 	for _, test := range []struct {
 		stage                    rollout.Stage
 		stableCount, targetCount int
-		wanted                   string
+		wantedVersion            string
 	}{
 		{rollout.StageHeld, 4, 4, "v1"}, {rollout.StageHeld, 0, 4, "v2"},
 		{rollout.StageCanary, 0, 4, "v2"}, {rollout.StageCanary, 4, 0, "v1"},
@@ -101,7 +101,7 @@
 		{rollout.StageCompleted, 4, 4, "v2"}, {rollout.StageCompleted, 4, 0, "v1"},
 	} {
 		byVersion, _ := countByVersion(newSplitService(test.stableCount, test.targetCount, test.stage), 100)
-		check.Equal(byVersion, map[string]int{test.wanted: 100}) // the version that the stage selects
+		check.Equal(byVersion, map[string]int{test.wantedVersion: 100}) // the version that the stage selects
 	}
 }
 
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -205,20 +205,20 @@
 }
 
 // callCancelledByDrain returns the result of a call that runs at a draining gate until the gate
-// cancels it at the drain's deadline. failed counts the failures that the gates report of their
-// back ends.
-func callCancelledByDrain(t *testing.T, failed *atomic.Int64) callResult {
+// cancels it at the drain's deadline. failureCount counts the failures that the gates report of
+// their back ends.
+func callCancelledByDrain(t *testing.T, failureCount *atomic.Int64) callResult {
 	t.Helper()
 	limits := Limits{GateLingers: true, DrainLinger: 200 * time.Millisecond, DrainBound: 300 * time.Millisecond}
 	started := make(chan struct{}, 9)
-	blocking := backendSpec{handler: func(_ http.ResponseWriter, request *http.Request) {
+	blockingBackEnd := backendSpec{handler: func(_ http.ResponseWriter, request *http.Request) {
 		started <- struct{}{}
 		<-request.Context().Done()
 	}}
 	var runs atomic.Int64
-	mesh := startMesh(t, meshOptions{limits: limits}, blocking, countingBackend(&runs))
+	mesh := startMesh(t, meshOptions{limits: limits}, blockingBackEnd, countingBackend(&runs))
 	for _, gate := range mesh.gates {
-		gate.config.OnBackendFailed = func(protocol.BackendStart, uint64) { failed.Add(1) }
+		gate.config.OnBackendFailed = func(protocol.BackendStart, uint64) { failureCount.Add(1) }
 	}
 	mesh.gates[0].StartDrain()
 	for {
@@ -238,8 +238,8 @@
 // A call that a draining gate cancels at the drain's deadline must be retried if its own deadline
 // has not passed.
 func TestCallCancelledByDrainingGateIsRetried(t *testing.T) {
-	var failed atomic.Int64
-	outcome := callCancelledByDrain(t, &failed)
+	var failureCount atomic.Int64
+	outcome := callCancelledByDrain(t, &failureCount)
 	t.Log(outcome.status, outcome.code(), outcome.ran(), outcome.body)
 	is.New(t).Equal(outcome.status, http.StatusOK)
 }
@@ -247,7 +247,7 @@
 // A call that the gate cancels because of its drain must not be counted as a failure of its back
 // end.
 func TestCancellationByDrainIsNotABackendFailure(t *testing.T) {
-	var failed atomic.Int64
-	_ = callCancelledByDrain(t, &failed)
-	is.New(t).Equal(failed.Load(), int64(0))
+	var failureCount atomic.Int64
+	_ = callCancelledByDrain(t, &failureCount)
+	is.New(t).Equal(failureCount.Load(), int64(0))
 }
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -93,8 +93,8 @@
 	check.True(refusesConnections((&Proxy{config: Config{BackendAddress: listener.Addr().String()}}).connectToBackend))
 }
 
-// A daemon whose back end has answered a request before must state this in the record, as
-// Familiar, when it receives the record of an end, and must publish a later answer as urgent.
+// If a daemon receives the record of an end under a request that its own back end has answered
+// before, it must set Familiar in the record and must publish a later answer as urgent.
 func TestFamiliarRequestIsReportedToPeers(t *testing.T) {
 	check := is.New(t)
 	notified := make(chan bool, 8)
@@ -117,8 +117,8 @@
 	check.Equal(gate.HarmfulState(signatureOf(gate, "/often")), quarantine.Trusted)
 }
 
-// BenchmarkUnsuspected measures the quarantine checks of a call at its entry and its gate, and the
-// recording of its answer at the gate, while no request is suspected.
+// BenchmarkUnsuspected measures the quarantine checks of a call on the callers' side and at its gate,
+// and the recording of its answer at the gate, while no request is suspected.
 func BenchmarkUnsuspected(b *testing.B) {
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
 	b.Cleanup(proxy.Close)
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -17,8 +17,8 @@
 // hangPath is a path on which the back ends of startHangingMesh never answer the first call.
 const hangPath = "/hang"
 
-// startHangingMesh starts two back ends. Whichever gets the first call to hangPath never answers
-// it, nor anything else on its connection. All other calls are answered at once.
+// startHangingMesh starts two back ends. The back end that gets the first call to hangPath never
+// answers it, nor anything else on its connection. All other calls are answered at once.
 func startHangingMesh(t *testing.T, timeout time.Duration, arrived *atomic.Int64) *mesh {
 	t.Helper()
 	spec := backendSpec{handler: func(_ http.ResponseWriter, request *http.Request) {
@@ -68,7 +68,7 @@
 	check.Equal(mesh.hungCalls(), uint64(1))
 }
 
-// The call may still run: nothing proves that it never will.
+// A hung call that must not be repeated may still run, so it must wait for its deadline.
 func TestHungUnrepeatableCallWaitsForDeadline(t *testing.T) {
 	check := is.New(t)
 	var arrived atomic.Int64
@@ -100,8 +100,8 @@
 func TestCallThatBackEndReportsIsNotHung(t *testing.T) {
 	check := is.New(t)
 	proxy, now := newWatchedCall(t)
-	for ago := range 3 {
-		proxy.hangDetector.missingCalls.Record(now-time.Duration(3-ago)*time.Second/4, 1, 1)
+	for index := range 3 {
+		proxy.hangDetector.missingCalls.Record(now-time.Duration(3-index)*time.Second/4, 1, 1)
 	}
 	proxy.findHung(now)
 	check.Equal(proxy.Counters().HungCalls, uint64(0))
@@ -123,8 +123,8 @@
 func TestCallMissingAtBackEndIsHung(t *testing.T) {
 	check := is.New(t)
 	proxy, now := newWatchedCall(t)
-	for ago := range 3 {
-		proxy.hangDetector.missingCalls.Record(now-time.Duration(3-ago)*time.Second/4, 1, 0)
+	for index := range 3 {
+		proxy.hangDetector.missingCalls.Record(now-time.Duration(3-index)*time.Second/4, 1, 0)
 	}
 	proxy.findHung(now)
 	check.Equal(proxy.Counters().HungCalls, uint64(1))
@@ -170,8 +170,8 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// The running calls of a draining back end must continue, and their connections must carry no
-// further calls.
+// If a start of the back end is replaced without having crashed, its running calls must continue, and
+// their connections must carry no further calls.
 func TestCallToDrainingStartIsAnswered(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released; call.answer() })
@@ -223,8 +223,8 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// If a call marked as hung is answered after all, its slot must become free
-// when the back end closes the connection, even if the answer was not read to its end.
+// If a call marked as hung is answered after all, its slot must become free when the back
+// end closes the connection, even if the answer was not read to its end.
 func TestSlotOfHungCallIsFreedByAnswer(t *testing.T) {
 	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released; call.sendAnswerHead() })
 	call := gate.startCall(t, time.Minute)
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -42,16 +42,16 @@
 	return backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		s.entered <- struct{}{}
 		select {
-		case kind := <-s.outcomes:
-			endWithOutcome(writer, kind, name)
+		case outcome := <-s.outcomes:
+			endWithOutcome(writer, outcome, name)
 		case <-request.Context().Done():
 			s.cancelled <- struct{}{}
 		}
 	}}
 }
 
-func endWithOutcome(writer http.ResponseWriter, kind backendOutcome, name string) {
-	switch kind {
+func endWithOutcome(writer http.ResponseWriter, outcome backendOutcome, name string) {
+	switch outcome {
 	case succeeds:
 		_, _ = io.WriteString(writer, name)
 	case respondsWithError:
@@ -124,7 +124,7 @@
 const awaitTimeout = 5 * time.Second
 
 // await receives one value from a channel.
-func await[Thing any](t *testing.T, channel <-chan Thing, event string) Thing {
+func await[Value any](t *testing.T, channel <-chan Value, event string) Value {
 	t.Helper()
 	select {
 	case value := <-channel:
@@ -337,9 +337,9 @@
 	results := make(chan callResult, 1)
 	go func() { results <- mesh.call(t, "GET", "/", "", "Springstack-Timeout-Ms", "2000") }()
 	firstName := await(t, startedBackEnds, "a run")
-	silent := mesh.gates[firstName[0]-'a'].config.NodeID
-	mesh.caller.SetReachable(silent, false)
-	mesh.caller.HedgeCalls(silent)
+	silentNode := mesh.gates[firstName[0]-'a'].config.NodeID
+	mesh.caller.SetReachable(silentNode, false)
+	mesh.caller.HedgeCalls(silentNode)
 	await(t, startedBackEnds, "another attempt")
 	close(writeHead)
 	time.Sleep(noAnswerPeriod)
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Back ends outside the allowed region must get no calls, with any request key.
+// Back ends outside the allowed region must get no calls, with or without a request key.
 func TestCallRunsInAllowedRegion(t *testing.T) {
 	for _, headers := range [][]string{nil, {"X-Key", "k"}} {
 		check := is.New(t)
@@ -123,8 +123,8 @@
 		t.Run(testCase.name, func(t *testing.T) {
 			check := is.New(t)
 			var nearCalls, homeCalls atomic.Int64
-			otherRegion := countingBackend(&nearCalls)
-			mesh := startMesh(t, meshOptions{}, otherRegion, otherRegion, otherRegion, withRegion("home", countingBackend(&homeCalls)))
+			nearBackEnd := countingBackend(&nearCalls)
+			mesh := startMesh(t, meshOptions{}, nearBackEnd, nearBackEnd, nearBackEnd, withRegion("home", countingBackend(&homeCalls)))
 			mesh.applyRegions(2, testCase.callerRegions, mesh.caller)
 			mesh.applyRegions(2, testCase.gateRegions, mesh.gates...)
 			for range 10 {
@@ -251,7 +251,7 @@
 			testedService := &service{allEndpoints: newRegionalSet()}
 			testedService.applySplit(VersionSplit{Target: "v2", Stage: testCase.stage, CanaryShare: 0.5})
 			pool := testedService.poolFor(region.NewSet(testCase.regions))
-			seen := map[string]bool{}
+			seenVersions := map[string]bool{}
 			for range 200 {
 				chosen := pool.canary.choose(0, random.Uint64(), random.Uint64())
 				if chosen == nil && pool.set.UsableCount() > 0 {
@@ -259,12 +259,12 @@
 				}
 				if chosen != nil {
 					check.Equal(chosen.Region, testCase.regions[0])
-					seen[chosen.Software] = true
+					seenVersions[chosen.Software] = true
 				}
 			}
-			check.Equal(len(seen), len(testCase.versions))
+			check.Equal(len(seenVersions), len(testCase.versions))
 			for _, version := range testCase.versions {
-				check.True(seen[version])
+				check.True(seenVersions[version])
 			}
 		})
 	}
--- a/internal/proxy/renewal_test.go
+++ b/internal/proxy/renewal_test.go
@@ -35,8 +35,8 @@
 		{"the daemon is unreachable", func(m *mesh) { m.caller.SetReachable(m.members[0].ID, false) }},
 	}
 	for _, change := range changes {
-		for _, drained := range []string{"before", "after"} {
-			t.Run(change.name+" "+drained+" the drain", func(t *testing.T) {
+		for _, moment := range []string{"before", "after"} {
+			t.Run(change.name+" "+moment+" the drain", func(t *testing.T) {
 				check := is.New(t)
 				backend := newBlockingBackend()
 				mesh := startMesh(t, meshOptions{}, backend.spec())
@@ -45,12 +45,12 @@
 					go func() { results <- mesh.call(t, method, "/", "x") }()
 					<-backend.entered
 				}
-				if drained == "after" {
+				if moment == "after" {
 					mesh.caller.StartDrain()
 					mesh.gates[0].StartDrain()
 				}
 				change.apply(mesh)
-				if drained == "before" {
+				if moment == "before" {
 					mesh.caller.StartDrain()
 					mesh.gates[0].StartDrain()
 				}
--- a/internal/proxy/starting_test.go
+++ b/internal/proxy/starting_test.go
@@ -23,12 +23,12 @@
 func startEmptyCaller(t *testing.T, source *mesh, clock func() time.Duration) *mesh {
 	t.Helper()
 	limits := Limits{StartWait: time.Hour, DrainLinger: time.Millisecond}
-	copied := *source
-	copied.caller = New(Config{Clock: clock, NodeID: "late", Incarnation: 4, Region: "r", Zone: "z", Limits: limits})
-	t.Cleanup(copied.caller.Close)
-	copied.address = startServer(t, copied.caller.CallerHandler(), limits)
-	copied.caller.ExtendServing(1 << 62)
-	return &copied
+	emptyMesh := *source
+	emptyMesh.caller = New(Config{Clock: clock, NodeID: "late", Incarnation: 4, Region: "r", Zone: "z", Limits: limits})
+	t.Cleanup(emptyMesh.caller.Close)
+	emptyMesh.address = startServer(t, emptyMesh.caller.CallerHandler(), limits)
+	emptyMesh.caller.ExtendServing(1 << 62)
+	return &emptyMesh
 }
 
 // startWaitingCall makes a call and blocks until the call waits for the daemon's start. It
@@ -44,8 +44,8 @@
 // awaitStartWait blocks until a call waits for the daemon's start.
 func (m *mesh) awaitStartWait(t *testing.T) {
 	t.Helper()
-	for began := time.Now(); m.caller.Counters().StartWaits == 0; runtime.Gosched() {
-		if time.Since(began) > awaitTimeout {
+	for startedAt := time.Now(); m.caller.Counters().StartWaits == 0; runtime.Gosched() {
+		if time.Since(startedAt) > awaitTimeout {
 			t.Fatal("no call waits for the start")
 		}
 	}
@@ -163,8 +163,8 @@
 	check.NoErr(err)
 	starting.awaitStartWait(t)
 	check.NoErr(conn.Close())
-	for began := time.Now(); starting.caller.runningCallerCalls.Load() > 0; runtime.Gosched() {
-		if time.Since(began) > awaitTimeout {
+	for startedAt := time.Now(); starting.caller.runningCallerCalls.Load() > 0; runtime.Gosched() {
+		if time.Since(startedAt) > awaitTimeout {
 			t.Fatal("the call still waits")
 		}
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -127,7 +127,8 @@
 	check.NoErr(writer.Close())
 }
 
-// TestAnswerBeforeEndOfUploadIsDelivered: the back end answers without reading the body.
+// TestAnswerBeforeEndOfUploadIsDelivered: the caller gets the answer of a back end that answers
+// without reading the body.
 func TestAnswerBeforeEndOfUploadIsDelivered(t *testing.T) {
 	check := is.New(t)
 	mesh := startMesh(t, meshOptions{}, backendSpec{handler: func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/proxy/excess_test.go
+++ b/internal/proxy/surplus_test.go
@@ -40,11 +40,11 @@
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nSigned: s\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// excessAnswerBackend is a back end that, 50 ms after the start of every request but the first on a
-// connection, sends an extra answer with the id of the first request. It sends the answer with the
+// surplusAnswerBackend is a back end that, 50 ms after the start of every request but the first on a
+// connection, sends a surplus answer with the id of the first request. It sends the answer with the
 // right id 100 ms later. If the connection is closed in the meantime, it sets cancelled and refuses
 // all further requests.
-func excessAnswerBackend(cancelled *atomic.Bool) backendSpec {
+func surplusAnswerBackend(cancelled *atomic.Bool) backendSpec {
 	return backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		for number := 0; ; number++ {
 			request, ok := readRequest(reader)
@@ -71,14 +71,14 @@
 	}}
 }
 
-// An excess answer may arrive while the next request on the connection runs. It is recognised by
+// A surplus answer may arrive while the next request on the connection runs. It is recognised by
 // its request id. The running request must not be cancelled, and its own answer must be delivered.
-func TestExcessAnswerDoesNotCancelNextCall(t *testing.T) {
+func TestSurplusAnswerDoesNotCancelNextCall(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
 			check := is.New(t)
 			var cancelled atomic.Bool
-			mesh := startMesh(t, meshOptions{slots: 1}, excessAnswerBackend(&cancelled))
+			mesh := startMesh(t, meshOptions{slots: 1}, surplusAnswerBackend(&cancelled))
 			mesh.useEdge()
 			check.Equal(mesh.call(t, method, "/", "", "Id", "first").body, "first")
 			mesh.caller.StartDrain() // as while the daemon stops
--- a/internal/proxy/target_test.go
+++ b/internal/proxy/target_test.go
@@ -9,11 +9,11 @@
 
 func TestTargetRoundTrip(t *testing.T) {
 	check := is.New(t)
-	left, stated := parseTarget(formatTarget(-30 * time.Millisecond))
-	check.True(stated)
+	left, isValid := parseTarget(formatTarget(-30 * time.Millisecond))
+	check.True(isValid)
 	check.Equal(left, -30*time.Millisecond)
 	for _, text := range []string{"", "12 3", "a", "3 ", "99999999999"} {
-		_, stated := parseTarget(text)
-		check.True(!stated)
+		_, isValid := parseTarget(text)
+		check.True(!isValid)
 	}
 }
