--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -89,9 +89,9 @@
 // Wrap returns the Conn for a connection of a server. Bind must be called before the
 // server reads from it.
 func Wrap(conn net.Conn, config *Config) *Conn {
-	wrapped := &Conn{Conn: conn, config: config, baseContext: context.Background()}
-	wrapped.changed.L = &wrapped.mutex
-	return wrapped
+	wrappedConn := &Conn{Conn: conn, config: config, baseContext: context.Background()}
+	wrappedConn.changed.L = &wrappedConn.mutex
+	return wrappedConn
 }
 
 // Bind sets the parent context of the requests that run ahead.
--- a/internal/pipeline/testserver_test.go
+++ b/internal/pipeline/testserver_test.go
@@ -110,12 +110,12 @@
 	if err != nil {
 		return nil, err
 	}
-	wrapped := Wrap(conn, w.server.config)
+	wrappedConn := Wrap(conn, w.server.config)
 	select {
-	case w.server.conns <- wrapped:
+	case w.server.conns <- wrappedConn:
 	default:
 	}
-	return wrapped, nil
+	return wrappedConn, nil
 }
 
 func (s *testServer) dial() net.Conn {
--- a/internal/proxy/ahead.go
+++ b/internal/proxy/ahead.go
@@ -101,8 +101,8 @@
 	if !p.drain.started.Load() {
 		return false
 	}
-	conn, counted := request.Context().Value(connKey{}).(*countedConn)
-	return !counted || !conn.hasPendingAnswers()
+	conn, isCounted := request.Context().Value(connKey{}).(*countedConn)
+	return !isCounted || !conn.hasPendingAnswers()
 }
 
 // turnWaitKey is the context key of the time that a request has waited for its turn.
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -133,8 +133,8 @@
 	cancellableContext, cancel := context.WithCancelCause(ctx)
 	c.cancelFuncs.Store(conn, cancel)
 	connContext := context.WithValue(cancellableContext, connKey{}, conn)
-	if counted, ok := conn.(*countedConn); ok && counted.pipelined != nil {
-		counted.pipelined.Bind(connContext)
+	if limitedConn, ok := conn.(*countedConn); ok && limitedConn.pipelined != nil {
+		limitedConn.pipelined.Bind(connContext)
 	}
 	return connContext
 }
@@ -143,8 +143,8 @@
 func (c *connectionContexts) onStateChange(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateIdle:
-		if counted, ok := conn.(*countedConn); ok {
-			counted.endCall()
+		if limitedConn, ok := conn.(*countedConn); ok {
+			limitedConn.endCall()
 		}
 	case http.StateClosed, http.StateHijacked:
 		if cancel, found := c.cancelFuncs.LoadAndDelete(conn); found {
--- a/internal/proxy/ended.go
+++ b/internal/proxy/ended.go
@@ -118,8 +118,8 @@
 }
 
 // attributeEnd records an end for the requests of the interrupted calls. quarantine.Table infers
-// from all ends which of the requests are harmful. A software version that has not answered any call here
-// may end under every request, so its ends are not recorded for requests.
+// from all ends which of the requests are harmful. A software version that has not answered any call
+// here may end under every request, so its ends are not recorded for requests.
 func (p *Proxy) attributeEnd(end *backendEnd) {
 	end.suspectedRequests = map[quarantine.Signature]bool{}
 	if !p.hasVersionAnswered() {
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -117,8 +117,8 @@
 	check.Equal(gate.HarmfulState(signatureOf(gate, "/often")), quarantine.Trusted)
 }
 
-// BenchmarkUnsuspected measures the quarantine checks of a call on the callers' side and at its gate,
-// and the recording of its answer at the gate, while no request is suspected.
+// BenchmarkUnsuspected measures the quarantine checks of a call on the callers' side and at its
+// gate, and the recording of its answer at the gate, while no request is suspected.
 func BenchmarkUnsuspected(b *testing.B) {
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
 	b.Cleanup(proxy.Close)
--- a/internal/proxy/hangs.go
+++ b/internal/proxy/hangs.go
@@ -131,7 +131,8 @@
 	}
 }
 
-// hangSuspects returns the calls under way, the most overdue first, or nil if hasOverdueCall is false.
+// hangSuspects returns the calls under way, the most overdue first, or nil if hasOverdueCall returns
+// false.
 func (p *Proxy) hangSuspects(now time.Duration) []hangSuspect {
 	if !p.hasOverdueCall(now) {
 		return nil
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -170,8 +170,8 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// If a start of the back end is replaced without having crashed, its running calls must continue, and
-// their connections must carry no further calls.
+// If a start of the back end is replaced without having crashed, its running calls must continue,
+// and their connections must carry no further calls.
 func TestCallToDrainingStartIsAnswered(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released; call.answer() })
--- a/internal/proxy/idletimer.go
+++ b/internal/proxy/idletimer.go
@@ -39,14 +39,14 @@
 // updateIdleTimer bounds how long a caller's connection is idle and how long the headers of a
 // request take.
 func (p *Proxy) updateIdleTimer(conn net.Conn, state http.ConnState) {
-	counted, known := conn.(*countedConn)
-	if !known {
+	limitedConn, isCounted := conn.(*countedConn)
+	if !isCounted {
 		return
 	}
 	switch state {
 	case http.StateNew, http.StateIdle:
-		counted.idleTimer.reset(p.RequestLimits().IdleTimeout, counted)
+		limitedConn.idleTimer.reset(p.RequestLimits().IdleTimeout, limitedConn)
 	case http.StateActive:
-		counted.idleTimer.reset(p.RequestLimits().HeaderTimeout, counted)
+		limitedConn.idleTimer.reset(p.RequestLimits().HeaderTimeout, limitedConn)
 	}
 }
--- a/internal/proxy/incarnation.go
+++ b/internal/proxy/incarnation.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// contains reports whether the incarnation number in a call's header is one that this
-// process has used.
+// contains reports whether the incarnation number in a call's header is one that this process
+// has used.
 func (i *ownIncarnations) contains(header string) bool {
 	incarnation, err := strconv.ParseUint(header, 10, 64)
 	return err == nil && slices.Contains(*i.numbers.Load(), protocol.Incarnation(incarnation))
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -78,9 +78,9 @@
 			continue
 		}
 		if l.openCount.Add(1) <= l.limit {
-			counted := newCountedConn(conn, l)
-			l.conns.Store(counted, struct{}{})
-			return counted, nil
+			limitedConn := newCountedConn(conn, l)
+			l.conns.Store(limitedConn, struct{}{})
+			return limitedConn, nil
 		}
 		l.openCount.Add(-1)
 		l.refuseConnection(conn, Refusal{
@@ -141,12 +141,12 @@
 }
 
 func newCountedConn(conn net.Conn, listener *boundedListener) *countedConn {
-	counted := &countedConn{Conn: conn, listener: listener}
+	limitedConn := &countedConn{Conn: conn, listener: listener}
 	if listener.pipelining != nil {
-		counted.pipelined = pipeline.Wrap(conn, listener.pipelining)
-		counted.Conn = counted.pipelined
+		limitedConn.pipelined = pipeline.Wrap(conn, listener.pipelining)
+		limitedConn.Conn = limitedConn.pipelined
 	}
-	return counted
+	return limitedConn
 }
 
 // hasPendingAnswers reports whether requests behind the current one have run ahead, or are running,
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -176,8 +176,7 @@
 }
 
 // mayServe reports whether the serving lease is still valid. Each call and each attempt checks it,
-// so that a daemon that was paused does not serve when it resumes (I1 in
-// docs/INVARIANTS.md).
+// so that a daemon that was paused does not serve when it resumes (I1 of docs/INVARIANTS.md).
 func (p *Proxy) mayServe() bool {
 	return int64(p.config.Clock()) < p.servingUntil.Load()
 }
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -21,8 +21,8 @@
 )
 
 // harmfulRequests holds the daemon's quarantine records. A request is recorded if running it may
-// end its back end. Calls read only view, an atomic pointer, so they need no lock; if there are no
-// records, this costs a call two loads.
+// end its back end. The quarantine checks of calls read only view, an atomic pointer, and take no
+// lock; they cost a call two loads if there are no records.
 type harmfulRequests struct {
 	clock func() time.Duration
 	log   func(name string, fields ...EventField)
@@ -151,8 +151,7 @@
 }
 
 // fingerprintOf shortens a signature for the set of answered requests. If two requests share a
-// fingerprint, one of them may be held
-// one end later than necessary.
+// fingerprint, one of them may be held one end later than necessary.
 func fingerprintOf(signature quarantine.Signature) admission.Fingerprint {
 	return admission.Fingerprint(signature.Key())
 }
@@ -161,7 +160,7 @@
 // invalid. New records are sent on to all daemons if pass is set, and in any case if the daemon's
 // own back end answered the request before without a server error; the sent record then states
 // this.
-func (p *Proxy) MergeHarmful(records []quarantine.Record, pass bool) (refused int) {
+func (p *Proxy) MergeHarmful(records []quarantine.Record, pass bool) (invalidCount int) {
 	h := p.harmfulRequests
 	h.mutex.Lock()
 	now := h.clock()
@@ -169,7 +168,7 @@
 	for _, record := range records {
 		isNew, valid := h.table.Merge(now, record)
 		if !valid {
-			refused++
+			invalidCount++
 		}
 		markedFamiliar := isNew && !record.Familiar && h.answeredRequests.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
 		changed = changed || isNew
@@ -185,7 +184,7 @@
 	if notify && h.onChanged != nil {
 		h.onChanged(false)
 	}
-	return refused
+	return invalidCount
 }
 
 // HarmfulState returns the quarantine state of a request.
--- a/internal/proxy/refuse.go
+++ b/internal/proxy/refuse.go
@@ -95,8 +95,8 @@
 	_, _ = writer.Write(text)
 }
 
-// defaultRetryAfter returns the wait that a temporary refusal states by default, and 0 for a permanent
-// refusal.
+// defaultRetryAfter returns the wait that a temporary refusal states by default, and 0 for a
+// permanent refusal.
 func defaultRetryAfter(code result.Code) time.Duration {
 	switch code {
 	case result.NotServing, result.NoEndpoint, result.QueueFull, result.DeadlineBeforeStart,
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -292,8 +292,8 @@
 	}
 }
 
-// A call needs no more allocations on a route with allowed regions than on a route without them: the
-// pool of the allowed regions is built with the view.
+// A call needs no more allocations on a route with allowed regions than on a route without them:
+// the pool of the allowed regions is built with the view.
 func TestRegionRestrictionAddsNoAllocations(t *testing.T) {
 	check := is.New(t)
 	allocations := func(regions []string) float64 {
--- a/internal/proxy/reportedgate_test.go
+++ b/internal/proxy/reportedgate_test.go
@@ -72,8 +72,8 @@
 	return gate
 }
 
-// restart starts another daemon for the same back end. The back end reports an earlier start time than
-// that of the daemon.
+// restart starts another daemon for the same back end. The back end reports an earlier start time
+// than that of the daemon.
 func (g *reportedGate) restart(t *testing.T) *reportedGate {
 	t.Helper()
 	restarted := *g
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -101,7 +101,8 @@
 	delete(s.hedgeableAttempts, waiting)
 }
 
-// hedge starts a second attempt for the call of a waiting attempt if that attempt may be hedged.
+// hedge hedges a waiting attempt: if the retry budget allows it, the call makes another attempt. An
+// attempt that is not in hedgeableAttempts is ignored.
 func (s *silenceMonitor) hedge(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// hedgeAll starts a second attempt for the call of each waiting attempt that may be hedged.
+// hedgeAll hedges each attempt in hedgeableAttempts for which the retry budget allows another attempt.
 func (s *silenceMonitor) hedgeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -143,7 +144,7 @@
 }
 
 // HedgeCalls hedges the attempts at a daemon that does not answer: as far as the retry budget
-// allows, each call makes another attempt elsewhere while its first attempt continues.
+// allows, each call makes another attempt elsewhere while the attempt at the daemon continues.
 func (p *Proxy) HedgeCalls(node protocol.NodeID) {
 	p.forEachEndpoint(node, func(_ *endpoint.Endpoint, gateUpstream *upstream) {
 		if gateUpstream != nil {
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -127,9 +127,9 @@
 
 // newGuarded wraps an open connection in a guardedConn and adds it to openConns.
 func (u *upstream) newGuarded(conn net.Conn) *guardedConn {
-	guarded := newGuardedConn(conn, u.cancelLinger)
-	u.openConns.add(guarded)
-	return guarded
+	wrappedConn := newGuardedConn(conn, u.cancelLinger)
+	u.openConns.add(wrappedConn)
+	return wrappedConn
 }
 
 // retire closes the idle connections, and the other connections once their calls have ended.
