--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -30,8 +30,10 @@
 	self protocol.NodeID
 	zone string
 	// all holds the other daemons in ascending order of ID.
-	all   []Peer
-	byID  map[protocol.NodeID]int
+	all []Peer
+	// byID holds the index in all of each daemon.
+	byID map[protocol.NodeID]int
+	// zones holds the other daemons by zone, in order of their rank as relays.
 	zones map[string][]Peer
 	// otherZones holds the daemons of other zones in ascending order of ID.
 	otherZones []Peer
@@ -82,7 +84,8 @@
 	return d.all[index], true
 }
 
-// PeersInOwnZone returns the other daemons of the own zone, ranked.
+// PeersInOwnZone returns the other daemons of the own zone in order of their rank as
+// relays.
 func (d *Directory) PeersInOwnZone() []Peer { return d.zones[d.zone] }
 
 // PeersInOtherZones returns the daemons of all other zones in ascending order of ID.
@@ -98,7 +101,7 @@
 	return names
 }
 
-// PeersInZone returns the other daemons of a zone, ranked.
+// PeersInZone returns the other daemons of a zone in order of their rank as relays.
 func (d *Directory) PeersInZone(zone string) []Peer { return d.zones[zone] }
 
 // Relays returns the other daemons of a zone that may be its relay, best first, without
--- a/internal/core/floor/keeper.go
+++ b/internal/core/floor/keeper.go
@@ -11,11 +11,11 @@
 // the daemon knows its own floor. The stored version only grows, so that
 // requests of a root that resumes after a pause can't lower it.
 type Keeper struct {
-	id        protocol.NodeID
-	region    string
-	isValid   bool
-	stored    protocol.Version
-	keeperSet protocol.KeeperSet
+	id            protocol.NodeID
+	region        string
+	isValid       bool
+	storedVersion protocol.Version
+	keeperSet     protocol.KeeperSet
 }
 
 // NewKeeper returns a keeper that is not valid yet.
@@ -27,7 +27,7 @@
 // called again with each newer keeper set.
 func (k *Keeper) Validate(floor protocol.Version, set protocol.KeeperSet) {
 	k.isValid = true
-	k.stored = max(k.stored, floor)
+	k.storedVersion = max(k.storedVersion, floor)
 	k.updateKeeperSet(set)
 }
 
@@ -42,7 +42,7 @@
 func (k *Keeper) IsValid() bool { return k.isValid }
 
 // Stored returns the highest version stored.
-func (k *Keeper) Stored() protocol.Version { return k.stored }
+func (k *Keeper) Stored() protocol.Version { return k.storedVersion }
 
 // KeeperSet returns the newest keeper set of the region that the keeper knows.
 func (k *Keeper) KeeperSet() protocol.KeeperSet { return k.keeperSet }
@@ -55,9 +55,9 @@
 	if request.Keepers.Region != k.region {
 		return &protocol.StoreReply{Code: result.NotKeeper}
 	}
-	k.stored = max(k.stored, request.Version)
+	k.storedVersion = max(k.storedVersion, request.Version)
 	k.updateKeeperSet(request.Keepers)
-	reply := &protocol.StoreReply{Code: result.OK, Stored: k.stored}
+	reply := &protocol.StoreReply{Code: result.OK, Stored: k.storedVersion}
 	if !k.isValid {
 		reply.Code = result.NotReadyYet
 	}
@@ -75,7 +75,7 @@
 	if !k.isValid {
 		return &protocol.FloorReply{Code: result.NotReadyYet, Keepers: k.keeperSet}
 	}
-	reply := &protocol.FloorReply{Code: result.OK, Floor: k.stored, Keepers: k.keeperSet}
+	reply := &protocol.FloorReply{Code: result.OK, Floor: k.storedVersion, Keepers: k.keeperSet}
 	if !isMember(k.keeperSet, k.id) {
 		reply.Code = result.NotKeeper
 	}
--- a/internal/core/floor/learner.go
+++ b/internal/core/floor/learner.go
@@ -45,10 +45,11 @@
 // Learner determines the version floor of a daemon that has just started.
 //
 // Invariant: the floor is at least every version released in the region before
-// the Learner was created. It is derived only from a head read from the platform
-// after that, or from replies, sent after that, of a read quorum of the newest
-// keeper set in any reply. docs/FLOOR.md explains why that suffices while
-// keeper sets change and keepers restart.
+// the Learner was created. It is derived only from information sent after that
+// time: a head read from the platform, or replies from a read quorum of keepers.
+// The quorum is one of the newest keeper set that any reply contains.
+// docs/FLOOR.md explains why that suffices while keeper sets change and keepers
+// restart.
 type Learner struct {
 	config LearnerConfig
 	random *rand.Rand
--- a/internal/core/ledger/apply.go
+++ b/internal/core/ledger/apply.go
@@ -22,8 +22,9 @@
 	Request *protocol.SubmitRequest
 	// File is the parsed content; nil for a withdrawal.
 	File *resource.File
-	// Digest and Text are the name and data of the content object, which has to
-	// be written before the head; empty for a withdrawal.
+	// Text is the canonical text of File and Digest is its digest. The content
+	// object with that text has to be written before the head. Both are empty for a
+	// withdrawal.
 	Digest resource.Digest
 	Text   []byte
 	// Now is the reader's wall clock when it received the request.
@@ -70,7 +71,7 @@
 	return c, nil
 }
 
-// Key returns the key of the changed file.
+// Key returns the partner and name that identify the changed file.
 func (c *Change) Key() resource.FileKey {
 	return resource.FileKey{Partner: c.Request.Partner, Name: c.Request.File}
 }
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -101,7 +101,7 @@
 
 // promoteOldest accepts the oldest held file whose references can all be
 // satisfied, together with the held files needed for that, and reports whether
-// there was one.
+// there was such a file.
 func (d *draft) promoteOldest() bool {
 	for _, key := range d.heldFiles() {
 		group, isPromotable := d.promotionGroup(key)
@@ -261,7 +261,8 @@
 	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.previous.Version}
 }
 
-// updateWaitsFor updates WaitsFor of each held file.
+// updateWaitsFor records in each held file which references would be missing if
+// the file alone were accepted.
 func (d *draft) updateWaitsFor() {
 	for _, key := range d.heldFiles() {
 		entry, _ := d.head.File(key)
--- a/internal/core/ledger/head.go
+++ b/internal/core/ledger/head.go
@@ -88,7 +88,7 @@
 // errors in replies.
 const MaxWaitsFor = 16
 
-// Key returns the file's key.
+// Key returns the partner and name that identify the file.
 func (e FileEntry) Key() resource.FileKey {
 	return resource.FileKey{Partner: e.Partner, Name: e.Name}
 }
@@ -120,7 +120,7 @@
 // NewHead returns the head of an empty mesh.
 func NewHead() *Head { return &Head{Format: Format} }
 
-// File returns the entry of a file.
+// File returns the entry of a file, or false if the head does not list the file.
 func (h *Head) File(key resource.FileKey) (FileEntry, bool) {
 	position, found := h.searchFile(key)
 	if !found {
@@ -129,7 +129,7 @@
 	return h.Files[position], true
 }
 
-// KeeperSet returns the keeper set of a region.
+// KeeperSet returns the keeper set of a region, or false if the region has none.
 func (h *Head) KeeperSet(region string) (protocol.KeeperSet, bool) {
 	for _, set := range h.Keepers {
 		if set.Region == region {
@@ -176,7 +176,7 @@
 	h.Files = slices.Insert(h.Files, position, entry)
 }
 
-// removeFile deletes the entry of a file.
+// removeFile deletes the entry of a file, if there is one.
 func (h *Head) removeFile(key resource.FileKey) {
 	position, found := h.searchFile(key)
 	if found {
@@ -212,6 +212,8 @@
 	return true
 }
 
+// equalKeeperSets reports whether two sets of one region, and the sets that they
+// replace, have the same members and quorums. Revisions are not compared.
 func equalKeeperSets(a, b protocol.KeeperSet) bool {
 	if (a.Previous == nil) != (b.Previous == nil) {
 		return false
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -282,7 +282,7 @@
 	is.Equal(len(c.head.Keepers), 0)
 }
 
-func TestHeadRoundTripAndRefusals(t *testing.T) {
+func TestDecodeRestoresHeadAndRefusesCorruptedOnes(t *testing.T) {
 	is := is.New(t)
 	c := newChain(t)
 	c.submit("a/f", service("s"))
--- a/internal/core/ledger/operation.go
+++ b/internal/core/ledger/operation.go
@@ -136,10 +136,11 @@
 	return nil
 }
 
-// addOperation adds an operation and drops the oldest ones that exceed both the
-// count and the age. OperationFloor is raised to the time in a dropped id, so
-// that a resend of it is never treated as new, whatever the readers' clocks
-// show; the clock only affects how soon ids are dropped.
+// addOperation adds an operation and drops the oldest operations that are
+// expired and not among the newest MinOperationCount. OperationFloor is raised
+// to the time in a dropped id, so that a resend of it is never treated as new,
+// whatever the readers' clocks show; the clock only affects how soon ids are
+// dropped.
 func (h *Head) addOperation(operation Operation, now time.Time) {
 	h.Operations = append(h.Operations, operation)
 	dropped := 0
@@ -153,9 +154,10 @@
 	h.Operations = slices.Delete(h.Operations, 0, dropped)
 }
 
-// isExpired reports whether an operation is older than MinOperationAge. One too
-// far in the future counts as expired as well: the clock that dated it has
-// jumped, and the operation must not keep later ones from being dropped.
+// isExpired reports whether an operation is older than MinOperationAge. An
+// operation dated more than MaxOperationSkew ahead of now counts as expired as
+// well: the clock that dated it has jumped, and the operation must not keep later
+// operations from being dropped.
 func isExpired(operation Operation, now time.Time) bool {
 	oldest := now.Add(-MinOperationAge).UnixMilli()
 	newest := now.Add(MaxOperationSkew).UnixMilli()
--- a/internal/core/node/calls.go
+++ b/internal/core/node/calls.go
@@ -10,11 +10,11 @@
 // callTable holds the callbacks of the peer calls that await a reply.
 type callTable struct {
 	lastToken Token
-	pending   map[Token]func(body any)
+	callbacks map[Token]func(body any)
 }
 
 func newCallTable() callTable {
-	return callTable{pending: map[Token]func(body any){}}
+	return callTable{callbacks: map[Token]func(body any){}}
 }
 
 func (n *Node) newToken() Token {
@@ -26,7 +26,7 @@
 // nil when none arrived; the request may have taken effect even then.
 func (n *Node) callPeer(address string, body any, timeout time.Duration, done func(reply any)) Token {
 	token := n.newToken()
-	n.calls.pending[token] = done
+	n.calls.callbacks[token] = done
 	n.emit(CallPeer{Token: token, Address: address, Body: body, Timeout: timeout})
 	return token
 }
@@ -34,11 +34,11 @@
 // handlePeerReply passes a reply to the callback of its call. A reply without a
 // pending call is late or a duplicate and is dropped.
 func (n *Node) handlePeerReply(reply PeerReply) {
-	done, found := n.calls.pending[reply.Token]
+	done, found := n.calls.callbacks[reply.Token]
 	if !found {
 		return
 	}
-	delete(n.calls.pending, reply.Token)
+	delete(n.calls.callbacks, reply.Token)
 	if reply.Failed {
 		done(nil)
 		return
--- a/internal/core/node/cluster_test.go
+++ b/internal/core/node/cluster_test.go
@@ -34,7 +34,8 @@
 	platform *platform
 	// observe is called with every message.
 	observe func(from, to string, body any)
-	// fileExists is set once the file was submitted.
+	// fileExists is set if the file was submitted and no later reply reported it
+	// missing; the next change then replaces the file.
 	fileExists bool
 	// logLine receives log lines when set.
 	logLine func(line string)
--- a/internal/core/node/downstream.go
+++ b/internal/core/node/downstream.go
@@ -253,9 +253,9 @@
 	return n.now-holder.fetchedAt > withClockMargin(n.config.Timing.ServingLease)
 }
 
-// sweepChildren marks the acknowledgements as changed when a child's lease has
-// expired within the last two sweep intervals.
-func (n *Node) sweepChildren() {
+// markAcksChangedOnLeaseExpiry marks the acknowledgements as changed when a child's lease
+// has expired within the last two sweep intervals.
+func (n *Node) markAcksChangedOnLeaseExpiry() {
 	expiry := withClockMargin(n.config.Timing.ServingLease)
 	for _, id := range n.downstream.sortedIDs {
 		silentFor := n.now - n.downstream.children[id].fetchedAt
--- a/internal/core/node/members.go
+++ b/internal/core/node/members.go
@@ -99,8 +99,9 @@
 	return n.config.Timing.FetchWait + n.config.Timing.ServingLease/2
 }
 
-// sweepMembers updates the state of the silent members that this daemon monitors.
-func (n *Node) sweepMembers() {
+// updateSilentMembers marks the members that this daemon monitors as suspect or dead when
+// they have been silent for too long.
+func (n *Node) updateSilentMembers() {
 	if _, known := n.floor(); !known {
 		return
 	}
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -44,7 +44,7 @@
 	lastSweep time.Duration
 }
 
-// sweepInterval is the time between runs of sweep.
+// sweepInterval is the minimum time between runs of sweep.
 const sweepInterval = time.Second
 
 // publishInterval is the minimum time between publications of member records to the
@@ -141,11 +141,11 @@
 	}
 }
 
-// sweep runs the work that iterates over all members.
+// sweep runs the periodic work that iterates over all children or members.
 func (n *Node) sweep() {
-	n.sweepChildren()
-	n.sweepMembers()
-	n.sweepRegions()
+	n.markAcksChangedOnLeaseExpiry()
+	n.updateSilentMembers()
+	n.addRegionsOfLiveMembers()
 	n.startingPeers.expire(n.now)
 	n.roster.RemoveExpired(n.now)
 }
--- a/internal/core/node/operators.go
+++ b/internal/core/node/operators.go
@@ -33,9 +33,9 @@
 	attempts int
 }
 
-// The time limits of a change. A reader reports within its SubmitTimeout, 10
-// seconds, that a change certainly did not run. An attempt waits longer than that,
-// so that this answer arrives in time, and the operators' API waits longer still.
+// The time limits of a change. Only the answer of a reader shows that a change
+// certainly did not run, and a reader answers within its SubmitTimeout of 10 seconds.
+// An attempt therefore waits longer than that, and the operators' API longer still.
 const (
 	changeTimeout    = 10 * time.Second
 	attemptTimeout   = 12 * time.Second
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -37,7 +37,7 @@
 	n.upstream.hintedParents = hinted[:min(len(hinted), limit)]
 }
 
-// chooseParent returns the current parent, unless that is avoided, or else the best
+// chooseParent returns the current parent, unless it is avoided, or else the best
 // candidate.
 func (n *Node) chooseParent() (protocol.Member, bool) {
 	if n.upstream.joined && !n.isAvoided(n.upstream.target.ID) {
@@ -80,7 +80,8 @@
 }
 
 // avoidFor excludes a daemon as a parent for the period. refused is true when the daemon
-// refused a fetch, and false when its reply was missing or it no longer extends the lease.
+// answered a fetch with AskAnother or NotReadyYet. It is false when the daemon answered
+// with another code, did not answer, or no longer extends the lease.
 func (n *Node) avoidFor(id protocol.NodeID, period time.Duration, refused bool) {
 	if n.upstream.avoided == nil {
 		n.upstream.avoided = map[protocol.NodeID]avoidance{}
@@ -131,7 +132,7 @@
 	}
 	former := up.link
 	n.fetchFrom(best)
-	up.former = &former
+	up.formerLink = &former
 }
 
 // schedulePreferredRetry sets the jittered time at which the preferred parent is
@@ -145,11 +146,11 @@
 // join a preferred one failed. It reports whether there is a former parent.
 func (n *Node) restoreFormerParent() bool {
 	up := &n.upstream
-	if up.former == nil {
+	if up.formerLink == nil {
 		return false
 	}
-	up.link = *up.former
-	up.former = nil
+	up.link = *up.formerLink
+	up.formerLink = nil
 	up.joined = true
 	up.nextFetchAt = n.now
 	up.preferredFailures++
@@ -165,7 +166,7 @@
 		n.avoidFor(up.target.ID, avoidPeriod, false)
 	}
 	up.joined = false
-	up.former = nil
+	up.formerLink = nil
 	up.fetchToken = 0
 	up.nextFetchAt = n.now
 	up.parentLostAt = n.now
@@ -177,7 +178,7 @@
 	up := &n.upstream
 	up.link = link{target: target, leaseExtendedAt: n.now}
 	up.joined = false
-	up.former = nil
+	up.formerLink = nil
 	n.schedulePreferredRetry()
 	n.self.Sequence++
 	for _, id := range n.downstream.sortedIDs {
@@ -190,7 +191,7 @@
 	up := &n.upstream
 	n.log("parent_joined", LogField{Key: "parent", Value: string(up.target.ID)})
 	up.joined = true
-	up.former = nil
+	up.formerLink = nil
 	up.hintedParents = nil
 	up.lastUrgentAt = 0
 	for id, avoid := range up.avoided {
@@ -223,7 +224,8 @@
 // for a short time, and a daemon must find the next root before its own lease expires.
 var refusalBackoff = distribution.Backoff{Base: 400 * time.Millisecond, Max: 6 * time.Second}
 
-// parentBackoff is the retry delay after a fetch that failed without an answer.
+// parentBackoff determines how long a daemon is avoided after a fetch to which its reply
+// was missing or had an unknown format. Its Base also limits the delay of the next fetch.
 var parentBackoff = distribution.Backoff{Base: 200 * time.Millisecond, Max: 5 * time.Second}
 
 func (n *Node) handleFetchFailure(from protocol.NodeID) {
--- a/internal/core/node/probe.go
+++ b/internal/core/node/probe.go
@@ -56,9 +56,10 @@
 	})
 }
 
-// handleProbedPeer handles a member listed in the reply to a probe. A root steps
-// down when a better root replies for itself. With follow set, another root that
-// the reply lists is probed too.
+// handleProbedPeer handles a member listed in the reply to a probe. A daemon that is not
+// root merges the member's record. A root steps down when the sender of the reply lists
+// itself as a root and is a better one. With follow set, a root probes the other roots
+// that the reply lists too.
 func (n *Node) handleProbedPeer(from protocol.NodeID, peer protocol.Member, follow bool) {
 	if !n.root.active {
 		if _, known := n.floor(); known {
--- a/internal/core/node/readerside.go
+++ b/internal/core/node/readerside.go
@@ -11,8 +11,8 @@
 	"github.com/springstack/springstack/internal/core/reader"
 )
 
-// readerSide connects the reader to the node: it maps tokens and tickets and keeps
-// the newest catalogue.
+// readerSide connects the reader to the node. It maps the node's tokens to the reader's
+// and tickets to callbacks, and keeps the newest catalogue.
 type readerSide struct {
 	reader *reader.Reader
 	// calls and watches map the node's tokens to the reader's.
@@ -74,10 +74,9 @@
 }
 
 // candidacy returns whether and after what delay this daemon competes for a reader
-// lease. The live and
-// the starting members of the region are ranked by rendezvous hash, and the first
-// maxCandidates compete unless other members hold all leases. A daemon that no
-// other daemon has answered competes only after a jittered delay.
+// lease. The live and the starting members of the region are ranked by rendezvous
+// hash, and the first maxCandidates compete unless other members hold all leases. A
+// daemon that no other daemon has answered competes only after a jittered delay.
 func (n *Node) candidacy() reader.Candidacy {
 	if n.leaving || n.now < n.start.fallbackAt && !n.start.peerAnswered {
 		return reader.Candidacy{}
--- a/internal/core/node/regions.go
+++ b/internal/core/node/regions.go
@@ -49,7 +49,8 @@
 	// in this one.
 	regionInterval        = 2 * time.Second
 	regionCatchUpInterval = 200 * time.Millisecond
-	regionTimeout         = 1500 * time.Millisecond
+	// regionTimeout is the time limit of one poll.
+	regionTimeout = 1500 * time.Millisecond
 	// regionCutAfter is the time without a reply after which status shows another
 	// region as cut off.
 	regionCutAfter = 6 * time.Second
@@ -59,8 +60,8 @@
 	return regions{peers: map[string]*regionPeer{}}
 }
 
-// sweepRegions adds the regions of all live members to the regions that the root polls.
-func (n *Node) sweepRegions() {
+// addRegionsOfLiveMembers adds the regions of all live members to the regions that the root polls.
+func (n *Node) addRegionsOfLiveMembers() {
 	if !n.root.active {
 		return
 	}
@@ -68,8 +69,8 @@
 }
 
 // addRegions adds the complete list of the regions that had keepers at some version. In
-// a region that is not listed, no version has been released yet, and the first one will
-// be newer than that version.
+// a region that is not listed, no version has been released yet, and the first version
+// released there will be newer than that version.
 func (n *Node) addRegions(names []string) {
 	for _, name := range names {
 		n.addRegion(name, true)
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -19,12 +19,14 @@
 	releaseTracker *distribution.ReleaseTracker
 	// releaser stores versions at the keepers.
 	releaser *floor.Releaser
-	// target is the catalogue being stored at the keepers; nil for none.
+	// target is the catalogue being stored at the keepers since targetSince; nil for
+	// none.
 	target      *reader.CatalogueReady
 	targetSince time.Duration
-	// batch is the newest catalogue that is held back for batching; nil for none.
+	// batch is the newest catalogue that is held back, for batching or because too few
+	// keepers have answered; nil for none.
 	batch *reader.CatalogueReady
-	// batchUntil is when the release of the batch starts.
+	// batchUntil is when the release of batch is tried next.
 	batchUntil         time.Duration
 	nextRoundAt        time.Duration
 	nextKeeperChangeAt time.Duration
--- a/internal/core/node/rootkeepers.go
+++ b/internal/core/node/rootkeepers.go
@@ -60,8 +60,8 @@
 	n.sendStore(address, request, keeperTimeout, func(reply *protocol.StoreReply) { n.recordConfirmedKeeperSet(request, reply) })
 }
 
-// keeperSetFor returns the keeper set that a round sends to a keeper: only the
-// region once the keeper has confirmed the newest set.
+// keeperSetFor returns the keeper set that a round sends to a keeper: the newest set or,
+// once the keeper has confirmed it, a set with the region only.
 func (n *Node) keeperSetFor(keeper protocol.NodeID) protocol.KeeperSet {
 	if n.root.confirmedKeeperSets[keeper].revision == n.local.keepers.Revision {
 		return protocol.KeeperSet{Region: n.config.Region}
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -35,23 +35,24 @@
 	// hintedParents are the daemons listed in refusals since this daemon last joined a
 	// parent.
 	hintedParents []protocol.Member
-	// former is the working parent while a preferred one is tried; nil otherwise.
-	former       *link
+	// formerLink is the link to the working parent while a preferred parent is tried;
+	// nil otherwise.
+	formerLink   *link
 	fetchToken   Token
 	sentAt       time.Duration
 	fetchCounter uint64
 	// nextFetchAt is when the next fetch may be sent.
 	nextFetchAt time.Duration
 	failures    int
-	// avoided holds the daemons that failed or refused and until when each is
-	// avoided.
+	// avoided holds the daemons that did not answer a fetch, refused one or no longer
+	// extend the lease, each with the time until which it is avoided.
 	avoided map[protocol.NodeID]avoidance
 	// sentCursor is the position in this daemon's change log up to which the
 	// records of the subtree have been sent.
 	sentCursor membership.Cursor
 	sentAcks   []protocol.Acknowledgement
-	// joinAsLeafUntil is until when this daemon joins as a leaf although it ranks as a
-	// relay by its own roster, because the root, which knows more members, refused
+	// joinAsLeafUntil is the time until which this daemon joins as a leaf although it
+	// ranks as a relay by its own roster, because the root, which knows more members, refused
 	// it as a relay.
 	joinAsLeafUntil time.Duration
 	// sentRelaying is whether the last fetch requested the whole configuration, as
--- a/internal/core/protocol/exchange.go
+++ b/internal/core/protocol/exchange.go
@@ -44,7 +44,8 @@
 	// Evacuations are the evacuated zones as the sender knows them.
 	Evacuations evacuation.SharedOrders
 	// Harmful are records of harmful requests that the receiver may not know. A harmful
-	// request may end the back-end instance that runs it. HarmfulSum is the checksum of all such records that the sender knows.
+	// request may end the back-end instance that runs it. HarmfulSum is the checksum of
+	// all such records that the sender knows.
 	Harmful    []quarantine.Record
 	HarmfulSum uint64
 }
--- a/internal/core/protocol/keepers.go
+++ b/internal/core/protocol/keepers.go
@@ -31,8 +31,8 @@
 type StoreRequest struct {
 	Format int
 	From   NodeID
-	// Incarnation is the sender's: a keeper treats a restarted root as another root
-	// (see StoreReply.OtherRoot).
+	// Incarnation is the incarnation of the sender: a keeper treats a restarted root as
+	// another root (see StoreReply.OtherRoot).
 	Incarnation Incarnation
 	// Term is the fencing term of the sender's reader lease; 0 if it holds none.
 	Term    uint64
@@ -48,8 +48,8 @@
 	// OtherRoot is set when another root than the sender sent a request to this
 	// keeper within the lease time, or may have done so before the keeper's start.
 	OtherRoot bool
-	// From and Incarnation are the keeper's; a keeper loses its stored state when
-	// its incarnation changes.
+	// From and Incarnation identify the keeper and its current run; a keeper loses its
+	// stored state when its incarnation changes.
 	From        NodeID
 	Incarnation Incarnation
 }
--- a/internal/core/protocol/operators.go
+++ b/internal/core/protocol/operators.go
@@ -127,7 +127,7 @@
 	Silent []NodeID
 }
 
-// Summary is the progress of the newest version in all regions, combined from the
+// VersionProgress is the progress of the newest version in all regions, combined from the
 // reports of the region roots.
 type VersionProgress struct {
 	Version    Version
--- a/internal/core/reader/attempt.go
+++ b/internal/core/reader/attempt.go
@@ -22,7 +22,7 @@
 	// phaseWriting: the head update was sent and has no reply yet.
 	phaseWriting
 	// phaseResolve: the outcome of the update is unknown; a read of the head has
-	// to be sent to find out whether it was applied.
+	// to be sent to find out whether the update was applied.
 	phaseResolve
 	// phaseResolving: the read for phaseResolve is in flight.
 	phaseResolving
@@ -65,9 +65,9 @@
 // or may have been applied without this reader having seen it.
 func (a *attempt) mayBeApplied() bool { return a.replyLost || a.phase == phaseWriting }
 
-// advanceAttempt runs the next step of the attempt, or starts one. It returns
-// true after it started an attempt or handled queued input that needs none; it
-// has to be called again then, to run the next step.
+// advanceAttempt runs the next step of the attempt, or starts an attempt. It
+// returns true after it started an attempt or completed queued input that needs
+// no attempt; the caller then calls it again, to run the next step.
 func (r *Reader) advanceAttempt() bool {
 	if r.changes.attempt == nil {
 		return r.startAttempt()
@@ -98,7 +98,7 @@
 	if len(r.changes.keeperSets) > 0 {
 		return r.startKeeperAttempt(next)
 	}
-	if r.answerRecorded() {
+	if r.answerIfRecorded() {
 		return true
 	}
 	r.fillFromQueue(next)
@@ -123,10 +123,10 @@
 	return true
 }
 
-// answerRecorded answers the first change in the queue if its operation id is
+// answerIfRecorded answers the first change in the queue if its operation id is
 // already in the head. No further read is needed, as a recorded operation
 // keeps its answer in every later head.
-func (r *Reader) answerRecorded() bool {
+func (r *Reader) answerIfRecorded() bool {
 	first := r.changes.queue[0]
 	reply := ledger.FindOperation(r.head.head, first.request)
 	if reply == nil {
@@ -178,7 +178,7 @@
 	}
 	next.headData = ledger.Encode(head)
 	next.files = files
-	next.collectContents(r.contents.files)
+	next.collectUnwrittenContents(r.contents.files)
 }
 
 // takeFromQueue moves the first change of the queue into the attempt, with its
@@ -189,9 +189,9 @@
 	r.changes.queue = r.changes.queue[1:]
 }
 
-// collectContents lists the contents that the platform may not have yet. Those
-// in present are referred to by the current head and so were written before.
-func (a *attempt) collectContents(present ledger.Contents) {
+// collectUnwrittenContents lists the contents that the platform may not have yet.
+// Those in present are referred to by the current head and so were written before.
+func (a *attempt) collectUnwrittenContents(present ledger.Contents) {
 	a.unwritten = map[resource.Digest][]byte{}
 	a.writing = map[resource.Digest]bool{}
 	for _, item := range a.submissions {
--- a/internal/core/reader/attemptwrite.go
+++ b/internal/core/reader/attemptwrite.go
@@ -7,7 +7,7 @@
 )
 
 // writeContents creates the missing content objects, and sends the head update
-// once there are none. A content object that already exists counts as written,
+// once none is missing. A content object that already exists counts as written,
 // as its name is the digest of its data.
 func (r *Reader) writeContents(current *attempt) {
 	if len(current.unwritten) == 0 {
--- a/internal/core/reader/changes.go
+++ b/internal/core/reader/changes.go
@@ -44,7 +44,7 @@
 	// keeperSets are the keeper sets passed to Reader.SetKeepers that are not
 	// in an attempt yet.
 	keeperSets []protocol.KeeperSet
-	// keeperSetsAt is the wall clock passed with them.
+	// keeperSetsAt is the wall clock passed with keeperSets.
 	keeperSetsAt time.Time
 }
 
@@ -94,14 +94,14 @@
 // joinSubmission adds a resend to the pending submission with the same
 // operation id. A request that differs from it is refused, as an id identifies
 // one change.
-func (r *Reader) joinSubmission(first *submission, ticket Ticket, request *protocol.SubmitRequest) {
-	if !sameRequest(first.request, request) {
+func (r *Reader) joinSubmission(pending *submission, ticket Ticket, request *protocol.SubmitRequest) {
+	if !sameRequest(pending.request, request) {
 		r.answer(ticket, newRefusal(result.OperationReused, "the operation id is in use for another change"))
 		return
 	}
-	first.tickets = append(first.tickets, ticket)
-	first.deadline = r.now + r.config.SubmitTimeout
-	first.abandoned = false
+	pending.tickets = append(pending.tickets, ticket)
+	pending.deadline = r.now + r.config.SubmitTimeout
+	pending.abandoned = false
 }
 
 func sameRequest(a, b *protocol.SubmitRequest) bool {
@@ -137,8 +137,8 @@
 	return newRefusal(result.OutcomeUnknown, "an update with the change was sent and its answer was lost")
 }
 
-// advanceChanges expires overdue changes and advances the attempt, starting the
-// next one when there is none.
+// advanceChanges answers changes past their deadline and advances the attempt. It
+// starts the next attempt if there is none.
 func (r *Reader) advanceChanges() {
 	r.expireChanges()
 	for r.advanceAttempt() {
--- a/internal/core/reader/contents.go
+++ b/internal/core/reader/contents.go
@@ -25,8 +25,8 @@
 	announcedHead    *ledger.Head
 }
 
-// reset drops the loads in flight and what was announced. Loaded files are
-// kept, as contents are immutable.
+// reset drops the loads in flight and the record of the last announcement. Loaded
+// files are kept, as contents are immutable.
 func (c *contentState) reset() {
 	c.announcedVersion = 0
 	c.announcedHead = nil
--- a/internal/core/reader/head.go
+++ b/internal/core/reader/head.go
@@ -18,29 +18,32 @@
 	version object.Version
 	head    *ledger.Head
 
-	// watchFrom is an object version up to which the head is known not to have
-	// changed since the field version: a watch that starts there misses no
-	// change. pendingWatchFrom replaces it when the read in flight succeeds.
+	// watchFrom is an object version up to which the last successful read covers all
+	// changes of the head, so that a watch that starts there misses no change.
+	// pendingWatchFrom replaces watchFrom when the read in flight succeeds, unless
+	// the object version of the head is newer.
 	watchFrom        object.Version
 	pendingWatchFrom object.Version
 
-	// reading is set while a read is in flight; readRequested causes another one,
-	// sent after that.
+	// reading is set while a read is in flight; readRequested causes another read
+	// once none is in flight.
 	reading       bool
 	readRequested bool
 	readRetry     backoff
-	resyncAt      time.Duration
+	// resyncAt is when the head is read even if the watch reports no change.
+	resyncAt time.Duration
 	// outdatedReads counts consecutive reads that found no head or an outdated
-	// one; see countOutdatedRead.
+	// head; see countOutdatedRead.
 	outdatedReads int
 
 	// waitersForNextRead are the requests for a fresh head that need a read sent
-	// after them; waitersForCurrentRead are those that the read in flight will
-	// answer.
+	// after the request; waitersForCurrentRead are the requests that the read in
+	// flight will answer.
 	waitersForNextRead    []headWaiter
 	waitersForCurrentRead []headWaiter
 
-	watch      Token
+	// watchToken is the token of the running watch; 0 for none.
+	watchToken Token
 	watchRetry backoff
 }
 
@@ -69,7 +72,7 @@
 		r.readHead()
 	}
 	verified := r.head.isKnown && !r.head.reading && !r.head.readRequested
-	if verified && r.head.watch == 0 && r.head.watchRetry.isDue(r.now) {
+	if verified && r.head.watchToken == 0 && r.head.watchRetry.isDue(r.now) {
 		r.startWatch()
 	}
 }
@@ -131,14 +134,14 @@
 	return r.head.isKnown && r.head.head.Version >= r.floor
 }
 
-// outdatedReadsBeforeEvent is how many consecutive reads must find an outdated
-// head (see countOutdatedRead) or none before an event is logged; fewer can
-// be due to replication lag.
+// outdatedReadsBeforeEvent is the number of consecutive reads without a current
+// head (see countOutdatedRead) after which an event is logged. Fewer such reads
+// can be due to replication lag.
 const outdatedReadsBeforeEvent = 5
 
 // countOutdatedRead logs an event when outdatedReadsBeforeEvent consecutive
-// reads have found no head, or one that is older than the head known to this
-// reader or the version known to the mesh.
+// reads have found no head although one is known, or a head older than the one
+// known to this reader or than the version known to the mesh.
 func (r *Reader) countOutdatedRead(reply object.Reply) {
 	isMissing := reply.Code == result.PlatformNotFound
 	if reply.Code != result.OK && !isMissing {
@@ -200,12 +203,12 @@
 // one sequence of versions, so the version of the lease when the read was sent
 // is a recent one that the read covers.
 func (r *Reader) startWatch() {
-	r.head.watch = r.newToken()
-	r.emit(StartWatch{Token: r.head.watch, Prefix: ledger.HeadObject, From: max(r.head.version, r.head.watchFrom)})
+	r.head.watchToken = r.newToken()
+	r.emit(StartWatch{Token: r.head.watchToken, Prefix: ledger.HeadObject, From: max(r.head.version, r.head.watchFrom)})
 }
 
 func (r *Reader) handleWatchEvent(token Token, event object.Event) {
-	if token != r.head.watch || token == 0 || event.Object.Name != ledger.HeadObject {
+	if token != r.head.watchToken || token == 0 || event.Object.Name != ledger.HeadObject {
 		return
 	}
 	r.head.watchRetry.reset()
@@ -219,10 +222,10 @@
 // handleWatchEnd schedules a read of the head, which also covers changes that a
 // compacted watch has missed; another watch starts after it.
 func (r *Reader) handleWatchEnd(token Token, code result.Code) {
-	if token != r.head.watch || token == 0 {
+	if token != r.head.watchToken || token == 0 {
 		return
 	}
-	r.head.watch = 0
+	r.head.watchToken = 0
 	r.head.readRequested = true
 	r.head.watchRetry.recordFailure(r.now, r.random)
 	r.logEvent("watch_ended", LogField{"code", code.Name()})
@@ -231,8 +234,8 @@
 // resetHead resets the head's state when the lease is lost. The head and its
 // object version are kept, so that no older head is adopted under a later lease.
 func (r *Reader) resetHead() {
-	if r.head.watch != 0 {
-		r.emit(StopWatch{Token: r.head.watch})
+	if r.head.watchToken != 0 {
+		r.emit(StopWatch{Token: r.head.watchToken})
 	}
 	for _, waiter := range append(r.head.waitersForCurrentRead, r.head.waitersForNextRead...) {
 		r.emit(FreshHeadResult{Ticket: waiter.ticket})
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -61,9 +61,9 @@
 	slot    string
 	version object.Version
 	record  leaseRecord
-	// expires is when the holder stops using the lease, measured from when the
+	// expiresAt is when the holder stops using the lease, measured from when the
 	// last write known to be applied was sent.
-	expires time.Duration
+	expiresAt time.Duration
 	// renewing is set while a renewal, or the read that resolves its outcome, is
 	// in flight.
 	renewing bool
@@ -84,7 +84,7 @@
 
 // expireLease drops the lease if it has expired since the last step.
 func (r *Reader) expireLease() {
-	if r.lease.isHeld && r.now >= r.lease.expires {
+	if r.lease.isHeld && r.now >= r.lease.expiresAt {
 		r.loseLease("expired")
 	}
 }
@@ -233,7 +233,7 @@
 	r.lease.slot = call.slot
 	r.lease.version = version
 	r.lease.record = call.record
-	r.lease.expires = expires
+	r.lease.expiresAt = expires
 	r.lease.renewing = false
 	r.lease.mustReadLease = false
 	r.lease.sentRenewals = nil
--- a/internal/core/reader/model_test.go
+++ b/internal/core/reader/model_test.go
@@ -92,7 +92,7 @@
 	holders := map[string]string{}
 	for _, c := range o.world.clients {
 		lease := &c.reader.lease
-		if !lease.isHeld || c.clock() >= lease.expires {
+		if !lease.isHeld || c.clock() >= lease.expiresAt {
 			continue
 		}
 		if other, taken := holders[lease.slot]; taken {
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -20,7 +20,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// Config holds the settings of a Reader.
+// Config holds the identity of a Reader and its limits and periods. A limit or period
+// of 0 stands for the default.
 type Config struct {
 	ID     protocol.NodeID
 	Region string
@@ -128,13 +129,13 @@
 	// sentAt is when the call was sent. Its reply holds as of that time: leases
 	// and the next resync are measured from it.
 	sentAt time.Duration
-	// slot is the name of the lease object, for calls on one lease; record is the
-	// value that the call writes to it, or that an earlier write had when a read
-	// resolves the outcome of that write.
+	// slot is the name of the lease object, for calls on one lease. record is the
+	// value that the call writes to it or, for a read that resolves the outcome of
+	// an acquiring write, the value of that write.
 	record leaseRecord
 	slot   string
-	// takeSentAt is when the acquiring write was sent whose outcome a lease read
-	// resolves.
+	// takeSentAt is when the acquiring write was sent, for a read that resolves the
+	// outcome of that write.
 	takeSentAt time.Duration
 	// digest is set for content calls.
 	digest resource.Digest
@@ -160,7 +161,7 @@
 	return r.lease.record.Term
 }
 
-// Tick advances the time, updates the candidacy and does what has become due.
+// Tick advances the time, updates the candidacy and runs the work that is due.
 func (r *Reader) Tick(now time.Duration, candidacy Candidacy) []Output {
 	return r.step(now, func() { r.setCandidacy(candidacy) })
 }
@@ -220,7 +221,7 @@
 }
 
 // step processes one input: it first drops a lease that has expired, then
-// applies the input, then does what has become due, and returns the outputs.
+// applies the input, then runs the work that is due, and returns the outputs.
 func (r *Reader) step(now time.Duration, input func()) []Output {
 	r.now = max(r.now, now)
 	r.expireLease()
--- a/internal/core/reader/renewal.go
+++ b/internal/core/reader/renewal.go
@@ -81,7 +81,7 @@
 	}
 	sentAt := r.lease.sentRenewals[index].sentAt
 	r.lease.sentRenewals = r.lease.sentRenewals[index+1:]
-	r.lease.expires = max(r.lease.expires, r.holdUntil(sentAt))
+	r.lease.expiresAt = max(r.lease.expiresAt, r.holdUntil(sentAt))
 	r.lease.renewAt = max(r.now, sentAt+r.config.LeaseDuration/renewalsPerLease)
 }
 
--- a/internal/core/reader/script_test.go
+++ b/internal/core/reader/script_test.go
@@ -186,7 +186,7 @@
 	sent := s.now
 	s.now += 1900 * time.Millisecond
 	s.reply(s.reader.lease.slot, object.Reply{Object: object.Object{Version: 2}})
-	s.is.Equal(s.reader.lease.expires, sent+5400*time.Millisecond)
+	s.is.Equal(s.reader.lease.expiresAt, sent+5400*time.Millisecond)
 }
 
 func TestFreshHeadNeedsAReadSentAfterTheRequest(t *testing.T) {
--- a/internal/core/reader/world_test.go
+++ b/internal/core/reader/world_test.go
@@ -25,7 +25,7 @@
 	// after its timeout.
 	lateRequestProbability float64
 	queue                  schedule
-	lastOrder              int
+	lastEventNumber        int
 	clients                []*client
 	headCache              *ledger.Head
 	headVersion            object.Version
@@ -51,20 +51,20 @@
 	callCount   int
 }
 
-type scheduled struct {
-	at    time.Duration
-	order int
-	run   func()
+type scheduledEvent struct {
+	at     time.Duration
+	number int
+	run    func()
 }
 
-type schedule []scheduled
+type schedule []scheduledEvent
 
 func (s schedule) Len() int { return len(s) }
 func (s schedule) Less(i, j int) bool {
-	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].order < s[j].order
+	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].number < s[j].number
 }
 func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *schedule) Push(x any)   { *s = append(*s, x.(scheduled)) }
+func (s *schedule) Push(x any)   { *s = append(*s, x.(scheduledEvent)) }
 func (s *schedule) Pop() any {
 	old := *s
 	last := old[len(old)-1]
@@ -80,15 +80,15 @@
 }
 
 func (w *world) scheduleAfter(delay time.Duration, run func()) {
-	w.lastOrder++
-	heap.Push(&w.queue, scheduled{at: w.now + delay, order: w.lastOrder, run: run})
+	w.lastEventNumber++
+	heap.Push(&w.queue, scheduledEvent{at: w.now + delay, number: w.lastEventNumber, run: run})
 }
 
 // run advances the time and runs the events that become due.
 func (w *world) run(duration time.Duration) {
 	end := w.now + duration
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		next := heap.Pop(&w.queue).(scheduled)
+		next := heap.Pop(&w.queue).(scheduledEvent)
 		w.now = next.at
 		next.run()
 		if w.afterEvent != nil {
@@ -157,7 +157,7 @@
 			c.endWatch(output.Token, result.PlatformTooManyReaders)
 			return
 		}
-		c.world.scheduleAfter(time.Millisecond, c.world.deliver)
+		c.world.scheduleAfter(time.Millisecond, c.world.deliverNewEvents)
 	case StopWatch:
 		delete(c.watches, output.Token)
 		c.world.store.CloseWatch(c.world.now, c.name)
@@ -204,23 +204,23 @@
 	}
 	w.scheduleAfter(requestDelay, func() {
 		reply := w.store.Apply(w.now, c.name, call.Call, decision.Lag)
-		w.deliver()
+		w.deliverNewEvents()
 		if !decision.LoseAnswer {
 			w.scheduleAfter(replyDelay, func() { answer(reply) })
 		}
 	})
 }
 
-// deliver sends new events to every watch.
-func (w *world) deliver() {
+// deliverNewEvents sends new events to every watch.
+func (w *world) deliverNewEvents() {
 	for _, c := range w.clients {
 		for token, from := range c.watches {
-			c.deliver(token, from)
+			c.deliverWatchEvents(token, from)
 		}
 	}
 }
 
-func (c *client) deliver(token Token, from object.Version) {
+func (c *client) deliverWatchEvents(token Token, from object.Version) {
 	w := c.world
 	fresh, through, code := w.store.Events(ledger.HeadObject, from)
 	if code != result.OK {
--- a/internal/core/renewal/renewal.go
+++ b/internal/core/renewal/renewal.go
@@ -15,18 +15,18 @@
 	// hasRenewed is set by the first renewal; renewedAt is the time of the latest.
 	hasRenewed bool
 	renewedAt  time.Duration
-	// scheduled is set from when a renewal is scheduled until it is done.
-	scheduled bool
+	// isScheduled is set from when a renewal is scheduled until it is done.
+	isScheduled bool
 }
 
 // ReportDead reports a dead connection that was opened at the given time. If renew is true, the
 // caller must renew all connections after wait, and then call MarkRenewed. Otherwise a renewal that
 // is scheduled or done already covers the connection.
 func (s *Scheduler) ReportDead(now, opened time.Duration) (wait time.Duration, renew bool) {
-	if s.scheduled || s.hasRenewed && opened < s.renewedAt {
+	if s.isScheduled || s.hasRenewed && opened < s.renewedAt {
 		return 0, false // covered by a scheduled or completed renewal
 	}
-	s.scheduled = true
+	s.isScheduled = true
 	if !s.hasRenewed {
 		return 0, true
 	}
@@ -37,5 +37,5 @@
 func (s *Scheduler) MarkRenewed(now time.Duration) {
 	s.hasRenewed = true
 	s.renewedAt = now
-	s.scheduled = false
+	s.isScheduled = false
 }
--- a/internal/core/resource/canonical.go
+++ b/internal/core/resource/canonical.go
@@ -104,11 +104,11 @@
 }
 
 func checkByte(b byte, escaped bool) error {
-	control := b < ' ' || b == 0x7f
-	if escaped && (control || b == '/' || b == '\\' || b == '%') {
+	isControl := b < ' ' || b == 0x7f
+	if escaped && (isControl || b == '/' || b == '\\' || b == '%') {
 		return errPathAmbiguousEscape
 	}
-	if !escaped && (control || b == '\\' || b == '?' || b == '#') {
+	if !escaped && (isControl || b == '\\' || b == '?' || b == '#') {
 		return errPathForbiddenByte
 	}
 	return nil
@@ -210,9 +210,9 @@
 	}
 	for i := 0; i < len(label); i++ {
 		b := label[i]
-		letter := b >= 'a' && b <= 'z' || b >= '0' && b <= '9'
-		inner := b == '-' || b == '_'
-		if !letter && !inner {
+		isLetterOrDigit := b >= 'a' && b <= 'z' || b >= '0' && b <= '9'
+		isPunctuation := b == '-' || b == '_'
+		if !isLetterOrDigit && !isPunctuation {
 			return false
 		}
 		if b == '-' && (i == 0 || i == len(label)-1) {
--- a/internal/core/resource/encode.go
+++ b/internal/core/resource/encode.go
@@ -82,7 +82,8 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// Valid reports whether the digest has the form of a SHA-256.
+// Valid reports whether the digest has the length and the digits of a SHA-256 in
+// lower-case hexadecimal.
 func (d Digest) Valid() bool {
 	if len(d) != hex.EncodedLen(sha256.Size) {
 		return false
--- a/internal/core/resource/read_file.go
+++ b/internal/core/resource/read_file.go
@@ -51,7 +51,7 @@
 	return file
 }
 
-// name reads a name.
+// name reads a text that must satisfy ValidName.
 func (v value) name() string {
 	text, isText := v.text()
 	if !isText {
--- a/internal/core/resource/references.go
+++ b/internal/core/resource/references.go
@@ -21,12 +21,12 @@
 	NotExported bool
 }
 
-// String returns a description in one line.
-func (m Reference) String() string {
-	if m.NotExported {
-		return fmt.Sprintf("%s needs %s, which is not exported to %s", m.From, m.To, m.From.Partner)
+// String describes an unsatisfied reference in one line.
+func (r Reference) String() string {
+	if r.NotExported {
+		return fmt.Sprintf("%s needs %s, which is not exported to %s", r.From, r.To, r.From.Partner)
 	}
-	return fmt.Sprintf("%s needs %s", m.From, m.To)
+	return fmt.Sprintf("%s needs %s", r.From, r.To)
 }
 
 // MissingReferences returns all references in files that are not satisfied by the
@@ -43,8 +43,8 @@
 // references of other files to resources that removed files declared, so apart from
 // one pass over all resources its cost depends on the size of the change.
 func MissingReferencesAfter(files, added, removed []*File) []Reference {
-	present := newTargetIndex(files, affectedTargets(added, removed))
-	changed := present.changedTargets(removed)
+	index := newTargetIndex(files, affectedTargets(added, removed))
+	changed := index.changedTargets(removed)
 	addedSet := lo.Keyify(added)
 	var missing []Reference
 	for _, file := range files {
@@ -56,7 +56,7 @@
 			if !isAdded && !changed[reference.To] {
 				continue
 			}
-			if checked, unsatisfied := present.check(reference); unsatisfied {
+			if checked, unsatisfied := index.check(reference); unsatisfied {
 				missing = append(missing, checked)
 			}
 		}
@@ -64,8 +64,8 @@
 	return missing
 }
 
-// references yields all references of the file as MissingReference values that have
-// not been checked yet.
+// references yields all references of the file. NotExported is not determined yet;
+// targetIndex.check does that.
 func (f *File) references() iter.Seq[Reference] {
 	return func(yield func(Reference) bool) {
 		for i := range f.Backends {
@@ -120,20 +120,20 @@
 }
 
 func newTargetIndex(files []*File, targets map[Key]bool) targetIndex {
-	created := targetIndex{services: map[Key]*Service{}, secrets: map[Key]bool{}}
+	index := targetIndex{services: map[Key]*Service{}, secrets: map[Key]bool{}}
 	for _, file := range files {
 		for i := range file.Services {
 			if key := file.Services[i].Key(); targets[key] {
-				created.services[key] = &file.Services[i]
+				index.services[key] = &file.Services[i]
 			}
 		}
 		for i := range file.Secrets {
 			if key := file.Secrets[i].Key(); targets[key] {
-				created.secrets[key] = true
+				index.secrets[key] = true
 			}
 		}
 	}
-	return created
+	return index
 }
 
 // changedTargets returns the keys of the services and secrets of removed files that no
--- a/internal/core/resource/types.go
+++ b/internal/core/resource/types.go
@@ -40,7 +40,8 @@
 	return fmt.Sprintf("%s/%s/%s", k.Partner, k.Kind, k.Name)
 }
 
-// Compare orders keys by partner, kind and name: negative, zero or positive.
+// Compare compares keys by partner, then kind, then name. The result is negative, zero
+// or positive if k is less than, equal to or greater than other.
 func (k Key) Compare(other Key) int {
 	return cmp.Or(
 		cmp.Compare(k.Partner, other.Partner),
@@ -63,7 +64,8 @@
 	return string(k.Partner) + "/" + k.Name
 }
 
-// Compare orders file keys by partner and name: negative, zero or positive.
+// Compare compares file keys by partner, then name. The result is negative, zero or
+// positive if k is less than, equal to or greater than other.
 func (k FileKey) Compare(other FileKey) int {
 	return cmp.Or(cmp.Compare(k.Partner, other.Partner), cmp.Compare(k.Name, other.Name))
 }
@@ -92,7 +94,7 @@
 	Routes       []Route
 }
 
-// Key returns the file's key.
+// Key returns the partner and name that identify the file.
 func (f *File) Key() FileKey {
 	return FileKey{Partner: f.Partner, Name: f.Name}
 }
@@ -100,8 +102,8 @@
 // Distribution holds the settings for the distribution of a file.
 type Distribution struct {
 	Prefer Preference `json:"prefer"`
-	// BatchWindow is the longest time that a change is held to be batched with
-	// others; at most 5 s.
+	// BatchWindow is the maximum time for which a change is delayed in order to be
+	// distributed together with other changes; at most 5 s.
 	BatchWindow time.Duration `json:"batch_window,omitempty"`
 }
 
@@ -133,7 +135,7 @@
 	PerSecond float64
 }
 
-// Key returns the resource's key.
+// Key returns the partner, kind and name that identify the service.
 func (s Service) Key() Key { return Key{Partner: s.Partner, Kind: KindService, Name: s.Name} }
 
 // ServiceRef refers to a service of any partner.
@@ -142,7 +144,7 @@
 	Name    string  `json:"name"`
 }
 
-// Key returns the key of the service.
+// Key returns the partner, kind and name that identify the service.
 func (r ServiceRef) Key() Key { return Key{Partner: r.Partner, Kind: KindService, Name: r.Name} }
 
 // String returns partner/name.
@@ -164,7 +166,7 @@
 	Slots int `json:"slots"`
 }
 
-// Key returns the resource's key.
+// Key returns the partner, kind and name that identify the back end.
 func (b Backend) Key() Key { return Key{Partner: b.Partner, Kind: KindBackend, Name: b.Name} }
 
 // ServiceRef returns the service that the back end belongs to.
@@ -177,7 +179,7 @@
 	Value   SecretValue `json:"value"`
 }
 
-// Key returns the resource's key.
+// Key returns the partner, kind and name that identify the secret.
 func (s Secret) Key() Key { return Key{Partner: s.Partner, Kind: KindSecret, Name: s.Name} }
 
 // SecretValue is the text of a secret. Formatting and encoding it yields a
@@ -239,7 +241,7 @@
 	AllowedRegions []string `json:"-"`
 }
 
-// Key returns the resource's key.
+// Key returns the partner, kind and name that identify the route.
 func (r Route) Key() Key { return Key{Partner: r.Partner, Kind: KindRoute, Name: r.Name} }
 
 // Match holds the conditions of a route, all of which a call must meet. The most
--- a/internal/core/resource/value.go
+++ b/internal/core/resource/value.go
@@ -15,6 +15,7 @@
 	*collector
 	node ast.Node
 	line int
+	// path is the position of the value among the fields, such as routes[0].name.
 	path string
 }
 
--- a/internal/core/resource/yaml.go
+++ b/internal/core/resource/yaml.go
@@ -123,25 +123,25 @@
 // of a file: the number of open flow brackets plus the number of distinct columns at
 // which the enclosing block entries and keys start.
 type nestingTracker struct {
-	flow  []level
-	block []level
+	flowLevels  []level
+	blockLevels []level
 }
 
-// level is one open list or mapping.
+// level is a list or mapping whose end has not been reached yet.
 type level struct {
 	column   int
 	keyCount int
 }
 
-func (t *nestingTracker) depth() int { return len(t.flow) + len(t.block) }
+func (t *nestingTracker) depth() int { return len(t.flowLevels) + len(t.blockLevels) }
 
 // innermostKeyCount returns the number of fields seen so far in the innermost mapping.
 func (t *nestingTracker) innermostKeyCount() int {
 	switch {
-	case len(t.flow) > 0:
-		return t.flow[len(t.flow)-1].keyCount
-	case len(t.block) > 0:
-		return t.block[len(t.block)-1].keyCount
+	case len(t.flowLevels) > 0:
+		return t.flowLevels[len(t.flowLevels)-1].keyCount
+	case len(t.blockLevels) > 0:
+		return t.blockLevels[len(t.blockLevels)-1].keyCount
 	default:
 		return 0
 	}
@@ -150,9 +150,9 @@
 func (t *nestingTracker) addToken(current *token.Token) {
 	switch current.Type {
 	case token.MappingStartType, token.SequenceStartType:
-		t.flow = append(t.flow, level{})
+		t.flowLevels = append(t.flowLevels, level{})
 	case token.MappingEndType, token.SequenceEndType:
-		t.flow = t.flow[:max(0, len(t.flow)-1)]
+		t.flowLevels = t.flowLevels[:max(0, len(t.flowLevels)-1)]
 	case token.SequenceEntryType:
 		t.blockLevel(current.Position.Column).keyCount = 0
 	case token.MappingValueType:
@@ -161,8 +161,8 @@
 }
 
 func (t *nestingTracker) addKey(key *token.Token) {
-	if len(t.flow) > 0 {
-		t.flow[len(t.flow)-1].keyCount++
+	if len(t.flowLevels) > 0 {
+		t.flowLevels[len(t.flowLevels)-1].keyCount++
 		return
 	}
 	if key != nil {
@@ -173,13 +173,13 @@
 // blockLevel returns the block level at a column, after closing the deeper levels. It
 // creates the level if needed.
 func (t *nestingTracker) blockLevel(column int) *level {
-	for len(t.block) > 0 && t.block[len(t.block)-1].column > column {
-		t.block = t.block[:len(t.block)-1]
+	for len(t.blockLevels) > 0 && t.blockLevels[len(t.blockLevels)-1].column > column {
+		t.blockLevels = t.blockLevels[:len(t.blockLevels)-1]
 	}
-	if len(t.block) == 0 || t.block[len(t.block)-1].column < column {
-		t.block = append(t.block, level{column: column})
+	if len(t.blockLevels) == 0 || t.blockLevels[len(t.blockLevels)-1].column < column {
+		t.blockLevels = append(t.blockLevels, level{column: column})
 	}
-	return &t.block[len(t.block)-1]
+	return &t.blockLevels[len(t.blockLevels)-1]
 }
 
 // syntaxError converts an error of the YAML library. Its message is replaced if it
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -80,7 +80,8 @@
 // earlier snapshot.
 type incrementalDecoder struct {
 	previous *Snapshot
-	next     int
+	// nextIndex is the index in previous.Encoded at which the next search starts.
+	nextIndex int
 }
 
 // decode returns the decoded form of a resource, from the earlier snapshot if it is
@@ -89,18 +90,18 @@
 	if d.previous == nil {
 		return resource.Decode(entry)
 	}
-	for d.next < len(d.previous.Encoded) && d.previous.Encoded[d.next].Key.Less(entry.Key) {
-		d.next++
+	for d.nextIndex < len(d.previous.Encoded) && d.previous.Encoded[d.nextIndex].Key.Less(entry.Key) {
+		d.nextIndex++
 	}
-	if d.next == len(d.previous.Encoded) {
+	if d.nextIndex == len(d.previous.Encoded) {
 		return resource.Decode(entry)
 	}
-	candidate := d.previous.Encoded[d.next]
+	candidate := d.previous.Encoded[d.nextIndex]
 	same := candidate.Key == entry.Key && candidate.Digest == entry.Digest && bytes.Equal(candidate.Payload, entry.Payload)
 	if !same {
 		return resource.Decode(entry)
 	}
-	return d.previous.decoded[d.next], nil
+	return d.previous.decoded[d.nextIndex], nil
 }
 
 // WithVersion returns a snapshot with the same content at another version. It is used
--- a/internal/core/snapshot/store.go
+++ b/internal/core/snapshot/store.go
@@ -127,9 +127,9 @@
 	return s.cachedSelection(newest, scope, scopeKey(scope)).resources
 }
 
-// Delta returns the delta to the newest version for a child that has a scope at the
-// given version and digest. It returns nil if nothing changes for the child: its
-// content then equals the newest version, with the same digest.
+// Delta returns the delta that brings a child to the newest version. The version from
+// and the digest describe the content of the scope that the child holds. Delta returns
+// nil if the store is empty or if that content already equals the newest version.
 func (s *Store) Delta(scope protocol.Scope, from protocol.Version, digest resource.Digest) *protocol.Delta {
 	newest := s.Newest()
 	if newest == nil {
