--- a/internal/core/floor/releaser.go
+++ b/internal/core/floor/releaser.go
@@ -33,16 +33,16 @@
 // held the version at the moment between the rounds. Two roots at the same time
 // do no harm, as each release has its own quorum and stored versions only grow.
 type Releaser struct {
-	id        protocol.NodeID
-	region    string
-	addresses map[protocol.NodeID]string
-	released  protocol.Version
-	// current is the release in progress; next is released after it.
-	current   *release
-	next      *target
-	lastToken Token
-	pending   map[Token]pendingStore
-	retryAt   time.Duration
+	id              protocol.NodeID
+	region          string
+	addresses       map[protocol.NodeID]string
+	releasedVersion protocol.Version
+	// currentRelease is the release in progress; nextTarget is released after it.
+	currentRelease *release
+	nextTarget     *target
+	lastToken      Token
+	pending        map[Token]pendingStore
+	retryAt        time.Duration
 }
 
 // target is a version to be released and the set in the head at that version.
@@ -62,10 +62,10 @@
 	// round counts the confirmation rounds; 0 while storing.
 	round int
 	// roundKeepers are the keepers that had stored the version at the start of
-	// the confirmation round; confirmed are those that have replied in this
-	// round with the same incarnation.
-	roundKeepers map[protocol.NodeID]protocol.Incarnation
-	confirmed    map[protocol.NodeID]bool
+	// the confirmation round; confirmedKeepers are the roundKeepers that have
+	// replied in this round with the same incarnation.
+	roundKeepers     map[protocol.NodeID]protocol.Incarnation
+	confirmedKeepers map[protocol.NodeID]bool
 }
 
 // pendingStore is a store request without a reply yet.
@@ -100,38 +100,38 @@
 // whose loss blocks it.
 func (r *Releaser) SetTarget(now time.Duration, term uint64, version protocol.Version, set protocol.KeeperSet) []Output {
 	next := target{term: term, version: version, set: set}
-	if version <= r.released || r.current != nil && version <= r.current.target.version {
+	if version <= r.releasedVersion || r.currentRelease != nil && version <= r.currentRelease.target.version {
 		return nil
 	}
-	mustWait := r.current != nil && r.current.target.set.Revision == set.Revision && now < r.current.startedAt+supersedeAfter
+	mustWait := r.currentRelease != nil && r.currentRelease.target.set.Revision == set.Revision && now < r.currentRelease.startedAt+supersedeAfter
 	if mustWait {
-		r.next = &next
+		r.nextTarget = &next
 		return nil
 	}
 	return r.startRelease(now, next)
 }
 
 func (r *Releaser) startRelease(now time.Duration, next target) []Output {
-	r.next = nil
+	r.nextTarget = nil
 	r.pending = map[Token]pendingStore{}
-	r.current = &release{target: next, startedAt: now, storedBy: map[protocol.NodeID]protocol.Incarnation{}}
+	r.currentRelease = &release{target: next, startedAt: now, storedBy: map[protocol.NodeID]protocol.Incarnation{}}
 	return r.sendRequests(now)
 }
 
 // Tick repeats store requests that are due, and abandons a release that takes
 // too long if a newer target waits.
 func (r *Releaser) Tick(now time.Duration) []Output {
-	if r.current == nil {
+	if r.currentRelease == nil {
 		return nil
 	}
-	if r.next != nil && now >= r.current.startedAt+supersedeAfter {
-		return r.startRelease(now, *r.next)
+	if r.nextTarget != nil && now >= r.currentRelease.startedAt+supersedeAfter {
+		return r.startRelease(now, *r.nextTarget)
 	}
 	if now < r.retryAt {
 		return nil
 	}
-	if r.current.round > 0 && len(r.current.storedBy) > len(r.current.roundKeepers) {
-		r.current.startRound()
+	if r.currentRelease.round > 0 && len(r.currentRelease.storedBy) > len(r.currentRelease.roundKeepers) {
+		r.currentRelease.startRound()
 	}
 	return r.sendRequests(now)
 }
@@ -140,8 +140,8 @@
 func (r *Releaser) sendRequests(now time.Duration) []Output {
 	r.retryAt = now + storeRetryInterval
 	var outputs []Output
-	for _, member := range allMembers(r.current.target.set) {
-		if !r.current.needsReply(member.ID) {
+	for _, member := range allMembers(r.currentRelease.target.set) {
+		if !r.currentRelease.needsReply(member.ID) {
 			continue
 		}
 		outputs = append(outputs, r.newRequest(member))
@@ -151,7 +151,7 @@
 
 func (r *Releaser) newRequest(member protocol.KeeperMember) Output {
 	r.lastToken++
-	r.pending[r.lastToken] = pendingStore{keeper: member.ID, release: r.current, round: r.current.round}
+	r.pending[r.lastToken] = pendingStore{keeper: member.ID, release: r.currentRelease, round: r.currentRelease.round}
 	address, known := r.addresses[member.ID]
 	if !known {
 		address = member.ControlAddress
@@ -163,9 +163,9 @@
 		Request: &protocol.StoreRequest{
 			Format:  protocol.Format,
 			From:    r.id,
-			Term:    r.current.target.term,
-			Version: r.current.target.version,
-			Keepers: r.current.target.set,
+			Term:    r.currentRelease.target.term,
+			Version: r.currentRelease.target.version,
+			Keepers: r.currentRelease.target.set,
 		},
 	}
 }
@@ -175,15 +175,15 @@
 func (r *Releaser) HandleReply(now time.Duration, token Token, reply *protocol.StoreReply) []Output {
 	request, known := r.pending[token]
 	delete(r.pending, token)
-	if !known || request.release != r.current || reply == nil {
+	if !known || request.release != r.currentRelease || reply == nil {
 		return nil
 	}
-	isUsable := reply.Code == result.OK && reply.From == request.keeper && reply.Stored >= r.current.target.version
+	isUsable := reply.Code == result.OK && reply.From == request.keeper && reply.Stored >= r.currentRelease.target.version
 	if !isUsable {
 		return nil
 	}
-	roundStarted := r.current.countReply(request, reply)
-	if r.current.isConfirmed() {
+	roundStarted := r.currentRelease.countReply(request, reply)
+	if r.currentRelease.isConfirmed() {
 		return r.finishRelease(now)
 	}
 	if !roundStarted {
@@ -194,17 +194,17 @@
 
 // finishRelease releases the current target and starts the next one.
 func (r *Releaser) finishRelease(now time.Duration) []Output {
-	r.released = r.current.target.version
-	r.current = nil
+	r.releasedVersion = r.currentRelease.target.version
+	r.currentRelease = nil
 	r.pending = map[Token]pendingStore{}
-	if r.next == nil {
+	if r.nextTarget == nil {
 		return nil
 	}
-	return r.startRelease(now, *r.next)
+	return r.startRelease(now, *r.nextTarget)
 }
 
 // Released returns the highest version that proxies may use.
-func (r *Releaser) Released() protocol.Version { return r.released }
+func (r *Releaser) Released() protocol.Version { return r.releasedVersion }
 
 // countReply counts a reply and reports whether a confirmation round starts.
 func (c *release) countReply(request pendingStore, reply *protocol.StoreReply) bool {
@@ -215,7 +215,7 @@
 		return c.startRoundIfQuorum()
 	}
 	if request.round == c.round && c.roundKeepers[request.keeper] == reply.Incarnation {
-		c.confirmed[request.keeper] = true
+		c.confirmedKeepers[request.keeper] = true
 	}
 	return false
 }
@@ -236,7 +236,7 @@
 func (c *release) startRound() {
 	c.round++
 	c.roundKeepers = maps.Clone(c.storedBy)
-	c.confirmed = map[protocol.NodeID]bool{}
+	c.confirmedKeepers = map[protocol.NodeID]bool{}
 }
 
 // needsReply reports whether a keeper's reply is still needed for a quorum.
@@ -245,9 +245,9 @@
 	if c.round == 0 {
 		return !hasStored
 	}
-	return !c.confirmed[id]
+	return !c.confirmedKeepers[id]
 }
 
 func (c *release) isConfirmed() bool {
-	return c.round > 0 && HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { return c.confirmed[id] })
+	return c.round > 0 && HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { return c.confirmedKeepers[id] })
 }
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -15,10 +15,10 @@
 
 // draft is a head under construction.
 type draft struct {
-	previous *Head
-	head     *Head
-	contents Contents
-	change   *Change
+	previousHead *Head
+	head         *Head
+	contents     Contents
+	change       *Change
 	// version is the version of the new head if accepted content changes.
 	version         protocol.Version
 	acceptedChanged bool
@@ -30,7 +30,7 @@
 func newDraft(head *Head, contents Contents, change *Change) *draft {
 	next := head.clone()
 	next.Term = max(next.Term, change.Term)
-	return &draft{previous: head, head: next, contents: contents, change: change, version: head.Version + 1, changedFiles: []resource.FileKey{change.Key()}}
+	return &draft{previousHead: head, head: next, contents: contents, change: change, version: head.Version + 1, changedFiles: []resource.FileKey{change.Key()}}
 }
 
 // applyChange applies the request to the head: a withdrawn file is removed, and
@@ -178,7 +178,7 @@
 		if entry.Held != nil && slices.Contains(triedFiles, key) {
 			digest = entry.Held.Digest
 		}
-		previousEntry, _ := d.previous.File(key)
+		previousEntry, _ := d.previousHead.File(key)
 		previousDigest := acceptedDigest(previousEntry)
 		if previousDigest == digest {
 			continue
@@ -258,7 +258,7 @@
 		problem.Mend = fmt.Sprintf("Change %s first.", missing.From)
 		return *problem
 	})
-	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.previous.Version}
+	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.previousHead.Version}
 }
 
 // updateWaitsFor records in each held file which references would be missing if
@@ -314,7 +314,7 @@
 func (d *draft) prunedContents() Contents {
 	pruned := maps.Clone(d.contents)
 	for _, key := range d.changedFiles {
-		previousEntry, _ := d.previous.File(key)
+		previousEntry, _ := d.previousHead.File(key)
 		entry, _ := d.head.File(key)
 		for _, digest := range previousEntry.digests() {
 			if !slices.Contains(entry.digests(), digest) {
--- a/internal/core/node/localstate.go
+++ b/internal/core/node/localstate.go
@@ -13,11 +13,11 @@
 type localState struct {
 	// store holds all released resources. Only a daemon that isRelaying fills it.
 	store *snapshot.Store
-	// current is the snapshot in force on this daemon; nil before the first.
-	current *snapshot.Snapshot
-	// staged is the snapshot that was passed to the shell and is not confirmed yet.
-	staged   *snapshot.Snapshot
-	stagedAt time.Duration
+	// currentSnapshot is the snapshot in force on this daemon; nil before the first.
+	currentSnapshot *snapshot.Snapshot
+	// stagedSnapshot is the snapshot that was passed to the shell and is not confirmed yet.
+	stagedSnapshot *snapshot.Snapshot
+	stagedAt       time.Duration
 	// servingUntil is the end of the serving lease passed to the shell.
 	servingUntil time.Duration
 	// pendingLease becomes the serving lease once its version is in force here.
@@ -44,10 +44,10 @@
 
 // currentVersion returns the version in force on this daemon; 0 for none.
 func (n *Node) currentVersion() protocol.Version {
-	if n.local.current == nil {
+	if n.local.currentSnapshot == nil {
 		return 0
 	}
-	return n.local.current.Version
+	return n.local.currentSnapshot.Version
 }
 
 // stage passes a snapshot to the shell to be swapped in.
@@ -57,10 +57,10 @@
 // at a time, so that the shell's confirmation is unambiguous.
 func (n *Node) stage(next *snapshot.Snapshot) {
 	floorVersion, known := n.floor()
-	if !known || next.Version < floorVersion || n.local.staged != nil || next.Version <= n.currentVersion() {
+	if !known || next.Version < floorVersion || n.local.stagedSnapshot != nil || next.Version <= n.currentVersion() {
 		return
 	}
-	n.local.staged = next
+	n.local.stagedSnapshot = next
 	n.local.stagedAt = n.now
 	n.emit(SwapSnapshot{Snapshot: next})
 }
@@ -68,12 +68,12 @@
 // handleSnapshotInForce handles the shell's confirmation of a swap. Only now is the
 // version acknowledged to the parent.
 func (n *Node) handleSnapshotInForce(version protocol.Version) {
-	staged := n.local.staged
+	staged := n.local.stagedSnapshot
 	if staged == nil || staged.Version != version {
 		return
 	}
-	n.local.current = staged
-	n.local.staged = nil
+	n.local.currentSnapshot = staged
+	n.local.stagedSnapshot = nil
 	n.downstream.acksChanged = true
 	n.log("snapshot_in_force", LogField{Key: "version", Value: strconv.FormatUint(uint64(version), 10)})
 	n.extendServingLease(n.local.pendingLease)
@@ -86,11 +86,11 @@
 // own scope.
 func (n *Node) stageFromStore() {
 	newest := n.local.store.Newest()
-	if newest == nil || newest.Version <= n.currentVersion() || n.local.staged != nil {
+	if newest == nil || newest.Version <= n.currentVersion() || n.local.stagedSnapshot != nil {
 		return
 	}
 	selected := n.local.store.Select(n.config.Scope)
-	current := n.local.current
+	current := n.local.currentSnapshot
 	if current != nil && current.Digest == snapshot.DigestOf(selected) {
 		n.stage(current.WithVersion(newest.Version))
 		return
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -184,11 +184,11 @@
 
 // rosterView caches results computed from the whole roster.
 type rosterView struct {
-	tree         *distribution.Tree
-	treeAt       time.Duration
-	treeRevision uint64
-	expected     distribution.ExpectedMembers
-	// expectedRevision is the roster's StructureRevision from which expected was
+	tree            *distribution.Tree
+	treeAt          time.Duration
+	treeRevision    uint64
+	expectedMembers distribution.ExpectedMembers
+	// expectedRevision is the roster's StructureRevision from which expectedMembers was
 	// computed; 0 before the first computation.
 	expectedRevision uint64
 }
@@ -212,10 +212,10 @@
 // always reflects the current roster.
 func (n *Node) expectedMembers() distribution.ExpectedMembers {
 	if n.view.expectedRevision != n.roster.StructureRevision() {
-		n.view.expected = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
+		n.view.expectedMembers = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
 		n.view.expectedRevision = n.roster.StructureRevision()
 	}
-	return n.view.expected
+	return n.view.expectedMembers
 }
 
 // liveInRegion returns the live members of a region.
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -62,13 +62,13 @@
 		if !n.isAvoided(candidate.ID) {
 			return candidate, true
 		}
-		betterRefused = betterRefused || n.upstream.avoided[candidate.ID].lastRefused
+		betterRefused = betterRefused || n.upstream.avoidances[candidate.ID].lastRefused
 	}
 	return protocol.Member{}, false
 }
 
 func (n *Node) isAvoided(id protocol.NodeID) bool {
-	avoid, found := n.upstream.avoided[id]
+	avoid, found := n.upstream.avoidances[id]
 	return found && n.now < avoid.until && avoid.incarnation == n.incarnationOf(id)
 }
 
@@ -83,14 +83,14 @@
 // answered a fetch with AskAnother or NotReadyYet. It is false when the daemon answered
 // with another code, did not answer, or no longer extends the lease.
 func (n *Node) avoidFor(id protocol.NodeID, period time.Duration, refused bool) {
-	if n.upstream.avoided == nil {
-		n.upstream.avoided = map[protocol.NodeID]avoidance{}
+	if n.upstream.avoidances == nil {
+		n.upstream.avoidances = map[protocol.NodeID]avoidance{}
 	}
-	refusalCount := n.upstream.avoided[id].refusalCount
+	refusalCount := n.upstream.avoidances[id].refusalCount
 	if refused {
 		refusalCount++
 	}
-	n.upstream.avoided[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), lastRefused: refused, refusalCount: refusalCount}
+	n.upstream.avoidances[id] = avoidance{until: n.now + period, incarnation: n.incarnationOf(id), lastRefused: refused, refusalCount: refusalCount}
 }
 
 // avoidance excludes one incarnation of a daemon as a parent for a limited time. A
@@ -123,7 +123,7 @@
 	}
 	n.schedulePreferredRetry()
 	best, found := n.bestCandidate()
-	if !found || best.ID == up.target.ID || n.local.staged != nil {
+	if !found || best.ID == up.target.ID || n.local.stagedSnapshot != nil {
 		return
 	}
 	if best.ID == n.self.ID {
@@ -194,9 +194,9 @@
 	up.formerLink = nil
 	up.hintedParents = nil
 	up.lastUrgentAt = 0
-	for id, avoid := range up.avoided {
+	for id, avoid := range up.avoidances {
 		avoid.refusalCount = 0
-		up.avoided[id] = avoid
+		up.avoidances[id] = avoid
 	}
 	// The sequence must be incremented: a probe may have sent the sequence of the
 	// fetch in a record that names another parent, and two different records must
@@ -262,7 +262,7 @@
 	if root, _ := n.roster.Get(from); root.Root && up.sentRelaying && reply.Code == result.AskAnother {
 		up.joinAsLeafUntil = n.now + leafPeriod
 	}
-	period := refusalBackoff.Wait(n.random, up.avoided[from].refusalCount+1)
+	period := refusalBackoff.Wait(n.random, up.avoidances[from].refusalCount+1)
 	if n.isRelaying() {
 		period = distribution.Jitter(n.random, rootRetryMax)
 	}
--- a/internal/core/node/root.go
+++ b/internal/core/node/root.go
@@ -113,7 +113,7 @@
 	n.log("root_stopped", LogField{Key: "root", Value: string(better.ID)})
 	n.upstream.target = protocol.Member{}
 	n.upstream.parentLostAt = n.now
-	delete(n.upstream.avoided, better.ID)
+	delete(n.upstream.avoidances, better.ID)
 	n.upstream.nextFetchAt = n.now
 	n.fetchFrom(better)
 }
--- a/internal/core/node/take.go
+++ b/internal/core/node/take.go
@@ -43,7 +43,7 @@
 		up.nextFetchAt = n.now + idleFetchInterval
 	}
 	up.nextFetchAt = max(up.nextFetchAt, n.now+reply.RetryAfter)
-	if n.local.staged != nil {
+	if n.local.stagedSnapshot != nil {
 		up.nextFetchAt = max(up.nextFetchAt, n.now+swapTimeout)
 	}
 	n.fetchIfDue()
@@ -65,7 +65,7 @@
 	if n.isRelaying() {
 		return n.storeReleased(reply)
 	}
-	if reply.Released <= n.currentVersion() || n.local.staged != nil {
+	if reply.Released <= n.currentVersion() || n.local.stagedSnapshot != nil {
 		return false
 	}
 	next, err := n.nextSnapshot(reply)
@@ -81,7 +81,7 @@
 // nextSnapshot builds the next snapshot of a leaf: the current one with the delta
 // applied, or the same content at the new version.
 func (n *Node) nextSnapshot(reply *protocol.FetchReply) (*snapshot.Snapshot, error) {
-	current := n.local.current
+	current := n.local.currentSnapshot
 	if reply.Delta == nil && current != nil {
 		return current.WithVersion(reply.Released), nil
 	}
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -44,9 +44,9 @@
 	// nextFetchAt is when the next fetch may be sent.
 	nextFetchAt time.Duration
 	failures    int
-	// avoided holds the daemons that did not answer a fetch, refused one or no longer
-	// extend the lease, each with the time until which it is avoided.
-	avoided map[protocol.NodeID]avoidance
+	// avoidances holds the daemons that did not answer a fetch, refused one or no
+	// longer extend the lease, each with the time until which it is avoided.
+	avoidances map[protocol.NodeID]avoidance
 	// sentCursor is the position in this daemon's change log up to which the
 	// records of the subtree have been sent.
 	sentCursor membership.Cursor
@@ -132,7 +132,7 @@
 // isAwaitingSwap reports whether the next fetch waits for a swap, in order to
 // acknowledge it.
 func (n *Node) isAwaitingSwap() bool {
-	return n.local.staged != nil && n.now-n.local.stagedAt < swapTimeout
+	return n.local.stagedSnapshot != nil && n.now-n.local.stagedAt < swapTimeout
 }
 
 // fetchIfDue sends the next fetch if it is due and none is in flight.
@@ -188,10 +188,10 @@
 	if scope.Relay {
 		return n.local.store.Version(), n.local.store.Digest()
 	}
-	if n.local.current == nil {
+	if n.local.currentSnapshot == nil {
 		return 0, ""
 	}
-	return n.local.current.Version, n.local.current.Digest
+	return n.local.currentSnapshot.Version, n.local.currentSnapshot.Digest
 }
 
 // addUnreportedRecords adds the records that the parent has not received. Until the
@@ -244,7 +244,7 @@
 // ends the held fetch.
 func (n *Node) sendUrgentUpdates() {
 	up := &n.upstream
-	if n.root.active || !up.joined || up.fetchToken == 0 || n.local.staged != nil || n.now-up.sentAt < idleFetchInterval/10 {
+	if n.root.active || !up.joined || up.fetchToken == 0 || n.local.stagedSnapshot != nil || n.now-up.sentAt < idleFetchInterval/10 {
 		return
 	}
 	if !n.acksAreUrgent() && !n.membersAreUrgent() {
--- a/internal/core/reader/attempt.go
+++ b/internal/core/reader/attempt.go
@@ -51,10 +51,10 @@
 	// replies are the answers to submissions by index, used if all are refusals.
 	replies []*protocol.SubmitReply
 	phase   phase
-	// unwritten are the contents that must be written before the head; writing
-	// are those with a write in flight.
-	unwritten map[resource.Digest][]byte
-	writing   map[resource.Digest]bool
+	// unwrittenContents are the contents that must be written before the head;
+	// writesInFlight marks those of them with a write in flight.
+	unwrittenContents map[resource.Digest][]byte
+	writesInFlight    map[resource.Digest]bool
 	// files are the parsed contents that the new head refers to.
 	files ledger.Contents
 	// replyLost is set once the update was sent and got no conclusive reply.
@@ -192,12 +192,12 @@
 // collectUnwrittenContents lists the contents that the platform may not have yet.
 // Those in present are referred to by the current head and so were written before.
 func (a *attempt) collectUnwrittenContents(present ledger.Contents) {
-	a.unwritten = map[resource.Digest][]byte{}
-	a.writing = map[resource.Digest]bool{}
+	a.unwrittenContents = map[resource.Digest][]byte{}
+	a.writesInFlight = map[resource.Digest]bool{}
 	for _, item := range a.submissions {
 		digest := item.change.Digest
 		if digest != "" && present[digest] == nil {
-			a.unwritten[digest] = item.change.Text
+			a.unwrittenContents[digest] = item.change.Text
 		}
 	}
 }
--- a/internal/core/reader/attemptwrite.go
+++ b/internal/core/reader/attemptwrite.go
@@ -10,18 +10,18 @@
 // once none is missing. A content object that already exists counts as written,
 // as its name is the digest of its data.
 func (r *Reader) writeContents(current *attempt) {
-	if len(current.unwritten) == 0 {
+	if len(current.unwrittenContents) == 0 {
 		r.writeHead(current)
 		return
 	}
 	for _, item := range current.submissions {
 		digest := item.change.Digest
-		if current.unwritten[digest] == nil || current.writing[digest] || len(current.writing) >= maxConcurrentContents {
+		if current.unwrittenContents[digest] == nil || current.writesInFlight[digest] || len(current.writesInFlight) >= maxConcurrentContents {
 			continue
 		}
-		current.writing[digest] = true
+		current.writesInFlight[digest] = true
 		r.call(pendingCall{purpose: purposeContentWrite, digest: digest, attemptNumber: current.number},
-			object.Call{Kind: object.CallCreate, Name: ledger.ContentObject(digest), Data: current.unwritten[digest]})
+			object.Call{Kind: object.CallCreate, Name: ledger.ContentObject(digest), Data: current.unwrittenContents[digest]})
 	}
 }
 
@@ -30,11 +30,11 @@
 	if current == nil || current.number != call.attemptNumber {
 		return
 	}
-	delete(current.writing, call.digest)
+	delete(current.writesInFlight, call.digest)
 	switch reply.Code {
 	case result.OK, result.PlatformExists:
 		r.changes.retry.reset()
-		delete(current.unwritten, call.digest)
+		delete(current.unwrittenContents, call.digest)
 	case result.PlatformTooLarge:
 		r.handleTooLarge(current, result.FileTooLarge)
 	default:
--- a/internal/core/reader/contents.go
+++ b/internal/core/reader/contents.go
@@ -16,9 +16,9 @@
 
 // contentState caches the contents that the head refers to.
 type contentState struct {
-	files   ledger.Contents
-	loading map[resource.Digest]bool
-	retry   backoff
+	files         ledger.Contents
+	loadsInFlight map[resource.Digest]bool
+	retry         backoff
 	// announcedVersion is the object version of the head last announced under the
 	// current lease; announcedHead is that head, nil before the first.
 	announcedVersion object.Version
@@ -30,7 +30,7 @@
 func (c *contentState) reset() {
 	c.announcedVersion = 0
 	c.announcedHead = nil
-	c.loading = map[resource.Digest]bool{}
+	c.loadsInFlight = map[resource.Digest]bool{}
 	c.retry.reset()
 }
 
@@ -50,20 +50,20 @@
 		return
 	}
 	for _, digest := range missing {
-		if len(r.contents.loading) >= maxConcurrentContents {
+		if len(r.contents.loadsInFlight) >= maxConcurrentContents {
 			return
 		}
-		if r.contents.loading[digest] {
+		if r.contents.loadsInFlight[digest] {
 			continue
 		}
-		r.contents.loading[digest] = true
+		r.contents.loadsInFlight[digest] = true
 		r.call(pendingCall{purpose: purposeContentRead, digest: digest},
 			object.Call{Kind: object.CallGet, Name: ledger.ContentObject(digest)})
 	}
 }
 
 func (r *Reader) handleContentRead(call pendingCall, reply object.Reply) {
-	delete(r.contents.loading, call.digest)
+	delete(r.contents.loadsInFlight, call.digest)
 	if reply.Code != result.OK {
 		r.contents.retry.recordFailure(r.now, r.random)
 		return
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -48,8 +48,8 @@
 // leaseState is the reader's view of the leases of its region.
 type leaseState struct {
 	isCandidate bool
-	// observed is the newest version seen of each lease, by slot.
-	observed map[string]leaseObservation
+	// observations holds the newest version seen of each lease, by slot.
+	observations map[string]leaseObservation
 	// acquiring is set while a call of an acquisition is in flight.
 	acquiring    bool
 	acquireRetry backoff
@@ -141,7 +141,7 @@
 // observeLease records a lease object. Only a newer version restarts its
 // duration.
 func (r *Reader) observeLease(found object.Object) {
-	known, seen := r.lease.observed[found.Name]
+	known, seen := r.lease.observations[found.Name]
 	if seen && found.Version <= known.version {
 		return
 	}
@@ -149,14 +149,14 @@
 	if err := json.Unmarshal(found.Data, &observation.record); err != nil || observation.record.Duration <= 0 {
 		observation.record = leaseRecord{Holder: "unreadable", Duration: r.config.LeaseDuration}
 	}
-	r.lease.observed[found.Name] = observation
+	r.lease.observations[found.Name] = observation
 }
 
 // isLeaseFree reports whether the lease in a slot may be taken: it was never
 // taken, its holder resigned, this daemon held it before a restart, or it has
 // not changed for longer than its duration by this daemon's own clock.
 func (r *Reader) isLeaseFree(slot string) bool {
-	observation, found := r.lease.observed[slot]
+	observation, found := r.lease.observations[slot]
 	if !found || observation.record.Holder == "" || observation.record.Holder == r.config.ID {
 		return true
 	}
@@ -173,13 +173,13 @@
 func (r *Reader) nextListAt() time.Duration {
 	next := r.now + r.config.LeaseDuration
 	for _, slot := range r.slotNames() {
-		next = min(next, r.lease.observed[slot].freeAt())
+		next = min(next, r.lease.observations[slot].freeAt())
 	}
 	return max(next, r.now) + jitter(r.random, r.config.LeaseDuration/4)
 }
 
 func (r *Reader) takeLease(slot string) {
-	observation, found := r.lease.observed[slot]
+	observation, found := r.lease.observations[slot]
 	record := leaseRecord{
 		Format:   leaseFormat,
 		Holder:   r.config.ID,
@@ -199,7 +199,7 @@
 // terms grow across slots.
 func (r *Reader) highestTerm() uint64 {
 	highest := uint64(0)
-	for _, observation := range r.lease.observed {
+	for _, observation := range r.lease.observations {
 		highest = max(highest, observation.record.Term)
 	}
 	return highest
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -102,9 +102,9 @@
 		random: rand.New(rand.NewPCG(config.RandomSeed, config.RandomSeed)),
 		calls:  map[Token]pendingCall{},
 	}
-	r.lease.observed = map[string]leaseObservation{}
+	r.lease.observations = map[string]leaseObservation{}
 	r.head.head = ledger.NewHead()
-	r.contents.loading = map[resource.Digest]bool{}
+	r.contents.loadsInFlight = map[resource.Digest]bool{}
 	return r
 }
 
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -30,8 +30,8 @@
 	Routes []resource.Route
 	// Encoded are the encoded resources, sorted by key.
 	Encoded []resource.Encoded
-	// decoded holds the decoded form of each resource in Encoded, in the same order.
-	decoded []resource.Resource
+	// decodedResources holds the decoded form of each resource in Encoded, in the same order.
+	decodedResources []resource.Resource
 }
 
 // Build decodes the resources and returns the snapshot of the version. It
@@ -50,16 +50,16 @@
 	sorted := slices.Clone(encoded)
 	resource.SortEncoded(sorted)
 	built := &Snapshot{
-		Version:  version,
-		Digest:   DigestOf(sorted),
-		Services: map[resource.ServiceRef]resource.Service{},
-		Backends: map[resource.ServiceRef][]resource.Backend{},
-		Secrets:  map[resource.Key]resource.Secret{},
-		Encoded:  sorted,
-		decoded:  make([]resource.Resource, 0, len(sorted)),
+		Version:          version,
+		Digest:           DigestOf(sorted),
+		Services:         map[resource.ServiceRef]resource.Service{},
+		Backends:         map[resource.ServiceRef][]resource.Backend{},
+		Secrets:          map[resource.Key]resource.Secret{},
+		Encoded:          sorted,
+		decodedResources: make([]resource.Resource, 0, len(sorted)),
 	}
 	decoder := incrementalDecoder{previous: previous}
-	if previous != nil && len(previous.decoded) != len(previous.Encoded) {
+	if previous != nil && len(previous.decodedResources) != len(previous.Encoded) {
 		decoder.previous = nil // not made by Rebuild, so its decoded resources are missing
 	}
 	for _, entry := range sorted {
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		built.decoded = append(built.decoded, decoded)
+		built.decodedResources = append(built.decodedResources, decoded)
 		built.add(decoded)
 	}
 	if err := built.checkReferences(); err != nil {
@@ -101,7 +101,7 @@
 	if !same {
 		return resource.Decode(entry)
 	}
-	return d.previous.decoded[d.nextIndex], nil
+	return d.previous.decodedResources[d.nextIndex], nil
 }
 
 // WithVersion returns a snapshot with the same content at another version. It is used
--- a/internal/sim/mutant/configuration.go
+++ b/internal/sim/mutant/configuration.go
@@ -14,7 +14,7 @@
 		Old: "	l.floor = floor\n",
 		New: "	l.floor = 0\n"},
 	{Name: "release_unstored", Breaks: oracle.NoOlderVersion, Simulation: Mesh, File: "floor/releaser.go",
-		Old: "	return c.round > 0 && HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { return c.confirmed[id] })",
+		Old: "	return c.round > 0 && HasWriteQuorum(c.target.set, func(id protocol.NodeID) bool { return c.confirmedKeepers[id] })",
 		New: "	return len(c.storedBy) > 0"},
 
 	{Name: "build_loses_secrets", Breaks: oracle.NoDangling, Simulation: Mesh, File: "snapshot/snapshot.go",
