--- a/internal/core/dissemination/directory.go
+++ b/internal/core/dissemination/directory.go
@@ -84,8 +84,8 @@
 	return d.all[index], true
 }
 
-// PeersInOwnZone returns the other daemons of the own zone in order of their rank as
-// relays.
+// PeersInOwnZone returns the other daemons of this daemon's zone in order of their rank
+// as relays.
 func (d *Directory) PeersInOwnZone() []Peer { return d.zones[d.zone] }
 
 // PeersInOtherZones returns the daemons of all other zones in ascending order of ID.
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -19,7 +19,8 @@
 	head         *Head
 	contents     Contents
 	change       *Change
-	// version is the version of the new head if accepted content changes.
+	// version is the version of the new head if accepted content changes;
+	// acceptedChanged is set once it has.
 	version         protocol.Version
 	acceptedChanged bool
 	// changedFiles are the files whose accepted revision may have changed:
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -19,25 +19,27 @@
 	random    *rand.Rand
 	// effects collects the effects of the current step.
 	effects []Effect
-	// wallClock is the newest wall-clock time received, at wallClockAt; used for
-	// status only.
+	// wallClock is the newest wall-clock time received, at wallClockAt. It is used for
+	// times in status and for the time of acceptance of keeper sets.
 	wallClock   time.Time
 	wallClockAt time.Duration
 
-	calls           callTable
-	self            protocol.Member
-	roster          *membership.Roster
-	view            rosterView
-	start           start
-	local           localState
-	upstream        upstream
-	downstream      downstream
-	root            root
-	regions         regions
-	readerSide      readerSide
-	operators       operators
-	startingPeers   startingPeers
-	leaving         bool
+	calls         callTable
+	self          protocol.Member
+	roster        *membership.Roster
+	view          rosterView
+	start         start
+	local         localState
+	upstream      upstream
+	downstream    downstream
+	root          root
+	regions       regions
+	readerSide    readerSide
+	operators     operators
+	startingPeers startingPeers
+	leaving       bool
+	// publishedAt is when PublishMembers was last emitted; publishedCursor is the
+	// roster's cursor at that time.
 	publishedAt     time.Duration
 	publishedCursor membership.Cursor
 	// lastSweep is when sweep last ran.
--- a/internal/core/node/probe.go
+++ b/internal/core/node/probe.go
@@ -58,7 +58,7 @@
 
 // handleProbedPeer handles a member listed in the reply to a probe. A daemon that is not
 // root merges the member's record. A root steps down when the sender of the reply lists
-// itself as a root and is a better one. With follow set, a root probes the other roots
+// itself as a root and isBetterRoot prefers it. With follow set, a root probes the other roots
 // that the reply lists too.
 func (n *Node) handleProbedPeer(from protocol.NodeID, peer protocol.Member, follow bool) {
 	if !n.root.active {
--- a/internal/core/node/step.go
+++ b/internal/core/node/step.go
@@ -24,7 +24,8 @@
 
 // Tick advances the time; the shell sends one every TickInterval.
 type Tick struct {
-	// WallClock is the shell's wall clock, shown in status; zero if not known.
+	// WallClock is the shell's wall clock, used for times in status and in the head;
+	// zero if not known.
 	WallClock time.Time
 }
 
@@ -201,7 +202,8 @@
 	Region         string
 	Zone           string
 	Scope          protocol.Scope
-	// Seeds are control addresses of some daemons, tried at random at start.
+	// Seeds are control addresses of some daemons, queried at the start and by later
+	// probes for other daemons.
 	Seeds []string
 	// Service and Backend identify the local back end; empty for none.
 	Service resource.ServiceRef
--- a/internal/core/node/upstream.go
+++ b/internal/core/node/upstream.go
@@ -55,7 +55,7 @@
 	// ranks as a relay by its own roster, because the root, which knows more members, refused
 	// it as a relay.
 	joinAsLeafUntil time.Duration
-	// sentRelaying is whether the last fetch requested the whole configuration, as
+	// sentRelaying is set if the last fetch requested the whole configuration, as
 	// a relay does.
 	sentRelaying bool
 	// lastUrgentAt is when sendUrgentUpdates last interrupted a held fetch.
--- a/internal/core/reader/lease.go
+++ b/internal/core/reader/lease.go
@@ -58,7 +58,9 @@
 	isHeld bool
 	// slot is the name of the held lease object. A region has Config.LeaseSlots
 	// lease objects, also called slots.
-	slot    string
+	slot string
+	// version is the newest object version of the held lease that this daemon knows,
+	// and record its value.
 	version object.Version
 	record  leaseRecord
 	// expiresAt is when the holder stops using the lease, measured from when the
--- a/internal/core/reader/reader.go
+++ b/internal/core/reader/reader.go
@@ -1,6 +1,6 @@
 // Package reader implements the state machine of a daemon that may access the
 // platform: it competes for a reader lease, follows the head object while it
-// holds one, and writes operators' changes into the head, also when replies of
+// holds one, and writes operators' changes into the head, even if replies of
 // the platform are lost. It does no input or output; its owner carries out the
 // outputs. See docs/ACCEPTANCE.md.
 //
