--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -15,11 +15,12 @@
 
 // draft is a head under construction.
 type draft struct {
-	previous *Head
-	head     *Head
-	contents Contents
-	change   *Change
-	// version is the version of the new head if accepted content changes.
+	previousHead *Head
+	head         *Head
+	contents     Contents
+	change       *Change
+	// version is the version of the new head if accepted content changes;
+	// acceptedChanged is set once it has.
 	version         protocol.Version
 	acceptedChanged bool
 	// changedFiles are the files whose accepted revision may have changed:
@@ -30,7 +31,7 @@
 func newDraft(head *Head, contents Contents, change *Change) *draft {
 	next := head.clone()
 	next.Term = max(next.Term, change.Term)
-	return &draft{previous: head, head: next, contents: contents, change: change, version: head.Version + 1, changedFiles: []resource.FileKey{change.Key()}}
+	return &draft{previousHead: head, head: next, contents: contents, change: change, version: head.Version + 1, changedFiles: []resource.FileKey{change.Key()}}
 }
 
 // applyChange applies the request to the head: a withdrawn file is removed, and
@@ -101,7 +102,7 @@
 
 // promoteOldest accepts the oldest held file whose references can all be
 // satisfied, together with the held files needed for that, and reports whether
-// there was one.
+// there was such a file.
 func (d *draft) promoteOldest() bool {
 	for _, key := range d.heldFiles() {
 		group, isPromotable := d.promotionGroup(key)
@@ -178,7 +179,7 @@
 		if entry.Held != nil && slices.Contains(triedFiles, key) {
 			digest = entry.Held.Digest
 		}
-		previousEntry, _ := d.previous.File(key)
+		previousEntry, _ := d.previousHead.File(key)
 		previousDigest := acceptedDigest(previousEntry)
 		if previousDigest == digest {
 			continue
@@ -258,10 +259,11 @@
 		problem.Mend = fmt.Sprintf("Change %s first.", missing.From)
 		return *problem
 	})
-	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.previous.Version}
+	return &protocol.SubmitReply{Code: result.StillNeeded, Errors: errors, Version: d.previousHead.Version}
 }
 
-// updateWaitsFor updates WaitsFor of each held file.
+// updateWaitsFor records in each held file which references would be missing if
+// the file alone were accepted.
 func (d *draft) updateWaitsFor() {
 	for _, key := range d.heldFiles() {
 		entry, _ := d.head.File(key)
@@ -313,7 +315,7 @@
 func (d *draft) prunedContents() Contents {
 	pruned := maps.Clone(d.contents)
 	for _, key := range d.changedFiles {
-		previousEntry, _ := d.previous.File(key)
+		previousEntry, _ := d.previousHead.File(key)
 		entry, _ := d.head.File(key)
 		for _, digest := range previousEntry.digests() {
 			if !slices.Contains(entry.digests(), digest) {
--- a/internal/core/node/node.go
+++ b/internal/core/node/node.go
@@ -19,32 +19,34 @@
 	random    *rand.Rand
 	// effects collects the effects of the current step.
 	effects []Effect
-	// wallClock is the newest wall-clock time received, at wallClockAt; used for
-	// status only.
+	// wallClock is the newest wall-clock time received, at wallClockAt. It is used for
+	// times in status and for the time of acceptance of keeper sets.
 	wallClock   time.Time
 	wallClockAt time.Duration
 
-	calls           callTable
-	self            protocol.Member
-	roster          *membership.Roster
-	view            rosterView
-	start           start
-	local           localState
-	upstream        upstream
-	downstream      downstream
-	root            root
-	regions         regions
-	readerSide      readerSide
-	operators       operators
-	startingPeers   startingPeers
-	leaving         bool
+	calls         callTable
+	self          protocol.Member
+	roster        *membership.Roster
+	view          rosterView
+	start         start
+	local         localState
+	upstream      upstream
+	downstream    downstream
+	root          root
+	regions       regions
+	readerSide    readerSide
+	operators     operators
+	startingPeers startingPeers
+	leaving       bool
+	// publishedAt is when PublishMembers was last emitted; publishedCursor is the
+	// roster's cursor at that time.
 	publishedAt     time.Duration
 	publishedCursor membership.Cursor
 	// lastSweep is when sweep last ran.
 	lastSweep time.Duration
 }
 
-// sweepInterval is the time between runs of sweep.
+// sweepInterval is the minimum time between runs of sweep.
 const sweepInterval = time.Second
 
 // publishInterval is the minimum time between publications of member records to the
@@ -141,11 +143,11 @@
 	}
 }
 
-// sweep runs the work that iterates over all members.
+// sweep runs the periodic work that iterates over all children or members.
 func (n *Node) sweep() {
-	n.sweepChildren()
-	n.sweepMembers()
-	n.sweepRegions()
+	n.markAcksChangedOnLeaseExpiry()
+	n.updateSilentMembers()
+	n.addRegionsOfLiveMembers()
 	n.startingPeers.expire(n.now)
 	n.roster.RemoveExpired(n.now)
 }
@@ -184,11 +186,11 @@
 
 // rosterView caches results computed from the whole roster.
 type rosterView struct {
-	tree         *distribution.Tree
-	treeAt       time.Duration
-	treeRevision uint64
-	expected     distribution.ExpectedMembers
-	// expectedRevision is the roster's StructureRevision from which expected was
+	tree            *distribution.Tree
+	treeAt          time.Duration
+	treeRevision    uint64
+	expectedMembers distribution.ExpectedMembers
+	// expectedRevision is the roster's StructureRevision from which expectedMembers was
 	// computed; 0 before the first computation.
 	expectedRevision uint64
 }
@@ -212,10 +214,10 @@
 // always reflects the current roster.
 func (n *Node) expectedMembers() distribution.ExpectedMembers {
 	if n.view.expectedRevision != n.roster.StructureRevision() {
-		n.view.expected = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
+		n.view.expectedMembers = distribution.NewExpectedMembers(n.config.Region, n.roster.All())
 		n.view.expectedRevision = n.roster.StructureRevision()
 	}
-	return n.view.expected
+	return n.view.expectedMembers
 }
 
 // liveInRegion returns the live members of a region.
--- a/internal/core/snapshot/snapshot.go
+++ b/internal/core/snapshot/snapshot.go
@@ -30,8 +30,8 @@
 	Routes []resource.Route
 	// Encoded are the encoded resources, sorted by key.
 	Encoded []resource.Encoded
-	// decoded holds the decoded form of each resource in Encoded, in the same order.
-	decoded []resource.Resource
+	// decodedResources holds the decoded form of each resource in Encoded, in the same order.
+	decodedResources []resource.Resource
 }
 
 // Build decodes the resources and returns the snapshot of the version. It
@@ -50,16 +50,16 @@
 	sorted := slices.Clone(encoded)
 	resource.SortEncoded(sorted)
 	built := &Snapshot{
-		Version:  version,
-		Digest:   DigestOf(sorted),
-		Services: map[resource.ServiceRef]resource.Service{},
-		Backends: map[resource.ServiceRef][]resource.Backend{},
-		Secrets:  map[resource.Key]resource.Secret{},
-		Encoded:  sorted,
-		decoded:  make([]resource.Resource, 0, len(sorted)),
+		Version:          version,
+		Digest:           DigestOf(sorted),
+		Services:         map[resource.ServiceRef]resource.Service{},
+		Backends:         map[resource.ServiceRef][]resource.Backend{},
+		Secrets:          map[resource.Key]resource.Secret{},
+		Encoded:          sorted,
+		decodedResources: make([]resource.Resource, 0, len(sorted)),
 	}
 	decoder := incrementalDecoder{previous: previous}
-	if previous != nil && len(previous.decoded) != len(previous.Encoded) {
+	if previous != nil && len(previous.decodedResources) != len(previous.Encoded) {
 		decoder.previous = nil // not made by Rebuild, so its decoded resources are missing
 	}
 	for _, entry := range sorted {
@@ -67,7 +67,7 @@
 		if err != nil {
 			return nil, errors.Trace(err)
 		}
-		built.decoded = append(built.decoded, decoded)
+		built.decodedResources = append(built.decodedResources, decoded)
 		built.add(decoded)
 	}
 	if err := built.checkReferences(); err != nil {
@@ -80,7 +80,8 @@
 // earlier snapshot.
 type incrementalDecoder struct {
 	previous *Snapshot
-	next     int
+	// nextIndex is the index in previous.Encoded at which the next search starts.
+	nextIndex int
 }
 
 // decode returns the decoded form of a resource, from the earlier snapshot if it is
@@ -89,18 +90,18 @@
 	if d.previous == nil {
 		return resource.Decode(entry)
 	}
-	for d.next < len(d.previous.Encoded) && d.previous.Encoded[d.next].Key.Less(entry.Key) {
-		d.next++
+	for d.nextIndex < len(d.previous.Encoded) && d.previous.Encoded[d.nextIndex].Key.Less(entry.Key) {
+		d.nextIndex++
 	}
-	if d.next == len(d.previous.Encoded) {
+	if d.nextIndex == len(d.previous.Encoded) {
 		return resource.Decode(entry)
 	}
-	candidate := d.previous.Encoded[d.next]
+	candidate := d.previous.Encoded[d.nextIndex]
 	same := candidate.Key == entry.Key && candidate.Digest == entry.Digest && bytes.Equal(candidate.Payload, entry.Payload)
 	if !same {
 		return resource.Decode(entry)
 	}
-	return d.previous.decoded[d.next], nil
+	return d.previous.decodedResources[d.nextIndex], nil
 }
 
 // WithVersion returns a snapshot with the same content at another version. It is used
