--- a/internal/hosted/backendside.go
+++ b/internal/hosted/backendside.go
@@ -23,7 +23,8 @@
 )
 
 // backendMonitor tracks the state of the daemon's own back end from its reports and its answers to
-// probes, and reports the state to the gate and to the mesh.
+// probes, and reports the state to the gate and to the mesh. A start of the back end is one run of its
+// process (protocol.BackendStart).
 type backendMonitor struct {
 	config       backendMonitorConfig
 	events       eventLog
@@ -41,23 +42,23 @@
 	announceToMesh func(backend.View)
 	context        context.Context
 	running        sync.WaitGroup
-	// refusalLogRate limits the log lines on refused reports.
 	refusalLogRate *logging.Rate
 
 	mutex   sync.Mutex
 	tracker *backend.Tracker
-	// publishedView is the view that was last reported to the gate and the mesh, without ColdUntil.
+	// publishedView is the view that was last reported to the gate and the mesh. Its ColdUntil is 0,
+	// because a change of ColdUntil alone is not announced to the mesh.
 	publishedView backend.View
 	probing       bool
 	// possiblyColdSince is the time on the clock since which the back end may have become cold
-	// unnoticed. Answers to earlier probes say nothing about the warm-up.
+	// unnoticed. Answers to probes that were sent before that time do not show its warm-up state.
 	possiblyColdSince time.Duration
 	// reportedCold is the warm-up state that was last reported to the gate.
 	reportedCold coldState
 	// stopping is set when the daemon stops: from then on the gate, which is closing, is
 	// not opened again.
 	stopping bool
-	// evacuating is set while the zone is evacuated, and after that until the back end accepts calls
+	// evacuating is set while the zone is evacuated, and afterwards until the back end accepts calls
 	// again.
 	evacuating bool
 }
@@ -69,9 +70,9 @@
 	// healthPath returns the path for probes from the configuration; empty while no
 	// configuration is in force.
 	healthPath func() string
-	// hasJoinedMesh reports whether the daemon has received from peers what an earlier
-	// start of it has acknowledged, and the evacuation orders, or has waited for both long
-	// enough. The back end is not probed before.
+	// hasJoinedMesh reports whether the daemon has received the records of its peers, which may
+	// contain a drain that an earlier start of the daemon acknowledged, and the evacuation orders,
+	// or has waited long enough for each of them. The back end is not probed before that.
 	hasJoinedMesh func() bool
 	// warmUpTime returns how long back ends of the service are cold after a start; 0 while
 	// no configuration is in force.
@@ -128,18 +129,18 @@
 	b.publishView()
 }
 
-// recordFailure records a failed call of a start of the back end. succeeded is the total count
-// of successful calls so far.
-func (b *backendMonitor) recordFailure(start protocol.BackendStart, succeeded uint64) {
+// recordFailure records that a call to the given start of the back end failed. successCount is the
+// number of successful calls so far.
+func (b *backendMonitor) recordFailure(start protocol.BackendStart, successCount uint64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.tracker.RecordFailure(b.clock(), start, succeeded) {
+	if b.tracker.RecordFailure(b.clock(), start, successCount) {
 		b.publishView()
 	}
 }
 
-// restoreDraining marks a start of the back end as draining. A peer has reported that an earlier
-// start of this daemon had acknowledged the drain. It does not block.
+// restoreDraining marks a start of the back end as draining. It is called when a peer's record shows
+// that an earlier start of this daemon had acknowledged the drain. It does not block.
 func (b *backendMonitor) restoreDraining(start protocol.BackendStart) {
 	b.running.Add(1)
 	go func() {
@@ -207,8 +208,8 @@
 }
 
 // endEvacuation runs onEvacuationEnd when the back end is about to accept calls again after an
-// evacuation. It returns the view to publish: the hook may have changed it, since it may assume
-// the back end to be cold. The lock is held.
+// evacuation. It returns the view to publish, which onEvacuationEnd may have changed by assuming the
+// back end to be cold. The lock is held.
 func (b *backendMonitor) endEvacuation(view backend.View) backend.View {
 	b.evacuating = false
 	if b.config.onEvacuationEnd == nil {
--- a/internal/hosted/broadcasting.go
+++ b/internal/hosted/broadcasting.go
@@ -105,7 +105,7 @@
 
 // recordsToRelay returns the records of a push that the relay broadcasts: the sender's own
 // record, unless a newer one is known, and the changed records. The sender sends its own
-// record only once, so it is broadcast even if it has already arrived by another way.
+// record only once, so it is broadcast even if it has already arrived on another path.
 // The lock is held.
 func (m *mesh) recordsToRelay(request *protocol.ExchangeRequest, changed []protocol.Member) []protocol.Member {
 	own := lo.Filter(request.Members, func(member protocol.Member, _ int) bool {
--- a/internal/hosted/configuration.go
+++ b/internal/hosted/configuration.go
@@ -34,7 +34,7 @@
 	applySnapshot func(*snapshot.Snapshot)
 	applyLimits   func(authority.RequestLimits)
 	// announceVersion sends the version in force to peers, whose watches may have missed it
-	// too. polled is set if a poll read it from the store. It must not block.
+	// too. polled is set if a poll read the version from the store. It must not block.
 	announceVersion func(polled bool)
 	fetchFromPeer   func(context.Context, protocol.NodeID, protocol.Version) authority.Document
 	context         context.Context
@@ -245,7 +245,7 @@
 	return reading
 }
 
-// readCurrent reads the configuration that the store holds now.
+// readCurrent reads the configuration from the store without waiting for a change.
 func (c *configurationFollower) readCurrent(purpose storePurpose, freshness authority.Freshness) authority.Reading {
 	reading, _ := readStore(c.reads, c.context, purpose, storeReadTimeout, func(ctx context.Context) (authority.Reading, error) {
 		reading := c.source.Read(ctx, freshness)
@@ -319,7 +319,7 @@
 		field("source", action.Source), field("routes", strconv.Itoa(len(decoded.Routes))))
 }
 
-// logFaults logs each part of an accepted version that daemons cannot apply.
+// logFaults logs the faults of an accepted version: the parts of it that daemons cannot apply.
 func (c *configurationFollower) logFaults(version protocol.Version, faults []error) {
 	for _, fault := range faults {
 		c.events.event("configuration_fault", field("version", formatVersion(version)),
--- a/internal/hosted/connections.go
+++ b/internal/hosted/connections.go
@@ -16,8 +16,9 @@
 	// minSilence is the minimum time to wait for an answer on a connection before the call is also
 	// made over a new one: longer than a busy daemon or store usually takes.
 	minSilence = 200 * time.Millisecond
-	// maxSilence is the maximum of that time, however slow recent answers were. With it, a version
-	// that a daemon learns of only by a comparison is still in force within the required time.
+	// maxSilence is the maximum time to wait, however slow recent answers were. It is short enough
+	// that a version of which a daemon learns only by a comparison is in force within the required
+	// time.
 	maxSilence = 700 * time.Millisecond
 )
 
@@ -47,7 +48,7 @@
 
 	mutex     sync.Mutex
 	scheduler renewal.Scheduler
-	// epoch is cancelled by endEpoch when the pending watches are to be restarted.
+	// epoch is the context of the pending watches; endEpoch cancels it to restart them.
 	epoch    context.Context
 	endEpoch func()
 }
@@ -89,8 +90,8 @@
 	c.events.event("connections_renewed")
 }
 
-// renewAfterMissedChange replaces the connections to the store and restarts all watches, because a
-// watch pending for the time waited has not reported a change that a poll or a peer has.
+// renewAfterMissedChange replaces the connections to the store and restarts all watches, because the
+// watch that has been pending for the time waited missed a change that a poll or a peer reported.
 func (c *connectionRenewer) renewAfterMissedChange(waited time.Duration) {
 	c.replaceStoreConnections()
 	c.mutex.Lock()
@@ -112,7 +113,7 @@
 	c.epoch, c.endEpoch = context.WithCancel(c.context)
 }
 
-// contextUntilRenewal returns a context that ends with parent or with the present epoch. renewed
+// contextUntilRenewal returns a context that ends with parent or with the current epoch. renewed
 // reports whether the epoch has ended and parent has not. cancel releases the context.
 func (c *connectionRenewer) contextUntilRenewal(parent context.Context) (ctx context.Context, renewed func() bool, cancel func()) {
 	c.mutex.Lock()
--- a/internal/hosted/contact.go
+++ b/internal/hosted/contact.go
@@ -28,7 +28,8 @@
 // contactTimes holds the time of the last contact with each source. It is safe for concurrent use.
 type contactTimes struct {
 	clock func() time.Duration
-	// contactedAt is the time on the clock, in nanoseconds; 0 if there was no contact.
+	// contactedAt holds, by source, the clock's time of the last contact in nanoseconds; 0 if there
+	// was none.
 	contactedAt [contactSourceCount]atomic.Int64
 }
 
--- a/internal/hosted/daemon.go
+++ b/internal/hosted/daemon.go
@@ -136,7 +136,8 @@
 // verifyPeer checks whether a daemon is reachable after its gate stopped answering calls.
 func (d *Daemon) verifyPeer(node protocol.NodeID) { d.mesh.verifyReachable(node) }
 
-// announceHarmful sends new records of harmful requests to other daemons.
+// announceHarmful schedules a broadcast of the new records of harmful requests to all daemons, without
+// a delay if urgent is set.
 func (d *Daemon) announceHarmful(urgent bool) { d.mesh.scheduleHarmfulBroadcast(urgent) }
 
 // storeHeldRequest writes the record of a held request to the store.
@@ -144,8 +145,8 @@
 
 func (d *Daemon) reportUnreachable(start protocol.BackendStart) { d.backend.markUnreachable(start) }
 
-func (d *Daemon) reportFailed(start protocol.BackendStart, succeeded uint64) {
-	d.backend.recordFailure(start, succeeded)
+func (d *Daemon) reportFailed(start protocol.BackendStart, successCount uint64) {
+	d.backend.recordFailure(start, successCount)
 }
 
 func (d *Daemon) logDataPathEvent(event proxy.Event) {
@@ -204,7 +205,8 @@
 	return report
 }
 
-// serviceRef returns the reference to the service with the given name on the platform.
+// serviceRef returns the reference to a service that is defined by the owner of the mesh
+// (authority.Owner) rather than by another partner.
 func serviceRef(name string) resource.ServiceRef {
 	return resource.ServiceRef{Partner: authority.Owner, Name: name}
 }
@@ -219,7 +221,7 @@
 
 func randomNumber() uint64 { return rand.Uint64() }
 
-// listen opens a TCP listener. name is the setting that holds the address, for errors.
+// listen opens a TCP listener. name is the setting that holds the address, for error messages.
 func listen(name, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	return listener, errors.Annotate(err, name)
--- a/internal/hosted/directory.go
+++ b/internal/hosted/directory.go
@@ -37,8 +37,8 @@
 }
 
 // listPeers returns the other known daemons. A daemon that has left stays a peer for
-// leftPeerRetention: most daemons return, and one whose store calls are then refused finds its
-// peers only if they contact it. The lock is held.
+// leftPeerRetention: most daemons that leave start again, and a started daemon whose store calls are
+// refused finds its peers only if they contact it. The lock is held.
 func (m *mesh) listPeers(now time.Duration) []dissemination.Peer {
 	var peers []dissemination.Peer
 	m.roster.Each(func(member protocol.Member) {
--- a/internal/hosted/eras.go
+++ b/internal/hosted/eras.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// advance stores an era if it is later than the known one, and reports whether that is a rise. The
-// first known era is no rise.
+// advance stores an era if it is later than the known one, and reports whether the era has risen.
+// Learning the first era does not count as a rise.
 func (e *eraTracker) advance(era uint64, source string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/hosted/evacuationreader.go
+++ b/internal/hosted/evacuationreader.go
@@ -15,16 +15,18 @@
 const evacuationPurpose = "evacuation"
 
 // maxStartOrderWait is the maximum time for which a starting daemon waits for the orders before it
-// reports itself ready without them, however long the bound for orders is. While the store is down
-// nothing may be able to provide them, and callers wait.
+// reports itself ready without them, even if the bound for orders is longer. While the store is down,
+// possibly no peer can provide the orders, and callers wait.
 const maxStartOrderWait = 5 * time.Second
 
 // evacuationReader reads the operator's evacuation orders from the store: by a watch if this daemon
 // is one of the few watchers, and by a list call if the newest known reading is too old. Each
 // reading is sent to all daemons, so that they need not read the orders themselves.
 type evacuationReader struct {
-	mesh     *mesh
-	store    authority.Evacuations
+	mesh  *mesh
+	store authority.Evacuations
+	// timing.Within is the bound for orders: the maximum time from an order to the last call sent to
+	// its zone; 0 if evacuation is disabled.
 	timing   evacuation.Timing
 	follower *orderFollower
 
@@ -61,9 +63,8 @@
 }
 
 // isOrderWaitOver reports whether the daemon knows the orders or has waited for them long enough:
-// for the time within which an order must be in force, or maxStartOrderWait if that is shorter. If
-// neither the store nor a peer answers, the daemon serves calls without the orders. The clock is 0 at
-// the start of the daemon.
+// for the bound for orders, or maxStartOrderWait if that is shorter. If neither the store nor a peer
+// answers, the daemon serves calls without the orders. The clock is 0 at the start of the daemon.
 func (r *evacuationReader) isOrderWaitOver() bool {
 	m := r.mesh
 	m.mutex.Lock()
@@ -76,11 +77,11 @@
 func (r *evacuationReader) refreshOrders() {
 	failures := 0
 	for {
-		consecutive, running := r.awaitRefreshDue(randomNumber())
+		alreadyDue, running := r.awaitRefreshDue(randomNumber())
 		if !running {
 			return
 		}
-		if failures = r.readCountingFailures(failures, consecutive); failures == 0 {
+		if failures = r.readCountingFailures(failures, alreadyDue); failures == 0 {
 			continue
 		}
 		r.compareWithRandomPeer()
@@ -90,14 +91,14 @@
 	}
 }
 
-// awaitRefreshDue waits until the newest known reading is too old. atOnce is true if it already was
-// at the call, so that no newer reading has been received since the last attempt. running is false
-// if the daemon ends.
-func (r *evacuationReader) awaitRefreshDue(random uint64) (atOnce, running bool) {
-	for atOnce = true; ; atOnce = false {
+// awaitRefreshDue waits until the newest known reading is too old. alreadyDue is true if the reading
+// was too old at the call, so no newer one has been received since the last attempt. running is
+// false if the daemon ends.
+func (r *evacuationReader) awaitRefreshDue(random uint64) (alreadyDue, running bool) {
+	for alreadyDue = true; ; alreadyDue = false {
 		wait := r.timeUntilRefresh(random)
 		if wait <= 0 {
-			return atOnce, r.mesh.context.Err() == nil
+			return alreadyDue, r.mesh.context.Err() == nil
 		}
 		if !pause.For(r.mesh.context, wait) {
 			return false, false
@@ -106,20 +107,22 @@
 }
 
 // readCountingFailures reads the orders and returns the new number of consecutive failures, given
-// the previous one. consecutive is false if a newer reading was received from a peer since the last
-// attempt. Earlier failures then do not count, since the store has answered in the meantime.
-func (r *evacuationReader) readCountingFailures(failures int, consecutive bool) int {
+// the previous one. alreadyDue is the result of awaitRefreshDue. If it is false, a newer reading was
+// received from a peer since the last attempt. Earlier failures then do not count, since the store
+// has answered in the meantime.
+func (r *evacuationReader) readCountingFailures(failures int, alreadyDue bool) int {
 	_, err := r.readAndShare()
 	switch {
 	case err == nil:
 		return 0
-	case consecutive:
+	case alreadyDue:
 		return failures + 1
 	}
 	return 1
 }
 
-// timeUntilRefresh returns the time until the newest known reading is too old; not positive if it is.
+// timeUntilRefresh returns the time until the newest known reading is too old; 0 or negative if it
+// already is.
 func (r *evacuationReader) timeUntilRefresh(random uint64) time.Duration {
 	m := r.mesh
 	m.mutex.Lock()
@@ -180,8 +183,8 @@
 	return orders.At, nil
 }
 
-// lostOrderGrace is the time after a restoration of the store from an older copy for which orders that
-// the store has lost by it stay in force, so that the operator can issue them again.
+// If a restoration of the store from an older copy has lost orders, they stay in force for
+// lostOrderGrace, so that the operator can issue them again.
 const lostOrderGrace = 5 * time.Second
 
 // withLostOrders returns orders just read, extended by the known ones that the store may have lost if
@@ -210,7 +213,7 @@
 	return listed.orders, listed.faults, err
 }
 
-// knownPosition returns the position of the known orders.
+// knownPosition returns the store position of the newest orders that this daemon knows.
 func (r *evacuationReader) knownPosition() authority.Position {
 	r.mesh.mutex.Lock()
 	defer r.mesh.mutex.Unlock()
@@ -248,8 +251,8 @@
 	r.faults = faults
 }
 
-// orderFault returns the fault of the order for a zone, or nil. It knows faults in the text of an
-// order only from readings of this daemon.
+// orderFault returns the fault of the order for a zone, or nil. Faults in the text of an order are
+// known only from this daemon's own readings.
 func (r *evacuationReader) orderFault(zone evacuatedZone) error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/hosted/evacuations_test.go
+++ b/internal/hosted/evacuations_test.go
@@ -21,7 +21,7 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// testOrderBound is the time within which orders must be in force in these tests.
+// testOrderBound is the bound for orders (evacuation.Timing.Within) in these tests.
 const testOrderBound = 5 * time.Second
 
 // zoneBackend monitors a back end whose zone is evacuated and used again.
@@ -88,8 +88,8 @@
 	check.Equal(zone.evacuationEnds, 0)
 }
 
-// The hook also runs for a back end that was down at the end of the evacuation, once it accepts calls
-// again: it may have become cold meanwhile.
+// onEvacuationEnd is also called for a back end that was down at the end of the evacuation, once it
+// accepts calls again: it may have become cold in the meantime.
 func TestEvacuationEndHookRunsForABackEndThatWasDown(t *testing.T) {
 	check := is.New(t)
 	zone := newZoneBackend()
@@ -102,7 +102,7 @@
 	check.Equal(zone.evacuationEnds, 1)
 }
 
-// Without the hook the back end accepts calls after the evacuation as before.
+// If onEvacuationEnd is nil, the back end also accepts calls again after the evacuation.
 func TestEvacuationEndsWithoutAHook(t *testing.T) {
 	check := is.New(t)
 	zone := newZoneBackend()
@@ -217,8 +217,8 @@
 	check.Equal(m.evacuations.Orders().Zones, []string{"z2"})
 }
 
-// If the store returns a position before the known one, as a restored store may, it is listed again only
-// after a delay: each list costs it a call.
+// If the store returns a position before the known one, as a restored store may, the orders are listed
+// again only after a delay, because each list is a call to the store.
 func TestStoreAtAnEarlierPositionIsNotListedAgainAtOnce(t *testing.T) {
 	check := is.New(t)
 	m := newEvacuationMeshWith() // without peers
@@ -238,8 +238,8 @@
 	check.Equal(m.evacuations.Orders().Zones, []string{"z2"})
 }
 
-// If a peer sends newer orders during a list, the list does not fail: the store's position has not gone
-// back.
+// A list whose result is older than orders that a peer sent during the call does not fail: its
+// position is compared with the one known before the call.
 func TestListOlderThanAPeerReadingIsNoFailure(t *testing.T) {
 	check := is.New(t)
 	m := newEvacuationMesh()
@@ -280,8 +280,8 @@
 	check.Equal(m.store.listCount, 2) // the newest reading is no longer fresh
 }
 
-// A daemon that starts while the store is down becomes ready after maxStartOrderWait, however long the
-// bound for orders is.
+// A daemon that starts while the store is down becomes ready after maxStartOrderWait, even if the bound
+// for orders is longer.
 func TestLongBoundDoesNotDelayReadiness(t *testing.T) {
 	check := is.New(t)
 	m := newEvacuationMesh()
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -32,7 +32,8 @@
 
 func field(key, value string) eventField { return eventField{key: key, value: value} }
 
-// bornField returns the field with the start time of a back-end instance, which tells its starts apart.
+// startTimeField returns the field with the start time of a back end, which distinguishes instances
+// of the same name.
 func startTimeField(born int64) eventField { return field("born", strconv.FormatInt(born, 10)) }
 
 // eventLog writes events with the daemon's node ID, at a limited rate.
@@ -56,6 +57,7 @@
 	}
 }
 
+// write writes an event regardless of the rate limit.
 func (l eventLog) write(name string, fields []eventField) {
 	values := make(log.Fields, len(fields)+1)
 	values["node"] = l.node
--- a/internal/hosted/faults.go
+++ b/internal/hosted/faults.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// maxLoggedFaults bounds the number of faults that are logged and remembered. Further ones are not
+// maxLoggedFaults limits the number of faults that are logged and remembered. Further faults are not
 // logged.
 const maxLoggedFaults = 256
 
--- a/internal/hosted/harmful.go
+++ b/internal/hosted/harmful.go
@@ -17,12 +17,12 @@
 	maxHarmfulDelay       = 50 * time.Millisecond
 )
 
-// harmfulRequests holds the data path's records of requests that may end the back ends that run
-// them.
+// harmfulRequests is the part of the data path that holds the records of requests that may crash the
+// back ends that run them.
 type harmfulRequests interface {
-	// MergeHarmful merges a peer's records, and returns how many were invalid. New records are
-	// sent on to all daemons if pass is set.
-	MergeHarmful(records []quarantine.Record, pass bool) (refused int)
+	// MergeHarmful merges records from a peer or the store, and returns how many were invalid. New
+	// records are sent on to all daemons if forward is set.
+	MergeHarmful(records []quarantine.Record, forward bool) (refused int)
 	// HarmfulRecords returns all records, UnsentHarmful those that have not been sent to other
 	// daemons, which it then marks as sent.
 	HarmfulRecords() []quarantine.Record
@@ -62,13 +62,14 @@
 	}
 }
 
-// mergeHarmful merges records of harmful requests that a peer sent, and logs if some are invalid.
-// New records are sent on to all daemons if pass is set.
-func (m *mesh) mergeHarmful(from string, records []quarantine.Record, pass bool) {
+// mergeHarmful merges records of harmful requests received from a peer or read from the store, and
+// logs if some are invalid; from names the peer or the store in the log. New records are sent on to
+// all daemons if forward is set.
+func (m *mesh) mergeHarmful(from string, records []quarantine.Record, forward bool) {
 	if len(records) == 0 {
 		return
 	}
-	if refused := m.harmful.MergeHarmful(records, pass); refused > 0 {
+	if refused := m.harmful.MergeHarmful(records, forward); refused > 0 {
 		m.events.event("harmful_refused", field("peer", from), field("records", formatCount(uint64(refused))))
 	}
 }
--- a/internal/hosted/heldrequests.go
+++ b/internal/hosted/heldrequests.go
@@ -48,7 +48,7 @@
 	records := make([]quarantine.Record, 0, len(entries))
 	for _, entry := range entries {
 		record := entry.Record
-		// With a clock that is behind, an end seems more recent than it is, but never in the future.
+		// If this machine's clock is behind, EndedAt may be in the future; it then counts as now.
 		record.Age = max(time.Since(entry.EndedAt), 0)
 		if record.Age > quarantine.MaxRecordAge {
 			m.removeHeldRequest(record.Signature)
@@ -69,8 +69,8 @@
 	m.putHeldRequest(authority.HeldRequest{Record: record, EndedAt: time.Now().Add(-record.Age)})
 }
 
-// putHeldRequest writes an entry to the store and retries until the store acknowledges it; it does
-// not block.
+// putHeldRequest writes an entry to the store and retries until the store acknowledges the write; it
+// does not block.
 func (m *mesh) putHeldRequest(entry authority.HeldRequest) {
 	m.running.Add(1)
 	go func() {
@@ -89,7 +89,7 @@
 }
 
 // storedRequest is a held request that is in the store as far as this daemon knows, and the latest
-// era in which it was known to be there.
+// era in which the store was known to contain it.
 type storedRequest struct {
 	request authority.HeldRequest
 	seenEra uint64
@@ -139,8 +139,9 @@
 	removedHere bool
 }
 
-// signaturesToCheck returns the requests that this daemon looks for in the store: those that are
-// there as far as it knows, and those that a delayed call to the store may still write or remove.
+// signaturesToCheck returns the signatures of the requests that this daemon looks for in the store:
+// those that are there as far as it knows, and those that a delayed call to the store may still write
+// or remove.
 func (m *mesh) signaturesToCheck() []quarantine.Signature {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -204,8 +205,8 @@
 	}), answered
 }
 
-// reconcileHeldRequest compares the quarantine state of one request with whether the store has its
-// entry, as read in an era, and corrects the one that is out of date.
+// reconcileHeldRequest compares the quarantine state of one request with the store, and corrects the
+// one that is out of date. isStored reports whether a list of the given era contains the request.
 func (m *mesh) reconcileHeldRequest(signature quarantine.Signature, isStored bool, era uint64) {
 	trusted := m.harmful.HarmfulState(signature) == quarantine.Trusted
 	entry, lost := m.findLostRequest(signature, era)
--- a/internal/hosted/hosted_test.go
+++ b/internal/hosted/hosted_test.go
@@ -161,7 +161,7 @@
 	return protocol.Member{ID: id, Zone: zone, Incarnation: 1, Sequence: 1, State: protocol.MemberAlive}
 }
 
-func TestPollersAreFirstAnsweringDaemonsOfZone(t *testing.T) {
+func TestPollersAreFirstReachableDaemonsOfZone(t *testing.T) {
 	check := is.New(t)
 	polls := func(mesh *mesh) bool {
 		role, _ := mesh.currentPollRole()
--- a/internal/hosted/latewrites_test.go
+++ b/internal/hosted/latewrites_test.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// newHeldRequestMesh returns a mesh that has written a held request, its store and data path, which
-// the test changes, and the request's signature.
+// newHeldRequestMesh returns a mesh that has written a held request, the store and the data path of the
+// mesh, which the test changes, and the request's signature.
 func newHeldRequestMesh(t *testing.T, now *time.Duration) (*mesh, currentHeldStore, *fakeHarmfulRequests, quarantine.Signature) {
 	signature := testSignature("one")
 	store := currentHeldStore{signature: true}
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// graceParts is the number of equal parts of the platform's grace period. Calls may run in
-	// all parts but the last, in which they are cancelled and connections are closed.
+	// graceParts is the number of equal parts of the platform's grace period. Calls may run
+	// until drainMargin after the start of the last part. Then they are cancelled and connections are
+	// closed.
 	graceParts = 6
-	// drainMargin is how far into the last part calls may still run.
+	// drainMargin is how long calls may still run in the last part of the grace period.
 	drainMargin = 100 * time.Millisecond
 	// maxDrainLinger is the longest time for which callers are served after the daemon has
 	// reported itself not ready, which is enough for two readiness checks.
@@ -31,8 +32,8 @@
 	// dialTimeout limits the time to connect to a gate or back end. This takes one round trip; if
 	// there is no response, time must be left for another attempt.
 	dialTimeout = 150 * time.Millisecond
-	// maxDialTimeout limits it instead while peers take longer to answer, as when uploads fill a
-	// slow link.
+	// maxDialTimeout is the maximum of the connect timeout, which is raised above dialTimeout while
+	// peers take longer to answer, as when uploads fill a slow link.
 	maxDialTimeout = 600 * time.Millisecond
 	// collectBytes is the size up to which an answer is read completely before it is sent on. A
 	// typical answer fits.
@@ -40,12 +41,13 @@
 	// replayBytes is the number of bytes of a request's body that are kept for another attempt. A
 	// typical upload fits.
 	replayBytes = 512 << 10
-	// maxStartWait is the time after its start during which a daemon lets calls wait that it can't
-	// send yet. If the store and peers are available, it has routes and endpoints within half a
+	// For maxStartWait after its start, a daemon lets calls wait for which it has no route or
+	// endpoint yet. If the store and peers are available, it has routes and endpoints within half a
 	// second. If it has none after maxStartWait, it is unlikely to get them before a call's
 	// deadline.
 	maxStartWait = 2 * time.Second
-	// maxQueueWait limits the expected wait at the gate; a call's deadline may end it earlier.
+	// maxQueueWait is the longest expected wait at the gate with which a call is still queued; with a
+	// longer one it is refused. A queued call also leaves the queue at its deadline.
 	maxQueueWait = 2 * time.Second
 	// cancelGrace is how long after its deadline a call may still run at a back end. The back end
 	// receives the deadline and stops at it, but a busy machine may notice it late.
--- a/internal/hosted/mesh.go
+++ b/internal/hosted/mesh.go
@@ -29,15 +29,15 @@
 	// the store does not answer.
 	comparisonInterval       = time.Second
 	urgentComparisonInterval = 300 * time.Millisecond
-	// otherZoneRounds is the number of rounds of comparisons of which one may include a peer of
-	// another zone.
+	// otherZoneRounds is the interval, in rounds of comparisons, between two rounds that may include
+	// a peer of another zone.
 	otherZoneRounds = 2
 	// maxJoinWait is how long a starting daemon waits for the records of a peer before it joins
 	// without them.
 	maxJoinWait = 1500 * time.Millisecond
-	// registryLag is the maximum age of a list of the registry (seed_lag_s of the sites). A daemon
-	// that has registered lists again after this time, so that daemons that start together find
-	// each other.
+	// registryLag is the maximum age of the contents of a list of the registry (seed_lag_s of the
+	// sites). A daemon that has registered lists again after this time, so that daemons that start
+	// together find each other.
 	registryLag = 3 * time.Second
 	// leftPeerRetention is how long a daemon that has left is still kept as a peer.
 	leftPeerRetention = time.Minute
@@ -54,8 +54,8 @@
 	registry   authority.Registry
 	storeCalls *storeCalls
 	contacts   *contactTimes
-	// reads makes the calls to the store that are answered at once, connections the watches, which
-	// wait for a change.
+	// reads makes the calls to the store that are answered at once. connections restarts watches,
+	// which wait for a change, when connections are renewed.
 	reads       *hedgedReads
 	connections *connectionRenewer
 	eras        *eraTracker
@@ -74,7 +74,7 @@
 	absentHeld map[quarantine.Signature]absentRequest
 	// rollouts are the known roll-out orders; guarded by mutex.
 	rollouts *rolloutTable
-	// evacuations are the orders to empty zones; guarded by mutex. onZoneChange is called with the
+	// evacuations are the orders to evacuate zones; guarded by mutex. onZoneChange is called with the
 	// lock held when they change; it must not call the mesh.
 	evacuations  evacuation.Table
 	onZoneChange func()
@@ -231,8 +231,8 @@
 	}
 }
 
-// callPeer sends one request to a peer and applies what the reply contains, except for its member
-// records; nil means that there was no valid answer.
+// callPeer sends one request to a peer and applies the contents of the reply except for its member
+// records. It returns nil if there was no valid answer.
 func (m *mesh) callPeer(target dissemination.Peer, request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	ctx, cancel := context.WithTimeout(m.context, controlTimeout)
 	defer cancel()
--- a/internal/hosted/ordereras_test.go
+++ b/internal/hosted/ordereras_test.go
@@ -31,7 +31,8 @@
 	return nil, authority.Position{}, s.blockWatch(ctx, from)
 }
 
-// silentEvacuationStore is the same for evacuation orders.
+// silentEvacuationStore is a store of evacuation orders whose watches also return nothing until they
+// are cancelled.
 type silentEvacuationStore struct{ silentRolloutStore }
 
 func (s *silentEvacuationStore) List(context.Context) (evacuation.Orders, map[string]error, error) {
--- a/internal/hosted/orderfollower.go
+++ b/internal/hosted/orderfollower.go
@@ -13,12 +13,13 @@
 	// follow orders.
 	followerCheckInterval = time.Second
 	// orderWatchWait is how long the store may keep a watch of orders open without a change. It is
-	// the longest that the store allows, to save calls.
+	// the longest time that the store allows, to save calls.
 	orderWatchWait = 30 * time.Second
 	// orderRelistInterval is the time between two lists while the store has no orders.
 	orderRelistInterval = 2 * time.Second
 	// followerStartDelay is how long after its start a daemon that knows no order waits before it
-	// may follow orders. By then it knows the other daemons; until then it ranks itself too high.
+	// may follow orders. By then it knows the other daemons; before that, it would compute a rank
+	// for itself that is too close to 0, the first.
 	followerStartDelay = 5 * time.Second
 )
 
@@ -30,8 +31,8 @@
 	purpose string
 	// followerCount is the number of daemons that follow these orders.
 	followerCount int
-	// list reads all orders and puts them in force. It returns the position after them, or the
-	// start of the era if the store has none.
+	// list reads all orders and puts them in force. It returns the position from which to watch for
+	// changes, or the start of the era if the store has no orders.
 	list func() (authority.Position, error)
 	// watch waits for changes after a position and puts them in force.
 	watch func(from authority.Position) (authority.Position, error)
