--- a/internal/hosted/broadcasting.go
+++ b/internal/hosted/broadcasting.go
@@ -96,23 +96,23 @@
 func (m *mesh) handlePush(request *protocol.ExchangeRequest) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	changed := m.mergeMembers(request.Members)
+	newRecords := m.mergeMembers(request.Members)
 	if request.Relay {
-		m.scheduleBroadcast(memberIDs(m.recordsToRelay(request, changed))...)
+		m.scheduleBroadcast(memberIDs(m.recordsToRelay(request, newRecords))...)
 	}
 	m.forwardPush(request)
 }
 
 // recordsToRelay returns the records of a push that the relay broadcasts: the sender's own
-// record, unless a newer one is known, and the changed records. The sender sends its own
+// record, unless a newer one is known, and the new records. The sender sends its own
 // record only once, so it is broadcast even if it has already arrived on another path.
 // The lock is held.
-func (m *mesh) recordsToRelay(request *protocol.ExchangeRequest, changed []protocol.Member) []protocol.Member {
-	own := lo.Filter(request.Members, func(member protocol.Member, _ int) bool {
+func (m *mesh) recordsToRelay(request *protocol.ExchangeRequest, newRecords []protocol.Member) []protocol.Member {
+	senderRecord := lo.Filter(request.Members, func(member protocol.Member, _ int) bool {
 		current, found := m.roster.Get(member.ID)
 		return member.ID == request.From && found && !membership.Newer(current, member)
 	})
-	return append(own, changed...)
+	return append(senderRecord, newRecords...)
 }
 
 // forwardPush forwards a push to the daemons listed in it; the lock is held.
@@ -120,9 +120,9 @@
 	targets := lo.Map(request.Forward, func(destination protocol.Destination, _ int) dissemination.Peer {
 		return dissemination.Peer{ID: destination.ID, Address: destination.Address, Zone: m.self.Zone, Region: m.self.Region}
 	})
-	forwarded := m.newPushRequest(request.Members)
-	forwarded.Harmful = request.Harmful
-	m.sendAlongTree(targets, forwarded)
+	push := m.newPushRequest(request.Members)
+	push.Harmful = request.Harmful
+	m.sendAlongTree(targets, push)
 }
 
 // sendAlongTree sends a push to all reachable targets along a forwarding tree; the lock is held.
--- a/internal/hosted/comparing.go
+++ b/internal/hosted/comparing.go
@@ -74,13 +74,13 @@
 }
 
 // mergeCompared merges records received in a comparison with a daemon of the given zone.
-// Changes received from another zone are broadcast in the own zone.
+// New records from another zone are broadcast in the own zone.
 func (m *mesh) mergeCompared(fromZone string, members []protocol.Member) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	changed := m.mergeMembers(members)
-	if len(changed) > 0 && fromZone != m.self.Zone {
-		m.broadcastInOwnZone(changed)
+	newRecords := m.mergeMembers(members)
+	if len(newRecords) > 0 && fromZone != m.self.Zone {
+		m.broadcastInOwnZone(newRecords)
 	}
 }
 
--- a/internal/hosted/configuration.go
+++ b/internal/hosted/configuration.go
@@ -44,8 +44,9 @@
 	packedReply     protocol.DocumentReply
 	currentSnapshot atomic.Pointer[snapshot.Snapshot]
 	running         sync.WaitGroup
-	mutex           sync.Mutex
-	follower        *following.Follower
+	// mutex guards follower, adoptedAt, adoptedFrom, watchStartedAt and storeUnavailable.
+	mutex    sync.Mutex
+	follower *following.Follower
 	// calls counts the calls to the store. reads makes the read calls and hedges them over new
 	// connections; connections restarts watches when connections are renewed.
 	calls       *storeCalls
@@ -275,8 +276,9 @@
 	return append(fields, c.contacts.ageFields()...)
 }
 
-// updateStoreAvailability logs when the store becomes unavailable and available again. An answer that
-// the history for a watch is gone (PlatformCompacted) counts as available. The lock is held.
+// updateStoreAvailability records whether the store is available, and logs each change. It is also
+// available if it answers that it no longer has the history from the position of a watch
+// (PlatformCompacted). The lock is held.
 func (c *configurationFollower) updateStoreAvailability(reading authority.Reading) {
 	unavailable := reading.Code != result.OK && reading.Code != result.PlatformCompacted
 	if unavailable == c.storeUnavailable {
@@ -296,11 +298,11 @@
 	document := action.Document
 	decoded, err := c.source.Decode(document)
 	if err == nil {
-		var adopted *snapshot.Snapshot
-		if adopted, err = snapshot.FromDecoded(decoded.Version, decoded.Services, decoded.Routes); err == nil {
+		var newSnapshot *snapshot.Snapshot
+		if newSnapshot, err = snapshot.FromDecoded(decoded.Version, decoded.Services, decoded.Routes); err == nil {
 			c.applyLimits(decoded.Limits)
-			c.applySnapshot(adopted)
-			c.currentSnapshot.Store(adopted)
+			c.applySnapshot(newSnapshot)
+			c.currentSnapshot.Store(newSnapshot)
 			c.inForce.Store(&document)
 			c.adoptedAt = c.clock()
 			c.adoptedFrom = action.Source
--- a/internal/hosted/evacuationreader.go
+++ b/internal/hosted/evacuationreader.go
@@ -166,13 +166,13 @@
 // position of the store at the read.
 func (r *evacuationReader) readAndShare() (authority.Position, error) {
 	m := r.mesh
-	startedAt, known := m.clock(), r.knownPosition()
+	startedAt, knownAtStart := m.clock(), r.knownPosition()
 	orders, faults, err := r.listOrders()
 	if err != nil {
 		return authority.Position{}, err
 	}
-	if orders.At.Before(known) {
-		return authority.Position{}, result.New(result.PlatformUnknown, "store returned position %s, which is before the known position %s", orders.At, known)
+	if orders.At.Before(knownAtStart) {
+		return authority.Position{}, result.New(result.PlatformUnknown, "store returned position %s, which is before the known position %s", orders.At, knownAtStart)
 	}
 	r.logNewFaults(faults)
 	m.mutex.Lock()
@@ -205,12 +205,12 @@
 	}
 	m := r.mesh
 	timeout := min(storeReadTimeout, r.timing.Within/2)
-	listed, err := readStore(m.reads, m.context, purposeEvacuation, timeout, func(ctx context.Context) (listing, error) {
+	reading, err := readStore(m.reads, m.context, purposeEvacuation, timeout, func(ctx context.Context) (listing, error) {
 		orders, faults, err := r.store.List(ctx)
 		orders.At = m.eras.withEra(orders.At)
 		return listing{orders, faults}, err
 	})
-	return listed.orders, listed.faults, err
+	return reading.orders, reading.faults, err
 }
 
 // knownPosition returns the store position of the newest orders that this daemon knows.
@@ -228,13 +228,13 @@
 		at      authority.Position
 	}
 	m := r.mesh
-	observed, err := watchAcrossRenewals(m.connections, m.context, from, orderWatchWait+watchTimeoutMargin, func(ctx context.Context) (change, error) {
+	watchResult, err := watchAcrossRenewals(m.connections, m.context, from, orderWatchWait+watchTimeoutMargin, func(ctx context.Context) (change, error) {
 		changed, at, err := r.store.Watch(ctx, from, orderWatchWait)
 		m.storeCalls.recordError(purposeEvacuation, err)
 		return change{changed, m.eras.withEra(at)}, err
 	})
-	if err != nil || !observed.changed {
-		return observed.at, err
+	if err != nil || !watchResult.changed {
+		return watchResult.at, err
 	}
 	return r.readAndShare()
 }
--- a/internal/hosted/evacuations.go
+++ b/internal/hosted/evacuations.go
@@ -44,14 +44,14 @@
 	}
 	m.publishAll()
 	m.onZoneChange()
-	issued, withdrawn := lo.Difference(received.Orders.AllZones(), previous.AllZones())
-	for _, zone := range issued {
+	issuedZones, withdrawnZones := lo.Difference(received.Orders.AllZones(), previous.AllZones())
+	for _, zone := range issuedZones {
 		m.events.event("evacuation_heard", m.evacuationFields(zone, source)...)
 		if m.isJoined() && m.countDaemons(zone) == 0 {
 			m.logFaultyEvacuation(zone, unknownZoneError(zone))
 		}
 	}
-	for _, zone := range withdrawn {
+	for _, zone := range withdrawnZones {
 		m.events.event("evacuation_withdrawn", m.evacuationFields(zone, source)...)
 	}
 }
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -100,28 +100,28 @@
 // logSummaries periodically logs the counts of requests and of calls to the store, routes that allow
 // regions without daemons, and the number of dropped log lines, until the context ends.
 func (d *Daemon) logSummaries(ctx context.Context) {
-	var last proxy.Counters
+	var lastCounters proxy.Counters
 	var regions regionCheck
-	dropped := uint64(0)
+	droppedBefore := uint64(0)
 	for pause.For(ctx, summaryInterval) {
-		current := d.dataPath.Counters()
-		if current.CallerCalls != last.CallerCalls || current.GateCalls != last.GateCalls {
+		counters := d.dataPath.Counters()
+		if counters.CallerCalls != lastCounters.CallerCalls || counters.GateCalls != lastCounters.GateCalls {
 			d.events.event("requests_summary",
-				field("callers", formatCount(current.CallerCalls-last.CallerCalls)),
-				field("gate", formatCount(current.GateCalls-last.GateCalls)),
-				field("attempts", formatCount(current.Attempts-last.Attempts)),
-				field("retries", formatCount(current.Retries-last.Retries)),
-				field("cut", formatCount(current.Aborted-last.Aborted)),
-				field("running", strconv.Itoa(current.GateRunning)),
-				field("queued", strconv.Itoa(current.GateQueued)),
+				field("callers", formatCount(counters.CallerCalls-lastCounters.CallerCalls)),
+				field("gate", formatCount(counters.GateCalls-lastCounters.GateCalls)),
+				field("attempts", formatCount(counters.Attempts-lastCounters.Attempts)),
+				field("retries", formatCount(counters.Retries-lastCounters.Retries)),
+				field("cut", formatCount(counters.Aborted-lastCounters.Aborted)),
+				field("running", strconv.Itoa(counters.GateRunning)),
+				field("queued", strconv.Itoa(counters.GateQueued)),
 				field("version", formatVersion(d.configuration.version())))
 		}
-		last = current
+		lastCounters = counters
 		d.logStoreSummary()
 		regions.logUnknownRegions(d.configuration.currentSnapshot.Load(), d.mesh.knownRegions(), d.events)
-		if total := d.linesDropped(); total != dropped {
-			d.events.event("log_lines_dropped", field("lines", formatCount(total-dropped)))
-			dropped = total
+		if total := d.linesDropped(); total != droppedBefore {
+			d.events.event("log_lines_dropped", field("lines", formatCount(total-droppedBefore)))
+			droppedBefore = total
 		}
 	}
 }
@@ -129,17 +129,17 @@
 // logStoreSummary logs the number of calls to the store since the start, by purpose, and
 // the number of those that failed.
 func (d *Daemon) logStoreSummary() {
-	totals := map[storePurpose]uint64{}
-	failed := uint64(0)
+	callsByPurpose := map[storePurpose]uint64{}
+	failedCalls := uint64(0)
 	for kind, calls := range d.storeCalls.snapshot() {
-		totals[kind.purpose] += calls
+		callsByPurpose[kind.purpose] += calls
 		if kind.code != result.OK {
-			failed += calls
+			failedCalls += calls
 		}
 	}
-	fields := []eventField{field("failed", formatCount(failed))}
+	fields := []eventField{field("failed", formatCount(failedCalls))}
 	for _, purpose := range storePurposes {
-		fields = append(fields, field(string(purpose), formatCount(totals[purpose])))
+		fields = append(fields, field(string(purpose), formatCount(callsByPurpose[purpose])))
 	}
 	d.events.event("store_summary", fields...)
 }
--- a/internal/hosted/hosted_test.go
+++ b/internal/hosted/hosted_test.go
@@ -171,7 +171,7 @@
 	check.True(polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"))))
 	check.True(!polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"), aliveMember("d", "z1"))))
 	fourZones := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
-	check.True(!polls(fourZones)) // the zone has one poller, which is a
+	check.True(!polls(fourZones)) // the only poller of the zone is a
 	fourZones.lostPeers["a"] = true
 	check.True(polls(fourZones))
 }
--- a/internal/hosted/limits.go
+++ b/internal/hosted/limits.go
@@ -20,9 +20,9 @@
 	// reported itself not ready, which is enough for two readiness checks.
 	maxDrainLinger = 2500 * time.Millisecond
 	// stopAnnounceLead is how long before its gate closes a stopping daemon announces to its peers
-	// that it accepts no more calls: longer than a relay may delay a broadcast
-	// (minBroadcastInterval) and a peer its view (minPublishInterval), and as much again for
-	// transmission.
+	// that it accepts no more calls: longer than the delays of the broadcast at a relay
+	// (minBroadcastInterval) and of the view at a peer (minPublishInterval) together, and as much
+	// again for transmission.
 	stopAnnounceLead = 700 * time.Millisecond
 	// callerIdleTimeout is how long an idle connection of a caller is kept. It is longer than the
 	// time announced to callers, so that they close first.
