--- a/internal/hosted/configuration.go
+++ b/internal/hosted/configuration.go
@@ -34,7 +34,7 @@
 	applySnapshot func(*snapshot.Snapshot)
 	applyLimits   func(authority.RequestLimits)
 	// announceVersion sends the version in force to peers, whose watches may have missed it
-	// too. polled is set if a poll read it from the store. It must not block.
+	// too. polled is set if a poll read the version from the store. It must not block.
 	announceVersion func(polled bool)
 	fetchFromPeer   func(context.Context, protocol.NodeID, protocol.Version) authority.Document
 	context         context.Context
@@ -44,8 +44,9 @@
 	packedReply     protocol.DocumentReply
 	currentSnapshot atomic.Pointer[snapshot.Snapshot]
 	running         sync.WaitGroup
-	mutex           sync.Mutex
-	follower        *following.Follower
+	// mutex guards follower, adoptedAt, adoptedFrom, watchStartedAt and storeUnavailable.
+	mutex    sync.Mutex
+	follower *following.Follower
 	// calls counts the calls to the store. reads makes the read calls and hedges them over new
 	// connections; connections restarts watches when connections are renewed.
 	calls       *storeCalls
@@ -245,7 +246,7 @@
 	return reading
 }
 
-// readCurrent reads the configuration that the store holds now.
+// readCurrent reads the configuration from the store without waiting for a change.
 func (c *configurationFollower) readCurrent(purpose storePurpose, freshness authority.Freshness) authority.Reading {
 	reading, _ := readStore(c.reads, c.context, purpose, storeReadTimeout, func(ctx context.Context) (authority.Reading, error) {
 		reading := c.source.Read(ctx, freshness)
@@ -275,8 +276,9 @@
 	return append(fields, c.contacts.ageFields()...)
 }
 
-// updateStoreAvailability logs when the store becomes unavailable and available again. An answer that
-// the history for a watch is gone (PlatformCompacted) counts as available. The lock is held.
+// updateStoreAvailability records whether the store is available, and logs each change. It is also
+// available if it answers that it no longer has the history from the position of a watch
+// (PlatformCompacted). The lock is held.
 func (c *configurationFollower) updateStoreAvailability(reading authority.Reading) {
 	unavailable := reading.Code != result.OK && reading.Code != result.PlatformCompacted
 	if unavailable == c.storeUnavailable {
@@ -296,11 +298,11 @@
 	document := action.Document
 	decoded, err := c.source.Decode(document)
 	if err == nil {
-		var adopted *snapshot.Snapshot
-		if adopted, err = snapshot.FromDecoded(decoded.Version, decoded.Services, decoded.Routes); err == nil {
+		var newSnapshot *snapshot.Snapshot
+		if newSnapshot, err = snapshot.FromDecoded(decoded.Version, decoded.Services, decoded.Routes); err == nil {
 			c.applyLimits(decoded.Limits)
-			c.applySnapshot(adopted)
-			c.currentSnapshot.Store(adopted)
+			c.applySnapshot(newSnapshot)
+			c.currentSnapshot.Store(newSnapshot)
 			c.inForce.Store(&document)
 			c.adoptedAt = c.clock()
 			c.adoptedFrom = action.Source
@@ -319,7 +321,7 @@
 		field("source", action.Source), field("routes", strconv.Itoa(len(decoded.Routes))))
 }
 
-// logFaults logs each part of an accepted version that daemons cannot apply.
+// logFaults logs the faults of an accepted version: the parts of it that daemons cannot apply.
 func (c *configurationFollower) logFaults(version protocol.Version, faults []error) {
 	for _, fault := range faults {
 		c.events.event("configuration_fault", field("version", formatVersion(version)),
--- a/internal/hosted/hosted_test.go
+++ b/internal/hosted/hosted_test.go
@@ -161,7 +161,7 @@
 	return protocol.Member{ID: id, Zone: zone, Incarnation: 1, Sequence: 1, State: protocol.MemberAlive}
 }
 
-func TestPollersAreFirstAnsweringDaemonsOfZone(t *testing.T) {
+func TestPollersAreFirstReachableDaemonsOfZone(t *testing.T) {
 	check := is.New(t)
 	polls := func(mesh *mesh) bool {
 		role, _ := mesh.currentPollRole()
@@ -171,7 +171,7 @@
 	check.True(polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"))))
 	check.True(!polls(newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z1"), aliveMember("c", "z1"), aliveMember("d", "z1"))))
 	fourZones := newTestMesh("z1", aliveMember("a", "z1"), aliveMember("b", "z2"), aliveMember("c", "z3"), aliveMember("d", "z4"))
-	check.True(!polls(fourZones)) // the zone has one poller, which is a
+	check.True(!polls(fourZones)) // the only poller of the zone is a
 	fourZones.lostPeers["a"] = true
 	check.True(polls(fourZones))
 }
