--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -29,7 +29,8 @@
 	return nil, result.New(result.UnknownFormat, "%T is not answered by a hosted daemon", body)
 }
 
-// handleExchangeRequest merges what a peer has sent and returns what the peer lacks.
+// handleExchangeRequest merges the records and orders that a peer has sent, and returns those that
+// the peer lacks.
 func (m *mesh) handleExchangeRequest(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	m.eras.observe(request.Era, string(request.From))
 	if request.Unregistered {
@@ -50,8 +51,9 @@
 	return reply
 }
 
-// buildExchangeReply returns what a peer lacks. It must be called before the peer's own records are
-// merged, so that a restarted peer receives the record that its earlier run announced.
+// buildExchangeReply returns the records and orders that a peer lacks. It must be called before the
+// peer's own records are merged, so that a restarted peer receives the record that its earlier start
+// announced.
 func (m *mesh) buildExchangeReply(request *protocol.ExchangeRequest) *protocol.ExchangeReply {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -72,8 +74,8 @@
 	return reply
 }
 
-// fetchDocument requests a document newer than a version from a peer. The returned document has no
-// version if there is none, or if the peer did not answer.
+// fetchDocument requests from a peer a document newer than the version have. It returns an empty
+// document if the peer has none, does not answer, or sends one that can't be unpacked.
 func (m *mesh) fetchDocument(ctx context.Context, id protocol.NodeID, have protocol.Version) authority.Document {
 	m.mutex.Lock()
 	target, found := m.peerDirectory().Find(id)
@@ -97,5 +99,5 @@
 	return document
 }
 
-// documentTimeout limits the time of a request for a document.
+// documentTimeout limits the time of a request to a peer for a configuration document.
 const documentTimeout = 2 * controlTimeout
--- a/internal/hosted/poll.go
+++ b/internal/hosted/poll.go
@@ -22,8 +22,8 @@
 	pollInterval = 800 * time.Millisecond
 )
 
-// pollLoop polls the store while this daemon is a poller of its zone or a substitute, and less often
-// while the store fails.
+// pollLoop polls the store while this daemon is a poller of its zone or a substitute. After each poll
+// that the store does not answer, the wait before the next one doubles up to a limit.
 func (m *mesh) pollLoop() {
 	wait := pollInterval
 	for m.awaitPoll(wait*3/4 + time.Duration(randomNumber()%uint64(wait/2))) {
@@ -60,8 +60,8 @@
 	maxSubstituteTries = 3
 )
 
-// awaitPoll waits for a time, or until another daemon requests a poll; false means that this daemon
-// ends.
+// awaitPoll waits for the given time, or until another daemon requests a poll. It returns false if
+// this daemon is stopping.
 func (m *mesh) awaitPoll(wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -75,7 +75,7 @@
 
 // pollInRole polls the store in a role, and reports whether the store answered. If it does not
 // answer a poller within substituteDelay, another daemon of the zone is requested to poll, because
-// the store may answer that one.
+// the store may answer that daemon.
 func (m *mesh) pollInRole(role pollRole) bool {
 	result := make(chan bool, 1)
 	m.running.Go(func() {
@@ -101,7 +101,7 @@
 }
 
 // requestSubstitutePoll requests the substitute candidates to poll, one after the other, until one
-// does.
+// accepts the request.
 func (m *mesh) requestSubstitutePoll() {
 	for _, candidate := range m.substituteCandidates() {
 		m.mutex.Lock()
@@ -136,8 +136,8 @@
 	m.lastPollAt = m.clock()
 }
 
-// acceptPollRequest makes this daemon poll as a substitute, and reports whether it does. It does not
-// while the store fails to answer this daemon too.
+// acceptPollRequest makes this daemon poll as a substitute and returns true. It returns false without
+// effect while the store does not answer this daemon either.
 func (m *mesh) acceptPollRequest() bool {
 	storeUnavailable := m.isStoreUnavailable()
 	m.mutex.Lock()
@@ -180,14 +180,14 @@
 }
 
 // announceTargetCount is the number of daemons of the own zone that are notified of a version that
-// watches may have missed. Each that adopts it notifies as many, so that in a large zone all but one
-// in 150 are notified; comparisons reach the rest.
+// watches may have missed. Each daemon that adopts the version notifies as many others. In a large
+// zone this misses about one daemon in 150, which receives the version when it compares records.
 const announceTargetCount = 5
 
-// announceVersion notifies some peers of the own zone of the version in force here. It also notifies
-// one peer of each other zone if polled is set, which means that this daemon read the version from
-// the store itself, and otherwise with a probability at which about one daemon of the zone does so.
-// It does not wait for answers.
+// announceVersion notifies some peers of the own zone of the version in force here. If polled is set,
+// that is, if this daemon read the version from the store itself, it also notifies one peer of each
+// other zone. Otherwise it does so with a probability of 1 divided by the number of daemons of the
+// zone, so that on average one of them does. It does not wait for answers.
 func (m *mesh) announceVersion(polled bool) {
 	m.running.Add(1)
 	go func() {
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -51,8 +51,8 @@
 // an older copy. era is 0 if the answer contains no readable era; fault is then the reason.
 type EraHandler func(era uint64, fault error)
 
-// ReportHandler receives the reports of the daemon's back end. When a method returns, this daemon's
-// gate acts on the report.
+// ReportHandler receives the reports of the daemon's back end. A report has taken effect at this
+// daemon's gate when the method returns.
 type ReportHandler interface {
 	Heartbeat(report backend.Report)
 	// Leave handles the report of an instance that it accepts no more work; Born is 0 if the
--- a/internal/hosted/probing.go
+++ b/internal/hosted/probing.go
@@ -10,7 +10,8 @@
 const (
 	// probeTimeout limits the time of one probe of the back end.
 	probeTimeout = time.Second
-	// probeRetryInterval is the time between a probe that left a question open and the next one.
+	// probeRetryInterval is the time from the result of a probe to the next probe, if a start or the
+	// warm-up state is still unconfirmed.
 	probeRetryInterval = 300 * time.Millisecond
 	// probeReadyInterval is the time between checks whether the back end may be probed yet.
 	probeReadyInterval = 50 * time.Millisecond
@@ -31,8 +32,8 @@
 	}()
 }
 
-// runProbes sends probes until every report is confirmed and the warm-up is known, at most
-// maxProbesPerReport. Open questions are probed again after the next report.
+// runProbes sends probes until no reported start awaits confirmation and the warm-up state is known,
+// but at most maxProbesPerReport. If these do not suffice, a later report starts new probes.
 func (b *backendMonitor) runProbes() {
 	b.probeUntilConfirmed()
 	b.mutex.Lock()
@@ -58,8 +59,9 @@
 	}
 }
 
-// probeOnce probes the back end once. The gate is notified before, because a probe occupies a slot
-// there, and after, of the number of calls that the back end reports to hold.
+// probeOnce probes the back end once. The gate is notified of the start and the end of the probe,
+// because the probe occupies a slot, and of the number of calls that the back end reports in its
+// answer.
 func (b *backendMonitor) probeOnce(path string) backend.ProbeResult {
 	if b.beginProbe != nil {
 		defer b.beginProbe()()
@@ -79,8 +81,8 @@
 	return b.config.healthPath()
 }
 
-// handleProbe processes the result of a probe sent at a time, and reports whether everything is
-// confirmed.
+// handleProbe processes the result of a probe sent at sentAt, and reports whether no reported start
+// awaits confirmation and the warm-up state is known.
 func (b *backendMonitor) handleProbe(sentAt time.Duration, result backend.ProbeResult) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/hosted/publishing.go
+++ b/internal/hosted/publishing.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// runAfter runs an action with the lock held after a time, unless the daemon ends earlier. It does
-// not block.
+// runAfter runs an action after the given time, with the lock held, unless the daemon stops before.
+// It does not block.
 func (m *mesh) runAfter(wait time.Duration, action func()) {
 	m.running.Add(1)
 	go func() {
--- a/internal/hosted/regions_test.go
+++ b/internal/hosted/regions_test.go
@@ -13,7 +13,8 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// loggedRegions checks versions on a daemon that knows one region, and returns the regions logged.
+// loggedRegions passes the versions to logUnknownRegions, with north as the only known region, and
+// returns the regions that it logs.
 func loggedRegions(versions ...*snapshot.Snapshot) []string {
 	logHandler := memory.New()
 	events := newEventLog(&log.Logger{Handler: logHandler, Level: log.DebugLevel}, "n", func() time.Duration { return 0 })
--- a/internal/hosted/registering.go
+++ b/internal/hosted/registering.go
@@ -41,10 +41,10 @@
 // did not answer.
 const maxLateWriteDelay = 15 * time.Second
 
-// recheckRegistration checks once more that the daemon is registered, when no write of an
-// earlier start of the daemon can take effect any more: the earlier start may have removed the
-// registration, with a call that takes effect, or becomes visible, only after register has
-// read the list.
+// recheckRegistration waits for maxLateWriteDelay and then writes the registration if it is missing.
+// An earlier start of the daemon may have sent a call that removes the registration and takes effect,
+// or becomes visible, only after register has read the list. After maxLateWriteDelay no such call
+// can take effect any more.
 func (m *mesh) recheckRegistration() {
 	if pause.For(m.context, maxLateWriteDelay) {
 		m.retryUntilDone(m.ensureRegistered)
@@ -151,6 +151,7 @@
 // registryBackoff computes the delay between two attempts of a call to the store.
 var registryBackoff = following.DefaultBackoff()
 
+// readRegistry is refreshRegistry with a list that may lag behind the registry.
 func (m *mesh) readRegistry() bool { return m.refreshRegistry(authority.Lagging) }
 
 // refreshRegistry replaces the known registrations by those in the registry, and reports whether
--- a/internal/hosted/restart.go
+++ b/internal/hosted/restart.go
@@ -16,8 +16,8 @@
 }
 
 // isUnawareOfDrain reports whether a restarted daemon does not know that its earlier start
-// acknowledged the drain of the back end. remembered is the record of the earlier start, started
-// that of the new one. A back end that has itself restarted since is not draining.
+// acknowledged the drain of the back end. remembered is the record of the earlier start, and started
+// is the record of the new start. A back end that has itself restarted since is not draining.
 func isUnawareOfDrain(remembered, started protocol.Member) bool {
 	restarted := started.Incarnation > remembered.Incarnation
 	acknowledged := remembered.Backend != "" && remembered.Endpoint == protocol.EndpointDraining
@@ -26,10 +26,9 @@
 	return restarted && acknowledged && !backendRestarted && started.Endpoint != protocol.EndpointDraining
 }
 
-// sendEarlierRecord sends a restarted daemon the record of its earlier start, which says what that
-// start acknowledged. The peer with which the daemon compared records at its start may not have
-// this record, and neither may any other daemon of its zone, so the relays of other zones send it
-// too. The lock is held.
+// sendEarlierRecord sends a restarted daemon the record of its earlier start, which contains the
+// drain that the earlier start acknowledged. Possibly no daemon in the zone of the restarted daemon
+// has this record; therefore the relays of other zones send it too. The lock is held.
 func (m *mesh) sendEarlierRecord(remembered, started protocol.Member) {
 	if started.Zone != m.self.Zone && !m.peerDirectory().IsRelay(m.isLost) {
 		return
--- a/internal/hosted/restart_test.go
+++ b/internal/hosted/restart_test.go
@@ -25,13 +25,14 @@
 	return &protocol.ExchangeReply{}, nil
 }
 
-// A restarted daemon compares records with one peer, which may not know of the drain that the
-// earlier start acknowledged. Peers that know of it must send it.
+// A restarted daemon compares records with one peer, which possibly does not know of the drain that
+// the earlier start acknowledged. Peers that know of the drain must send its record.
 func TestPeerSendsForgottenDrainToRestartedDaemon(t *testing.T) {
 	expectDrainNotice(t, "z1")
 }
 
-// If no daemon of its zone knows of the drain, the relays of other zones must send it.
+// If no daemon in the zone of the restarted daemon knows of the drain, the relays of other zones must
+// send its record.
 func TestRelayOfOtherZoneSendsForgottenDrain(t *testing.T) {
 	expectDrainNotice(t, "z2")
 }
@@ -75,8 +76,9 @@
 	}
 }
 
-// A restarted daemon is aware of the drain if it is draining itself, and need not know of it if its
-// back end is another instance or a later start. A later record of the same start is no restart.
+// A restarted daemon is aware of the drain if its own record is draining. It need not know of the
+// drain if its back end is another instance or a later start. A later record of the same start is no
+// restart.
 func TestIsUnawareOfDrain(t *testing.T) {
 	check := is.New(t)
 	remembered := aliveMember("a", "z1")
@@ -131,7 +133,7 @@
 	own := m.self
 	own.Endpoint = protocol.EndpointDraining
 	m.mergeCompared("z1", []protocol.Member{own})
-	check.Equal(len(resumed), 1) // the daemon's own present record resumes nothing
+	check.Equal(len(resumed), 1) // the record of the daemon's present start resumes no drain
 }
 
 func TestOwnRecordContainsBackendStart(t *testing.T) {
--- a/internal/hosted/rolloutdecider.go
+++ b/internal/hosted/rolloutdecider.go
@@ -29,7 +29,7 @@
 	rebroadcastPeriod = time.Second
 	// maxEvidenceGates bounds the gates of each version that are queried for their counts. After
 	// the canary stage it does not apply to the stable version: the decider waits for the last
-	// calls at all of its gates.
+	// calls at all gates of that version.
 	maxEvidenceGates = 12
 	// deciderPurpose is the name of the ranking that selects the deciders.
 	deciderPurpose = "rollout"
@@ -56,7 +56,7 @@
 	broadcastAt time.Duration
 	// pendingSince is the time since which the decided stage has differed from the one in the
 	// store; 0 if they are the same.
-	pendingSince time.Duration
+	stageUnwrittenSince time.Duration
 	// faultLogged is set once the order's fault has been logged.
 	faultLogged bool
 }
@@ -135,29 +135,29 @@
 }
 
 // rewriteLostOutcome writes the outcome of an order again after the store has lost it, once the
-// loss has been known for minPending.
-func (d *rolloutDecider) rewriteLostOutcome(record rollout.Record, minPending time.Duration) {
+// loss has been known for minUnwrittenTime.
+func (d *rolloutDecider) rewriteLostOutcome(record rollout.Record, minUnwrittenTime time.Duration) {
 	d.mutex.Lock()
 	followed, now := d.orders[record.Service], d.mesh.clock()
 	if followed == nil || recordOf(followed.order).Generation != record.Generation || followed.order.Status.Stage == record.Stage {
 		d.mutex.Unlock()
 		return
 	}
-	if followed.pendingSince == 0 {
-		followed.pendingSince = now
+	if followed.stageUnwrittenSince == 0 {
+		followed.stageUnwrittenSince = now
 	}
-	order, due := followed.order, now-followed.pendingSince >= minPending
+	order, due := followed.order, now-followed.stageUnwrittenSince >= minUnwrittenTime
 	d.mutex.Unlock()
 	if due {
 		d.writeStatus(order, record, rollout.Decision{Stage: record.Stage, Reason: "the store has lost the outcome"})
 	}
 }
 
-// step makes one step of the decision on an order. It returns the decision, the order as it was
-// last read from the store, and whether the decision is due to be written over it: whether the
-// decided stage has differed from the stored one for minPending.
+// step makes one step of the decision on an order. It returns the decision and the order as it was
+// last read from the store. due reports whether the decision must now be written to the store,
+// because the decided stage has differed from the stored one for minUnwrittenTime.
 func (d *rolloutDecider) step(
-	record rollout.Record, elapsed time.Duration, observation rollout.Observation, minPending time.Duration,
+	record rollout.Record, elapsed time.Duration, observation rollout.Observation, minUnwrittenTime time.Duration,
 ) (decision rollout.Decision, order authority.RolloutOrder, due bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -166,21 +166,21 @@
 	d.rebroadcast(followed, record, now)
 	decision = followed.decider.Step(now, record, elapsed, observation)
 	if decision.Stage == record.Stage && followed.order.Status.Stage == record.Stage {
-		followed.pendingSince = 0
+		followed.stageUnwrittenSince = 0
 		return decision, followed.order, false
 	}
-	if followed.pendingSince == 0 {
-		followed.pendingSince = now
+	if followed.stageUnwrittenSince == 0 {
+		followed.stageUnwrittenSince = now
 	}
 	if decision.Stage == rollout.StageHalted {
-		d.halt(record, decision.Reason) // before the write: fewer calls to the target need no agreement
+		d.halt(record, decision.Reason) // before the write, because a halt needs no agreement with other deciders
 		decision.Stage = rollout.StageRolledBack
 	}
-	return decision, followed.order, now-followed.pendingSince >= minPending
+	return decision, followed.order, now-followed.stageUnwrittenSince >= minUnwrittenTime
 }
 
-// rebroadcast broadcasts the order again every rebroadcastPeriod while its stage is urgent. The
-// decider's lock is held.
+// rebroadcast broadcasts the known orders again every rebroadcastPeriod while the stage of the given
+// order is urgent. The decider's lock is held.
 func (d *rolloutDecider) rebroadcast(followed *followedOrder, record rollout.Record, now time.Duration) {
 	if !record.Stage.IsUrgent() || now-followed.broadcastAt < rebroadcastPeriod {
 		return
@@ -205,10 +205,10 @@
 	}
 }
 
-// writeStatus writes the decided stage to the store over an order as it was read and, on success,
-// broadcasts it to all daemons. After a failure, such as a conflict with another decider's write,
-// it reads the orders again. No lock is held during the call, because a slow store would otherwise
-// delay other orders and incoming changes.
+// writeStatus writes the decided stage to the store, which accepts it only if the order is unchanged
+// since it was read. On success it broadcasts the order to all daemons. After a failure, such as a
+// conflict with another decider's write, it reads the orders again. No lock is held during the call,
+// because a slow store would otherwise delay other orders and incoming changes.
 func (d *rolloutDecider) writeStatus(order authority.RolloutOrder, record rollout.Record, decision rollout.Decision) {
 	if d.mesh.eras.hasEnded(order.At) {
 		d.reread() // in the new era the store may use the same revision for another change
@@ -227,7 +227,7 @@
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.orders[record.Service].pendingSince = 0
+	d.orders[record.Service].stageUnwrittenSince = 0
 	written.At = d.mesh.eras.withEra(written.At)
 	d.handleOrder(written)
 }
@@ -235,6 +235,6 @@
 // reread lists the orders after a write that failed or was not answered: the store may have
 // carried it out.
 func (d *rolloutDecider) reread() {
-	orders, _ := d.listLogged() // after a failure, the watch or the next write returns the orders
+	orders, _ := d.listOrLogFailure() // after a failure, the watch or the next write returns the orders
 	d.handleOrders(orders)
 }
--- a/internal/hosted/rolloutdecider_test.go
+++ b/internal/hosted/rolloutdecider_test.go
@@ -57,7 +57,8 @@
 }
 
 // deciderStep is one event: a decider reads the orders (stage 0), or decides on a stage and writes it
-// over the order that it knows; or, with losesAnswer, the store loses its next answer.
+// over the order that it knows; or, if losesAnswer is set, the answer of the store to its next write is
+// lost.
 type deciderStep struct {
 	decider     int
 	stage       rollout.Stage
@@ -123,8 +124,8 @@
 	return !t.store.outcomeReplaced
 }
 
-// Checks all sequences of reads, decisions, conflicts and lost answers up to a given length: two
-// deciders must never write contradicting outcomes or know another outcome than the store.
+// Checks all sequences of reads, decisions, conflicts and lost answers of a given length: two deciders
+// must never write contradicting outcomes, or know an outcome that differs from the stored one.
 func TestTwoDecidersNeverWriteContradictingOutcomes(t *testing.T) {
 	check := is.New(t)
 	const depth = 5
--- a/internal/hosted/rolloutevidence.go
+++ b/internal/hosted/rolloutevidence.go
@@ -10,7 +10,7 @@
 )
 
 // collectEvidence queries gates of both versions for their counts and adds them up. It ignores the
-// counts of a gate whose back end has changed its version since.
+// counts of a gate whose reply shows that its back end has changed to or from the target version.
 func (d *rolloutDecider) collectEvidence(record rollout.Record, target, stable []rolloutGate) rollout.Observation {
 	observation := rollout.Observation{
 		Stable: rollout.Evidence{}, Target: rollout.Evidence{},
--- a/internal/hosted/rolloutorders.go
+++ b/internal/hosted/rolloutorders.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// readAndMerge reads all orders, for a daemon that must know whether a version has one, and reports
-// whether the store answered. It does not broadcast them, because each daemon that must know reads
-// them itself.
+// readAndMerge reads and merges all orders, so that the daemon knows whether a version that it holds
+// back has an order. It reports whether the store answered. It does not broadcast the orders, because
+// each daemon that holds back a version reads them itself.
 func (d *rolloutDecider) readAndMerge() bool {
-	orders, answered := d.listLogged()
+	orders, answered := d.listOrLogFailure()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, order := range orders {
@@ -35,7 +35,7 @@
 
 // listLogged lists all orders, logs a failure, and reports whether the store answered. It is used
 // when the orders are needed before the watch returns them.
-func (d *rolloutDecider) listLogged() (orders []authority.RolloutOrder, answered bool) {
+func (d *rolloutDecider) listOrLogFailure() (orders []authority.RolloutOrder, answered bool) {
 	orders, _, err := d.list()
 	if err != nil {
 		d.mesh.events.event("rollout_unread", field("code", formatCode(codeOf(err))), field("error", err.Error()))
@@ -69,6 +69,8 @@
 	return orderListing{orders, d.mesh.eras.withEra(at)}
 }
 
+// watch waits for changes of the orders after a position, handles the changed orders, and returns the
+// position after them.
 func (d *rolloutDecider) watch(from authority.Position) (authority.Position, error) {
 	m := d.mesh
 	changes, err := watchAcrossRenewals(m.connections, m.context, from, orderWatchWait+watchTimeoutMargin, func(ctx context.Context) (orderListing, error) {
@@ -80,7 +82,7 @@
 	return changes.at, err
 }
 
-// handleOrders handles orders read from the store.
+// handleOrders merges orders read from the store, and broadcasts those that have changed.
 func (d *rolloutDecider) handleOrders(orders []authority.RolloutOrder) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -15,7 +15,8 @@
 	// is for the calls that they receive after a halt, until all daemons know of it.
 	canaryExposureShare = 0.7
 	// completedSplitTime is how long back ends of other versions receive no calls after the
-	// completion of an order. They stop in this time; the order does not affect later ones.
+	// completion of an order. These back ends stop within this time; the order does not affect
+	// back ends that start later.
 	completedSplitTime = 10 * time.Second
 )
 
@@ -39,8 +40,8 @@
 func (t *rolloutTable) records(now time.Duration) []rollout.Record { return t.orders.Records(now) }
 
 // versionSplits returns how the calls of each service are split among its versions. A version that
-// was first seen recently is held back until the daemon knows whether it has an order. The lock is
-// held.
+// was first seen recently is held back until the daemon knows whether that version has an order.
+// The lock is held.
 func (m *mesh) versionSplits(members []protocol.Member) proxy.VersionSplits {
 	if m.rollouts.exposureShare == 0 {
 		return nil
@@ -48,7 +49,7 @@
 	now := m.clock()
 	splits := proxy.VersionSplits{}
 	m.rollouts.versions.record(now, members)
-	for service, software := range m.rollouts.versions.heldBack(now) {
+	for service, software := range m.rollouts.versions.heldBackVersions(now) {
 		splits[service] = proxy.VersionSplit{Target: software, Stage: rollout.StageHeld}
 	}
 	if len(splits) > 0 {
@@ -104,7 +105,8 @@
 }
 
 // broadcastOrders sends all known orders of every kind to all daemons, along a tree in each zone.
-// Daemons that it misses receive them when they compare records with a peer. The lock is held.
+// Daemons that the broadcast misses receive the orders when they compare records with a peer. The
+// lock is held.
 func (m *mesh) broadcastOrders() {
 	request := m.newPushRequest(nil)
 	directory := m.peerDirectory()
--- a/internal/hosted/rollouts_test.go
+++ b/internal/hosted/rollouts_test.go
@@ -42,15 +42,15 @@
 	tracker := newVersionTracker()
 	app := serviceRef("app")
 	tracker.record(time.Minute, []protocol.Member{readyMember("v1")})
-	check.Equal(len(tracker.heldBack(time.Minute)), 0)
+	check.Equal(len(tracker.heldBackVersions(time.Minute)), 0)
 	tracker.record(2*time.Minute, []protocol.Member{readyMember("v1"), readyMember("v2")})
-	check.Equal(tracker.heldBack(2 * time.Minute)[app], "v2")
+	check.Equal(tracker.heldBackVersions(2 * time.Minute)[app], "v2")
 	tracker.recordOrdersRead(2*time.Minute + maxOrderDelay - time.Millisecond) // too early: its order may still be written
-	check.Equal(tracker.heldBack(2*time.Minute + maxOrderDelay)[app], "v2")
+	check.Equal(tracker.heldBackVersions(2*time.Minute + maxOrderDelay)[app], "v2")
 	check.Equal(tracker.ordersReadDelay(2*time.Minute+time.Second), maxOrderDelay-time.Second)
-	check.Equal(len(tracker.heldBack(2*time.Minute+maxHoldBackTime)), 0)
+	check.Equal(len(tracker.heldBackVersions(2*time.Minute+maxHoldBackTime)), 0)
 	tracker.recordOrdersRead(2*time.Minute + maxOrderDelay)
-	check.Equal(len(tracker.heldBack(2*time.Minute+maxOrderDelay)), 0)
+	check.Equal(len(tracker.heldBackVersions(2*time.Minute+maxOrderDelay)), 0)
 }
 
 // A daemon that starts while a service runs several versions considers the most frequent one to be
@@ -59,11 +59,11 @@
 	check := is.New(t)
 	tracker := newVersionTracker()
 	tracker.record(0, []protocol.Member{readyMember("v2"), readyMember("v1"), readyMember("v1")})
-	check.Equal(tracker.heldBack(0)[serviceRef("app")], "v2")
+	check.Equal(tracker.heldBackVersions(0)[serviceRef("app")], "v2")
 	check.Equal(tracker.ordersReadDelay(0), time.Duration(0))
 	tied := newVersionTracker()
 	tied.record(0, []protocol.Member{readyMember("v2"), readyMember("v1")})
-	check.Equal(tied.heldBack(0)[serviceRef("app")], "v2")
+	check.Equal(tied.heldBackVersions(0)[serviceRef("app")], "v2")
 }
 
 // A completed order no longer affects the traffic after completedSplitTime.
--- a/internal/hosted/storereads.go
+++ b/internal/hosted/storereads.go
@@ -18,10 +18,10 @@
 	// calls counts the calls; the two attempts of a hedged read count as two.
 	calls *storeCalls
 	// renewConnections makes later calls to the store use new connections. It is nil if the
-	// platform cannot tell connections apart; reads are not hedged then.
+	// platform's adapter can't do so; reads are then not hedged.
 	renewConnections func()
-	// onDeadConnection is called when a connection was found dead, with a time at which it was
-	// already open.
+	// onDeadConnection is called when a connection was found dead. opened is a time at which the
+	// connection was already open.
 	onDeadConnection func(opened time.Duration)
 	// answerTimes estimates how long the store takes to answer.
 	answerTimes roundtrip.Estimator
@@ -98,8 +98,8 @@
 }
 
 // awaitEitherRead waits for the first answer of two calls, and reports whether it is that of the
-// second call. If the second call fails, it waits for the first one, because the failure says
-// nothing about that.
+// second call. If the second call fails, it waits for the first one, because the failure of the
+// second says nothing about the first.
 func awaitEitherRead[Value any](first, second <-chan storeAnswer[Value]) (answer storeAnswer[Value], bySecond bool) {
 	select {
 	case answer = <-first:
--- a/internal/hosted/storereads_test.go
+++ b/internal/hosted/storereads_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// While the store answers no calls, a read makes only one call.
+// After a read that the store did not answer, the next read makes only one call.
 func TestReadIsNotHedgedWhileStoreFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		check := is.New(t)
--- a/internal/hosted/verify.go
+++ b/internal/hosted/verify.go
@@ -31,8 +31,8 @@
 	// stalled.
 	maxVerifyTries = 3
 	// verifyRetryDelay is the time between two checks of an unreachable daemon, and
-	// verifyRetryPeriod how long they go on. After that only the regular comparisons of
-	// records contact it.
+	// verifyRetryPeriod is how long they go on. After that only the regular comparisons of
+	// records contact the daemon.
 	verifyRetryDelay  = 300 * time.Millisecond
 	verifyRetryPeriod = 30 * time.Second
 )
@@ -63,9 +63,9 @@
 	}()
 }
 
-// verifyUntilAnswered acts in two steps. After the first unanswered check, new calls go to other
-// daemons, which does no harm if the daemon was only stalled for a moment. After the second one,
-// the calls under way are also sent to other daemons.
+// verifyUntilAnswered checks a daemon and acts on missing answers in two steps. After the first
+// unanswered check, new calls go to other daemons, which does no harm if the daemon was only stalled
+// for a moment. After the second one, the calls under way are also sent to other daemons.
 func (m *mesh) verifyUntilAnswered(target dissemination.Peer) {
 	if m.isReachable(target) || m.context.Err() != nil {
 		return
--- a/internal/hosted/versiontracker.go
+++ b/internal/hosted/versiontracker.go
@@ -20,8 +20,8 @@
 	maxHoldBackTime = 10 * time.Second
 	// ordersReadRetryDelay is the delay before the orders are read again after a failure.
 	ordersReadRetryDelay = 500 * time.Millisecond
-	// maxVersionsPerService bounds the versions of a service that are remembered as seen. No
-	// service uses more at a time.
+	// maxVersionsPerService limits how many versions of a service are remembered. When the limit
+	// is reached, the version that was seen first is forgotten.
 	maxVersionsPerService = 16
 )
 
@@ -32,10 +32,10 @@
 type versionTracker struct {
 	// firstSeen holds the time at which each version of a service was first seen.
 	firstSeen map[resource.ServiceRef]map[string]time.Duration
-	// ordersReadAt is the time at which the last successful read of the orders began; ordersRead
+	// ordersReadAt is the time at which the last successful read of the orders began; hasReadOrders
 	// is false before the first one.
-	ordersReadAt time.Duration
-	ordersRead   bool
+	ordersReadAt  time.Duration
+	hasReadOrders bool
 }
 
 func newVersionTracker() *versionTracker {
@@ -115,12 +115,13 @@
 	delete(versions, oldest)
 }
 
-// heldBack returns the services with a version that is held back now, and that version.
-func (t *versionTracker) heldBack(now time.Duration) map[resource.ServiceRef]string {
+// heldBackVersions returns the services with a version that is held back now, and that version. If a
+// service has several such versions, it returns any one of them.
+func (t *versionTracker) heldBackVersions(now time.Duration) map[resource.ServiceRef]string {
 	held := map[resource.ServiceRef]string{}
 	for service, versions := range t.firstSeen {
 		for software, seenAt := range versions {
-			orderKnown := t.ordersRead && t.ordersReadAt >= seenAt+maxOrderDelay
+			orderKnown := t.hasReadOrders && t.ordersReadAt >= seenAt+maxOrderDelay
 			if !orderKnown && now < seenAt+maxHoldBackTime {
 				held[service] = software
 			}
@@ -132,28 +133,30 @@
 // recordOrdersRead records a successful read of the orders that began at a given time.
 func (t *versionTracker) recordOrdersRead(at time.Duration) {
 	t.ordersReadAt = max(t.ordersReadAt, at)
-	t.ordersRead = true
+	t.hasReadOrders = true
 }
 
 // ordersReadDelay returns the time to wait before the orders are read for versions that are held
 // back: until maxOrderDelay has passed since the newest version was first seen. A daemon that has
-// not read the orders since its start reads them at once, because they may be older than the daemon.
+// not read the orders since its start reads them at once, because they may have been written before
+// the daemon started.
 func (t *versionTracker) ordersReadDelay(now time.Duration) time.Duration {
-	if !t.ordersRead {
+	if !t.hasReadOrders {
 		return 0
 	}
-	latest := time.Duration(0)
+	lastOrderTime := time.Duration(0)
 	for _, versions := range t.firstSeen {
 		for _, seenAt := range versions {
-			latest = max(latest, seenAt+maxOrderDelay)
+			lastOrderTime = max(lastOrderTime, seenAt+maxOrderDelay)
 		}
 	}
-	return max(latest-now, 0)
+	return max(lastOrderTime-now, 0)
 }
 
 // startOrdersReads starts to read the orders from the store until no version is held back any more,
 // unless such reads are already running. Each daemon needs one or two calls for a new version,
-// whether it sees that early or late, and none while versions stay the same. The lock is held.
+// whether it sees that version early or late, and none while versions stay the same. The lock is
+// held.
 func (m *mesh) startOrdersReads() {
 	if m.rollouts.readingOrders || m.listRolloutOrders == nil {
 		return
@@ -166,12 +169,14 @@
 	}()
 }
 
+// readOrdersWhileHeldBack runs the reads of startOrdersReads. It holds the lock except while it waits
+// and reads.
 func (m *mesh) readOrdersWhileHeldBack() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	defer func() { m.rollouts.readingOrders = false }()
 	tracker := m.rollouts.versions
-	for delay := tracker.ordersReadDelay(m.clock()); len(tracker.heldBack(m.clock())) > 0; {
+	for delay := tracker.ordersReadDelay(m.clock()); len(tracker.heldBackVersions(m.clock())) > 0; {
 		m.mutex.Unlock()
 		waited := pause.For(m.context, delay)
 		began := m.clock()
--- a/internal/hosted/warmth.go
+++ b/internal/hosted/warmth.go
@@ -16,7 +16,7 @@
 }
 
 // updateGateWarmth notifies the gate of the time until which the back end is cold, if that has
-// changed. It is called before the gate is opened to a start. The lock is held.
+// changed. It is called before the gate accepts calls for a start. The lock is held.
 func (b *backendMonitor) updateGateWarmth(view backend.View) {
 	state := coldState{start: view.Start, until: view.ColdUntil}
 	if state == b.reportedCold {
@@ -32,7 +32,8 @@
 
 // assumeCold is called when the back end may have become cold unnoticed. The back end counts as cold
 // for the warm-up time of its service, unless a probe that is sent from now on shows otherwise. It
-// is probed at once, or with its first report if there is none yet. It does not block.
+// is probed at once or, if it has sent no report yet, after its first report. assumeCold does not
+// block.
 func (b *backendMonitor) assumeCold() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/hosted/wiring.go
+++ b/internal/hosted/wiring.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// linkConnections sets up the renewal of all connections of the daemon: it takes place when any
-// part has found one of them dead.
+// linkConnections sets up the renewal of all connections of the daemon. They are renewed when any
+// part of the daemon has found one of them dead.
 func (d *Daemon) linkConnections(path *dataPathPart, m *mesh) {
 	renewStore := d.options.Platform.Renew
 	m.connections = &connectionRenewer{
@@ -210,7 +210,7 @@
 	})
 }
 
-// newConfiguration builds the follower of the authority's configuration.
+// newConfigurationFollower builds the follower of the authority's configuration.
 func (d *Daemon) newConfigurationFollower(path *dataPathPart, m *mesh) *configurationFollower {
 	return &configurationFollower{
 		source:        d.options.Platform.Source,
@@ -229,7 +229,7 @@
 	}
 }
 
-// newBackendSide builds the monitor of the back end. newMesh sets its onEvacuationEnd function.
+// newBackendMonitor builds the monitor of the back end. newMesh sets its onEvacuationEnd function.
 func (d *Daemon) newBackendMonitor(path *dataPathPart, m *mesh) *backendMonitor {
 	return &backendMonitor{
 		config: backendMonitorConfig{
@@ -279,17 +279,18 @@
 }
 
 func (d *Daemon) newCallersServer(injector do.Injector) (*callersServer, error) {
-	server, err := d.servePath(injector, "listen.callers", d.settings.Listen.Callers, (*proxy.Proxy).CallerHandler)
+	server, err := d.serveDataPath(injector, "listen.callers", d.settings.Listen.Callers, (*proxy.Proxy).CallerHandler)
 	return &callersServer{server}, err
 }
 
 func (d *Daemon) newGateServer(injector do.Injector) (*gateServer, error) {
-	server, err := d.servePath(injector, "listen.gate", d.settings.Listen.Gate, (*proxy.Proxy).GateHandler)
+	server, err := d.serveDataPath(injector, "listen.gate", d.settings.Listen.Gate, (*proxy.Proxy).GateHandler)
 	return &gateServer{server}, err
 }
 
-// servePath serves one side of the data path, for callers or for the gate, at an address.
-func (d *Daemon) servePath(injector do.Injector, name, address string, side func(*proxy.Proxy) http.Handler) (*daemon.PathServer, error) {
+// serveDataPath serves one handler of the data path, that of callers or that of the gate, at an
+// address.
+func (d *Daemon) serveDataPath(injector do.Injector, name, address string, handlerOf func(*proxy.Proxy) http.Handler) (*daemon.PathServer, error) {
 	path, err := do.Invoke[*dataPathPart](injector)
 	if err != nil {
 		return nil, err
@@ -298,7 +299,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return daemon.ServePath(listener, proxy.NewServer(side(path.Proxy), proxyLimits(d.settings.Drain.Grace())), closeTimeout), nil
+	return daemon.ServePath(listener, proxy.NewServer(handlerOf(path.Proxy), proxyLimits(d.settings.Drain.Grace())), closeTimeout), nil
 }
 
 func (d *Daemon) newReadyServer(do.Injector) (*readyServer, error) {
