--- a/internal/hosted/probing.go
+++ b/internal/hosted/probing.go
@@ -73,7 +73,8 @@
 	return result
 }
 
-// probePath returns the path of probes; empty while the back end may not be probed yet.
+// probePath returns the path of probes. It is empty before the daemon has joined the mesh, while the
+// back end must not be probed, and while the path is unknown.
 func (b *backendMonitor) probePath() string {
 	if !b.config.hasJoinedMesh() {
 		return ""
--- a/internal/hosted/registering.go
+++ b/internal/hosted/registering.go
@@ -16,9 +16,9 @@
 
 // register reads the registry, writes the daemon's own registration unless the registry
 // contains it, and compares records with listed daemons. After writing its registration, the
-// daemon reads the list again at once, so that of several daemons that start together the last
-// one sees all others, and a second time after registryLag, because the first list may not have
-// contained the latest registrations.
+// daemon reads the list again at once, so that of several daemons that start together the last one
+// to register sees all others. It reads the list once more after registryLag, because the list may
+// lag behind the latest registrations.
 func (m *mesh) register() {
 	if !m.retryUntilDone(m.readRegistry) {
 		return
--- a/internal/hosted/rollouts.go
+++ b/internal/hosted/rollouts.go
@@ -12,7 +12,7 @@
 
 const (
 	// canaryExposureShare is the fraction of the allowed exposure that canaries receive. The rest
-	// is for the calls that they receive after a halt, until all daemons know of it.
+	// is for the calls that they receive after a halt, until all daemons have received it.
 	canaryExposureShare = 0.7
 	// completedSplitTime is how long back ends of other versions receive no calls after the
 	// completion of an order. These back ends stop within this time; the order does not affect
@@ -84,8 +84,8 @@
 	m.mergeRollouts(records)
 }
 
-// mergeRollouts merges records of orders, applies those that have changed, and reports whether any
-// has. The lock is held.
+// mergeRollouts merges records of orders, publishes the state to the data path if any record has
+// changed, and reports whether one has. The lock is held.
 func (m *mesh) mergeRollouts(records []rollout.Record) (changed bool) {
 	for _, record := range records {
 		if !m.rollouts.orders.Merge(m.clock(), record) {
--- a/internal/hosted/storecalls.go
+++ b/internal/hosted/storecalls.go
@@ -41,7 +41,7 @@
 	purposeUnregister,
 }
 
-// storeCall is a kind of call to the store: its purpose and its result.
+// storeCall is the purpose and the result by which calls to the store are counted.
 type storeCall struct {
 	purpose storePurpose
 	code    result.Code
@@ -68,8 +68,8 @@
 	c.record(purpose, codeOf(err))
 }
 
-// codeOf returns the result code of a call to the store. It is PlatformUnknown for an
-// error without a code.
+// codeOf returns the result code of the error of a call to the store: OK for nil, and
+// PlatformUnknown for an error without a code.
 func codeOf(err error) result.Code {
 	if err == nil {
 		return result.OK
--- a/internal/hosted/verify.go
+++ b/internal/hosted/verify.go
@@ -132,7 +132,7 @@
 
 // ping sends an empty push, measures the round-trip time, and reports whether it was answered. A
 // failure before pingTimeout may be that of an old connection, so the push is sent again over a new
-// one.
+// connection.
 func (m *mesh) ping(target dissemination.Peer) bool {
 	ctx, cancel := context.WithTimeout(m.context, pingTimeout)
 	defer cancel()
--- a/internal/hosted/versiontracker.go
+++ b/internal/hosted/versiontracker.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// removeOldestIfFull removes the version that was seen first if there is no room for another one.
+// removeOldestIfFull removes the version that was seen first if there are maxVersionsPerService.
 func removeOldestIfFull(versions map[string]time.Duration) {
 	if len(versions) < maxVersionsPerService {
 		return
--- a/internal/hosted/warmth.go
+++ b/internal/hosted/warmth.go
@@ -8,8 +8,8 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// coldState is what the gate knows of the warm-up of its back end: the start, and the time on the
-// daemon's clock until which that start is cold; 0 if it is warm.
+// coldState is the warm-up state of the back end as it is reported to the gate: the start, and the
+// time on the daemon's clock until which that start is cold; 0 if it is warm.
 type coldState struct {
 	start protocol.BackendStart
 	until time.Duration
