--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -182,7 +182,7 @@
 // if it is healthy or has reported that it drains. The answer names only the instance, but starts
 // of one instance never run at the same time. The start that answered is therefore the newest one
 // that has reported, or a newer one that has not reported yet and will then replace it.
-func (t *Tracker) HandleProbe(now time.Duration, result ProbeResult) {
+func (t *Tracker) HandleProbeResult(now time.Duration, result ProbeResult) {
 	index := t.candidateIndex(result.Instance)
 	if index < 0 {
 		t.updateWarmUp(now, result)
--- a/internal/core/backend/backend_test.go
+++ b/internal/core/backend/backend_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	tracker := NewTracker(interval)
 	is.New(t).True(tracker.HandleReport(0, Report{Instance: "a", Sequence: 3, Slots: 6}))
-	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a", Healthy: true})
 	is.New(t).Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "a"}, Slots: 6, State: protocol.EndpointReady})
 	return tracker
 }
@@ -25,14 +25,14 @@
 	tracker := NewTracker(interval)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 1, Slots: 6})
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
-	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
-	tracker.HandleProbe(0, ProbeResult{})
+	tracker.HandleProbeResult(0, ProbeResult{})
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
-	tracker.HandleProbe(0, ProbeResult{Instance: "a"}) // it is leaving
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a"}) // it is leaving
 	check.Equal(tracker.View(0).State, protocol.EndpointNone)
 	check.True(tracker.HasCandidates())
-	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 }
 
@@ -50,7 +50,7 @@
 	check := is.New(t)
 	tracker := newReadyTracker(t)
 	check.True(tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 4}))
-	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0), View{
 		Start: protocol.BackendStart{Instance: "b"}, Slots: 4, State: protocol.EndpointReady, EarlierCrashed: true,
 	})
@@ -107,7 +107,7 @@
 	check.True(!tracker.HandleReport(0, Report{Instance: "one", Sequence: 9, Slots: 6})) // contradicts the leave, without effect
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 	check.True(tracker.HandleReport(0, Report{Instance: "two", Sequence: 1, Slots: 6}))
-	tracker.HandleProbe(0, ProbeResult{Instance: "two", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "two", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	tracker.RestoreLeave(protocol.BackendStart{Instance: "one"}) // arrives late: the newer instance keeps running
 	check.Equal(tracker.View(0), View{Start: protocol.BackendStart{Instance: "two"}, Slots: 6, State: protocol.EndpointReady})
@@ -121,15 +121,15 @@
 		tracker := NewTracker(time.Second)
 		if earlier != "" {
 			tracker.HandleReport(0, Report{Instance: earlier, Sequence: 1, Slots: 6})
-			tracker.HandleProbe(0, ProbeResult{Instance: earlier, Healthy: true})
+			tracker.HandleProbeResult(0, ProbeResult{Instance: earlier, Healthy: true})
 		}
 		check.True(tracker.HandleReport(time.Second, Report{Instance: "b", Sequence: 1, Slots: 6}))
 		tracker.HandleReport(2*time.Second, Report{Instance: "a", Sequence: 9, Slots: 6})
-		tracker.HandleProbe(2*time.Second, ProbeResult{Instance: "b", Healthy: true})
+		tracker.HandleProbeResult(2*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(2*time.Second).Start.Instance, "b")
 		check.Equal(tracker.View(2*time.Second).State, protocol.EndpointReady)
 		tracker.HandleReport(3*time.Second, Report{Instance: "a", Sequence: 10, Slots: 6}) // even later
-		tracker.HandleProbe(3*time.Second, ProbeResult{Instance: "b", Healthy: true})
+		tracker.HandleProbeResult(3*time.Second, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(3*time.Second).Start.Instance, "b")
 	}
 }
@@ -149,10 +149,10 @@
 		check.Equal(tracker.View(0).Start.Instance, "a")
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 		tracker.HandleReport(0, Report{Instance: "a", Sequence: 9, Slots: 6}) // contradicts the leave
-		tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
+		tracker.HandleProbeResult(0, ProbeResult{Instance: "a", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 		tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6}) // the successor
-		tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
+		tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true})
 		check.Equal(tracker.View(0).State, protocol.EndpointReady)
 	}
 }
--- a/internal/core/backend/order_test.go
+++ b/internal/core/backend/order_test.go
@@ -38,7 +38,7 @@
 // deliver passes a report to the daemon, and answers the probe that results from it.
 func (s *simulatedBackend) deliver(tracker *Tracker, report Report) {
 	if tracker.HandleReport(s.now, report) && s.isUp {
-		tracker.HandleProbe(s.now, ProbeResult{Instance: s.instance, Healthy: true}) // whether or not the instance drains
+		tracker.HandleProbeResult(s.now, ProbeResult{Instance: s.instance, Healthy: true}) // whether or not the instance drains
 	}
 	if report.Draining {
 		s.acknowledgedEnds[report.Start()] = true
--- a/internal/core/backend/outlier_test.go
+++ b/internal/core/backend/outlier_test.go
@@ -60,7 +60,7 @@
 	now, succeeded := recordCalls(tracker, 0, 0, 100, 1)
 	check.Equal(tracker.View(now).State, protocol.EndpointDegraded)
 	tracker.HandleReport(now, Report{Instance: "b", Sequence: 1, Slots: 6})
-	tracker.HandleProbe(now, ProbeResult{Instance: "b", Healthy: true})
+	tracker.HandleProbeResult(now, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(now).State, protocol.EndpointReady)
 	for range 100 {
 		check.True(!tracker.RecordFailure(now, protocol.BackendStart{Instance: "a"}, succeeded))
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -19,7 +19,7 @@
 
 // answerProbe passes a healthy answer of the instance to the tracker.
 func answerProbe(tracker *Tracker, now time.Duration) {
-	tracker.HandleProbe(now, ProbeResult{Instance: "a", Healthy: true})
+	tracker.HandleProbeResult(now, ProbeResult{Instance: "a", Healthy: true})
 }
 
 // newTrackerRunning returns a tracker whose running start began at the given time.
@@ -204,7 +204,7 @@
 	tracker := newTrackerRunning(t, 100)
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1, Draining: true})
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 2})
-	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true})
 	check.Equal(tracker.View(0).State, protocol.EndpointDraining)
 }
 
@@ -230,7 +230,7 @@
 	check := is.New(t)
 	tracker := NewTracker(interval)
 	tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
-	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true})
 	draining := reportOf(100, 1)
 	draining.Draining = true
 	tracker.HandleReport(0, draining)
@@ -317,7 +317,7 @@
 			check := is.New(t)
 			tracker := NewTracker(interval)
 			tracker.HandleReport(0, Report{Instance: "b", Born: 1, Sequence: 1})
-			tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true})
+			tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true})
 			tracker.HandleReport(0, reportOf(200, 9))
 			confirm(tracker)
 			draining := reportOf(200, 8)
@@ -344,6 +344,6 @@
 	tracker.HandleReport(2*interval, cold)
 	check.Equal(tracker.View(2*interval).ColdUntil, 2*interval+time.Second)
 	check.True(tracker.NeedsWarmthProbe(2 * interval)) // so a probe is due
-	tracker.HandleProbe(2*interval, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
+	tracker.HandleProbeResult(2*interval, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(tracker.View(2*interval).ColdUntil, time.Duration(0))
 }
--- a/internal/core/backend/warmth_test.go
+++ b/internal/core/backend/warmth_test.go
@@ -26,7 +26,7 @@
 func TestAProbeMayReportThatTheInstanceIsCold(t *testing.T) {
 	check := is.New(t)
 	tracker := newReadyTracker(t)
-	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
 	check.Equal(coldUntil(tracker, 0), 2*interval)
 }
 
@@ -34,9 +34,9 @@
 	check := is.New(t)
 	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 3 * interval})
-	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), 3*interval)
-	tracker.HandleProbe(0, ProbeResult{Instance: "a", TellsWarmUp: true, WarmUp: 5 * interval})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a", TellsWarmUp: true, WarmUp: 5 * interval})
 	check.Equal(coldUntil(tracker, 0), 5*interval)
 }
 
@@ -44,9 +44,9 @@
 	check := is.New(t)
 	tracker := newReadyTracker(t)
 	tracker.AssumeCold(0, 3*interval)
-	tracker.HandleProbe(0, ProbeResult{})
-	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true})
-	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true, TellsWarmUp: true})
+	tracker.HandleProbeResult(0, ProbeResult{})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a", Healthy: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), 3*interval)
 	check.True(tracker.IsAssumedCold(0))
 }
@@ -55,7 +55,7 @@
 	check := is.New(t)
 	tracker := newReadyTracker(t)
 	tracker.AssumeCold(0, 3*interval)
-	tracker.HandleProbe(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
 	check.Equal(coldUntil(tracker, 0), time.Duration(0))
 	check.True(!tracker.IsAssumedCold(0))
 }
@@ -73,7 +73,7 @@
 	tracker := newReadyTracker(t)
 	tracker.HandleReport(0, Report{Instance: "a", Sequence: 4, Slots: 6, WarmUp: 9 * interval})
 	tracker.HandleReport(0, Report{Instance: "b", Sequence: 1, Slots: 6, WarmUp: interval})
-	tracker.HandleProbe(0, ProbeResult{Instance: "b", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
+	tracker.HandleProbeResult(0, ProbeResult{Instance: "b", Healthy: true, TellsWarmUp: true, WarmUp: 2 * interval})
 	check.Equal(coldUntil(tracker, 0), 2*interval)
 }
 
--- a/internal/core/evacuation/eras_test.go
+++ b/internal/core/evacuation/eras_test.go
@@ -17,16 +17,16 @@
 	merge := func(now time.Duration, orders Orders) { table.Merge(now, SharedOrders{Orders: orders, Known: true}) }
 	merge(0, NewOrders(position.Position{Era: 1, Revision: 900}, []string{"a", "b"}))
 	afterRestore := NewOrders(position.Position{Era: 2, Revision: 880}, []string{"b"})
-	merge(time.Second, afterRestore.WithLost(table.Orders()))
+	merge(time.Second, afterRestore.WithLostOrders(table.Orders()))
 	check.Equal(table.Orders().AllZones(), []string{"a", "b"})
 	check.True(table.Orders().Evacuates("a"))
 	afterWithdrawal := NewOrders(position.Position{Era: 2, Revision: 881}, nil)
-	merge(2*time.Second, afterWithdrawal.WithLost(table.Orders()))
+	merge(2*time.Second, afterWithdrawal.WithLostOrders(table.Orders()))
 	check.Equal(table.Orders().AllZones(), []string{"a"})
 	afterReissue := NewOrders(position.Position{Era: 2, Revision: 882}, []string{"a"})
-	merge(3*time.Second, afterReissue.WithLost(table.Orders()))
+	merge(3*time.Second, afterReissue.WithLostOrders(table.Orders()))
 	check.Equal(table.Orders().Lost, []string{})
-	merge(4*time.Second, afterWithdrawal.WithLost(table.Orders())) // an outdated reading
+	merge(4*time.Second, afterWithdrawal.WithLostOrders(table.Orders())) // an outdated reading
 	check.Equal(table.Orders().AllZones(), []string{"a"})
 }
 
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -35,7 +35,7 @@
 
 // WithLost returns the orders read from the store, extended by those that the store may have lost
 // since the known orders were read.
-func (o Orders) WithLost(known Orders) Orders {
+func (o Orders) WithLostOrders(known Orders) Orders {
 	lost := known.Lost
 	if known.At.Era < o.At.Era {
 		lost = known.AllZones()
--- a/internal/core/following/eras_test.go
+++ b/internal/core/following/eras_test.go
@@ -26,16 +26,16 @@
 func TestALaterEraIsFollowedFromItsOwnRevisions(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
+	follower.HandleReading(time.Minute, readingIn(1, 900, 7, "a"))
 	follower.ObserveEra(2)
 	check.True(follower.IsStale(authority.Position{Era: 1, Revision: 900}))
-	actions := follower.HandleStoreRead(time.Minute, authority.Reading{Code: result.PlatformCompacted})
+	actions := follower.HandleReading(time.Minute, authority.Reading{Code: result.PlatformCompacted})
 	check.Equal(kinds(actions), []ActionKind{Read})
 	check.Equal(actions[0].Freshness, authority.Lagging)
-	actions = follower.HandleStoreRead(time.Minute, readingIn(1, 890, 7, "a")) // from a lagging replica
+	actions = follower.HandleReading(time.Minute, readingIn(1, 890, 7, "a")) // from a lagging replica
 	check.Equal(kinds(actions), []ActionKind{Read})
 	check.Equal(actions[0].Freshness, authority.Linearizable)
-	actions = follower.HandleStoreRead(time.Minute, readingIn(2, 885, 8, "b"))
+	actions = follower.HandleReading(time.Minute, readingIn(2, 885, 8, "b"))
 	check.Equal(kinds(actions), []ActionKind{Adopt, Watch})
 	check.Equal(actions[1].From, authority.Position{Era: 2, Revision: 885})
 }
@@ -45,8 +45,8 @@
 func TestAWatchAnsweredInALaterEraLeadsToARead(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
-	actions := follower.HandleStoreRead(time.Minute, readingIn(2, 905, 0, ""))
+	follower.HandleReading(time.Minute, readingIn(1, 900, 7, "a"))
+	actions := follower.HandleReading(time.Minute, readingIn(2, 905, 0, ""))
 	check.Equal(kinds(actions), []ActionKind{Read})
 }
 
@@ -55,7 +55,7 @@
 func TestALostVersionRewrittenWithOtherContentIsAdopted(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(time.Minute, readingIn(1, 900, 7, "a"))
+	follower.HandleReading(time.Minute, readingIn(1, 900, 7, "a"))
 	check.Equal(kinds(follower.HandlePeerDocument(0, "p", authority.Document{Version: 7, Body: []byte("b")})), nil)
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(1, 901, 7, "b"))), nil) // of the era of the adopted document
 	check.Equal(kinds(follower.HandlePoll(0, readingIn(2, 880, 6, "z"))), nil) // older than the one held
@@ -88,7 +88,7 @@
 			switch drawNumber("event", 4) {
 			case 0:
 				era = max(era, read.At.Era)
-				checkActions(follower.HandleStoreRead(0, read))
+				checkActions(follower.HandleReading(0, read))
 			case 1:
 				era = max(era, read.At.Era)
 				checkActions(follower.HandlePoll(0, read))
@@ -96,7 +96,7 @@
 				era = max(era, read.At.Era)
 				follower.ObserveEra(read.At.Era)
 			case 3:
-				checkActions(follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted}))
+				checkActions(follower.HandleReading(0, authority.Reading{Code: result.PlatformCompacted}))
 			default:
 				checkActions(follower.HandlePeerDocument(0, "p", read.Document))
 			}
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -157,7 +157,7 @@
 
 // HandleStoreRead handles the result of Read or Watch. A watch may be answered by a replica
 // that lags behind an earlier read; the next watch then starts from the earlier read.
-func (f *Follower) HandleStoreRead(now time.Duration, reading authority.Reading) []Action {
+func (f *Follower) HandleReading(now time.Duration, reading authority.Reading) []Action {
 	wasWatching := f.watching
 	f.watching = false
 	switch {
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -34,7 +34,7 @@
 	check := is.New(t)
 	follower := newFollower()
 	check.Equal(kinds(follower.Start()), []ActionKind{Read})
-	actions := follower.HandleStoreRead(time.Minute, reading(7, 40))
+	actions := follower.HandleReading(time.Minute, reading(7, 40))
 	check.Equal(kinds(actions), []ActionKind{Adopt, Watch})
 	check.Equal(actions[0].Document.Version, protocol.Version(7))
 	check.Equal(actions[1].From, at(40))
@@ -44,8 +44,8 @@
 func TestWatchesStartAtLeastPaceApart(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(time.Minute, reading(1, 1))
-	actions := follower.HandleStoreRead(time.Minute+10*time.Millisecond, reading(2, 2))
+	follower.HandleReading(time.Minute, reading(1, 1))
+	actions := follower.HandleReading(time.Minute+10*time.Millisecond, reading(2, 2))
 	check.Equal(kinds(actions), []ActionKind{Adopt, Watch})
 	check.Equal(actions[1].After, DefaultConfig().Pace-10*time.Millisecond)
 }
@@ -53,10 +53,10 @@
 func TestACompactedHistoryIsReadAgainAtOnce(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(0, reading(5, 5))
-	actions := follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformCompacted})
+	follower.HandleReading(0, reading(5, 5))
+	actions := follower.HandleReading(0, authority.Reading{Code: result.PlatformCompacted})
 	check.Equal(kinds(actions), []ActionKind{Read})
-	check.Equal(kinds(follower.HandleStoreRead(time.Minute, reading(3, 9))), []ActionKind{Watch}) // a lower version is not adopted
+	check.Equal(kinds(follower.HandleReading(time.Minute, reading(3, 9))), []ActionKind{Watch}) // a lower version is not adopted
 	check.Equal(follower.Version(), protocol.Version(5))
 }
 
@@ -64,7 +64,7 @@
 	check := is.New(t)
 	follower := New(DefaultConfig(), func() uint64 { return 1 << 40 })
 	for range 20 {
-		actions := follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformUnavailable})
+		actions := follower.HandleReading(0, authority.Reading{Code: result.PlatformUnavailable})
 		check.Equal(kinds(actions), []ActionKind{Read})
 		check.True(actions[0].After > 0)
 		check.True(actions[0].After <= DefaultConfig().Retry.Maximum+DefaultConfig().Retry.Minimum)
@@ -75,7 +75,7 @@
 func TestANewerVersionIsFetchedFromAPeerOnce(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(0, reading(5, 5))
+	follower.HandleReading(0, reading(5, 5))
 	check.Equal(kinds(follower.HandlePeerVersion(0, "p", 5)), nil)
 	check.Equal(kinds(follower.HandlePeerVersion(0, "p", 6)), []ActionKind{FetchFromPeer})
 	check.Equal(kinds(follower.HandlePeerVersion(0, "p", 6)), nil)
@@ -87,7 +87,7 @@
 func TestAPollFindsAVersionThatTheWatchMissed(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(0, reading(5, 5))
+	follower.HandleReading(0, reading(5, 5))
 	check.Equal(kinds(follower.HandlePoll(0, reading(5, 9))), nil)
 	check.Equal(kinds(follower.HandlePoll(0, authority.Reading{Code: result.PlatformUnavailable})), nil)
 	check.Equal(kinds(follower.HandlePoll(0, reading(6, 9))), []ActionKind{Adopt, Rewatch})
@@ -99,21 +99,21 @@
 	check := is.New(t)
 	follower := newFollower()
 	check.Equal(follower.HandlePeerVersion(0, "p", 5)[0].After, time.Duration(0)) // the store has not been read yet
-	follower.HandleStoreRead(0, reading(5, 5))
+	follower.HandleReading(0, reading(5, 5))
 	check.Equal(follower.HandlePeerVersion(time.Minute, "q", 6)[0].After, DefaultConfig().PeerGrace)
-	follower.HandleStoreRead(0, authority.Reading{Code: result.PlatformUnavailable})
+	follower.HandleReading(0, authority.Reading{Code: result.PlatformUnavailable})
 	check.Equal(follower.HandlePeerVersion(time.Minute, "r", 6)[0].After, time.Duration(0))
 }
 
 func TestALaggingWatchDoesNotLowerVersionOrPosition(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(0, reading(7, 40))
-	actions := follower.HandleStoreRead(time.Minute, reading(6, 35))
+	follower.HandleReading(0, reading(7, 40))
+	actions := follower.HandleReading(time.Minute, reading(6, 35))
 	check.Equal(kinds(actions), []ActionKind{Watch})
 	check.Equal(actions[0].From, at(40)) // changes already read are not watched again
 	check.Equal(follower.Version(), protocol.Version(7))
-	check.Equal(follower.HandleStoreRead(2*time.Minute, reading(8, 41))[1].From, at(41))
+	check.Equal(follower.HandleReading(2*time.Minute, reading(8, 41))[1].From, at(41))
 }
 
 // TestVersionsNeverGoBack checks that no order of store reads and peers' replies leads to the
@@ -137,7 +137,7 @@
 			version := protocol.Version(rapid.IntRange(0, 9).Draw(t, "version"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				checkActions(follower.HandleStoreRead(0, reading(version, 1)))
+				checkActions(follower.HandleReading(0, reading(version, 1)))
 			case 1:
 				checkActions(follower.HandlePeerVersion(0, "p", version))
 			default:
@@ -150,7 +150,7 @@
 func TestABurstOfVersionsIsFetchedFromPeersAtThePace(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	follower.HandleStoreRead(time.Minute, reading(5, 5))
+	follower.HandleReading(time.Minute, reading(5, 5))
 	soon := time.Minute + 100*time.Millisecond
 	check.Equal(follower.HandlePeerVersion(soon, "p", 6)[0].After, DefaultConfig().Pace-100*time.Millisecond)
 	late := time.Minute + 2*DefaultConfig().Pace
@@ -168,16 +168,16 @@
 func TestAWatchThatMissesAVersionIsRestarted(t *testing.T) {
 	check := is.New(t)
 	follower := newFollower()
-	first := follower.HandleStoreRead(time.Minute, reading(5, 5))[1]
+	first := follower.HandleReading(time.Minute, reading(5, 5))[1]
 	missed := follower.HandlePoll(time.Minute, reading(6, 9))[1]
 	check.Equal(missed.Kind, Rewatch)
 	check.Equal(missed.Turn, first.Turn)
 	check.Equal(missed.After, DefaultConfig().Pace)
 	check.True(follower.IsWatchPending(missed.Turn))
-	second := follower.HandleStoreRead(time.Minute, reading(6, 9))[0]
+	second := follower.HandleReading(time.Minute, reading(6, 9))[0]
 	check.True(!follower.IsWatchPending(missed.Turn)) // the store has answered the first watch
 	check.True(follower.IsWatchPending(second.Turn))
-	follower.HandleStoreRead(time.Minute, authority.Reading{Code: result.PlatformUnavailable})
+	follower.HandleReading(time.Minute, authority.Reading{Code: result.PlatformUnavailable})
 	check.True(!follower.IsWatchPending(second.Turn))
 	check.Equal(kinds(follower.HandlePoll(time.Minute, reading(7, 12))), []ActionKind{Adopt}) // no watch is pending
 }
--- a/internal/hosted/backendside.go
+++ b/internal/hosted/backendside.go
@@ -54,7 +54,7 @@
 	// unnoticed. Answers to probes that were sent before that time do not show its warm-up state.
 	possiblyColdSince time.Duration
 	// reportedCold is the warm-up state that was last reported to the gate.
-	reportedCold coldState
+	reportedWarmth warmthState
 	// stopping is set when the daemon stops: from then on the gate, which is closing, is
 	// not opened again.
 	stopping bool
@@ -73,7 +73,7 @@
 	// hasJoinedMesh reports whether the daemon has received the records of its peers, which may
 	// contain a drain that an earlier start of the daemon acknowledged, and the evacuation orders,
 	// or has waited long enough for each of them. The back end is not probed before that.
-	hasJoinedMesh func() bool
+	knowsPeersAndOrders func() bool
 	// warmUpTime returns how long back ends of the service are cold after a start; 0 while
 	// no configuration is in force.
 	warmUpTime func() time.Duration
@@ -220,7 +220,7 @@
 }
 
 // recheckZone publishes the view after a change of the evacuation orders. It does not block.
-func (b *backendMonitor) recheckZone() {
+func (b *backendMonitor) publishViewAsync() {
 	b.running.Add(1)
 	go func() {
 		defer b.running.Done()
--- a/internal/hosted/configuration.go
+++ b/internal/hosted/configuration.go
@@ -175,7 +175,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.updateStoreAvailability(reading)
-	c.runActions(c.follower.HandleStoreRead(c.clock(), reading))
+	c.runActions(c.follower.HandleReading(c.clock(), reading))
 }
 
 // renewPendingWatch restarts the watch with the given number over a new connection, unless it has
--- a/internal/hosted/evacuationreader.go
+++ b/internal/hosted/evacuationreader.go
@@ -194,7 +194,7 @@
 	if !risen || sinceRise > lostOrderGrace {
 		return orders
 	}
-	return orders.WithLost(r.mesh.evacuations.Orders())
+	return orders.WithLostOrders(r.mesh.evacuations.Orders())
 }
 
 // listOrders returns the orders in the store, and their faults by zone.
--- a/internal/hosted/evacuations_test.go
+++ b/internal/hosted/evacuations_test.go
@@ -40,10 +40,10 @@
 	zone := &zoneBackend{}
 	zone.backendMonitor = &backendMonitor{
 		config: backendMonitorConfig{
-			healthPath:      func() string { return "" },
-			hasJoinedMesh:   func() bool { return false },
-			isZoneEvacuated: func() bool { return zone.evacuated },
-			onEvacuationEnd: func() { zone.evacuationEnds++ },
+			healthPath:          func() string { return "" },
+			knowsPeersAndOrders: func() bool { return false },
+			isZoneEvacuated:     func() bool { return zone.evacuated },
+			onEvacuationEnd:     func() { zone.evacuationEnds++ },
 		},
 		clock:          func() time.Duration { return zone.now },
 		reportToGate:   func(report proxy.BackendReport) { zone.reportedStates = append(zone.reportedStates, report.State) },
@@ -54,7 +54,7 @@
 	}
 	report := backend.Report{Instance: "i", Sequence: 1, Slots: 6}
 	zone.tracker.HandleReport(0, report)
-	zone.tracker.HandleProbe(0, backend.ProbeResult{Instance: "i", Healthy: true})
+	zone.tracker.HandleProbeResult(0, backend.ProbeResult{Instance: "i", Healthy: true})
 	zone.setEvacuated(false)
 	return zone
 }
@@ -62,7 +62,7 @@
 // setEvacuated starts or ends the evacuation of the zone.
 func (s *zoneBackend) setEvacuated(evacuated bool) {
 	s.evacuated = evacuated
-	s.recheckZone()
+	s.publishViewAsync()
 	s.running.Wait()
 }
 
--- a/internal/hosted/latewrites_test.go
+++ b/internal/hosted/latewrites_test.go
@@ -79,10 +79,10 @@
 					registry.registrations[registration.ID] = registration
 				}
 				mesh.registry = registry
-				mesh.readRegistry()
+				mesh.refreshRegistryLagging()
 				if !mesh.isRegistered() {
 					mesh.putRegistration()
-					mesh.readRegistry()
+					mesh.refreshRegistryLagging()
 				}
 				if registry.callsBeforeLate >= 0 { // the latest time at which the delayed call may be executed
 					registry.callsBeforeLate = 0
--- a/internal/hosted/orderfollower.go
+++ b/internal/hosted/orderfollower.go
@@ -79,7 +79,7 @@
 		switch {
 		case err != nil:
 			failures++
-			pause.For(f.mesh.context, registryBackoff.Delay(failures, randomNumber()))
+			pause.For(f.mesh.context, storeBackoff.Delay(failures, randomNumber()))
 		case position.IsEraStart(): // the store has no orders, so there is nothing to watch
 			pause.For(f.mesh.context, orderRelistInterval)
 		default:
--- a/internal/hosted/poll.go
+++ b/internal/hosted/poll.go
@@ -32,7 +32,7 @@
 			wait = period
 			continue
 		}
-		wait = min(2*wait, registryBackoff.Maximum/2)
+		wait = min(2*wait, storeBackoff.Maximum/2)
 	}
 }
 
--- a/internal/hosted/probing.go
+++ b/internal/hosted/probing.go
@@ -76,7 +76,7 @@
 // probePath returns the path of probes. It is empty before the daemon has joined the mesh, while the
 // back end must not be probed, and while the path is unknown.
 func (b *backendMonitor) probePath() string {
-	if !b.config.hasJoinedMesh() {
+	if !b.config.knowsPeersAndOrders() {
 		return ""
 	}
 	return b.config.healthPath()
@@ -90,7 +90,7 @@
 	// The result of a probe sent before the back end may have become cold does not show whether
 	// it did.
 	result.TellsWarmUp = result.TellsWarmUp && sentAt >= b.possiblyColdSince
-	b.tracker.HandleProbe(b.clock(), result)
+	b.tracker.HandleProbeResult(b.clock(), result)
 	b.publishView()
 	return !b.tracker.HasCandidates() && !b.tracker.IsAssumedCold(b.clock())
 }
--- a/internal/hosted/registering.go
+++ b/internal/hosted/registering.go
@@ -20,7 +20,7 @@
 // to register sees all others. It reads the list once more after registryLag, because the list may
 // lag behind the latest registrations.
 func (m *mesh) register() {
-	if !m.retryUntilDone(m.readRegistry) {
+	if !m.retryUntilDone(m.refreshRegistryLagging) {
 		return
 	}
 	defer m.recheckRegistration()
@@ -28,11 +28,11 @@
 		m.syncAtStartup()
 		return
 	}
-	if !m.retryUntilDone(m.putRegistration) || !m.retryUntilDone(m.readRegistry) {
+	if !m.retryUntilDone(m.putRegistration) || !m.retryUntilDone(m.refreshRegistryLagging) {
 		return
 	}
 	m.syncAtStartup()
-	if pause.For(m.context, registryLag) && m.retryUntilDone(m.readRegistry) {
+	if pause.For(m.context, registryLag) && m.retryUntilDone(m.refreshRegistryLagging) {
 		m.syncAtStartup()
 	}
 }
@@ -55,7 +55,7 @@
 // whether its calls to the store succeeded. It writes nothing after the daemon has left the mesh,
 // because the daemon may then have removed the registration itself.
 func (m *mesh) ensureRegistered() bool {
-	return m.readRegistry() && (m.isRegistered() || m.hasLeft() || m.putRegistration())
+	return m.refreshRegistryLagging() && (m.isRegistered() || m.hasLeft() || m.putRegistration())
 }
 
 // registrationPurpose is the name of the ranking that selects the daemons that check for lost
@@ -141,7 +141,7 @@
 		if call() {
 			return true
 		}
-		if !pause.For(m.context, registryBackoff.Delay(failures, randomNumber())) {
+		if !pause.For(m.context, storeBackoff.Delay(failures, randomNumber())) {
 			return false
 		}
 	}
@@ -149,10 +149,10 @@
 }
 
 // registryBackoff computes the delay between two attempts of a call to the store.
-var registryBackoff = following.DefaultBackoff()
+var storeBackoff = following.DefaultBackoff()
 
 // readRegistry is refreshRegistry with a list that may lag behind the registry.
-func (m *mesh) readRegistry() bool { return m.refreshRegistry(authority.Lagging) }
+func (m *mesh) refreshRegistryLagging() bool { return m.refreshRegistry(authority.Lagging) }
 
 // refreshRegistry replaces the known registrations by those in the registry, and reports whether
 // the store answered.
@@ -236,7 +236,7 @@
 	}
 	m.mutex.Unlock()
 	if isolated {
-		m.readRegistry()
+		m.refreshRegistryLagging()
 	}
 }
 
--- a/internal/hosted/warmth.go
+++ b/internal/hosted/warmth.go
@@ -10,7 +10,7 @@
 
 // coldState is the warm-up state of the back end as it is reported to the gate: the start, and the
 // time on the daemon's clock until which that start is cold; 0 if it is warm.
-type coldState struct {
+type warmthState struct {
 	start protocol.BackendStart
 	until time.Duration
 }
@@ -18,15 +18,15 @@
 // updateGateWarmth notifies the gate of the time until which the back end is cold, if that has
 // changed. It is called before the gate accepts calls for a start. The lock is held.
 func (b *backendMonitor) updateGateWarmth(view backend.View) {
-	state := coldState{start: view.Start, until: view.ColdUntil}
-	if state == b.reportedCold {
+	state := warmthState{start: view.Start, until: view.ColdUntil}
+	if state == b.reportedWarmth {
 		return
 	}
-	if wasCold := b.reportedCold.until > 0; wasCold != (state.until > 0) {
+	if wasCold := b.reportedWarmth.until > 0; wasCold != (state.until > 0) {
 		b.events.event("backend_warmth", field("instance", view.Start.Instance),
 			field("cold_ms", formatMillis(max(state.until-b.clock(), 0))))
 	}
-	b.reportedCold = state
+	b.reportedWarmth = state
 	b.setColdUntil(state.until)
 }
 
--- a/internal/hosted/warmth_test.go
+++ b/internal/hosted/warmth_test.go
@@ -32,7 +32,7 @@
 	monitor := &testBackendMonitor{}
 	clock := func() time.Duration { return monitor.now }
 	monitor.backendMonitor = &backendMonitor{
-		config: backendMonitorConfig{hasJoinedMesh: func() bool { return false }, isZoneEvacuated: func() bool { return monitor.evacuated }, warmUpTime: func() time.Duration { return 3 * time.Second }},
+		config: backendMonitorConfig{knowsPeersAndOrders: func() bool { return false }, isZoneEvacuated: func() bool { return monitor.evacuated }, warmUpTime: func() time.Duration { return 3 * time.Second }},
 		events: newEventLog(logging.NewTo(io.Discard, log.InfoLevel), "n", clock),
 		clock:  clock,
 		reportToGate: func(report proxy.BackendReport) {
@@ -120,7 +120,7 @@
 func (s *testBackendMonitor) answerProbes(probe backend.ProbeResult) (probeCount *int) {
 	probeCount = new(int)
 	s.probing = false
-	s.config.hasJoinedMesh = func() bool { return true }
+	s.config.knowsPeersAndOrders = func() bool { return true }
 	s.config.healthPath = func() string { return "/health" }
 	s.config.prober = func(string, string, time.Duration) backend.ProbeResult {
 		*probeCount++
--- a/internal/hosted/wiring.go
+++ b/internal/hosted/wiring.go
@@ -134,7 +134,7 @@
 		d.options.Platform.OnFault(newFaultLog(d.events).logOnce)
 	}
 	d.backend.config.onEvacuationEnd = d.backend.assumeColdLocked
-	m.onZoneChange = d.backend.recheckZone
+	m.onZoneChange = d.backend.publishViewAsync
 	d.decider = newRolloutDecider(m, d.options.Platform.Rollouts)
 	d.evacuations = newEvacuationReader(m, d.options.Platform.Evacuations, d.settings.Evacuations.Within())
 	path.ExtendServing(forever)
@@ -239,8 +239,8 @@
 			warmUpTime: func() time.Duration {
 				return d.configuration.warmUp(serviceRef(d.settings.Backend.Service))
 			},
-			hasJoinedMesh:   d.knowsPeersAndOrders,
-			isZoneEvacuated: m.isOwnZoneEvacuated,
+			knowsPeersAndOrders: d.knowsPeersAndOrders,
+			isZoneEvacuated:     m.isOwnZoneEvacuated,
 		},
 		events:           d.events,
 		clock:            d.clock,
