--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -23,8 +23,9 @@
 	// Deadline is a time on the gate's clock. A call that can't start and end by
 	// then is refused.
 	Deadline time.Duration
-	// Target is the time on the gate's clock by which the answer should arrive to
-	// be of full use; 0 if the route states no target.
+	// Target is the time on the gate's clock by which the caller expects the answer;
+	// 0 if the route states no target. The gate refuses a call that would probably
+	// miss it because of the wait in the queue.
 	Target time.Duration
 	// Patient exempts the call from refusals for a missed Target, because sending
 	// it elsewhere costs more than a late answer.
--- a/internal/core/backend/backend.go
+++ b/internal/core/backend/backend.go
@@ -178,10 +178,10 @@
 	t.outlier = outlierDetector{succeeded: t.outlier.succeeded}
 }
 
-// HandleProbe processes the answer to a probe. A candidate that answers replaces the running start
-// if it is healthy or has reported that it drains. The answer names only the instance, but starts
-// of one instance never run at the same time. The start that answered is therefore the newest one
-// that has reported, or a newer one that has not reported yet and will then replace it.
+// HandleProbeResult processes the answer to a probe. A candidate that answers replaces the running
+// start if it is healthy or has reported that it drains. The answer names only the instance, but
+// starts of one instance never run at the same time. The start that answered is therefore the newest
+// one that has reported, or a newer one that has not reported yet and will then replace it.
 func (t *Tracker) HandleProbeResult(now time.Duration, result ProbeResult) {
 	index := t.candidateIndex(result.Instance)
 	if index < 0 {
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -33,8 +33,8 @@
 	return Orders{At: at, Zones: slices.Compact(sorted)}
 }
 
-// WithLost returns the orders read from the store, extended by those that the store may have lost
-// since the known orders were read.
+// WithLostOrders returns the orders read from the store, extended by those that the store may have
+// lost since the known orders were read.
 func (o Orders) WithLostOrders(known Orders) Orders {
 	lost := known.Lost
 	if known.At.Era < o.At.Era {
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -155,7 +155,7 @@
 // may be unknown to the store.
 func (f *Follower) IsStale(from authority.Position) bool { return from.Era < f.era }
 
-// HandleStoreRead handles the result of Read or Watch. A watch may be answered by a replica
+// HandleReading handles the result of Read or Watch. A watch may be answered by a replica
 // that lags behind an earlier read; the next watch then starts from the earlier read.
 func (f *Follower) HandleReading(now time.Duration, reading authority.Reading) []Action {
 	wasWatching := f.watching
--- a/internal/hosted/backendside.go
+++ b/internal/hosted/backendside.go
@@ -53,7 +53,7 @@
 	// possiblyColdSince is the time on the clock since which the back end may have become cold
 	// unnoticed. Answers to probes that were sent before that time do not show its warm-up state.
 	possiblyColdSince time.Duration
-	// reportedCold is the warm-up state that was last reported to the gate.
+	// reportedWarmth is the warm-up state that was last reported to the gate.
 	reportedWarmth warmthState
 	// stopping is set when the daemon stops: from then on the gate, which is closing, is
 	// not opened again.
@@ -70,7 +70,7 @@
 	// healthPath returns the path for probes from the configuration; empty while no
 	// configuration is in force.
 	healthPath func() string
-	// hasJoinedMesh reports whether the daemon has received the records of its peers, which may
+	// knowsPeersAndOrders reports whether the daemon has received the records of its peers, which may
 	// contain a drain that an earlier start of the daemon acknowledged, and the evacuation orders,
 	// or has waited long enough for each of them. The back end is not probed before that.
 	knowsPeersAndOrders func() bool
@@ -219,7 +219,7 @@
 	return b.currentView()
 }
 
-// recheckZone publishes the view after a change of the evacuation orders. It does not block.
+// publishViewAsync publishes the view after a change of the evacuation orders. It does not block.
 func (b *backendMonitor) publishViewAsync() {
 	b.running.Add(1)
 	go func() {
--- a/internal/hosted/registering.go
+++ b/internal/hosted/registering.go
@@ -134,7 +134,7 @@
 	return m.self.State == protocol.MemberLeft
 }
 
-// retryUntilDone repeats a call to the store, with delays by registryBackoff, until it succeeds.
+// retryUntilDone repeats a call to the store, with delays by storeBackoff, until it succeeds.
 // It returns false if the daemon stops first.
 func (m *mesh) retryUntilDone(call func() bool) bool {
 	for failures := 0; m.context.Err() == nil; failures++ {
@@ -148,10 +148,10 @@
 	return false
 }
 
-// registryBackoff computes the delay between two attempts of a call to the store.
+// storeBackoff computes the delay between two attempts of a call to the store.
 var storeBackoff = following.DefaultBackoff()
 
-// readRegistry is refreshRegistry with a list that may lag behind the registry.
+// refreshRegistryLagging is refreshRegistry with a list that may lag behind the registry.
 func (m *mesh) refreshRegistryLagging() bool { return m.refreshRegistry(authority.Lagging) }
 
 // refreshRegistry replaces the known registrations by those in the registry, and reports whether
--- a/internal/hosted/rolloutdecider.go
+++ b/internal/hosted/rolloutdecider.go
@@ -54,7 +54,7 @@
 	decider *rollout.Decider
 	// broadcastAt is the time of the last rebroadcast.
 	broadcastAt time.Duration
-	// pendingSince is the time since which the decided stage has differed from the one in the
+	// stageUnwrittenSince is the time since which the decided stage has differed from the one in the
 	// store; 0 if they are the same.
 	stageUnwrittenSince time.Duration
 	// faultLogged is set once the order's fault has been logged.
--- a/internal/hosted/rolloutorders.go
+++ b/internal/hosted/rolloutorders.go
@@ -33,8 +33,8 @@
 	return answered
 }
 
-// listLogged lists all orders, logs a failure, and reports whether the store answered. It is used
-// when the orders are needed before the watch returns them.
+// listOrLogFailure lists all orders, logs a failure, and reports whether the store answered. It is
+// used when the orders are needed before the watch returns them.
 func (d *rolloutDecider) listOrLogFailure() (orders []authority.RolloutOrder, answered bool) {
 	orders, _, err := d.list()
 	if err != nil {
--- a/internal/hosted/warmth.go
+++ b/internal/hosted/warmth.go
@@ -8,7 +8,7 @@
 	"github.com/springstack/springstack/internal/core/resource"
 )
 
-// coldState is the warm-up state of the back end as it is reported to the gate: the start, and the
+// warmthState is the warm-up state of the back end as it is reported to the gate: the start, and the
 // time on the daemon's clock until which that start is cold; 0 if it is warm.
 type warmthState struct {
 	start protocol.BackendStart
