--- a/internal/core/admission/call.go
+++ b/internal/core/admission/call.go
@@ -76,7 +76,7 @@
 	state State
 	// hasEnded is set by Done; only the owner of the call accesses it.
 	hasEnded bool
-	// hangState is 0, hangMarked or hangCleared; see MarkHung.
+	// hangState is 0, hangStateMarked or hangStateEnded; see MarkHung.
 	hangState atomic.Int32
 	startedAt time.Duration
 	// expectedServiceTime is the service time expected when the call was queued or started.
--- a/internal/core/admission/fingerprint_set.go
+++ b/internal/core/admission/fingerprint_set.go
@@ -151,7 +151,8 @@
 			return Present
 		}
 		if int(generations.current.count.Load()) >= generations.current.capacity {
-			// rotate would have made room if the limit allowed it.
+			// Either the limit prevents a rotation, or concurrent additions have filled the
+			// generation since rotate.
 			return Full
 		}
 		outcome := generations.current.add(value)
--- a/internal/core/admission/gate.go
+++ b/internal/core/admission/gate.go
@@ -275,7 +275,7 @@
 		return
 	}
 	ticket.hasEnded = true
-	if ticket.hangState.Swap(hangCleared) == hangMarked {
+	if ticket.hangState.Swap(hangStateEnded) == hangStateMarked {
 		g.hungCount.Add(-1)
 	}
 	g.runningWork.Add(-int64(ticket.expectedServiceTime))
--- a/internal/core/admission/gate_test.go
+++ b/internal/core/admission/gate_test.go
@@ -84,8 +84,8 @@
 	setMeanService(gate, 0, 100*time.Millisecond)
 	now := time.Second
 	running := offer(gate, now, Call{})
-	late := offer(gate, now, Call{Deadline: now + 120*time.Millisecond})
-	check.Equal(late.code, result.DeadlineBeforeStart) // at once, not at the deadline
+	lateCall := offer(gate, now, Call{Deadline: now + 120*time.Millisecond})
+	check.Equal(lateCall.code, result.DeadlineBeforeStart) // at once, not at the deadline
 	queued := offer(gate, now, Call{Deadline: now + 200*time.Millisecond})
 	check.Equal(queued.state, StateQueued)
 	gate.Done(now+190*time.Millisecond, running.ticket, true)
--- a/internal/core/admission/isolation.go
+++ b/internal/core/admission/isolation.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// isolation holds the isolated call: while it runs, no other call may start.
+// isolation holds the isolated call: no other call may start until it ends or EndIsolation is
+// called.
 type isolation struct {
 	ticket *Ticket
 	// aloneSignal is closed once no other call runs.
--- a/internal/core/admission/queueing.go
+++ b/internal/core/admission/queueing.go
@@ -89,14 +89,14 @@
 // The states of Ticket.hangState other than 0, the state of a call not marked as hung. A call that
 // has ended can't be marked any more, because it would never be subtracted from Gate.hungCount.
 const (
-	hangMarked  = 1
-	hangCleared = 2
+	hangStateMarked = 1
+	hangStateEnded  = 2
 )
 
 // MarkHung marks a started call as hung. Its slot is not expected to become free soon, so the
 // expected waits rise, and queued calls that can't end by their deadlines are refused at once.
 func (g *Gate) MarkHung(now time.Duration, ticket *Ticket) {
-	if !ticket.hangState.CompareAndSwap(0, hangMarked) {
+	if !ticket.hangState.CompareAndSwap(0, hangStateMarked) {
 		return
 	}
 	g.hungCount.Add(1)
--- a/internal/core/admission/target_test.go
+++ b/internal/core/admission/target_test.go
@@ -67,16 +67,16 @@
 	check := is.New(t)
 	gate := New(0, testConfig(1))
 	holder := offer(gate, 0, Call{})
-	late := offer(gate, 0, callWithTarget(0, 500*time.Millisecond))
-	soon := offer(gate, 1, callWithTarget(1, 120*time.Millisecond))
+	lateTarget := offer(gate, 0, callWithTarget(0, 500*time.Millisecond))
+	earlyTarget := offer(gate, 1, callWithTarget(1, 120*time.Millisecond))
 	high := Call{Deadline: time.Hour, Target: time.Second, Class: classOfTarget(time.Second), Priority: resource.PriorityHigh}
 	highPriority := offer(gate, 2, high)
 	gate.Done(3, holder.ticket, true)
 	check.Equal(highPriority.waiter.last().State, StateStarted)
 	gate.Done(4, highPriority.ticket, true)
-	check.Equal(soon.waiter.last().State, StateStarted)
-	gate.Done(5, soon.ticket, true)
-	check.Equal(late.waiter.last().State, StateStarted)
+	check.Equal(earlyTarget.waiter.last().State, StateStarted)
+	gate.Done(5, earlyTarget.ticket, true)
+	check.Equal(lateTarget.waiter.last().State, StateStarted)
 }
 
 // A call that can no longer meet its target when a slot becomes free still runs if no
@@ -143,9 +143,9 @@
 	waiting := offer(gate, 0, overtaken)
 	check.Equal(waiting.state, StateQueued)
 	for range 2 {
-		sooner := callWithTarget(0, span)
-		sooner.Target -= 60 * time.Millisecond
-		check.Equal(offer(gate, 0, sooner).state, StateQueued)
+		earlierTarget := callWithTarget(0, span)
+		earlierTarget.Target -= 60 * time.Millisecond
+		check.Equal(offer(gate, 0, earlierTarget).state, StateQueued)
 	}
 	check.Equal(waiting.waiter.last().Code, result.QueueFull)
 	check.True(waiting.waiter.last().RetryAfter > 0)
@@ -174,10 +174,10 @@
 	queuedBefore := countQueued()
 	for range 64 {
 		holder := offer(gate, 0, callWithTarget(0, span))
-		late := offer(gate, 0, callWithTarget(0, span))
+		queued := offer(gate, 0, callWithTarget(0, span))
 		gate.Done(200*time.Millisecond, holder.ticket, false) // twice the mean service time
-		check.Equal(late.waiter.last().State, StateStarted)
-		gate.Done(300*time.Millisecond, late.ticket, true)
+		check.Equal(queued.waiter.last().State, StateStarted)
+		gate.Done(300*time.Millisecond, queued.ticket, true)
 	}
 	check.True(queuedBefore > countQueued())
 }
--- a/internal/core/backend/outlier_test.go
+++ b/internal/core/backend/outlier_test.go
@@ -48,9 +48,9 @@
 	now, succeeded := recordCalls(tracker, 0, 0, 1000, 10)
 	check.Equal(tracker.View(now).State, protocol.EndpointReady)
 	check.Equal(succeeded, uint64(900))
-	other := newReadyTracker(t)
+	otherTracker := newReadyTracker(t)
 	for call := range minCalls - 1 {
-		check.True(!other.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few calls
+		check.True(!otherTracker.RecordFailure(time.Duration(call)*time.Millisecond, protocol.BackendStart{Instance: "a"}, 0)) // too few calls
 	}
 }
 
--- a/internal/core/backend/restart_test.go
+++ b/internal/core/backend/restart_test.go
@@ -74,9 +74,9 @@
 func TestANewerStartHasItsOwnWarmUp(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 100)
-	cold := reportOf(100, 8)
-	cold.WarmUp = time.Minute
-	tracker.HandleReport(0, cold)
+	coldReport := reportOf(100, 8)
+	coldReport.WarmUp = time.Minute
+	tracker.HandleReport(0, coldReport)
 	check.Equal(tracker.View(0).State, protocol.EndpointWarming)
 	tracker.HandleReport(0, reportOf(200, 1))
 	answerProbe(tracker, 0)
@@ -336,12 +336,12 @@
 func TestAnOlderStartThatKeepsReportingMayReportThatItIsCold(t *testing.T) {
 	check := is.New(t)
 	tracker := newTrackerRunning(t, 300)
-	cold := reportOf(200, 3)
-	cold.WarmUp = time.Second
-	tracker.HandleReport(interval, cold) // a single report may have been delayed
+	coldReport := reportOf(200, 3)
+	coldReport.WarmUp = time.Second
+	tracker.HandleReport(interval, coldReport) // a single report may have been delayed
 	check.Equal(tracker.View(interval).ColdUntil, time.Duration(0))
-	cold.Sequence++
-	tracker.HandleReport(2*interval, cold)
+	coldReport.Sequence++
+	tracker.HandleReport(2*interval, coldReport)
 	check.Equal(tracker.View(2*interval).ColdUntil, 2*interval+time.Second)
 	check.True(tracker.NeedsWarmthProbe(2 * interval)) // so a probe is due
 	tracker.HandleProbeResult(2*interval, ProbeResult{Instance: "a", Healthy: true, TellsWarmUp: true})
--- a/internal/core/endpoint/endpoint.go
+++ b/internal/core/endpoint/endpoint.go
@@ -281,8 +281,8 @@
 	return int64(now) < e.stats.notAcceptingUntil.Load() && e.stats.notAcceptingSequence.Load() >= e.Sequence
 }
 
-// Ejected reports whether this process sends no calls to the endpoint because of recent
-// failures or because its daemon does not answer.
+// Ejected reports whether the endpoint is ejected because of recent failures or because its
+// daemon does not answer. Choose avoids ejected endpoints while enough others are left.
 func (e *Endpoint) Ejected(now time.Duration) bool {
 	return int64(now) < e.stats.ejectedUntil.Load()
 }
--- a/internal/core/endpoint/endpoint_test.go
+++ b/internal/core/endpoint/endpoint_test.go
@@ -222,10 +222,10 @@
 	moved := 0
 	seen := map[string]bool{}
 	members[3].Endpoint = protocol.EndpointDraining
-	without := Build(set, home, backends, members, 0)
+	setWithoutB3 := Build(set, home, backends, members, 0)
 	for key := range uint64(700) {
 		before := set.ChooseByRequestKey(0, key*0x9e3779b97f4a7c15, nil).Backend
-		after := without.ChooseByRequestKey(0, key*0x9e3779b97f4a7c15, nil).Backend
+		after := setWithoutB3.ChooseByRequestKey(0, key*0x9e3779b97f4a7c15, nil).Backend
 		seen[before] = true
 		if before != after {
 			moved++
@@ -345,7 +345,7 @@
 	set.All[0].End(0, Unreachable)
 	check.Equal(countChoices(set, 0, 100)["b0"], 0)
 	set = Build(set, locality, backends, members, 0)
-	check.Equal(countChoices(set, 0, 100)["b0"], 0) // not restarted
+	check.Equal(countChoices(set, 0, 100)["b0"], 0) // the back end has not restarted
 	members[0].Born = 200
 	set = Build(set, locality, backends, members, 0)
 	check.True(countChoices(set, 0, 100)["b0"] > 10)
--- a/internal/core/endpoint/node_test.go
+++ b/internal/core/endpoint/node_test.go
@@ -17,8 +17,8 @@
 	set := Build(nil, home, backends, members, 0)
 	own := set.ChooseOnNode(0, "b0", nil)
 	check.Equal(own.Backend, "b0")
-	check.Equal(set.ChooseOnNode(0, "b1", nil), nil) // warming
-	check.Equal(set.ChooseOnNode(0, "b9", nil), nil) // not of the service
+	check.Equal(set.ChooseOnNode(0, "b1", nil), nil) // the back end is warming
+	check.Equal(set.ChooseOnNode(0, "b9", nil), nil) // the service has no such back end
 	check.Equal(set.ChooseOnNode(0, "b0", Tried{own}), nil)
 	own.Begin()
 	own.End(0, Overloaded)
--- a/internal/core/following/following.go
+++ b/internal/core/following/following.go
@@ -104,7 +104,8 @@
 	config Config
 	// random returns a uniform random number, used for jitter.
 	random func() uint64
-	// position is the newest position read from the store.
+	// position is the position from which the next watch starts: the newest one that
+	// HandleReading has accepted.
 	position authority.Position
 	// era is the newest known era of the store; it may be later than that of position.
 	era uint64
--- a/internal/core/following/following_test.go
+++ b/internal/core/following/following_test.go
@@ -153,8 +153,8 @@
 	follower.HandleReading(time.Minute, reading(5, 5))
 	soon := time.Minute + 100*time.Millisecond
 	check.Equal(follower.HandlePeerVersion(soon, "p", 6)[0].After, DefaultConfig().Pace-100*time.Millisecond)
-	late := time.Minute + 2*DefaultConfig().Pace
-	check.Equal(follower.HandlePeerVersion(late, "q", 6)[0].After, DefaultConfig().PeerGrace)
+	lateTime := time.Minute + 2*DefaultConfig().Pace
+	check.Equal(follower.HandlePeerVersion(lateTime, "q", 6)[0].After, DefaultConfig().PeerGrace)
 }
 
 func TestPaceIsAQuarterOfTheApplyTime(t *testing.T) {
--- a/internal/core/hang/hang.go
+++ b/internal/core/hang/hang.go
@@ -8,8 +8,8 @@
 
 const (
 	// minAnsweredCalls is the number of answered calls of a class below which no call of the class
-	// is considered hung. With fewer, at least one in twenty healthy calls takes longer than all of
-	// them.
+	// is considered hung. With fewer, on average at least one in twenty healthy calls takes longer
+	// than all answered calls.
 	minAnsweredCalls = 20
 	// minOvertaken is the number of calls of any class that must have been sent later than a call
 	// and been answered. They show that the back end is answering, so the call is not merely
--- a/internal/core/hang/hang_test.go
+++ b/internal/core/hang/hang_test.go
@@ -42,7 +42,7 @@
 	is.New(t).True(!evidence.IsHung())
 }
 
-func TestWithoutACountTheAgeMustExceedTwiceTheLongestTime(t *testing.T) {
+func TestWithoutAReportOfHeldCallsTheAgeMustExceedTwiceTheLongestTime(t *testing.T) {
 	check := is.New(t)
 	evidence := hungEvidence()
 	evidence.Told = false
--- a/internal/core/ledger/draft.go
+++ b/internal/core/ledger/draft.go
@@ -241,13 +241,13 @@
 	if !found || entry.Held == nil || entry.Accepted == nil {
 		return nil
 	}
-	otherReferences := lo.Filter(d.missingReferences([]resource.FileKey{key}), func(missing resource.Reference, _ int) bool {
+	missingInOtherFiles := lo.Filter(d.missingReferences([]resource.FileKey{key}), func(missing resource.Reference, _ int) bool {
 		return missing.File != key
 	})
-	if len(otherReferences) == 0 {
+	if len(missingInOtherFiles) == 0 {
 		return nil
 	}
-	return d.newStillNeededRefusal(otherReferences)
+	return d.newStillNeededRefusal(missingInOtherFiles)
 }
 
 // newStillNeededRefusal refuses the change with one error for each resource that
--- a/internal/core/node/chaos_test.go
+++ b/internal/core/node/chaos_test.go
@@ -122,8 +122,8 @@
 	regions := c.random.IntN(3) == 0
 	bothWays := c.random.IntN(2) == 0
 	for i := range 10 {
-		other := c.daemons[address(i)]
-		if !regions && c.random.IntN(3) == 0 || regions && other.config.Region == target.config.Region {
+		peer := c.daemons[address(i)]
+		if !regions && c.random.IntN(3) == 0 || regions && peer.config.Region == target.config.Region {
 			continue
 		}
 		c.cutLinkSet[[2]string{target.config.ControlAddress, address(i)}] = true
--- a/internal/core/node/parent.go
+++ b/internal/core/node/parent.go
@@ -46,10 +46,11 @@
 	return n.bestCandidate()
 }
 
-// bestCandidate returns the first candidate that is not avoided. If all candidates that
-// rank before this daemon are avoided, it returns this daemon itself, which then becomes
-// root. If a better-ranked candidate has answered that it accepts no children yet, this
-// daemon first waits for up to betterRootTimeout for that candidate to become root.
+// bestCandidate returns the first candidate that is not avoided. This daemon counts as a
+// candidate only if it can be root. If a better-ranked candidate has answered that it
+// accepts no children yet, this daemon counts only once betterRootTimeout has passed since
+// the loss of the parent, so that the better-ranked candidate can become root. If bestCandidate
+// returns this daemon, it becomes root.
 func (n *Node) bestCandidate() (protocol.Member, bool) {
 	betterRefused := false
 	for _, candidate := range n.parentCandidates() {
@@ -98,8 +99,8 @@
 type avoidance struct {
 	until       time.Duration
 	incarnation protocol.Incarnation
-	// refusalCount is the number of refusals by the daemon since this one last joined a
-	// parent.
+	// refusalCount is the number of refusals by the avoided daemon since the local daemon
+	// last joined a parent.
 	refusalCount int
 	// lastRefused is set when the daemon answered the last fetch with AskAnother or
 	// NotReadyYet.
--- a/internal/core/quarantine/table_test.go
+++ b/internal/core/quarantine/table_test.go
@@ -44,8 +44,8 @@
 	}
 	check.Equal(SumBody(nil), Hash{})
 	check.True(SumBody([]byte("x")) != SumBody([]byte("y")))
-	long := make([]byte, BodyBytes+1)
-	check.Equal(SumBody(long), SumBody(long[:BodyBytes])) // bytes beyond the limit are ignored
+	longBody := make([]byte, BodyBytes+1)
+	check.Equal(SumBody(longBody), SumBody(longBody[:BodyBytes])) // bytes beyond the limit are ignored
 }
 
 func TestARequestIsHeldAfterEnoughEnds(t *testing.T) {
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -83,7 +83,7 @@
 	m.retries = append(m.retries, retries)
 }
 
-// sum returns the total of the counts from index from up to index to.
+// sum returns the total of counts[from:to]; indexes outside the slice are ignored.
 func sum(counts []int, from, to int) (total int) {
 	for _, count := range counts[max(0, from):max(0, min(to, len(counts)))] {
 		total += count
@@ -139,7 +139,7 @@
 	check.Equal(trials[0].NextStep(2*time.Second, failed).Action, Send) // charged in advance
 	for _, trial := range trials {
 		trial.ReleaseTrialRetry()
-		trial.ReleaseTrialRetry() // no second refund
+		trial.ReleaseTrialRetry() // a retry is refunded only once
 	}
 	for range 3 { // the fourth retry was used
 		check.True(budget.Withdraw(3*time.Second, 0, 1, true))
--- a/internal/core/retry/call.go
+++ b/internal/core/retry/call.go
@@ -244,9 +244,9 @@
 	return true
 }
 
-// FinalStep returns the step to take once all attempts have ended: the decided step, or, if that
-// step is a refusal and ResolveUncertainAttempt has since shown that no attempt ran, the refusal
-// for the outcome resolved last.
+// FinalStep returns the step to take once all attempts have ended. This is the decided step. If
+// that step is a refusal and ResolveUncertainAttempt has since shown that no attempt ran, it is
+// the refusal for the outcome resolved last.
 func (c *Call) FinalStep(decided Step) Step {
 	if decided.Action != Refuse || decided.Ran == result.RanNo || c.uncertainAttempts > 0 {
 		return decided
--- a/internal/core/retry/call_test.go
+++ b/internal/core/retry/call_test.go
@@ -67,8 +67,8 @@
 	check.Equal(call.NextStep(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
 	step := call.NextStep(0, Outcome{Kind: Refused, Code: result.Draining, Ran: result.RanNo, Replayable: true})
 	check.Equal(step, Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown})
-	late := Outcome{Kind: Refused, Code: result.DeadlineInFlight, Ran: result.RanUnknown, Replayable: true, Others: true}
-	check.Equal(newCall(Policy{Repeatable: true}).NextStep(0, late).Code, result.DeadlineInFlight) // no time for another attempt
+	lateRefusal := Outcome{Kind: Refused, Code: result.DeadlineInFlight, Ran: result.RanUnknown, Replayable: true, Others: true}
+	check.Equal(newCall(Policy{Repeatable: true}).NextStep(0, lateRefusal).Code, result.DeadlineInFlight) // no time for another attempt
 }
 
 // The late outcome of an attempt that may have run applies to that attempt only.
@@ -84,7 +84,7 @@
 	refusalStep := call.NextStep(0, draining)
 	check.True(!call.ResolveUncertainAttempt(broken))
 	check.True(!call.ResolveUncertainAttempt(unknown))
-	check.Equal(call.FinalStep(refusalStep), refusalStep) // no proof
+	check.Equal(call.FinalStep(refusalStep), refusalStep) // it is not proven that no attempt ran
 	check.True(call.ResolveUncertainAttempt(refusal))
 	check.Equal(call.FinalStep(refusalStep), Step{Action: Refuse, Code: result.QueueFull, Ran: result.RanNo, RetryAfter: time.Second})
 	check.True(!call.ResolveUncertainAttempt(refusal)) // no uncertain attempt is left
@@ -250,8 +250,8 @@
 	notRepeatable := policy
 	notRepeatable.Repeatable = false
 	check.True(!NewCall(notRepeatable, NewBudgetWithLimits(largeLimits)).ReserveRetry(0, broken))
-	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(95, broken)) // too late
-	withoutOthers := broken
-	withoutOthers.Others = false
-	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(0, withoutOthers))
+	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(95, broken)) // the retry would be too late
+	noOtherEndpoint := broken
+	noOtherEndpoint.Others = false
+	check.True(!NewCall(policy, NewBudgetWithLimits(largeLimits)).ReserveRetry(0, noOtherEndpoint))
 }
--- a/internal/core/retry/chain_test.go
+++ b/internal/core/retry/chain_test.go
@@ -41,8 +41,8 @@
 	repeated bool
 }
 
-// chainAttempts is the maximum number of attempts of a simulated call.
-const chainAttempts = 3
+// maxChainAttempts is the maximum number of attempts of a simulated call.
+const maxChainAttempts = 3
 
 // send simulates all attempts of a call to a level, and the calls that they make.
 func (s *chainSimulation) send(level int, call chainCall) {
@@ -52,7 +52,7 @@
 	service := &s.levels[level]
 	budget := service.budgets[call.daemon]
 	policy := Policy{
-		Repeatable: true, Attempts: chainAttempts, RetryFailures: true, Deadline: time.Hour,
+		Repeatable: true, Attempts: maxChainAttempts, RetryFailures: true, Deadline: time.Hour,
 		Class: call.class, Urgent: s.random() < 0.3,
 	}
 	state := NewCall(policy, budget)
--- a/internal/core/retry/cold_test.go
+++ b/internal/core/retry/cold_test.go
@@ -38,9 +38,9 @@
 
 func TestCallIsRefusedIfAllEndpointsAreCold(t *testing.T) {
 	check := is.New(t)
-	withoutOthers := coldRefusal
-	withoutOthers.Others = false
-	step := newCall(Policy{Repeatable: true}).NextStep(0, withoutOthers)
+	noOtherEndpoint := coldRefusal
+	noOtherEndpoint.Others = false
+	step := newCall(Policy{Repeatable: true}).NextStep(0, noOtherEndpoint)
 	check.Equal(step, Step{Action: Refuse, Code: result.WarmingUp, Ran: result.RanNo, RetryAfter: coldRefusal.RetryAfter})
 }
 
@@ -48,7 +48,7 @@
 	check := is.New(t)
 	call := newCall(Policy{Repeatable: true})
 	check.Equal(call.NextStep(0, Outcome{Kind: Broken, Replayable: true, Others: true}).Action, Send)
-	withoutOthers := coldRefusal
-	withoutOthers.Others = false
-	check.Equal(call.NextStep(0, withoutOthers), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: coldRefusal.RetryAfter})
+	noOtherEndpoint := coldRefusal
+	noOtherEndpoint.Others = false
+	check.Equal(call.NextStep(0, noOtherEndpoint), Step{Action: Refuse, Code: result.BrokenInFlight, Ran: result.RanUnknown, RetryAfter: coldRefusal.RetryAfter})
 }
--- a/internal/core/rollout/evaluate_test.go
+++ b/internal/core/rollout/evaluate_test.go
@@ -133,7 +133,7 @@
 	tally.Start()
 	tally.Record(1, false, true, 10*time.Millisecond)
 	tally.Record(1, true, false, 0)
-	tally.Record(2, false, false, time.Second) // cold: not counted
+	tally.Record(2, false, false, time.Second) // a success whose latency is not representative is not counted
 	for class := range callclass.Class(3 * classLimit) {
 		tally.Record(class, false, true, time.Millisecond) // more classes than are counted separately
 	}
@@ -149,11 +149,11 @@
 
 func TestEvidenceSinceAnEarlierState(t *testing.T) {
 	check := is.New(t)
-	earlier := Evidence{1: Counts{Answers: 5, Failures: 2}}
+	earlierEvidence := Evidence{1: Counts{Answers: 5, Failures: 2}}
 	now := Evidence{1: Counts{Answers: 9, Failures: 3}, 2: Counts{Answers: 1}}
-	check.Equal(now.Since(earlier), Evidence{1: Counts{Answers: 4, Failures: 1}, 2: Counts{Answers: 1}})
+	check.Equal(now.Since(earlierEvidence), Evidence{1: Counts{Answers: 4, Failures: 1}, 2: Counts{Answers: 1}})
 	restarted := Evidence{1: Counts{Answers: 1}}
-	check.Equal(restarted.Since(earlier), restarted)
+	check.Equal(restarted.Since(earlierEvidence), restarted)
 }
 
 // A slow version is detected despite failures that affect both versions. If slow and failed answers
--- a/internal/core/warmup/collapse_test.go
+++ b/internal/core/warmup/collapse_test.go
@@ -20,13 +20,13 @@
 // A small service in virtual time: back ends that crash if they receive too many calls while they
 // are cold, with the real gates, limiters and endpoint selection.
 const (
-	backendCount    = 8
-	callerCount     = 4
-	slotsPerBackend = 6
-	serviceTime     = 290 * time.Millisecond
-	ratePerSecond   = 4.5
-	overage         = 1.5
-	slack           = 8.0
+	backendCount      = 8
+	callerCount       = 4
+	slotsPerBackend   = 6
+	serviceTime       = 290 * time.Millisecond
+	coldRatePerSecond = 4.5
+	overage           = 1.5
+	slack             = 8.0
 	// crashAbove is the number of calls in a second that a cold back end survives. It is the
 	// maximum that the configured rate, overage and slack allow.
 	crashAbove = 14
@@ -40,9 +40,9 @@
 	callsPerSecond = 110
 	maxAttempts    = 5
 	disturbAt      = 5 * time.Second
-	// runTime is the duration of a run. Calls sent within evaluatedTime have ended by the end of
+	// runDuration is the duration of a run. Calls sent within evaluatedTime have ended by the end of
 	// the run, so only these are evaluated.
-	runTime       = 30 * time.Second
+	runDuration   = 30 * time.Second
 	evaluatedTime = 25 * time.Second
 )
 
@@ -88,7 +88,7 @@
 // simulate simulates the service with a disturbance and returns the final state. Starts at cold
 // back ends are limited only if limitsColdStarts is true.
 func simulate(seed uint64, limitsColdStarts bool, disturb func(*simulatedService)) *simulatedService {
-	seconds := int(runTime/time.Second) + 10
+	seconds := int(runDuration/time.Second) + 10
 	s := &simulatedService{
 		random: rand.New(rand.NewPCG(seed, 1)), limitsColdStarts: limitsColdStarts, rate: callsPerSecond,
 		callers:       make([]*endpoint.Set, callerCount),
@@ -108,7 +108,7 @@
 	s.publish()
 	s.newCall()
 	s.schedule(disturbAt, func() { disturb(s) })
-	for s.now < runTime {
+	for s.now < runDuration {
 		next := heap.Pop(&s.queue).(event)
 		s.now = next.at
 		next.run()
@@ -127,7 +127,7 @@
 		Slots: slotsPerBackend, QueueLength: 256, QueueWait: 2 * time.Second, KeyWindow: time.Second, KeyCount: 1,
 	})
 	if s.limitsColdStarts {
-		b.gate.SetColdLimit(s.now, warmup.Tolerance{Overage: overage, Slack: slack}.Limit(ratePerSecond), false)
+		b.gate.SetColdLimit(s.now, warmup.Tolerance{Overage: overage, Slack: slack}.Limit(coldRatePerSecond), false)
 	}
 }
 
@@ -135,7 +135,7 @@
 func (s *simulatedService) publish() {
 	self := endpoint.Locality{TrustStates: true}
 	if s.limitsColdStarts {
-		self.ColdRate = ratePerSecond
+		self.ColdRate = coldRatePerSecond
 	}
 	var members []protocol.Member
 	var backends []resource.Backend
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -133,8 +133,8 @@
 	return wait
 }
 
-// TryStart counts a start and returns 0 if the call may start now. Otherwise it returns how long
-// the call must wait.
+// TryStart returns 0 if a call of a class may start now, and counts the start if starts are
+// limited. Otherwise it returns how long the call must wait.
 func (l *Limiter) TryStart(now time.Duration, class int) (wait time.Duration) {
 	if !l.IsLimiting(now) {
 		return 0
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -45,12 +45,12 @@
 
 func TestAWarmBackEndAndOneWithoutALimitAreNotLimited(t *testing.T) {
 	check := is.New(t)
-	warm := newColdLimiter(1)
-	warm.SetColdUntil(0, 0)
-	withoutLimit := New(0)
+	warmLimiter := newColdLimiter(1)
+	warmLimiter.SetColdUntil(0, 0)
+	unlimitedLimiter := New(0)
 	for range 100 {
-		check.Equal(warm.TryStart(0, lowestClass), time.Duration(0))
-		check.Equal(withoutLimit.TryStart(0, lowestClass), time.Duration(0))
+		check.Equal(warmLimiter.TryStart(0, lowestClass), time.Duration(0))
+		check.Equal(unlimitedLimiter.TryStart(0, lowestClass), time.Duration(0))
 	}
 }
 
@@ -190,9 +190,9 @@
 }
 
 // The test draws a sequence of calls, daemon restarts, and changes of the limit and of the cold
-// state. After each start that is allowed while starts are limited, the last second contains at most
-// as many starts as the highest limit in force at one of these starts. Starts while the back end was
-// warm are included.
+// state. After each start that is allowed while starts are limited, the number of starts in the last
+// second, including those while the back end was warm, is at most the highest limit in force at one
+// of them.
 func TestNoSecondGetsMoreThanTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(0)
--- a/internal/hosted/evacuations_test.go
+++ b/internal/hosted/evacuations_test.go
@@ -21,7 +21,8 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// testOrderBound is the bound for orders (evacuation.Timing.Within) in these tests.
+// testOrderBound is the time within which evacuation orders take effect
+// (evacuation.Timing.Within) in these tests.
 const testOrderBound = 5 * time.Second
 
 // zoneBackend monitors a back end whose zone is evacuated and used again.
--- a/internal/hosted/heldrequests.go
+++ b/internal/hosted/heldrequests.go
@@ -175,8 +175,8 @@
 	defer m.mutex.Unlock()
 	absent, wasAbsent := m.absentHeld[signature]
 	removedRecently := wasAbsent && absent.removedHere && m.clock()-absent.absentSince <= maxLateWriteDelay
-	_, isStored := m.storedHeld[signature]
-	return isStored && !removedRecently
+	_, wasStored := m.storedHeld[signature]
+	return wasStored && !removedRecently
 }
 
 // reconcileHeldRequests releases the requests that operators have removed from the store, removes
@@ -227,8 +227,8 @@
 	m.markAbsent(signature, isStored)
 }
 
-// removeHeldRequest removes a request from the store. If that fails, daemons that start later read
-// the entry and remove it.
+// removeHeldRequest removes a request from the store. If that fails, reconcileHeldRequests tries
+// again while signaturesToCheck lists the request, and daemons that start later remove the entry.
 func (m *mesh) removeHeldRequest(signature quarantine.Signature) {
 	ctx, cancel := context.WithTimeout(m.context, storeReadTimeout)
 	defer cancel()
--- a/internal/hosted/storereads_test.go
+++ b/internal/hosted/storereads_test.go
@@ -16,10 +16,10 @@
 // scriptedReads makes read calls to a simulated store that answers each call after a given delay.
 type scriptedReads struct {
 	hedgedReads
-	answerDelays []time.Duration
-	callCount    atomic.Int64
-	renewals     int
-	deadReports  atomic.Int64
+	answerDelays          []time.Duration
+	callCount             atomic.Int64
+	renewals              int
+	deadConnectionReports atomic.Int64
 }
 
 func newScriptedReads(delays ...time.Duration) *scriptedReads {
@@ -29,7 +29,7 @@
 	reads.running = &sync.WaitGroup{}
 	reads.calls = &storeCalls{}
 	reads.renewConnections = func() { reads.renewals++ }
-	reads.onDeadConnection = func(time.Duration) { reads.deadReports.Add(1) }
+	reads.onDeadConnection = func(time.Duration) { reads.deadConnectionReports.Add(1) }
 	return reads
 }
 
@@ -57,7 +57,7 @@
 		check.Equal(reads.clock(), minSilence+time.Millisecond)
 		reads.running.Wait()
 		check.Equal(reads.renewals, 1)
-		check.Equal(reads.deadReports.Load(), int64(1))
+		check.Equal(reads.deadConnectionReports.Load(), int64(1))
 	})
 }
 
@@ -69,7 +69,7 @@
 		_, err := reads.read(t)
 		check.NoErr(err)
 		reads.running.Wait()
-		check.Equal(reads.deadReports.Load(), int64(0))
+		check.Equal(reads.deadConnectionReports.Load(), int64(0))
 	})
 }
 
@@ -85,6 +85,6 @@
 		check.True(err != nil)
 		check.Equal(reads.callCount.Load(), int64(3))
 		reads.running.Wait()
-		check.Equal(reads.deadReports.Load(), int64(0))
+		check.Equal(reads.deadConnectionReports.Load(), int64(0))
 	})
 }
--- a/internal/proxy/bodyqueue.go
+++ b/internal/proxy/bodyqueue.go
@@ -100,8 +100,8 @@
 }
 
 // equivalentQueueLength returns the number of queued calls that would make the next call
-// wait for a slot as long as its body would wait for a turn. The gate adds it to the
-// queue length that it reports.
+// wait for a slot as long as its body would wait for a turn, but at least the number of
+// waiting bodies. The gate adds it to the queue length that it reports.
 func (t *bodyQueue) equivalentQueueLength(now time.Duration, slots int, serviceTime time.Duration) int {
 	waiting := int(t.waitingBodies.Load())
 	if serviceTime <= 0 {
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -125,7 +125,7 @@
 // connectionContexts holds the cancel functions of the contexts of all open connections. It is
 // updated per connection, not per call.
 type connectionContexts struct {
-	cancelFuncs sync.Map // of net.Conn to context.CancelCauseFunc
+	cancelFuncs sync.Map // maps net.Conn to context.CancelCauseFunc
 }
 
 // addConn returns the context of a new connection, which cancelAll cancels.
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -223,7 +223,7 @@
 	hedged.first.outcomes <- respondsWithError
 	time.Sleep(noAnswerPeriod)
 	hedged.second.resetAllAttempts()
-	hedged.first.resetAllAttempts() // for further attempts at the first back end
+	hedged.first.resetAllAttempts() // resets further attempts at the first back end
 	got := await(t, hedged.answers, "an answer")
 	check.Equal(got.status, http.StatusInternalServerError)
 	check.Equal(got.code(), "")
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -22,7 +22,7 @@
 
 // harmfulRequests holds the daemon's quarantine records. A request is recorded if running it may
 // end its back end. The quarantine checks of calls read only view, an atomic pointer, and take no
-// lock; they cost a call two loads if there are no records.
+// lock. If there are no records, each check costs one load of view and a test for emptiness.
 type harmfulRequests struct {
 	clock func() time.Duration
 	log   func(name string, fields ...EventField)
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -31,10 +31,10 @@
 // silenceMonitor detects that a gate answers no calls. The connections alone don't show
 // whether such a gate is busy or whether it is disconnected, paused or without power.
 type silenceMonitor struct {
-	// answeredAt is when the gate last answered a call, checkedAt when a check of its daemon
+	// answeredAt is when the gate last answered a call, checkRequestedAt when a check of its daemon
 	// was last requested, both in nanoseconds on the clock.
-	answeredAt atomic.Int64
-	checkedAt  atomic.Int64
+	answeredAt       atomic.Int64
+	checkRequestedAt atomic.Int64
 
 	mutex sync.Mutex
 	// hedgeableAttempts holds the waiting attempts that may be hedged, each with the function that
@@ -70,8 +70,8 @@
 	if silentFor := now - time.Duration(gateUpstream.silence.answeredAt.Load()); silentFor < limit {
 		return limit - silentFor
 	}
-	lastCheck := gateUpstream.silence.checkedAt.Load()
-	if now-time.Duration(lastCheck) >= silenceCheckInterval && gateUpstream.silence.checkedAt.CompareAndSwap(lastCheck, int64(now)) {
+	lastCheck := gateUpstream.silence.checkRequestedAt.Load()
+	if now-time.Duration(lastCheck) >= silenceCheckInterval && gateUpstream.silence.checkRequestedAt.CompareAndSwap(lastCheck, int64(now)) {
 		p.config.OnSilent(node)
 	}
 	return max(silenceCheckInterval, limit)
