--- a/internal/pipeline/ahead.go
+++ b/internal/pipeline/ahead.go
@@ -71,7 +71,7 @@
 	if c.readErr == nil {
 		c.readErr = err
 	}
-	for _, call := range append(c.queue, c.current, c.serving) {
+	for _, call := range append(c.queue, c.pendingCall, c.servingCall) {
 		if call != nil {
 			call.drop()
 		}
@@ -108,7 +108,7 @@
 // newCall returns the call for the request with the given head, or nil if the request
 // must wait for its turn.
 func (c *Conn) newCall(head []byte) *Call {
-	if parsed := readFraming(head); !parsed.known || parsed.bodyLength > 0 {
+	if parsed := readFraming(head); !parsed.isKnown || parsed.bodyLength > 0 {
 		return nil
 	}
 	request, err := parseHead(head)
--- a/internal/pipeline/answer.go
+++ b/internal/pipeline/answer.go
@@ -13,8 +13,8 @@
 // errDropped is returned to a handler that writes an answer which will not be delivered.
 const errDropped = errors.ConstError("the connection has ended before the answer's turn")
 
-// interim is an interim answer, one with a status 1xx.
-type interim struct {
+// interimAnswer is an answer with a status 1xx, which precedes the final answer.
+type interimAnswer struct {
 	status int
 	header http.Header
 }
@@ -27,9 +27,9 @@
 	// header is the map that the handler changes.
 	header http.Header
 
-	mutex   sync.Mutex
-	changed sync.Cond
-	interim []interim
+	mutex          sync.Mutex
+	changed        sync.Cond
+	interimAnswers []interimAnswer
 	// status is 0 until the handler writes the head; head is a copy of header at that
 	// moment.
 	status int
@@ -63,7 +63,7 @@
 		return
 	}
 	if status < http.StatusOK {
-		a.interim = append(a.interim, interim{status: status, header: a.header.Clone()})
+		a.interimAnswers = append(a.interimAnswers, interimAnswer{status: status, header: a.header.Clone()})
 	} else {
 		a.status = status
 		a.head = maps.Clone(a.header)
@@ -196,7 +196,7 @@
 func (a *answer) replayHead(writer http.ResponseWriter) {
 	header := writer.Header()
 	connection, hasConnection := header["Connection"]
-	for _, early := range a.interim {
+	for _, early := range a.interimAnswers {
 		maps.Copy(header, early.header)
 		writer.WriteHeader(early.status)
 		clear(header)
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -40,8 +40,8 @@
 	inBody
 	// requestComplete: the server has read all of the current request.
 	requestComplete
-	// notFramed: from here on Conn does not know where requests end; nothing runs ahead.
-	notFramed
+	// endUnknown: from here on Conn does not know where requests end; no request runs ahead.
+	endUnknown
 )
 
 // Conn is a connection whose waiting requests run ahead of their turn. The server reads
@@ -51,7 +51,7 @@
 	config *Config
 
 	mutex sync.Mutex
-	// changed is signalled when the condition of a waiting reader may have changed.
+	// changed is signalled when a condition that awaitRoom waits for may have changed.
 	changed sync.Cond
 	// baseContext is the parent context of the requests that run ahead.
 	baseContext context.Context
@@ -69,18 +69,19 @@
 	queue         []*Call
 	queuedBytes   int
 	firstHeadRead int
-	// blocked is set if the request after the queue must wait for its turn.
+	// blocked is set if the request after those in queue must wait for its turn.
 	blocked bool
 	// unreadAt is when the last bytes of unread were received. arrivedAt is when the
 	// current request was received; it is zero if the server was waiting for the request.
 	unreadAt  time.Time
 	arrivedAt time.Time
-	// current is the call of the request that the server has read, serving the call of the
-	// request whose handler runs. Each is nil if its request did not run ahead.
-	current *Call
-	serving *Call
-	// deadlinePassed is set if the last read deadline was already past when it was set. The
-	// server sets such a deadline to interrupt a read.
+	// pendingCall is the call of the request that the server has read but whose handler has not
+	// started; servingCall is that of the request whose handler runs. Each is nil if there is no
+	// such request or it did not run ahead.
+	pendingCall *Call
+	servingCall *Call
+	// deadlinePassed is true if the last read deadline lay in the past when SetReadDeadline was
+	// called. The server does this to interrupt a read.
 	deadlinePassed bool
 	readErr        error
 }
@@ -93,7 +94,7 @@
 	return wrapped
 }
 
-// Bind sets the parent context of the connection's requests.
+// Bind sets the parent context of the requests that run ahead.
 func (c *Conn) Bind(ctx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -106,8 +107,8 @@
 func (c *Conn) BeginRequest(request *http.Request) (*Call, time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	call := c.current
-	c.current = nil
+	call := c.pendingCall
+	c.pendingCall = nil
 	var waited time.Duration
 	if !c.arrivedAt.IsZero() {
 		waited = time.Since(c.arrivedAt)
@@ -116,7 +117,7 @@
 		call.drop()
 		call = nil
 	}
-	c.serving = call
+	c.servingCall = call
 	return call, waited
 }
 
@@ -125,7 +126,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.handlerReturned = true
-	c.serving = nil
+	c.servingCall = nil
 	if c.position == requestComplete {
 		c.position = inHead
 	}
@@ -136,20 +137,21 @@
 func (c *Conn) HasPendingAnswers() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return len(c.queue) > 0 || c.current != nil
+	return len(c.queue) > 0 || c.pendingCall != nil
 }
 
 // Read implements net.Conn for the server.
 func (c *Conn) Read(buffer []byte) (int, error) {
-	if c.isDisconnectProbe(buffer) {
+	if c.checkDisconnectProbe(buffer) {
 		return c.readAhead(buffer)
 	}
 	return c.readRequest(buffer)
 }
 
-// isDisconnectProbe reports whether the server reads only to detect that the client
-// disconnects. The server does so, one byte at a time, while a handler runs.
-func (c *Conn) isDisconnectProbe(buffer []byte) bool {
+// checkDisconnectProbe reports whether the server reads only to detect that the client
+// disconnects. The server does so, one byte at a time, while a handler runs. If the server
+// reads the next request instead, checkDisconnectProbe sets the position to inHead.
+func (c *Conn) checkDisconnectProbe(buffer []byte) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.position != requestComplete {
@@ -206,10 +208,10 @@
 }
 
 // advance moves the position over bytes that the server reads and returns how many of
-// them it may get. The lock is held.
+// them the server may get. The lock is held.
 func (c *Conn) advance(text []byte) int {
 	switch {
-	case c.position == notFramed:
+	case c.position == endUnknown:
 		return len(text)
 	case c.position == inBody:
 		used := min(len(text), c.bodyRemaining)
@@ -232,7 +234,7 @@
 	c.queuedBytes -= used
 	if c.firstHeadRead == first.headSize {
 		c.firstHeadRead = 0
-		c.current = first
+		c.pendingCall = first
 		c.queue = c.queue[1:]
 		c.arrivedAt = first.arrivedAt
 		c.handlerReturned = false
@@ -251,7 +253,7 @@
 	size := headLength(head)
 	if size < 0 {
 		if len(head) > c.config.InputBytes {
-			c.stopFraming()
+			c.stopTracking()
 			return len(text)
 		}
 		c.partialHead = append(c.partialHead, text...)
@@ -259,8 +261,8 @@
 	}
 	used := size - len(c.partialHead)
 	parsed := readFraming(head[:size])
-	if !parsed.known {
-		c.stopFraming()
+	if !parsed.isKnown {
+		c.stopTracking()
 		return len(text)
 	}
 	c.partialHead = nil
@@ -283,9 +285,9 @@
 	}
 }
 
-// stopFraming permanently stops tracking where requests end.
-func (c *Conn) stopFraming() {
-	c.position = notFramed
+// stopTracking permanently stops tracking where requests end.
+func (c *Conn) stopTracking() {
+	c.position = endUnknown
 	c.partialHead = nil
 }
 
--- a/internal/pipeline/framing.go
+++ b/internal/pipeline/framing.go
@@ -9,9 +9,9 @@
 
 // framing describes where a request ends, as far as its head states it.
 type framing struct {
-	// known is false if only the server can determine where the request ends or whether
+	// isKnown is false if only the server can determine where the request ends or whether
 	// another request may follow it.
-	known bool
+	isKnown bool
 	// bodyLength is the length of the body that follows the head, in bytes.
 	bodyLength int
 }
@@ -44,14 +44,14 @@
 	if !isPlainRequestLine(first) {
 		return framing{}
 	}
-	parsed := framing{known: true}
+	parsed := framing{isKnown: true}
 	hasLength := false
 	for len(rest) > 0 {
 		var line []byte
 		line, rest, _ = bytes.Cut(rest, []byte("\n"))
 		name, value, found := bytes.Cut(line, []byte(":"))
 		if !found {
-			continue // the empty line; the server refuses any other
+			continue // the empty line, or a line that the server refuses unless it continues the previous one
 		}
 		value = bytes.TrimSpace(value)
 		switch {
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -22,8 +22,9 @@
 	_ "github.com/springstack/springstack/internal/fixedseed"
 )
 
-// echo answers as the query says: with a status, a length, a number of yields before the
-// answer, chunks with a trailer, an interim answer, or an answer that breaks off.
+// echo answers with the request's body and, as the query requests: a status, a number of further
+// bytes, a number of calls of runtime.Gosched before the answer, chunks with a trailer, an interim
+// answer, or an answer that breaks off.
 func echo(writer http.ResponseWriter, request *http.Request) {
 	for range queryInt(request, "yield") {
 		runtime.Gosched()
@@ -427,7 +428,7 @@
 		parsed := readFraming(text[:size])
 		reader := bufio.NewReader(bytes.NewReader(text))
 		request, err := http.ReadRequest(reader)
-		if !parsed.known || err != nil {
+		if !parsed.isKnown || err != nil {
 			return // the server decides, and closes on an error
 		}
 		consumed := len(text) - reader.Buffered()
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// write writes a part of the body. Unless it is the last one it is flushed, so that streamed
+// write writes a part of the body. If more parts follow, it flushes the writer, so that streamed
 // data is not delayed.
 func (d *delivery) write(bytes []byte, more bool) error {
 	d.extendWriteDeadline()
--- a/internal/proxy/attemptoutcome.go
+++ b/internal/proxy/attemptoutcome.go
@@ -49,8 +49,8 @@
 func (c *callerCall) hasOtherEndpoint(current *attempt, set *endpoint.Set, now time.Duration) bool {
 	switch {
 	case current.endpointOutcome == endpoint.Overloaded && !current.outcome.Arrived:
-		// Gates that have just refused other calls are left out, so that they are not burdened in
-		// vain.
+		// Gates that have just refused other calls are left out, since another attempt would only
+		// add to their load and most likely be refused.
 		return set.HasUntriedWithCapacity(now, c.triedEndpoints)
 	case current.outcome.Code == result.RegionNotAllowed:
 		c.applyGateRegions(current.exchange.answer)
@@ -61,8 +61,8 @@
 	return set.HasUntried(now, c.triedEndpoints)
 }
 
-// classifyFailure classifies an attempt without an answer. Only a successful seal of its guard
-// makes it one that did not run.
+// classifyFailure classifies an attempt without an answer. The attempt counts
+// as not run only if its guard was sealed before anything was written.
 func (c *callerCall) classifyFailure(current *attempt) {
 	c.attemptDetail = describeFailure(current.exchange.err)
 	current.endpointOutcome = endpoint.Broken
@@ -150,7 +150,7 @@
 	return "The attempt failed: " + rootCause(err).Error() + "."
 }
 
-// describeBodyFailure describes a failure to read a request's body.
+// describeBodyFailure describes to callers a failure to read a request's body, without addresses.
 func describeBodyFailure(err error) string {
 	return "The request's body: " + rootCause(err).Error() + "."
 }
--- a/internal/proxy/backendbounds.go
+++ b/internal/proxy/backendlimits.go
@@ -19,10 +19,10 @@
 
 // backendLimits holds the values that limit the calls running at the back end.
 type backendLimits struct {
-	// slots is the number of calls that the back end runs concurrently, connections the maximum
-	// number of connections that its service declares; 0 if unknown.
-	slots       atomic.Int64
-	connections atomic.Int64
+	// slots is the maximum number of calls that the back end runs concurrently; 0 if unknown.
+	// maxConnections is the maximum number of connections that its service declares; 0 if none.
+	slots          atomic.Int64
+	maxConnections atomic.Int64
 	// maxCallDuration is the longest timeout of the routes in force to its service, in
 	// nanoseconds.
 	maxCallDuration atomic.Int64
@@ -45,7 +45,7 @@
 	if p.gate == nil || snap == nil {
 		return
 	}
-	p.backendLimits.connections.Store(int64(snap.Services[p.config.Service].MaxConnections))
+	p.backendLimits.maxConnections.Store(int64(snap.Services[p.config.Service].MaxConnections))
 	p.backendLimits.maxCallDuration.Store(int64(maxCallDuration(snap, p.config.Service)))
 	p.updateCallLimit()
 	p.expectOrphanedCalls()
@@ -57,7 +57,7 @@
 	p.backendLimits.applyMutex.Lock()
 	defer p.backendLimits.applyMutex.Unlock()
 	slots := int(p.backendLimits.slots.Load())
-	if maxConnections := p.backendLimits.connections.Load(); maxConnections > 0 {
+	if maxConnections := p.backendLimits.maxConnections.Load(); maxConnections > 0 {
 		callConnections := max(int(maxConnections)-reservedConnections, 1)
 		p.backend.openConns.setLimit(callConnections)
 		slots = min(slots, callConnections)
--- a/internal/proxy/transfer.go
+++ b/internal/proxy/bodyqueue.go
@@ -16,13 +16,13 @@
 	// would not arrive sooner, and everything else that is sent to the machine, such as a
 	// configuration update, would queue behind them on a slow link.
 	transferLimit = 2
-	// maxTransferWaitShare is the maximum share of a call's remaining time that its body may
+	// maxBodyWaitShare is the maximum share of a call's remaining time that its body may
 	// be expected to wait for its turn.
-	maxTransferWaitShare = 0.3
-	// transferIdleTimeout is how long a body may stall before it loses its turn to the next
-	// one. A body in progress brings a packet every few milliseconds, even on a link of a few
-	// Mbit/s; the rest allows for a sender that is short of processor time.
-	transferIdleTimeout = 250 * time.Millisecond
+	maxBodyWaitShare = 0.3
+	// bodyIdleTimeout is how long a body may stall before it loses its turn to the next
+	// one. During a transfer a packet arrives every few milliseconds, even on a link of a few
+	// Mbit/s. The timeout is longer to allow for a sender that is short of processor time.
+	bodyIdleTimeout = 250 * time.Millisecond
 	// perMille is the factor between a ratio and thousandths.
 	perMille = 1000
 	// maxExcess limits the recorded ratio by which a wait exceeds the expected one, in
@@ -32,14 +32,14 @@
 	// waited. Without it, an excess that causes all further bodies to be refused would last
 	// forever, since no wait could then show that the link is free again.
 	excessLifetime = 2 * time.Second
-	// transferMeanWeight is the weight of a new value in the moving means.
-	transferMeanWeight = 1.0 / 8
+	// newValueWeight is the weight of a new value in the moving means.
+	newValueWeight = 1.0 / 8
 )
 
-// transferQueue limits how many large bodies a gate receives at a time. It hands out
-// transferLimit turns; a sender waits with the body until it gets the status 100
-// (Continue), which the gate sends when the body's turn begins.
-type transferQueue struct {
+// bodyQueue limits how many large bodies a gate receives at a time by a limited number of
+// turns. A sender waits with the body until it gets the status 100 (Continue), which the gate
+// sends when the body's turn begins.
+type bodyQueue struct {
 	// turns holds an element for each turn in use; waiting is how many bodies wait for a
 	// turn.
 	turns   chan struct{}
@@ -54,22 +54,22 @@
 	excessUpdatedAt atomic.Int64
 }
 
-func newTransferQueue() *transferQueue {
-	return &transferQueue{turns: make(chan struct{}, transferLimit)}
+func newBodyQueue() *bodyQueue {
+	return &bodyQueue{turns: make(chan struct{}, transferLimit)}
 }
 
 // meanTime returns the mean time that it takes to receive a body; 0 if unknown.
-func (t *transferQueue) meanTime() time.Duration { return time.Duration(t.meanNanos.Load()) }
+func (t *bodyQueue) meanTime() time.Duration { return time.Duration(t.meanNanos.Load()) }
 
 // expectedWait returns how long one more body is expected to wait for its turn: queueWait,
 // increased by the current excess.
-func (t *transferQueue) expectedWait(now time.Duration) time.Duration {
+func (t *bodyQueue) expectedWait(now time.Duration) time.Duration {
 	queueWait := t.queueWait()
 	return queueWait + queueWait*time.Duration(t.currentExcess(now))/perMille
 }
 
 // currentExcess returns the excess in thousandths; 0 if it is older than excessLifetime.
-func (t *transferQueue) currentExcess(now time.Duration) int64 {
+func (t *bodyQueue) currentExcess(now time.Duration) int64 {
 	if now-time.Duration(t.excessUpdatedAt.Load()) > excessLifetime {
 		return 0
 	}
@@ -78,31 +78,31 @@
 
 // queueWait returns how long one more body is expected to wait for the bodies at this gate,
 // without other traffic on the link.
-func (t *transferQueue) queueWait() time.Duration {
+func (t *bodyQueue) queueWait() time.Duration {
 	meanNanos := t.meanNanos.Load()
 	wait := t.waiting.Load() * meanNanos / transferLimit
 	if len(t.turns) == transferLimit {
-		wait += meanNanos / (transferLimit + 1) // the expected time until one of transferLimit turns ends
+		wait += meanNanos / (transferLimit + 1) // the expected time until one of the turns ends
 	}
 	return time.Duration(wait)
 }
 
 // recordWait updates the excess with how long a body has waited for its turn. The expected
 // wait is the one that queueWait returned before.
-func (t *transferQueue) recordWait(now, expected, waited time.Duration) {
+func (t *bodyQueue) recordWait(now, expected, waited time.Duration) {
 	if expected <= 0 || expected < t.meanTime()/transferLimit {
 		return // too short for a meaningful ratio
 	}
 	ratio := min(max(int64((waited-expected)*perMille/expected), 0), maxExcess)
 	previous := t.currentExcess(now)
 	t.excessUpdatedAt.Store(int64(now))
-	t.excessPerMille.Store(previous + int64(float64(ratio-previous)*transferMeanWeight))
+	t.excessPerMille.Store(previous + int64(float64(ratio-previous)*newValueWeight))
 }
 
 // equivalentQueueLength returns the number of queued calls that would make the next call
-// wait for a slot as long as it would wait for its body's turn. The gate adds it to the
+// wait for a slot as long as its body would wait for a turn. The gate adds it to the
 // queue length that it reports.
-func (t *transferQueue) equivalentQueueLength(now time.Duration, slots int, serviceTime time.Duration) int {
+func (t *bodyQueue) equivalentQueueLength(now time.Duration, slots int, serviceTime time.Duration) int {
 	waiting := int(t.waiting.Load())
 	if serviceTime <= 0 {
 		return waiting
@@ -110,8 +110,8 @@
 	return max(waiting, int(t.expectedWait(now)*time.Duration(slots)/serviceTime))
 }
 
-// acquireTurn waits for a turn; it returns false if ctx ends before.
-func (t *transferQueue) acquireTurn(ctx context.Context) bool {
+// acquireTurn waits for a turn; it returns false if ctx ends first.
+func (t *bodyQueue) acquireTurn(ctx context.Context) bool {
 	t.waiting.Add(1)
 	defer t.waiting.Add(-1)
 	select {
@@ -123,32 +123,32 @@
 }
 
 // releaseTurn frees a turn for the next body.
-func (t *transferQueue) releaseTurn() { <-t.turns }
+func (t *bodyQueue) releaseTurn() { <-t.turns }
 
 // completeTurn frees the turn of a body that took the given time and updates the mean time.
-func (t *transferQueue) completeTurn(duration time.Duration) {
+func (t *bodyQueue) completeTurn(duration time.Duration) {
 	t.releaseTurn()
 	meanNanos := t.meanNanos.Load()
 	newMean := int64(duration)
 	if meanNanos > 0 {
-		newMean = meanNanos + int64(float64(newMean-meanNanos)*transferMeanWeight)
+		newMean = meanNanos + int64(float64(newMean-meanNanos)*newValueWeight)
 	}
 	t.meanNanos.Store(newMean)
 }
 
-// transferTurn is the turn of one body. A body that stalls for transferIdleTimeout, for
+// bodyTurn is the turn of one body. A body that stalls for bodyIdleTimeout, for
 // instance since its sender's machine has failed, loses its turn. If it continues later, it
 // is received without a turn: a stall alone is no reason to end its call.
-type transferTurn struct {
-	queue     *transferQueue
+type bodyTurn struct {
+	queue     *bodyQueue
 	idleTimer *time.Timer
 	released  atomic.Bool
 }
 
 // startTurn starts the turn of a body after acquireTurn.
-func (t *transferQueue) startTurn() *transferTurn {
-	turn := &transferTurn{queue: t}
-	turn.idleTimer = time.AfterFunc(transferIdleTimeout, func() {
+func (t *bodyQueue) startTurn() *bodyTurn {
+	turn := &bodyTurn{queue: t}
+	turn.idleTimer = time.AfterFunc(bodyIdleTimeout, func() {
 		if turn.released.CompareAndSwap(false, true) {
 			t.releaseTurn()
 		}
@@ -157,15 +157,15 @@
 }
 
 // recordProgress records that a part of the body has arrived.
-func (t *transferTurn) recordProgress() {
+func (t *bodyTurn) recordProgress() {
 	if !t.released.Load() {
-		t.idleTimer.Reset(transferIdleTimeout)
+		t.idleTimer.Reset(bodyIdleTimeout)
 	}
 }
 
-// end ends the turn after the given time. Only a body that arrived complete within its turn
-// counts for the mean time.
-func (t *transferTurn) end(duration time.Duration, complete bool) {
+// end ends the turn after the given time. Only a body that was received completely
+// within its turn counts for the mean time.
+func (t *bodyTurn) end(duration time.Duration, complete bool) {
 	t.idleTimer.Stop()
 	switch {
 	case !t.released.CompareAndSwap(false, true):
@@ -180,11 +180,11 @@
 // body waits. It returns 0 if the call is expected in time, has no target, or waits no longer
 // than one body takes. Before the body has been sent, a retry elsewhere costs little.
 func (c *gateCall) expectedLateness(now, wait time.Duration) time.Duration {
-	if c.ticket.Target <= 0 || wait <= c.proxy.transfers.meanTime() {
+	if c.ticket.Target <= 0 || wait <= c.proxy.bodyQueue.meanTime() {
 		return 0
 	}
 	serviceTime := c.proxy.gate.CautiousServiceTime(&c.ticket.Call)
-	return max(now+wait+c.proxy.transfers.meanTime()+serviceTime-c.ticket.Target, 0)
+	return max(now+wait+c.proxy.bodyQueue.meanTime()+serviceTime-c.ticket.Target, 0)
 }
 
 // localEndpoint returns the endpoint of this daemon's own back end if the call has a large
@@ -221,21 +221,21 @@
 	if c.isFromThisDaemon() {
 		return c.receiveLocalBody()
 	}
-	transfers := c.proxy.transfers
+	queue := c.proxy.bodyQueue
 	now := c.proxy.config.Clock()
-	queueWait, wait := transfers.queueWait(), transfers.expectedWait(now)
-	if float64(wait) > maxTransferWaitShare*float64(c.deadline-now) {
+	queueWait, wait := queue.queueWait(), queue.expectedWait(now)
+	if float64(wait) > maxBodyWaitShare*float64(c.deadline-now) {
 		return Refusal{Code: result.QueueFull, RetryAfter: wait}, false
 	}
 	if lateness := c.expectedLateness(now, wait); lateness > 0 {
 		return Refusal{Code: result.QueueFull, RetryAfter: lateness}, false
 	}
-	if !transfers.acquireTurn(c.context) {
+	if !queue.acquireTurn(c.context) {
 		return Refusal{Code: c.cancellationCode()}, false
 	}
 	startedAt := c.proxy.config.Clock()
-	transfers.recordWait(startedAt, queueWait, startedAt-now)
-	turn := transfers.startTurn()
+	queue.recordWait(startedAt, queueWait, startedAt-now)
+	turn := queue.startTurn()
 	err := c.body.preload(c.context, turn.recordProgress)
 	turn.end(c.proxy.config.Clock()-startedAt, err == nil)
 	if err != nil {
--- a/internal/proxy/transfer_test.go
+++ b/internal/proxy/bodyqueue_test.go
@@ -28,27 +28,27 @@
 		body, _ := io.ReadAll(request.Body)
 		_, _ = writer.Write(body)
 	}})
-	transfers := mesh.gates[0].transfers
+	queue := mesh.gates[0].bodyQueue
 	for range transferLimit {
-		check.True(transfers.acquireTurn(t.Context()))
+		check.True(queue.acquireTurn(t.Context()))
 	}
-	large := strings.Repeat("x", largeBodyBytes)
+	large := strings.Repeat("x", minLargeBodyBytes)
 	results := make(chan callResult, 3)
 	for range 3 {
 		go func() { results <- mesh.call(t, "POST", "/", large) }()
 	}
-	for transfers.waiting.Load() < 3 {
+	for queue.waiting.Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	check.Equal(mesh.call(t, "POST", "/", "small").body, "small")
 	check.Equal(runs.Load(), int64(1)) // no call with a large body has a slot
 	check.True(strings.HasPrefix(mesh.gates[0].loadHeaderValue(), "0 3 "))
-	transfers.completeTurn(time.Millisecond)
+	queue.completeTurn(time.Millisecond)
 	for range 3 {
 		check.True((<-results).body == large)
 	}
-	transfers.completeTurn(time.Millisecond)
-	check.Equal(len(transfers.turns), 0)
+	queue.completeTurn(time.Millisecond)
+	check.Equal(len(queue.turns), 0)
 }
 
 // slowUpload sends the head and the first bytes of a large body.
@@ -60,7 +60,7 @@
 	}
 	t.Cleanup(func() { _ = conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(awaitTimeout))
-	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\nfirst", largeBodyBytes, headers)
+	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n%s\r\nfirst", minLargeBodyBytes, headers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +74,7 @@
 }
 
 // TestStalledBodyDoesNotBlockOthers: when the machines of senders fail during their turns, a
-// gate without transferIdleTimeout receives no other large body for 15 s. A stalled body
+// gate without bodyIdleTimeout receives no other large body for 15 s. A stalled body
 // loses its turn, and its call still succeeds if the body continues later.
 func TestStalledBodyDoesNotBlockOthers(t *testing.T) {
 	check := is.New(t)
@@ -83,23 +83,23 @@
 	}}, backendSpec{handler: func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(writer, request.Body)
 	}})
-	transfers := mesh.gates[0].transfers
+	queue := mesh.gates[0].bodyQueue
 	var stalledConns []net.Conn
 	for range transferLimit {
 		stalledConns = append(stalledConns, slowUpload(t, mesh, ""))
 	}
-	for len(transfers.turns) < transferLimit {
+	for len(queue.turns) < transferLimit {
 		time.Sleep(time.Millisecond)
 	}
 	results := make(chan callResult, 1)
-	go func() { results <- mesh.call(t, "POST", "/", strings.Repeat("x", largeBodyBytes)) }()
+	go func() { results <- mesh.call(t, "POST", "/", strings.Repeat("x", minLargeBodyBytes)) }()
 	check.Equal(await(t, results, "an answer while other bodies stall").status, http.StatusOK)
-	check.True(transfers.meanTime() < transferIdleTimeout) // stalled bodies do not count for the mean
+	check.True(queue.meanTime() < bodyIdleTimeout) // stalled bodies do not count for the mean
 	for _, conn := range stalledConns {
-		_, _ = io.WriteString(conn, strings.Repeat("x", largeBodyBytes-len("first")))
+		_, _ = io.WriteString(conn, strings.Repeat("x", minLargeBodyBytes-len("first")))
 		check.Equal(statusLine(conn), "HTTP/1.1 200 OK")
 	}
-	check.Equal(len(transfers.turns), 0)
+	check.Equal(len(queue.turns), 0)
 }
 
 // TestStalledBodyEndsAtCallDeadline: a call whose body does not arrive in time is refused
@@ -120,9 +120,9 @@
 		config.NodeID, config.Incarnation, config.Backend, config.Slots = "gate-a", 7, "a", 6
 	}}, countingBackend(&localRuns), countingBackend(&otherRuns))
 	for range transferLimit {
-		check.True(mesh.gates[0].transfers.acquireTurn(t.Context())) // as for bodies from other daemons
+		check.True(mesh.gates[0].bodyQueue.acquireTurn(t.Context())) // as for bodies from other daemons
 	}
-	large := strings.Repeat("x", largeBodyBytes)
+	large := strings.Repeat("x", minLargeBodyBytes)
 	for range 20 {
 		check.Equal(mesh.call(t, "POST", "/", large).status, http.StatusOK)
 	}
@@ -138,7 +138,7 @@
 // answers late.
 func TestExpectedWaitFollowsObservedWaits(t *testing.T) {
 	check := is.New(t)
-	queue := newTransferQueue()
+	queue := newBodyQueue()
 	queue.meanNanos.Store(int64(90 * time.Millisecond))
 	check.Equal(queue.expectedWait(0), time.Duration(0)) // a turn is free
 	for range transferLimit {
@@ -180,7 +180,7 @@
 // can then show that the link is free again, so the excess must expire.
 func TestExcessWaitExpires(t *testing.T) {
 	check := is.New(t)
-	queue := newTransferQueue()
+	queue := newBodyQueue()
 	queue.meanNanos.Store(int64(90 * time.Millisecond))
 	queue.waiting.Add(4)
 	queue.recordWait(time.Second, 200*time.Millisecond, time.Minute)
@@ -203,14 +203,14 @@
 	check := is.New(t)
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{changeRoute: changeRoute}, countingBackend(&runs))
-	transfers := mesh.gates[0].transfers
-	transfers.waiting.Add(4)
-	transfers.meanNanos.Store(int64(time.Minute))
+	queue := mesh.gates[0].bodyQueue
+	queue.waiting.Add(4)
+	queue.meanNanos.Store(int64(time.Minute))
 	if changeRoute != nil {
-		transfers.meanNanos.Store(int64(800 * time.Millisecond)) // within maxTransferWaitShare of the deadline
+		queue.meanNanos.Store(int64(800 * time.Millisecond)) // within maxBodyWaitShare of the deadline
 	}
 	request, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+mesh.address+"/",
-		strings.NewReader(strings.Repeat("x", largeBodyBytes)))
+		strings.NewReader(strings.Repeat("x", minLargeBodyBytes)))
 	check.NoErr(err)
 	answer, err := mesh.client.Do(request)
 	check.NoErr(err)
@@ -236,5 +236,5 @@
 	}
 	got := mesh.call(t, "POST", "/", string(body))
 	check.Equal(got.code(), itoa(int(result.Draining)))
-	check.Equal(mesh.gates[0].transfers.meanTime(), time.Duration(0)) // no body was received
+	check.Equal(mesh.gates[0].bodyQueue.meanTime(), time.Duration(0)) // no body was received
 }
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -23,7 +23,7 @@
 	hopMarginDivisor = 20
 	maxHopMargin     = 10 * time.Millisecond
 
-	// See retryMargin.
+	// retryMarginDivisor and maxRetryMargin define the result of retryMargin.
 	retryMarginDivisor = 8
 	maxRetryMargin     = 50 * time.Millisecond
 )
@@ -63,8 +63,8 @@
 }
 
 // prepareExchange returns the response controller and the request body of an exchange, on the
-// callers' side or at the gate. While the daemon drains, it announces that the connection closes
-// after the answer.
+// callers' side or at the gate. If the daemon drains and no later answer of the connection is
+// pending, prepareExchange announces that the connection closes after the answer.
 func (p *Proxy) prepareExchange(writer http.ResponseWriter, request *http.Request) (*http.ResponseController, *upload) {
 	if p.closesAfterAnswer(request) {
 		writer.Header().Set("Connection", "close")
@@ -213,7 +213,8 @@
 	return min(timeout/retryMarginDivisor, maxRetryMargin)
 }
 
-// run makes attempts until an answer or a final refusal has been sent.
+// run makes attempts until one is answered or the call is refused, and sends the result to the
+// caller.
 func (c *callerCall) run() {
 	defer c.abandonHedged()
 	defer c.retries.ReleaseTrialRetry()
@@ -291,8 +292,8 @@
 	}
 }
 
-// addCloseHeader announces that the connection closes after the answer if the daemon drains, so
-// that the caller connects to another daemon.
+// addCloseHeader announces that the connection closes after the answer if the daemon drains and no
+// later answer is pending, so that the caller connects to another daemon.
 func (c *callerCall) addCloseHeader(header http.Header) {
 	if c.proxy.closesAfterAnswer(c.request) {
 		header.Set("Connection", "close")
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -58,8 +58,8 @@
 	// exceeds Limits.DialTimeout, connecting may take that long, at most Limits.DialLimit. It
 	// may be nil.
 	RoundTrip func() time.Duration
-	// OnHarmful, unless nil, is called when UntoldHarmful has new records of harmful requests;
-	// urgent is set if they must be sent to other daemons at once. It must not block.
+	// OnHarmful, unless nil, is called when there are records of harmful requests to send to the
+	// other daemons; urgent is set if they must be sent at once. It must not block.
 	OnHarmful func(urgent bool)
 	// OnHeld, unless nil, is called with the record of a request that is held after an end of
 	// this daemon's back end. It must not block.
@@ -91,7 +91,9 @@
 // Baseline disables protections, so that experiments can measure the effect of each. The zero
 // value is for production; no settings file can change it.
 type Baseline struct {
-	// RoundRobin chooses endpoints round robin, regardless of their load and zone.
+	// RoundRobin chooses endpoints round robin instead of by load and zone. Canaries, request
+	// keys, suspected requests and large bodies for the daemon's own back end are handled as
+	// usual.
 	RoundRobin bool
 	// UnboundedQueue lets any number of calls wait at the gate until their deadlines, in order
 	// of arrival, regardless of priority and partner.
@@ -140,8 +142,8 @@
 	// UpstreamIdle is the time after which an idle connection to an endpoint is closed. It must
 	// be shorter than IdleTimeout, so that the sending side closes first.
 	UpstreamIdle time.Duration
-	// BackendIdle is the same for connections to the back end. Its own idle timeout is not
-	// known; that of many servers is 5 s.
+	// BackendIdle is the time after which an idle connection to the back end is closed. The
+	// idle timeout of the back end is not known; that of many servers is 5 s.
 	BackendIdle time.Duration
 	// NoSpares disables spare connections, which are opened before calls need them.
 	NoSpares bool
@@ -169,16 +171,17 @@
 	QueueWait time.Duration
 	// KeyWindow is how long the gate remembers the request keys of operations.
 	KeyWindow time.Duration
-	// KeyCount is the maximum number of request keys remembered.
+	// KeyCount is the maximum number of remembered request keys.
 	KeyCount int
 	// RequestWindow is how long the gate remembers the ids of attempts.
 	RequestWindow time.Duration
-	// RequestCount is the maximum number of ids remembered. Memory is allocated as needed.
+	// RequestCount is the maximum number of remembered attempt ids. Memory is allocated as needed.
 	RequestCount int
 	// CancelWait is the time after a call's deadline at which the gate releases the slot of an
 	// abandoned call even if the back end has not ended it.
 	CancelWait time.Duration
-	// HungWait is the same for a hung call. Its slot is kept so that a back end with hung calls
+	// HungWait is the time after the deadline of a hung call at which the gate releases its slot.
+	// The slot is kept so that a back end with hung calls
 	// gets fewer calls for a while, and is released earlier only if another start of the back
 	// end replaces this one.
 	HungWait time.Duration
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -21,7 +21,7 @@
 	// StartWaits counts the waits of calls during the daemon's start.
 	StartWaits uint64
 	// Ahead counts the calls that ran before their turn on a connection. AheadDepth is the
-	// maximum number that did so at a time on one connection, AheadBytes the current size of
+	// maximum number of such calls at a time on one connection, AheadBytes the current size of
 	// their buffered answers.
 	Ahead      uint64
 	AheadDepth int
@@ -64,7 +64,7 @@
 	aborted     atomic.Uint64
 	startWaits  atomic.Uint64
 	// ranAhead counts the calls that ran before their turn; aheadDepth is the maximum number
-	// that did so at a time on one connection.
+	// of such calls at a time on one connection.
 	ranAhead   atomic.Uint64
 	aheadDepth atomic.Int64
 	// succeeded counts the calls that the back end answered without a server error.
@@ -86,7 +86,7 @@
 	}
 }
 
-// Counters returns the current counts.
+// Counters returns a copy of the counters together with the current numbers and states.
 func (p *Proxy) Counters() Counters {
 	counters := Counters{
 		CallerCalls:   p.counters.callerCalls.Load(),
@@ -112,7 +112,7 @@
 		counters.GateRunning = load.Running
 		counters.Cold = p.gate.IsColdLimited(p.config.Clock())
 		counters.GateQueued = load.Queued
-		counters.BodiesWaiting = int(p.transfers.waiting.Load())
+		counters.BodiesWaiting = int(p.bodyQueue.waiting.Load())
 		counters.GateService = p.gate.MeanServiceTime()
 		counters.BackendOpen = p.backend.openConns.count()
 	}
--- a/internal/proxy/division.go
+++ b/internal/proxy/division.go
@@ -29,20 +29,21 @@
 // canary sends a share of the calls to the target version. The zero value sends none.
 type canary struct {
 	share float64
-	// fullLoad holds as many back ends as the share of calls loads like the stable ones,
-	// allTargets all those of the target version.
+	// fullLoad holds the back ends that get most canary calls: so many that each gets about as
+	// many calls as a stable back end. allTargets holds all back ends of the target version.
 	fullLoad   *endpoint.Set
 	allTargets *endpoint.Set
 }
 
-// pool holds the endpoints that calls are sent to, and the canaries that a share of the calls is
-// sent to instead. Without a roll-out the set contains all endpoints.
+// pool holds the endpoints of a service for calls with the same region restriction, and the
+// canaries that get a share of these calls instead. Without a roll-out the set contains all these
+// endpoints.
 type pool struct {
 	set    *endpoint.Set
 	canary canary
 }
 
-// applySplit sets the endpoints that calls are sent to by the stage of a roll-out.
+// applySplit sets the endpoints and the canary of the pool according to the stage of a roll-out.
 func (s *service) applySplit(split VersionSplit) {
 	s.set = s.allEndpoints
 	if split.Target == "" {
@@ -69,7 +70,8 @@
 	}
 }
 
-// newCanary chooses the canaries. All daemons that know the same back ends choose the same ones.
+// newCanary chooses the back ends in fullLoad. All daemons that know the same back ends choose the
+// same ones.
 func newCanary(targetSet *endpoint.Set, stableCount int, share float64) canary {
 	ranked := slices.Clone(targetSet.All)
 	slices.SortFunc(ranked, func(a, b *endpoint.Endpoint) int { return rollout.CompareCanaries(a.Backend, b.Backend) })
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -24,14 +24,14 @@
 	cutAt atomic.Int64
 	// refusing is set after Limits.DrainLinger; callers' requests are refused from then on.
 	refusing atomic.Bool
-	// idle receives a value when the last running call ends.
-	idle chan struct{}
+	// lastCallEnded receives a value when the last running call ends.
+	lastCallEnded chan struct{}
 	// done is closed when the drain has ended.
 	done chan struct{}
 }
 
 func newDrain() drain {
-	return drain{idle: make(chan struct{}, 1), done: make(chan struct{})}
+	return drain{lastCallEnded: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
 // StartDrain starts a drain, during which running calls may end. The gate refuses new calls at
@@ -96,7 +96,7 @@
 	p.closeGate()
 	for p.runningCalls() > 0 {
 		select {
-		case <-p.drain.idle:
+		case <-p.drain.lastCallEnded:
 		case <-deadlineTimer.C:
 			p.logEvent("drain_bound")
 			p.connections.cancelAll(errDrainBound)
@@ -111,13 +111,13 @@
 	return p.runningCallerCalls.Load() + p.runningGateCalls.Load()
 }
 
-// endCall decrements a counter of running calls, and signals idle if the daemon drains and no
-// call is left.
+// endCall decrements a counter of running calls, and signals lastCallEnded if the
+// daemon drains and no call is left.
 func (p *Proxy) endCall(counter *atomic.Int64) {
 	counter.Add(-1)
 	if p.drain.started.Load() && p.runningCalls() == 0 {
 		select {
-		case p.drain.idle <- struct{}{}:
+		case p.drain.lastCallEnded <- struct{}{}:
 		default:
 		}
 	}
@@ -126,13 +126,13 @@
 // connectionContexts holds the cancel functions of the contexts of all open connections. It is
 // updated per connection, not per call.
 type connectionContexts struct {
-	cancels sync.Map // of net.Conn to context.CancelCauseFunc
+	cancelFuncs sync.Map // of net.Conn to context.CancelCauseFunc
 }
 
 // addConn returns the context of a new connection, which cancelAll cancels.
 func (c *connectionContexts) addConn(ctx context.Context, conn net.Conn) context.Context {
 	cancellable, cancel := context.WithCancelCause(ctx)
-	c.cancels.Store(conn, cancel)
+	c.cancelFuncs.Store(conn, cancel)
 	connContext := context.WithValue(cancellable, connKey{}, conn)
 	if counted, ok := conn.(*countedConn); ok && counted.pipelined != nil {
 		counted.pipelined.Bind(connContext)
@@ -148,7 +148,7 @@
 			counted.endCall()
 		}
 	case http.StateClosed, http.StateHijacked:
-		if cancel, found := c.cancels.LoadAndDelete(conn); found {
+		if cancel, found := c.cancelFuncs.LoadAndDelete(conn); found {
 			cancel.(context.CancelCauseFunc)(nil)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // cancelAll cancels the calls on all connections.
 func (c *connectionContexts) cancelAll(cause error) {
-	c.cancels.Range(func(_, cancel any) bool {
+	c.cancelFuncs.Range(func(_, cancel any) bool {
 		cancel.(context.CancelCauseFunc)(cause)
 		return true
 	})
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -52,7 +52,7 @@
 	<-mesh.gates[0].Drained()
 }
 
-func TestCallCutAtDrainBoundGetsDrainBoundCode(t *testing.T) {
+func TestCallCancelledAtDrainBoundGetsDrainBoundCode(t *testing.T) {
 	check := is.New(t)
 	backend := newBlockingBackend()
 	limits := Limits{DrainLinger: time.Millisecond, DrainBound: 20 * time.Millisecond}
@@ -204,9 +204,10 @@
 	check.True(newTicket().Deadline <= testClock()+drainBound)
 }
 
-// callCutByDrain returns the result of a call that runs at a draining gate until the drain's
-// deadline cuts it. failed counts the failures that the gates report of their back ends.
-func callCutByDrain(t *testing.T, failed *atomic.Int64) callResult {
+// callCancelledByDrain returns the result of a call that runs at a draining gate until the gate
+// cancels it at the drain's deadline. failed counts the failures that the gates report of their
+// back ends.
+func callCancelledByDrain(t *testing.T, failed *atomic.Int64) callResult {
 	t.Helper()
 	limits := Limits{GateLingers: true, DrainLinger: 200 * time.Millisecond, DrainBound: 300 * time.Millisecond}
 	started := make(chan struct{}, 9)
@@ -234,18 +235,19 @@
 	}
 }
 
-// A call that a draining gate cuts at the drain's deadline must be retried if it has time left: its
-// own deadline has not passed.
-func TestCallCutByDrainingGateIsRetried(t *testing.T) {
+// A call that a draining gate cancels at the drain's deadline must be retried if its own deadline
+// has not passed.
+func TestCallCancelledByDrainingGateIsRetried(t *testing.T) {
 	var failed atomic.Int64
-	outcome := callCutByDrain(t, &failed)
+	outcome := callCancelledByDrain(t, &failed)
 	t.Log(outcome.status, outcome.code(), outcome.ran(), outcome.body)
 	is.New(t).Equal(outcome.status, http.StatusOK)
 }
 
-// A call that the gate's drain cuts must not be counted as a failure of its back end.
-func TestDrainCutIsNotABackendFailure(t *testing.T) {
+// A call that the gate cancels because of its drain must not be counted as a failure of its back
+// end.
+func TestCancellationByDrainIsNotABackendFailure(t *testing.T) {
 	var failed atomic.Int64
-	_ = callCutByDrain(t, &failed)
+	_ = callCancelledByDrain(t, &failed)
 	is.New(t).Equal(failed.Load(), int64(0))
 }
--- a/internal/proxy/ended.go
+++ b/internal/proxy/ended.go
@@ -20,11 +20,11 @@
 	// endDialTimeout limits one attempt to connect to a back end on the same machine, which
 	// accepts or refuses connections within a millisecond.
 	endDialTimeout = 50 * time.Millisecond
-	// endDialTries and endDialPause are the maximum number of attempts to connect and the pause
+	// maxEndDialTries and endDialPause are the maximum number of attempts to connect and the pause
 	// between them. A second attempt follows if the first succeeded or timed out: an ending
 	// process may close its connections before its port.
-	endDialTries = 2
-	endDialPause = 3 * time.Millisecond
+	maxEndDialTries = 2
+	endDialPause    = 3 * time.Millisecond
 	// endGatherTime is how long the calls that an end has interrupted are collected. Their
 	// connections break at the same moment; the time is for the scheduling of the goroutines
 	// that read them.
@@ -35,8 +35,8 @@
 // and collects the calls that were interrupted.
 type backendEnds struct {
 	mutex sync.Mutex
-	// newest is the last backendEnd; nil if there is none or the instance had not ended.
-	newest *backendEnd
+	// newestEnd is the last backendEnd; nil if there is none or its instance had not ended.
+	newestEnd *backendEnd
 	// succeededBeforeVersion is the value of counterSet.succeeded when the current software
 	// version of the back end was first reported.
 	succeededBeforeVersion atomic.Uint64
@@ -57,8 +57,8 @@
 }
 
 // awaitSuspectedEnd is called after the connection of the call broke before its answer. It waits
-// until it is known whether the instance has ended: about 5 ms, or up to the timeouts of all
-// attempts to connect if the instance doesn't respond. It returns the start of the instance if
+// until it is known whether the instance has ended. This takes about 5 ms, or up to the timeouts of
+// all attempts to connect if the instance doesn't respond. It returns the start of the instance if
 // it has ended and this call's request may have caused that, else the empty string.
 func (c *gateCall) awaitSuspectedEnd() string {
 	end := c.proxy.addInterruptedCall(c)
@@ -74,10 +74,10 @@
 // is none yet, it creates one and starts resolveEnd for it.
 func (p *Proxy) addInterruptedCall(call *gateCall) *backendEnd {
 	p.backendEnds.mutex.Lock()
-	end := p.backendEnds.newest
+	end := p.backendEnds.newestEnd
 	if end == nil || end.start != call.start {
 		end = &backendEnd{start: call.start, resolved: make(chan struct{})}
-		p.backendEnds.newest = end
+		p.backendEnds.newestEnd = end
 		go p.resolveEnd(end)
 	}
 	if !end.isResolved() {
@@ -111,7 +111,7 @@
 		p.attributeEnd(end)
 		p.logEnd(end)
 	} else {
-		p.backendEnds.newest = nil // the next interrupted call starts another check
+		p.backendEnds.newestEnd = nil // the next interrupted call starts another check
 	}
 	end.interruptedCalls = nil // releases their requests and bodies
 	close(end.resolved)
@@ -152,7 +152,7 @@
 // silent or full doesn't mean that. An attempt that times out is inconclusive: this process
 // itself may have got no processor time.
 func refusesConnections(dial func() error) bool {
-	for try := range endDialTries {
+	for try := range maxEndDialTries {
 		if try > 0 {
 			time.Sleep(endDialPause)
 		}
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -83,7 +83,7 @@
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a"), "/a"), "suspected")
 }
 
-// A back end whose port accepts connections has not ended; one without a listener has.
+// A back end whose port accepts connections has not ended; a back end without a listener has.
 func TestRefusesConnectionsOnlyWithoutListener(t *testing.T) {
 	check := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,8 +93,8 @@
 	check.True(refusesConnections((&Proxy{config: Config{BackendAddress: listener.Addr().String()}}).connectToBackend))
 }
 
-// A daemon whose back end has answered a request before must publish that, as Familiar, when it
-// receives the record of an end, and must publish a later answer as urgent.
+// A daemon whose back end has answered a request before must state this in the record, as
+// Familiar, when it receives the record of an end, and must publish a later answer as urgent.
 func TestFamiliarRequestIsReportedToPeers(t *testing.T) {
 	check := is.New(t)
 	notified := make(chan bool, 8)
@@ -139,8 +139,8 @@
 	})
 }
 
-// Suspected calls must run one at a time at a gate, and one whose request is held while it waits
-// must be refused.
+// Suspected calls must run one at a time at a gate, and a call must be refused if its request
+// becomes held while it waits.
 func TestSuspectedCallsRunOneAtATime(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
@@ -172,15 +172,15 @@
 	reset := &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNRESET)}
 	for _, test := range []struct {
 		name  string
-		tries [endDialTries]error
+		tries [maxEndDialTries]error
 		ended bool
 	}{
-		{"refused", [endDialTries]error{refused}, true},
-		{"taken, then refused", [endDialTries]error{nil, refused}, true},
-		{"late, then refused", [endDialTries]error{timeout, refused}, true},
-		{"taken", [endDialTries]error{nil, nil}, false},
-		{"late", [endDialTries]error{timeout, timeout}, false},
-		{"reset", [endDialTries]error{reset, refused}, false},
+		{"refused", [maxEndDialTries]error{refused}, true},
+		{"taken, then refused", [maxEndDialTries]error{nil, refused}, true},
+		{"late, then refused", [maxEndDialTries]error{timeout, refused}, true},
+		{"taken", [maxEndDialTries]error{nil, nil}, false},
+		{"late", [maxEndDialTries]error{timeout, timeout}, false},
+		{"reset", [maxEndDialTries]error{reset, refused}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			dials := 0
@@ -220,7 +220,7 @@
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a", "/b"), "/a"), "suspected")
 	suspected := admitToSlot(t, &gateCall{proxy: proxy, request: newGetRequest("/a"), context: t.Context()})
 	_, passed := suspected.isolate()
-	check.True(passed) // after one end it may still run alongside others
+	check.True(passed) // after one end it may still run alongside other calls
 	check.Equal(proxy.counters.isolatedCalls.Load(), uint64(0))
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a", "/c"), "/a"), "suspected")
 	started := make(chan bool)
@@ -241,9 +241,9 @@
 	check.True(proxy.gate.HasFreeSlot())
 }
 
-// A request with enough ends to be held, each shared with another request, must run alone. It must be
-// refused if the back end stays busy with other calls, and refused as quarantined if it becomes held
-// in the meantime.
+// A request with enough ends to be held, each shared with another request, must run alone. It must
+// be refused if the back end stays busy with other calls, and refused as quarantined if it becomes
+// held in the meantime.
 func TestCallThatMustRunAloneIsRefusedWhenGateIsBusy(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithSlots(t)
--- a/internal/proxy/evacuation_test.go
+++ b/internal/proxy/evacuation_test.go
@@ -89,8 +89,8 @@
 	check.Equal(int(runs.Load()), calls-refused)
 }
 
-// When a zone is evacuated, running calls must end normally, and queued calls must be refused as not
-// run, so that they can be sent elsewhere.
+// When a zone is evacuated, running calls must end normally, and queued calls must be refused as
+// not run, so that they can be sent elsewhere.
 func TestEvacuationKeepsRunningAndRefusesQueuedCalls(t *testing.T) {
 	check := is.New(t)
 	backend := newBlockingBackend()
@@ -114,15 +114,15 @@
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{}, countingBackend(&runs))
 	gate := mesh.gates[0]
-	body := &pausingReader{parts: []string{strings.Repeat("x", largeBodyBytes), strings.Repeat("y", largeBodyBytes)}, pause: func() {
-		for len(gate.transfers.turns) == 0 {
+	body := &pausingReader{parts: []string{strings.Repeat("x", minLargeBodyBytes), strings.Repeat("y", minLargeBodyBytes)}, pause: func() {
+		for len(gate.bodyQueue.turns) == 0 {
 			runtime.Gosched() // until the gate starts to receive the body
 		}
 		gate.gate.Evacuate()
 	}}
 	request, err := http.NewRequest(http.MethodPost, "http://"+mesh.members[0].DataAddress+"/", body)
 	check.NoErr(err)
-	request.ContentLength = 2 * largeBodyBytes
+	request.ContentLength = 2 * minLargeBodyBytes
 	for header, value := range map[string]string{
 		headerHop: hopGate, headerService: testService.String(), headerBackend: "a", headerIncarnation: "7", headerRequest: "r1",
 	} {
--- a/internal/proxy/excess_test.go
+++ b/internal/proxy/excess_test.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// useEdge sets testEdge on the callers' side and all gates. It must be called before the first call.
+// useEdge sets testEdge on the callers' side and all gates. It must be called before the first
+// call.
 func (m *mesh) useEdge() {
 	m.caller.config.Edge = testEdge()
 	for _, gate := range m.gates {
@@ -40,9 +41,9 @@
 }
 
 // excessAnswerBackend is a back end that, 50 ms after the start of every request but the first on a
-// connection, sends an extra answer that names the first request. It sends the right answer 100 ms
-// later. If the connection is closed before that, it sets cancelled, and from then on it refuses all
-// requests.
+// connection, sends an extra answer with the id of the first request. It sends the answer with the
+// right id 100 ms later. If the connection is closed in the meantime, it sets cancelled and refuses
+// all further requests.
 func excessAnswerBackend(cancelled *atomic.Bool) backendSpec {
 	return backendSpec{script: func(conn net.Conn, reader *bufio.Reader) {
 		for number := 0; ; number++ {
@@ -70,8 +71,8 @@
 	}}
 }
 
-// An excess answer may arrive while the next request on the connection runs; the id tells them
-// apart. That request must not be cancelled, and its own answer must be delivered.
+// An excess answer may arrive while the next request on the connection runs. It is recognised by
+// its request id. The running request must not be cancelled, and its own answer must be delivered.
 func TestExcessAnswerDoesNotCancelNextCall(t *testing.T) {
 	for _, method := range []string{"GET", "POST"} {
 		t.Run(method, func(t *testing.T) {
@@ -151,15 +152,15 @@
 	})
 }
 
-// The filter must pass on unchanged what it can't identify as the answer to an earlier request of the
-// connection, or whose end it can't find. Edge.checkAnswer or net/http then rejects it.
+// The filter must pass on unchanged what it can't identify as the answer to an earlier request of
+// the connection, or whose end it can't find. Edge.checkAnswer or net/http then rejects it.
 func TestSurplusFilterPassesUnidentifiedAnswers(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n",
 		signedAnswer("unheard of", "x"),
 		"HTTP/1.1 200 OK\r\nId: other\r\n\r\nuntil the end",
 		"no answer at all\r\n\r\n",
-		strings.Repeat("x", 2*answerHeadLimit),
+		strings.Repeat("x", 2*maxAnswerHeadBytes),
 	} {
 		check := is.New(t)
 		filter := &surplusFilter{source: strings.NewReader(text)}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -11,10 +11,11 @@
 	"github.com/juju/errors"
 )
 
-// errNoContentLength rejects an answer whose end can't be distinguished from a broken connection.
+// errNoContentLength is the error of an answer whose end can't be distinguished from a broken
+// connection.
 const errNoContentLength = errors.ConstError("the answer states no length, so that its end can't be told from a break")
 
-// errProtocolSwitch rejects an answer that switches to another protocol.
+// errProtocolSwitch is the error of an answer that switches to another protocol.
 const errProtocolSwitch = errors.ConstError("the answer switches protocols")
 
 // exchange is one request sent to one address, with its answer or error.
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -60,7 +60,7 @@
 	// holdsSuspectTurn is set while the call, which is suspected to be harmful, holds
 	// Proxy.suspectTurn.
 	holdsSuspectTurn bool
-	// runsAlone is set when the call has the back end to itself.
+	// runsAlone is set once all other calls at the back end have ended; see awaitAlone.
 	runsAlone bool
 	// trial is the number of the trial of its request that the run counts as, by the ends known at
 	// its start; 0 if unknown.
@@ -124,7 +124,7 @@
 	return refusalFor(decision), refused
 }
 
-// refusalFor returns the refusal for a decision.
+// refusalFor returns the refusal of a call that the gate has decided not to start.
 func refusalFor(decision admission.Decision) Refusal {
 	return Refusal{Code: decision.Code, RetryAfter: decision.RetryAfter}
 }
@@ -199,12 +199,12 @@
 	if decision.State != admission.StateQueued {
 		return decision
 	}
-	startTimer := time.NewTimer(gate.LatestStart(c.ticket) - c.proxy.config.Clock())
-	defer startTimer.Stop()
+	latestStartTimer := time.NewTimer(gate.LatestStart(c.ticket) - c.proxy.config.Clock())
+	defer latestStartTimer.Stop()
 	select {
 	case decision = <-c.decisions:
 		return decision
-	case <-startTimer.C:
+	case <-latestStartTimer.C:
 	case <-c.context.Done():
 	}
 	if !gate.Cancel(c.ticket) {
@@ -215,7 +215,8 @@
 	return admission.Decision{State: admission.StateRefused, Code: c.cancellationCode()}
 }
 
-// cancellationCode returns the result code of a call that ended while it waited.
+// cancellationCode returns the result code of a call that was cancelled, or could no longer start
+// in time, while it waited at the gate.
 func (c *gateCall) cancellationCode() result.Code {
 	switch {
 	case context.Cause(c.context) == errDrainBound:
@@ -245,8 +246,8 @@
 	}
 }
 
-// answerHeaders adds the load report to an answer, and Connection: close if the connection is to
-// end.
+// answerHeaders adds the load report to an answer, and Connection: close if the connection
+// closes after it.
 func (c *gateCall) answerHeaders(header http.Header) {
 	header[headerLoad] = []string{c.proxy.loadHeaderValue()}
 	if c.proxy.closesAfterAnswer(c.request) {
@@ -258,7 +259,7 @@
 func (p *Proxy) loadHeaderValue() string {
 	load := p.gate.Load()
 	service := p.gate.MeanServiceTime()
-	queued := load.Queued + p.transfers.equivalentQueueLength(p.config.Clock(), load.Slots, service)
+	queued := load.Queued + p.bodyQueue.equivalentQueueLength(p.config.Clock(), load.Slots, service)
 	report := endpoint.LoadReport{Running: load.Running, Queued: queued, Service: service}
 	report.Own, report.OwnAge = p.health.backendLoad()
 	return formatLoad(report)
--- a/internal/proxy/gatesend.go
+++ b/internal/proxy/gatesend.go
@@ -23,7 +23,7 @@
 	c.relay = &interimRelay{writer: c.writer}
 	for try := 1; ; try++ {
 		c.start = c.proxy.backendStart()
-		sentExchange := c.exchange()
+		sentExchange := c.sendOnce()
 		mayResend := sentExchange.err != nil && sentExchange.unsent && c.body.isReplayable() && c.context.Err() == nil
 		if !mayResend || try == maxGateSends || !c.proxy.gate.TryResend(c.proxy.config.Clock(), c.ticket) {
 			return sentExchange
@@ -32,9 +32,9 @@
 	}
 }
 
-// exchange sends the call to the back end once. While the exchange runs, findHung may mark it as
+// sendOnce sends the call to the back end once. While the exchange runs, findHung may mark it as
 // hung.
-func (c *gateCall) exchange() *exchange {
+func (c *gateCall) sendOnce() *exchange {
 	current := &c.dispatches[c.dispatchCount]
 	c.dispatchCount++
 	*current = dispatch{call: c, start: c.start, sentAt: c.proxy.config.Clock()}
--- a/internal/proxy/guard.go
+++ b/internal/proxy/guard.go
@@ -19,10 +19,10 @@
 type guardedConn struct {
 	net.Conn
 	owner atomic.Pointer[attemptGuard]
-	// unfinished is the attempt that has not read its answer to the end yet.
-	unfinished atomic.Pointer[attemptGuard]
-	// linger is how long past the deadline of an unfinished attempt Close waits for the peer to end
-	// it; 0 closes at once.
+	// unfinishedAttempt is the attempt whose answer has not been read to its end; nil for none.
+	unfinishedAttempt atomic.Pointer[attemptGuard]
+	// linger is how long after the deadline of an unfinished attempt Close waits for the peer to
+	// end the attempt; 0 closes at once.
 	linger time.Duration
 	closed atomic.Bool
 	// openedAt distinguishes the connection from those to a later start of the peer.
@@ -53,16 +53,16 @@
 	return count, err
 }
 
-// Close closes the connection. If an attempt on it is unfinished, Close only closes the sending
-// side, which tells the back end that the call is cancelled, and waits in the background for the
-// back end to close its own side. Until then the call may still run there, and its slot is not
-// free.
+// Close closes the connection. If linger is set and the attempt on the connection is unfinished,
+// Close only closes the sending side, which signals to the back end that the call is cancelled, and
+// waits in the background, for a limited time, until the back end closes its own side. Until then
+// the call may still run there, and its slot is not free.
 func (c *guardedConn) Close() error {
 	if !c.closed.CompareAndSwap(false, true) {
 		return nil
 	}
 	writeSide, canCloseWrite := c.Conn.(writeCloser)
-	unfinished := c.unfinished.Load()
+	unfinished := c.unfinishedAttempt.Load()
 	if c.linger == 0 || unfinished == nil || !canCloseWrite {
 		defer c.markReleased()
 		return c.Conn.Close()
@@ -82,7 +82,7 @@
 		return
 	}
 	_ = c.Conn.SetReadDeadline(until)
-	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, lingerBytes))
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 }
 
 // abort closes the connection at once, because its peer no longer exists. It also wakes a pending
@@ -94,8 +94,9 @@
 	_ = c.Conn.Close()
 }
 
-// markReleased reports that the connection is closed. Its place in openConns becomes free before
-// the slot of its call does, so that the call that gets the slot finds a place.
+// markReleased reports that the connection is closed. It stops counting for the
+// limit of openConns before the slot of its call is released, so that the call that gets the slot
+// can open a connection.
 func (c *guardedConn) markReleased() {
 	if c.onReleased != nil {
 		c.onReleased(c)
@@ -106,8 +107,8 @@
 // writeCloser is a connection that can close its sending side alone, as with TCP and TLS.
 type writeCloser interface{ CloseWrite() error }
 
-// lingerBytes bounds how much is read of the answer to a cancelled call.
-const lingerBytes = 1 << 20
+// maxLingerBytes bounds how much is read of the answer to a cancelled call.
+const maxLingerBytes = 1 << 20
 
 // Write sends bytes if the attempt that owns the connection allows it.
 func (c *guardedConn) Write(bytes []byte) (int, error) {
@@ -120,10 +121,10 @@
 
 // Special values of attemptGuard.writer that are not connections.
 var (
-	// sealed means that nothing was written and that further writes are refused.
-	sealed = &guardedConn{}
-	// unguarded means that a connection was used that can't be observed.
-	unguarded = &guardedConn{}
+	// sealedWriter means that nothing was written and that further writes are refused.
+	sealedWriter = &guardedConn{}
+	// unguardedWriter means that the attempt used a connection that is not a guardedConn.
+	unguardedWriter = &guardedConn{}
 )
 
 // attemptGuard lets an attempt be written on one connection only, and can prove that it was written
@@ -154,8 +155,8 @@
 	return until.Add(delay)
 }
 
-// mayWrite is called before each write. It sets writer before any byte is sent, so a seal that
-// succeeds proves that none was sent.
+// mayWrite is called before each write. It sets writer before any byte is sent, so if seal
+// succeeds, no byte was sent.
 func (g *attemptGuard) mayWrite(conn *guardedConn) bool {
 	return g.writer.Load() == conn || g.writer.CompareAndSwap(nil, conn)
 }
@@ -163,33 +164,34 @@
 // seal prevents any write of the attempt and returns true, or returns false if part of it may have
 // been written.
 func (g *attemptGuard) seal() bool {
-	return g.writer.CompareAndSwap(nil, sealed)
+	return g.writer.CompareAndSwap(nil, sealedWriter)
 }
 
 // gotConn assigns the connection that the library chose to the attempt.
 func (g *attemptGuard) gotConn(info httptrace.GotConnInfo) {
 	conn, guarded := info.Conn.(*guardedConn)
 	if !guarded {
-		g.writer.CompareAndSwap(nil, unguarded)
+		g.writer.CompareAndSwap(nil, unguardedWriter)
 		return
 	}
 	if g.answerID != "" {
 		conn.surplus.recordRequest(g.answerID)
 	}
 	conn.owner.Store(g)
-	conn.unfinished.Store(g)
+	conn.unfinishedAttempt.Store(g)
 	if g.writer.Load() != nil {
 		g.cancel()
 	}
 }
 
-// markAnswerRead records that the answer was read to its end.
+// markAnswerRead records that the answer was read to its end, and closes the connection if it is
+// retired.
 func (g *attemptGuard) markAnswerRead() {
 	conn := g.writer.Load()
 	if conn == nil {
 		return
 	}
-	conn.unfinished.CompareAndSwap(g, nil)
+	conn.unfinishedAttempt.CompareAndSwap(g, nil)
 	if conn.retired.Load() {
 		_ = conn.Close()
 	}
@@ -199,7 +201,7 @@
 // already.
 func (g *attemptGuard) peerDone() <-chan struct{} {
 	conn := g.writer.Load()
-	if conn == nil || conn.unfinished.Load() != g {
+	if conn == nil || conn.unfinishedAttempt.Load() != g {
 		return nil
 	}
 	return conn.released
--- a/internal/proxy/hangs.go
+++ b/internal/proxy/hangs.go
@@ -16,8 +16,8 @@
 	// hangCheckInterval is the time between checks for hung calls: a tenth of the time that a
 	// caller may expect a usual call to take, so that most of it is left for another attempt.
 	hangCheckInterval = 100 * time.Millisecond
-	// maxWatchedCalls bounds the calls watched at a time. Calls beyond it are not checked and end
-	// by their deadlines at the latest.
+	// maxWatchedCalls bounds the calls watched at a time. Further calls are not checked for
+	// hanging; they end by their deadlines at the latest.
 	maxWatchedCalls = 256
 )
 
@@ -47,10 +47,10 @@
 }
 
 const (
-	// noCell is returned for a call that found no free cell.
+	// noCell is the result of watch if it found no free cell.
 	noCell = -1
-	// maxCellProbes is how many cells are tried for a call: with half of them taken, one call in
-	// 256 finds none.
+	// maxCellProbes is how many cells are tried for a call: if half of all cells are in use, one
+	// call in 256 finds none.
 	maxCellProbes = 8
 )
 
@@ -66,7 +66,7 @@
 	return noCell
 }
 
-// unwatch ends what watch began.
+// unwatch ends the watching of a dispatch, in the cell that watch returned for it.
 func (h *hangDetector) unwatch(cell int) {
 	h.callCount.Add(-1)
 	if cell != noCell {
@@ -88,10 +88,10 @@
 		return
 	}
 	if heldCalls, isReported := ParseHeldCalls(answer.Header.Get(p.config.Edge.Load)); isReported {
-		underWay := int(p.hangDetector.callCount.Load())
-		p.hangDetector.missingCalls.Record(now, underWay, heldCalls)
+		callsUnderWay := int(p.hangDetector.callCount.Load())
+		p.hangDetector.missingCalls.Record(now, callsUnderWay, heldCalls)
 		// The answered call itself may be counted among the held ones.
-		p.gate.CapOrphanedCalls(now, heldCalls-underWay-1)
+		p.gate.CapOrphanedCalls(now, heldCalls-callsUnderWay-1)
 	}
 }
 
@@ -161,7 +161,7 @@
 	return false
 }
 
-// newHangSuspect collects the evidence on a dispatch.
+// newHangSuspect returns a dispatch with the evidence of whether it hangs.
 func (p *Proxy) newHangSuspect(now time.Duration, watched *dispatch) hangSuspect {
 	times := p.gate.ServiceTimes(&watched.call.ticket.Call)
 	age := now - watched.sentAt
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -34,7 +34,7 @@
 		changeCaller: func(config *Config) { config.OnSilent = func(protocol.NodeID) {} },
 	}
 	hangingMesh := startMesh(t, options, spec, spec)
-	for range 100 { // teaches the gates the usual service time
+	for range 100 { // so that the gates know the usual service time
 		hangingMesh.call(t, http.MethodGet, "/", "")
 	}
 	return hangingMesh
@@ -157,7 +157,7 @@
 	check.Equal(restarted.proxy.gate.Load().Running, 4) // 3 of 4 slots are reserved for orphaned calls, and one call runs
 }
 
-// A call that was sent to a crashed start can't still be running.
+// A call that was sent to a start of the back end that crashed must end, since it can't be running.
 func TestCallToCrashedStartEndsWhenNextStartReports(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released })
@@ -170,7 +170,8 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// The running calls of a draining start continue, and their connections carry no further calls.
+// The running calls of a draining back end must continue, and their connections must carry no
+// further calls.
 func TestCallToDrainingStartIsAnswered(t *testing.T) {
 	check := is.New(t)
 	gate := startReportedGate(t, Limits{}, 2, func(call *backendCall) { <-call.released; call.answer() })
@@ -196,8 +197,8 @@
 	check.Equal(gate.proxy.Counters().BackendOpen, 2)
 }
 
-// A back end may report before the configuration arrives, which says how long calls may take and
-// thus how long orphaned calls may run.
+// A back end may report before the configuration arrives, which defines how long calls, and thus
+// orphaned calls, may run.
 func TestOrphanedCallsAreExpectedWhenRoutesArriveLater(t *testing.T) {
 	check := is.New(t)
 	proxy := New(Config{Clock: testClock, NodeID: "gate", Service: testService, Reported: true})
@@ -209,7 +210,7 @@
 	check.Equal(proxy.gate.Load().Running, 3)
 }
 
-// A hung call occupies nothing at the next start, so that start has all its slots.
+// A hung call does not run at the next start of the back end, so all slots must be free there.
 func TestSlotOfHungCallIsFreedByNextStart(t *testing.T) {
 	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released })
 	call := gate.startCall(t, time.Minute)
@@ -222,7 +223,7 @@
 	gate.await(func() bool { return gate.proxy.gate.Load().Running == 0 })
 }
 
-// A call marked as hung that is answered after all was being worked on. Its slot must become free
+// If a call marked as hung is answered after all, its slot must become free
 // when the back end closes the connection, even if the answer was not read to its end.
 func TestSlotOfHungCallIsFreedByAnswer(t *testing.T) {
 	gate := startReportedGate(t, Limits{HungWait: time.Hour}, 2, func(call *backendCall) { <-call.released; call.sendAnswerHead() })
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -22,16 +22,16 @@
 	firstProbeInterval = 50 * time.Millisecond
 )
 
-// health probes the back end of the daemon. An answered call outweighs a failed probe, because
-// health and load endpoints lag and mislead; a back end's own signal that it drains is always
-// followed.
+// health probes the back end of the daemon. A recently answered call outweighs a failed probe,
+// because health endpoints may respond late or wrongly; a back end's own signal that it drains is
+// always followed.
 type health struct {
 	proxy  *Proxy
 	client *http.Client
 	// lastAnswerAt is when a call was last answered, on the proxy's clock.
 	lastAnswerAt atomic.Int64
-	// wake requests an immediate probe.
-	wake chan struct{}
+	// probeRequests receives a value to request an immediate probe.
+	probeRequests chan struct{}
 	// context ends with the proxy; done is closed when run has returned.
 	context context.Context
 	cancel  context.CancelFunc
@@ -58,13 +58,13 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &health{
-		proxy:   p,
-		client:  &http.Client{Transport: transport, Timeout: p.limits.ProbeTimeout},
-		wake:    make(chan struct{}, 1),
-		context: ctx,
-		cancel:  cancel,
-		done:    make(chan struct{}),
-		state:   protocol.EndpointNone,
+		proxy:         p,
+		client:        &http.Client{Transport: transport, Timeout: p.limits.ProbeTimeout},
+		probeRequests: make(chan struct{}, 1),
+		context:       ctx,
+		cancel:        cancel,
+		done:          make(chan struct{}),
+		state:         protocol.EndpointNone,
 	}
 }
 
@@ -86,7 +86,7 @@
 // requestProbe requests an immediate probe after a call could not connect.
 func (h *health) requestProbe() {
 	select {
-	case h.wake <- struct{}{}:
+	case h.probeRequests <- struct{}{}:
 	default:
 	}
 }
@@ -125,7 +125,7 @@
 		timer := time.NewTimer(period)
 		select {
 		case <-timer.C:
-		case <-h.wake:
+		case <-h.probeRequests:
 		case <-h.context.Done():
 			timer.Stop()
 			return
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -10,8 +10,8 @@
 	"github.com/springstack/springstack/internal/core/retry"
 )
 
-// errHedged ends an attempt for its call when the attempt became a hedged attempt: another one is
-// made while this one may still be answered.
+// errHedged is the error of the placeholder exchange of an attempt that became a hedged attempt:
+// another attempt is made while the hedged one may still be answered.
 const errHedged = errors.ConstError("the gate is silent, and the call is sent elsewhere")
 
 // newPlaceholderExchange returns the exchange of an attempt that has passed its real exchange on,
@@ -72,11 +72,11 @@
 // hedgedAttempt is an attempt that was followed by another one because its gate fell silent or
 // reported that the back end seems never to answer it.
 //
-// Both are suspicions: the gate or the back end may only be slow. So the attempt is not cancelled.
-// Like any other it ends by its answer, its connection, its caller, the call's time or the drain's
-// hard bound. To cancel it unless this daemon drains would not be safe: a process learns of its
-// stop up to some tenths of a second late when its processor share is used up, and an attempt
-// cancelled in that time is lost. A call has at most one hedged attempt.
+// In both cases the gate or the back end may only be slow, so the attempt is not cancelled. Like any
+// other attempt it ends by its answer, its connection, its caller, the call's deadline or the
+// drain's deadline. Cancelling it unless this daemon drains would not be safe: a process that has
+// used up its processor share receives its stop signal up to some tenths of a second late, and an
+// attempt cancelled in that time is lost. A call has at most one hedged attempt.
 type hedgedAttempt struct {
 	chosen *endpoint.Endpoint
 	sentAt time.Duration
@@ -96,7 +96,7 @@
 
 // takeHedgedAnswer removes the hedged attempt, which must have ended, from the call. It returns the
 // attempt if its back end has answered it, and else nil. If the attempt is proved not to have run,
-// it no longer counts as one that may have.
+// it no longer counts as an attempt that may have run.
 func (c *callerCall) takeHedgedAnswer() *attempt {
 	hedged := c.hedgedAttempt
 	c.hedgedAttempt = nil
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// resetAllAttempts resets the connections of all attempts that a call may make.
+// resetAllAttempts has the back end reset the connections of as many attempts as a call may make.
 func (s *steppedBackend) resetAllAttempts() {
 	for range routing.DefaultAttempts {
 		s.outcomes <- resetsConnection
@@ -135,11 +135,12 @@
 	}
 }
 
-// noAnswerPeriod is how long a test waits for an answer that must not come; a wrong one comes at
-// once.
+// noAnswerPeriod is how long a test waits for an answer that must not arrive; a wrong answer would
+// arrive at once.
 const noAnswerPeriod = 60 * time.Millisecond
 
-// requireUnanswered fails the test if the caller is answered or the first attempt cancelled.
+// requireUnanswered fails the test if the caller gets an answer, or the first attempt is cancelled,
+// within noAnswerPeriod.
 func (h *hedgedCall) requireUnanswered(t *testing.T, moment string) {
 	t.Helper()
 	select {
@@ -151,12 +152,12 @@
 	}
 }
 
-// A stopping daemon must not answer 502 for a call that a back end is working on. The back end's
-// daemon misses two reachability probes, so the call's attempt there is given up and another one
-// made, which all other gates refuse. It does not help to keep attempts only while the caller's
-// daemon stops, because the process learns of its stop a moment later. So an attempt that was sent
-// ends only by its own answer or connection, its caller, its time or the drain's hard bound, at any
-// moment around a stop, and never because its gate is silent.
+// A stopping daemon must not answer 502 for a call that a back end is still running. This happened
+// if the gate's daemon missed two reachability probes, the caller's daemon cancelled the attempt
+// there, and all other gates refused the next attempt. Attempts must not be cancelled shortly
+// before the stop either, because the process receives its stop signal late. So a silent gate never
+// ends an attempt: only its answer, its connection, its caller, its deadline or the drain's
+// deadline does.
 func TestCallIsNotFailedWhileHedgedAttemptRuns(t *testing.T) {
 	secondOutcomes := map[string]failureKind{"breaks": resetsConnection, "is refused": succeeds}
 	for name, outcome := range secondOutcomes {
@@ -241,9 +242,9 @@
 	check.Equal(got.ran(), string(result.RanUnknown))
 }
 
-// If the hedged attempt is proved not to have run, the caller must be told that nothing ran, with
-// the status for that.
-func TestHedgedCallShedLastIsRefusedAsNotRun(t *testing.T) {
+// If the hedged attempt ends last and is proved not to have run, the refusal must state that the
+// call did not run, with the status 503.
+func TestCallIsRefusedAsNotRunIfHedgedAttemptIsShedLast(t *testing.T) {
 	check := is.New(t)
 	hedged := startHedgedCall(t, func(*Config) {})
 	hedged.closeSecondGate()
@@ -255,9 +256,9 @@
 	check.Equal(got.status, http.StatusServiceUnavailable)
 }
 
-// The hedged attempt is the first that is proved not to have run. When all later attempts are
-// proved too, the caller must be told that nothing ran.
-func TestHedgedCallShedFirstIsRefusedAsNotRun(t *testing.T) {
+// If the hedged attempt is proved not to have run, and then all other attempts are too, the refusal
+// must state that the call did not run.
+func TestCallIsRefusedAsNotRunIfHedgedAttemptIsShedFirst(t *testing.T) {
 	check := is.New(t)
 	hedged := startHedgedCall(t, func(*Config) {})
 	hedged.silenceFirstGate()
@@ -276,8 +277,8 @@
 	check.Equal(got.ran(), string(result.RanNo))
 }
 
-// An error answer to the second attempt must not cancel the first one. The first back end is at
-// work and succeeds.
+// An error answer to the second attempt must not cancel the first one. The first back end still
+// runs the call and succeeds.
 func TestFailureOfSecondAttemptDoesNotEndHedgedAttempt(t *testing.T) {
 	check := is.New(t)
 	hedged := startHedgedCall(t, func(*Config) {})
--- a/internal/proxy/idletimer.go
+++ b/internal/proxy/idletimer.go
@@ -16,20 +16,20 @@
 
 // reset stops the timer. Unless wait is 0, it starts the timer again to close the connection after
 // wait.
-func (r *idleTimer) reset(wait time.Duration, conn *countedConn) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if r.timer != nil {
-		r.timer.Stop()
-		r.timer = nil
+func (t *idleTimer) reset(wait time.Duration, conn *countedConn) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.timer != nil {
+		t.timer.Stop()
+		t.timer = nil
 	}
 	if wait > 0 {
-		r.timer = time.AfterFunc(wait, conn.closeIdle)
+		t.timer = time.AfterFunc(wait, conn.closeIdle)
 	}
 }
 
-// closeIdle closes a connection on which no call has begun. A call that the caller sends at that
-// moment is not run.
+// closeIdle closes a connection on which no call is running. A call that the caller is sending at
+// that moment does not run.
 func (c *countedConn) closeIdle() {
 	if c.phase.CompareAndSwap(phaseIdle, phaseRetired) {
 		_ = c.Close() // wakes a blocked reader, which then ends
--- a/internal/proxy/incarnation.go
+++ b/internal/proxy/incarnation.go
@@ -9,24 +9,25 @@
 )
 
 // ownIncarnations are the incarnation numbers that this process has used. The node starts with the
-// configured one and adopts a higher one when a peer remembers that one. Calls for either number
-// are meant for this process; calls for any other number are meant for an earlier one.
+// configured number and adopts a higher number if a peer remembers the node by it. Calls for any
+// of these numbers are meant for this process; calls for another number are meant for an earlier
+// process.
 type ownIncarnations struct {
-	known atomic.Pointer[[]protocol.Incarnation]
+	numbers atomic.Pointer[[]protocol.Incarnation]
 }
 
 // add adds a number that the node uses. It must not be called concurrently.
 func (i *ownIncarnations) add(incarnation protocol.Incarnation) {
-	known := i.known.Load()
+	known := i.numbers.Load()
 	if known == nil {
-		i.known.Store(&[]protocol.Incarnation{incarnation})
+		i.numbers.Store(&[]protocol.Incarnation{incarnation})
 		return
 	}
 	if slices.Contains(*known, incarnation) {
 		return
 	}
 	extended := append(slices.Clone(*known), incarnation)
-	i.known.Store(&extended)
+	i.numbers.Store(&extended)
 }
 
 // addFromMembers adds the number in the node's own member record.
@@ -38,8 +39,8 @@
 	}
 }
 
-// contains reports whether a call's header names one of the numbers.
+// contains reports whether the incarnation number in a call's header is one of the numbers.
 func (i *ownIncarnations) contains(header string) bool {
 	incarnation, err := strconv.ParseUint(header, 10, 64)
-	return err == nil && slices.Contains(*i.known.Load(), protocol.Incarnation(incarnation))
+	return err == nil && slices.Contains(*i.numbers.Load(), protocol.Incarnation(incarnation))
 }
--- a/internal/proxy/listener.go
+++ b/internal/proxy/listener.go
@@ -17,11 +17,11 @@
 	"github.com/springstack/springstack/internal/result"
 )
 
-// refusalTimeout bounds how long a refused connection is kept open.
+// refusalTimeout is the maximum time for which a refused connection is kept open.
 const refusalTimeout = 250 * time.Millisecond
 
-// maxRefusedConns bounds the refused connections answered at a time; any beyond it are closed
-// without an answer.
+// maxRefusedConns is the maximum number of refused connections that are answered at a time;
+// further refused connections are closed without an answer.
 const maxRefusedConns = 64
 
 // discardLog drops the log lines of the HTTP library: they concern single connections and do not
@@ -124,7 +124,7 @@
 		if writeSide, ok := conn.(writeCloser); ok {
 			_ = writeSide.CloseWrite()
 		}
-		_, _ = io.Copy(io.Discard, io.LimitReader(conn, discardBytes))
+		_, _ = io.Copy(io.Discard, io.LimitReader(conn, maxDiscardBytes))
 	}()
 }
 
@@ -157,8 +157,8 @@
 
 // The phases of a connection.
 const (
-	// phaseIdle lasts while no call was begun since the last answer. Only the HTTP library itself
-	// writes then.
+	// phaseIdle lasts while no handler runs, also before the first call. Only the HTTP library
+	// itself writes then.
 	phaseIdle = iota
 	// phaseBusy lasts from the start of a handler until its answer is sent.
 	phaseBusy
--- a/internal/proxy/openconns.go
+++ b/internal/proxy/openconns.go
@@ -8,7 +8,8 @@
 	"github.com/juju/errors"
 )
 
-// errConnectionLimit refuses a connection beyond the number that the back end accepts.
+// errConnectionLimit is the error of openConns.reserve if the number of connections remained at the
+// limit until the context ended.
 const errConnectionLimit = errors.ConstError("the back end takes no more connections")
 
 // openConns counts and limits the connections to a back end, from before they are opened until they
@@ -20,7 +21,8 @@
 	limit   int
 	opening int
 	open    map[*guardedConn]struct{}
-	// freed is closed when a connection's place may be free; nil while nobody waits.
+	// freed is closed when the number of connections may have fallen below limit; nil while no
+	// reserve waits.
 	freed chan struct{}
 }
 
@@ -42,10 +44,9 @@
 	o.wakeWaiting()
 }
 
-// reserve takes a place for a connection that is about to be opened, if necessary by closing idle
-// ones; add or release must follow. After its call has ended, a connection keeps its place until it
-// is closed, a moment longer than the call keeps its slot. So reserve waits for a place until the
-// context ends.
+// reserve counts a connection that is about to be opened; add or release must follow. At the limit
+// it closes idle connections and then waits, at most until the context ends: a connection counts
+// until it is closed, which may be a moment after its call has released its slot.
 func (o *openConns) reserve(ctx context.Context, closeIdle func()) error {
 	for {
 		if o.tryReserve() == nil {
@@ -64,8 +65,8 @@
 	}
 }
 
-// tryReserve takes a place and returns nil, or returns a channel that is closed when one may be
-// free.
+// tryReserve counts a connection and returns nil, or, at the limit, returns a channel that is
+// closed when the number of connections may have fallen.
 func (o *openConns) tryReserve() (freed <-chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -150,7 +151,7 @@
 func (o *openConns) abortOpenedBefore(cutoff time.Time) int {
 	calls := 0
 	for _, conn := range o.openedBefore(cutoff) {
-		if conn.unfinished.Load() != nil {
+		if conn.unfinishedAttempt.Load() != nil {
 			calls++
 		}
 		conn.abort()
--- a/internal/proxy/openconns_test.go
+++ b/internal/proxy/openconns_test.go
@@ -11,8 +11,8 @@
 )
 
 // If the back end closes a connection with its answer, the connection is closed on this side a
-// moment after the slot of its call becomes free. The next call must wait for the connection's
-// place and must not be refused.
+// moment after the slot of its call becomes free. The next call must wait until the connection
+// is closed and must not be refused.
 func TestCallWaitsForClosingConnection(t *testing.T) {
 	check := is.New(t)
 	limits := Limits{QueueWait: time.Minute} // long, so that no call is refused by the queue
--- a/internal/proxy/path_test.go
+++ b/internal/proxy/path_test.go
@@ -222,7 +222,7 @@
 	check.Equal(mesh.call(t, "POST", "/", "x").body, "done") // the only slot is free again
 }
 
-// A cancelled call that the back end still works on must not share its slot with the next call.
+// A cancelled call that still runs at the back end must not share its slot with the next call.
 func TestCancelledCallKeepsSlotUntilBackEndEnds(t *testing.T) {
 	check := is.New(t)
 	entered := make(chan struct{}, 9)
@@ -294,6 +294,6 @@
 	for range 10 {
 		check.Equal(mesh.call(t, "POST", "/", "x").body, "x")
 	}
-	singleMesh := startMesh(t, meshOptions{}, sheddingBackEnd)
-	expectRefusal(check, singleMesh.call(t, "POST", "/", "x"), result.Shed, result.RanNo)
+	singleBackendMesh := startMesh(t, meshOptions{}, sheddingBackEnd)
+	expectRefusal(check, singleBackendMesh.call(t, "POST", "/", "x"), result.Shed, result.RanNo)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -32,7 +32,7 @@
 
 	// gate and backend are nil if the daemon has no back end.
 	gate      *admission.Gate
-	transfers *transferQueue
+	bodyQueue *bodyQueue
 	backend   *upstream
 	health    *health
 	// backendLimits holds the limits on calls at the back end; hangDetector finds calls that it
@@ -122,7 +122,7 @@
 	p.backend.acceptsUnframed = p.config.Edge != nil
 	p.backendLimits.slots.Store(int64(p.config.Slots))
 	p.backendLimits.startWallTime, p.backendLimits.startProxyTime = time.Now(), p.config.Clock()
-	p.transfers = newTransferQueue()
+	p.bodyQueue = newBodyQueue()
 	go p.watchBackend()
 	p.health = newHealth(p)
 	if p.config.Reported {
@@ -141,7 +141,7 @@
 	previous := p.view.Load()
 	p.updateColdLimit(next)
 	p.applyCallLimits(next)
-	p.publishView(p.buildView(previous, next, previous.mesh))
+	p.publishView(p.buildView(previous, next, previous.meshState))
 }
 
 // PublishMembers replaces the member records.
@@ -158,7 +158,7 @@
 	p.viewMutex.Lock()
 	defer p.viewMutex.Unlock()
 	previous := p.view.Load()
-	state := previous.mesh
+	state := previous.meshState
 	change(&state)
 	p.incarnations.addFromMembers(p.config.NodeID, state.Members)
 	p.publishView(p.buildView(previous, previous.snapshot, state))
@@ -219,8 +219,8 @@
 	return p.requestIDPrefix + strconv.FormatUint(p.requestCount.Add(1), 36)
 }
 
-// fingerprint hashes the parts of an id with a seed of this process; 0 means that the last part,
-// the id itself, is empty.
+// fingerprint hashes an id, the last part, together with the parts that define its scope, using a
+// seed of this process. It returns 0 if the id is empty.
 func (p *Proxy) fingerprint(parts ...string) admission.Fingerprint {
 	if parts[len(parts)-1] == "" {
 		return 0
@@ -234,7 +234,7 @@
 	return admission.Fingerprint(max(digest.Sum64(), 1))
 }
 
-// refuse counts a refusal and answers with it.
+// refuse counts a refusal and sends it as the answer.
 func (p *Proxy) refuse(writer http.ResponseWriter, body *upload, refusal Refusal) {
 	p.counters.recordRefusal(refusal.Code)
 	refusal.edge = p.config.Edge
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -15,13 +15,13 @@
 const (
 	// answeredRetention is how long the gate remembers which requests its back end answered without
 	// a server error, and maxAnsweredRequests how many at most, at 32 bytes each. A remembered
-	// request must meet more ends than another before it is held.
+	// request is held only after more ends of back ends than another request.
 	answeredRetention   = time.Minute
 	maxAnsweredRequests = 1 << 14
 )
 
 // harmfulRequests is what the daemon knows of requests that may end the back ends that run them.
-// Calls read it through an atomic pointer and pay two loads where nothing is known.
+// Calls read it through an atomic pointer, at the cost of two loads if there are no records.
 type harmfulRequests struct {
 	clock func() time.Duration
 	log   func(name string, fields ...EventField)
@@ -30,9 +30,10 @@
 	// onChanged is called when records are to be sent to all daemons; urgent means that they affect
 	// the next request. It must not block. Nil calls nothing.
 	onChanged func(urgent bool)
-	// answered are the requests that the daemon's own back end has answered without a server error.
-	answered *admission.FingerprintSet
-	view     atomic.Pointer[quarantine.View]
+	// answeredRequests are the requests that the daemon's own back end has answered without a
+	// server error.
+	answeredRequests *admission.FingerprintSet
+	view             atomic.Pointer[quarantine.View]
 
 	mutex sync.Mutex
 	table *quarantine.Table
@@ -42,13 +43,13 @@
 
 func newHarmfulRequests(config Config, log func(string, ...EventField)) *harmfulRequests {
 	return &harmfulRequests{
-		clock:       config.Clock,
-		onChanged:   config.OnHarmful,
-		onHeld:      config.OnHeld,
-		log:         log,
-		table:       quarantine.NewTable(quarantine.DefaultRules()),
-		answered:    admission.NewFingerprintSet(config.Clock(), answeredRetention, maxAnsweredRequests),
-		unpublished: map[quarantine.Signature]bool{},
+		clock:            config.Clock,
+		onChanged:        config.OnHarmful,
+		onHeld:           config.OnHeld,
+		log:              log,
+		table:            quarantine.NewTable(quarantine.DefaultRules()),
+		answeredRequests: admission.NewFingerprintSet(config.Clock(), answeredRetention, maxAnsweredRequests),
+		unpublished:      map[quarantine.Signature]bool{},
 	}
 }
 
@@ -108,7 +109,7 @@
 // counts as a trial of its own.
 func (h *harmfulRequests) recordEndInTrials(trials map[quarantine.Signature]uint32, instance string, signatures ...quarantine.Signature) {
 	changed := h.update(signatures, func(now time.Duration, signature quarantine.Signature) bool {
-		familiar := h.answered.Contains(fingerprintOf(signature))
+		familiar := h.answeredRequests.Contains(fingerprintOf(signature))
 		if trial := trials[signature]; trial > 0 {
 			return h.table.RecordEndInTrial(now, signature, instance, familiar, trial)
 		}
@@ -136,7 +137,7 @@
 // recordAnswered records that the back end answered a request without a server error, and clears
 // the request if it was suspected.
 func (h *harmfulRequests) recordAnswered(signature quarantine.Signature) {
-	h.answered.Add(h.clock(), fingerprintOf(signature))
+	h.answeredRequests.Add(h.clock(), fingerprintOf(signature))
 	if h.view.Load().Has(signature) {
 		h.clear(signature)
 	}
@@ -155,7 +156,8 @@
 
 // MergeHarmful merges a peer's records of requests that may be harmful, and returns how many were
 // invalid. New records are sent on to all daemons if pass is set, and in any case if the daemon's
-// own back end answered the request well before, which the sent record then states.
+// own back end answered the request before without a server error; the sent record then states
+// this.
 func (p *Proxy) MergeHarmful(records []quarantine.Record, pass bool) (refused int) {
 	h := p.harmful
 	h.mutex.Lock()
@@ -166,7 +168,7 @@
 		if !valid {
 			refused++
 		}
-		markedFamiliar := isNew && !record.Familiar && h.answered.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
+		markedFamiliar := isNew && !record.Familiar && h.answeredRequests.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
 		changed = changed || isNew
 		if markedFamiliar || (isNew && pass) {
 			h.unpublished[record.Signature] = true
--- a/internal/proxy/refuse.go
+++ b/internal/proxy/refuse.go
@@ -91,7 +91,7 @@
 		status = r.edge.refusalStatus(r)
 	}
 	writer.WriteHeader(status)
-	// A failed write means that the caller has disconnected, so nobody is left to inform.
+	// A failed write means that the caller has disconnected.
 	_, _ = writer.Write(text)
 }
 
--- a/internal/proxy/refuse_test.go
+++ b/internal/proxy/refuse_test.go
@@ -90,7 +90,7 @@
 }
 
 // A node raises its incarnation when peers remember a later one. Its gate must then accept calls
-// for the new one.
+// for the new incarnation.
 func TestGateAcceptsItsRaisedIncarnation(t *testing.T) {
 	check := is.New(t)
 	var runs atomic.Int64
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -66,8 +66,8 @@
 }
 
 // applyRegions restricts the call to the regions that the version in force allows, in addition to
-// earlier restrictions: one that is set while the call waits or is retried applies to its next
-// attempt, and one that is lifted applies to the call until it ends.
+// earlier restrictions: a restriction that is set while the call waits or is retried applies to its
+// next attempt, and a restriction that is lifted still applies to the call until the call ends.
 func (c *callerCall) applyRegions(current *view) {
 	if current.routes == c.routingTable {
 		return
@@ -82,8 +82,8 @@
 }
 
 // applyGateRegions restricts the call to the regions that a gate's refusal lists. The gate's
-// version may be newer, so a daemon without current configuration learns of restrictions call by
-// call.
+// version may be newer, so a daemon with an older version applies new restrictions at least to
+// the calls that were refused.
 func (c *callerCall) applyGateRegions(answer *http.Response) {
 	if values := answer.Header[headerRegions]; len(values) > 0 {
 		c.regions = c.regions.Intersect(parseRegions(values[0]))
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -194,7 +194,7 @@
 	check.NoErr(err)
 	defer conn.Close()
 	check.NoErr(conn.SetDeadline(time.Now().Add(10 * time.Second)))
-	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n%s\r\n", largeBodyBytes, headers)
+	_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: %d\r\n%s\r\n", minLargeBodyBytes, headers)
 	check.NoErr(err)
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	check.NoErr(err)
--- a/internal/proxy/reported.go
+++ b/internal/proxy/reported.go
@@ -22,7 +22,7 @@
 
 // reportedBackend holds the newest report, which calls read.
 type reportedBackend struct {
-	current atomic.Pointer[BackendReport]
+	currentReport atomic.Pointer[BackendReport]
 	// replaced is closed when another start of the back end is reported; nil before the first
 	// report.
 	replaced atomic.Pointer[chan struct{}]
@@ -31,7 +31,7 @@
 // set puts a report in force and only then closes replaced. So if a reader loads replaced and
 // afterwards still finds the earlier start in force, its channel will be closed later.
 func (r *reportedBackend) set(report *BackendReport) {
-	previous := r.current.Swap(report)
+	previous := r.currentReport.Swap(report)
 	if previous != nil && previous.Start == report.Start {
 		return
 	}
@@ -66,7 +66,7 @@
 	if !p.config.Reported {
 		return p.config.Backend
 	}
-	if report := p.reported.current.Load(); report != nil {
+	if report := p.reported.currentReport.Load(); report != nil {
 		return report.Start.Instance
 	}
 	return ""
@@ -77,7 +77,7 @@
 	if !p.config.Reported {
 		return protocol.BackendStart{Instance: p.config.Backend}
 	}
-	if report := p.reported.current.Load(); report != nil {
+	if report := p.reported.currentReport.Load(); report != nil {
 		return report.Start
 	}
 	return protocol.BackendStart{}
@@ -92,7 +92,7 @@
 // calls, then on return no new call is sent to it and the queued calls have been refused.
 // ReportBackend must not be called concurrently.
 func (p *Proxy) ReportBackend(report BackendReport) {
-	previous := p.reported.current.Load()
+	previous := p.reported.currentReport.Load()
 	if previous != nil && previous.Start != report.Start {
 		// Connections to an earlier start can't be used again.
 		p.backend.retire()
@@ -132,6 +132,6 @@
 
 // isWarming reports whether the back end reports that it is still slow after its start.
 func (p *Proxy) isWarming() bool {
-	report := p.reported.current.Load()
+	report := p.reported.currentReport.Load()
 	return report != nil && report.State == protocol.EndpointWarming
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -76,8 +76,8 @@
 // Closing a connection with unread bytes resets it, and the caller could then lose the
 // announcement of the close.
 func discardRetiredCall(writer http.ResponseWriter, request *http.Request) {
-	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(discardWait))
-	_, _ = io.Copy(io.Discard, io.LimitReader(request.Body, discardBytes))
+	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(maxDiscardWait))
+	_, _ = io.Copy(io.Discard, io.LimitReader(request.Body, maxDiscardBytes))
 }
 
 // Server serves the handler of one side of a proxy within limits.
--- a/internal/proxy/signature.go
+++ b/internal/proxy/signature.go
@@ -16,8 +16,8 @@
 	return head.Sum()
 }
 
-// signature returns the signature of the call, or false if the bytes of the body that it
-// depends on have not been received.
+// signature returns the signature of the call, or false if the bytes of the body that the
+// signature depends on have not been received.
 func (c *gateCall) signature() (quarantine.Signature, bool) {
 	body, received := c.body.signatureHash()
 	return quarantine.Signature{Head: c.headHash(), Body: body}, received
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -12,13 +12,13 @@
 const (
 	// minSilence is how long a gate may answer no call of this daemon while an attempt waits
 	// there, before Config.OnSilent requests a check of the gate's daemon. If the route has a
-	// target, the limit is at least silenceTargetShare of it: among hundreds of daemons each
-	// calls a gate so rarely that one answer says little about the next, and most long calls
-	// would cause a check (78 checks in 10 s at each of 295 daemons, half of all messages
-	// between daemons).
+	// target, the limit is at least silenceTargetShare of it: with hundreds of daemons, each
+	// calls a gate so rarely that the time since its last answer says little, and most long calls
+	// would cause a check: 78 checks in 10 s at each of 295 daemons, half of all messages
+	// between daemons.
 	minSilence         = 120 * time.Millisecond
 	silenceTargetShare = 0.5
-	// silenceCheckInterval is the minimum time between two such checks of one daemon.
+	// silenceCheckInterval is the minimum time between two checks of one daemon for silence.
 	silenceCheckInterval = 250 * time.Millisecond
 )
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// SetReachable records whether a daemon answers its peers. New calls avoid a daemon that
-// does not. The idle connections to its gate are closed, so that calls which are still
+// SetReachable records whether a daemon answers its peers. New calls avoid an
+// unreachable daemon. The idle connections to its gate are closed, so that calls which are still
 // sent there fail to connect instead of being lost on a dead connection.
 func (p *Proxy) SetReachable(node protocol.NodeID, reachable bool) {
 	p.forEachEndpoint(node, func(candidate *endpoint.Endpoint, gateUpstream *upstream) {
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -16,7 +16,7 @@
 const startWaitDivisor = 4
 
 // startWaiters wakes the calls that wait because the daemon has just started and does not
-// know yet where to send them. After a restart of all machines, the first calls arrive some
+// yet have the data to route them. After a restart of all machines, the first calls arrive some
 // tenths of a second before the configuration and the members are known. If they were
 // refused at once, callers would only repeat them at other daemons in the same state.
 type startWaiters struct {
@@ -97,7 +97,7 @@
 	case refusal.Code == result.NotServing:
 		return v.snapshot == nil
 	case refusal.Code == result.RegionNotAllowed:
-		return len(v.mesh.Members) <= 1 // only this daemon
+		return len(v.meshState.Members) <= 1 // only this daemon
 	case !accepted:
 		return false
 	}
--- a/internal/proxy/surplus.go
+++ b/internal/proxy/surplus.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// answerHeadLimit limits the head of an answer that is examined, in bytes. A longer one is
-// passed on to the library, which has its own limit.
-const answerHeadLimit = 16 << 10
+// maxAnswerHeadBytes limits the head of an answer that is examined, in bytes. A longer head
+// is passed on to the library, which has its own limit.
+const maxAnswerHeadBytes = 16 << 10
 
 // headReadSize is the number of bytes of a head that are read at a time, the size of the
 // library's own buffer.
@@ -24,8 +24,8 @@
 var headTerminator = []byte("\r\n\r\n")
 
 // surplusFilter skips surplus answers on a kept connection: further answers to a request
-// that the back end has already answered. A late one arrives in place of the answer to the
-// current request. Closing the connection would cancel the current request, which is
+// that the back end has already answered. A late surplus answer arrives in place of the answer
+// to the current request. Closing the connection would cancel the current request, which is
 // already running, and fail its call. Answers are identified by the request id that back
 // ends echo. The library reads a connection in one goroutine, so the filter needs no lock.
 type surplusFilter struct {
@@ -35,8 +35,8 @@
 	// ownAnswerFound is set once the answer to attempt has begun; from then on all bytes are
 	// passed on.
 	ownAnswerFound bool
-	// buffered holds bytes that were read and are passed on next.
-	buffered []byte
+	// bufferedBytes holds bytes that were read and are passed on next.
+	bufferedBytes []byte
 	// earlierIDs is a ring of the ids of the last requests, including that of attempt.
 	// sentCount is the number of all requests sent.
 	earlierIDs [rememberedRequests]string
@@ -54,7 +54,7 @@
 // attempt only after bytes have been received, since the library starts to read a
 // connection before the next attempt is sent on it.
 func (f *surplusFilter) read(into []byte, owner func() *attemptGuard) (int, error) {
-	if len(f.buffered) == 0 {
+	if len(f.bufferedBytes) == 0 {
 		count, err := f.source.Read(into)
 		attempt := owner()
 		if attempt != f.attempt {
@@ -67,13 +67,13 @@
 			f.ownAnswerFound = true // the usual case, without copying or parsing the bytes
 			return count, nil
 		}
-		f.buffered = append(f.buffered, into[:count]...)
+		f.bufferedBytes = append(f.bufferedBytes, into[:count]...)
 		if err := f.skipSurplus(); err != nil {
 			return 0, err
 		}
 	}
-	count := copy(into, f.buffered)
-	f.buffered = f.buffered[count:]
+	count := copy(into, f.bufferedBytes)
+	f.bufferedBytes = f.bufferedBytes[count:]
 	return count, nil
 }
 
@@ -84,11 +84,11 @@
 		if err := f.fillHead(); err != nil {
 			return err
 		}
-		if f.beginsWithOwnAnswer(f.buffered) || len(f.buffered) >= answerHeadLimit {
+		if f.beginsWithOwnAnswer(f.bufferedBytes) || len(f.bufferedBytes) >= maxAnswerHeadBytes {
 			f.ownAnswerFound = true
 			return nil
 		}
-		unread := bytes.NewReader(f.buffered)
+		unread := bytes.NewReader(f.bufferedBytes)
 		reader := bufio.NewReader(io.MultiReader(unread, f.source))
 		answer, err := http.ReadResponse(reader, nil)
 		if err != nil || !f.isSkippable(answer) {
@@ -102,7 +102,7 @@
 		if err != nil {
 			return err
 		}
-		f.buffered = append(bytes.Clone(rest), f.buffered[len(f.buffered)-unread.Len():]...)
+		f.bufferedBytes = append(bytes.Clone(rest), f.bufferedBytes[len(f.bufferedBytes)-unread.Len():]...)
 	}
 }
 
@@ -113,13 +113,13 @@
 	return complete && bytes.Contains(head, []byte(f.attempt.answerID))
 }
 
-// fillHead reads until a complete head or answerHeadLimit bytes are buffered.
+// fillHead reads until a complete head or maxAnswerHeadBytes bytes are buffered.
 func (f *surplusFilter) fillHead() error {
-	for !bytes.Contains(f.buffered, headTerminator) && len(f.buffered) < answerHeadLimit {
-		length := len(f.buffered)
-		f.buffered = slices.Grow(f.buffered, headReadSize)[:length+headReadSize]
-		count, err := f.source.Read(f.buffered[length:])
-		f.buffered = f.buffered[:length+count]
+	for !bytes.Contains(f.bufferedBytes, headTerminator) && len(f.bufferedBytes) < maxAnswerHeadBytes {
+		length := len(f.bufferedBytes)
+		f.bufferedBytes = slices.Grow(f.bufferedBytes, headReadSize)[:length+headReadSize]
+		count, err := f.source.Read(f.bufferedBytes[length:])
+		f.bufferedBytes = f.bufferedBytes[:length+count]
 		if err != nil {
 			return err
 		}
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -9,8 +9,9 @@
 )
 
 // maxEndsPerCall is the number of instances that may end under the attempts of one call
-// before it is refused. A call that merely ran alongside a harmful request is saved by its
-// second attempt; a third attempt would mostly let a harmful request end a third back end.
+// before it is refused. A call that merely ran alongside a harmful request usually
+// succeeds in its second attempt; a third attempt would mostly let a harmful request end a third
+// back end.
 const maxEndsPerCall = 2
 
 const (
@@ -21,9 +22,9 @@
 	isolationWaitDivisor = 2
 )
 
-// awaitSuspectTurn waits until a suspected call may run: the gate runs one suspected call at
-// a time. If the back end then ends, only one suspected call can have caused this, and the
-// others do not end further back ends before this is known. A call whose request is held is
+// awaitSuspectTurn waits until a suspected call may run: the gate runs one suspected call at a
+// time. If the back end then ends, only one suspected call can have caused this, and the other
+// suspected calls have not ended further back ends in the meantime. A call whose request is held is
 // refused.
 func (c *gateCall) awaitSuspectTurn() (Refusal, bool) {
 	state, refusal := c.quarantineState()
@@ -195,8 +196,8 @@
 	return hashRequestHead(c.request, target, caller)
 }
 
-// ensureSignature computes the signature of the call if need be, which waits for the first
-// bytes of the body. It returns false if they can't be read.
+// ensureSignature computes the signature of the call unless it is known already. It waits
+// for the first bytes of the body and returns false if they can't be read.
 func (c *callerCall) ensureSignature() bool {
 	if c.suspicion.signed {
 		return true
--- a/internal/proxy/upload.go
+++ b/internal/proxy/upload.go
@@ -21,25 +21,25 @@
 	errBodyNotReplayable = errors.ConstError("the request's body can't be sent again")
 )
 
-// largeBodyBytes is the minimum length of a large body, in bytes. A large body is sent to a
+// minLargeBodyBytes is the minimum length of a large body, in bytes. A large body is sent to a
 // gate only after the gate has asked for it. From then on the gate does not refuse the call
 // because of its target: sending the bytes once more, mostly between zones, costs more than
 // a late answer.
-const largeBodyBytes = 16 << 10
+const minLargeBodyBytes = 16 << 10
 
 const (
 	// signatureReadBytes is how much of a body is read at a time for its signature.
 	signatureReadBytes = 8 << 10
-	// discardWait and discardBytes limit how much is read and discarded of a body whose call
+	// maxDiscardWait and maxDiscardBytes limit how much is read and discarded of a body whose call
 	// has been answered. Closing a connection with unread bytes would reset it before the
 	// caller has read the answer.
-	discardWait  = 250 * time.Millisecond
-	discardBytes = 256 << 10
-	// arrivedBodyWait and arrivedBodyBytes limit the reading of a short body before a
+	maxDiscardWait  = 250 * time.Millisecond
+	maxDiscardBytes = 256 << 10
+	// maxArrivedBodyWait and maxArrivedBodyBytes limit the reading of a short body before a
 	// refusal. Such a body has usually arrived with its headers. Once it is read, the
 	// connection can be kept.
-	arrivedBodyWait  = 2 * time.Millisecond
-	arrivedBodyBytes = 64 << 10
+	maxArrivedBodyWait  = 2 * time.Millisecond
+	maxArrivedBodyBytes = 64 << 10
 )
 
 // upload is the body of a request as its attempts read it. It is streamed; the first bytes
@@ -54,12 +54,12 @@
 	stallTimeout time.Duration
 	maxBytes     int64
 	keepLimit    int
-	// kept holds all bytes read until they exceed keepLimit. Then overflow is set and kept is
-	// dropped.
-	kept     []byte
-	overflow bool
+	// keptBytes holds all bytes read until they exceed keepLimit. Then overflow is set and
+	// keptBytes is dropped.
+	keptBytes []byte
+	overflow  bool
 	// needsHash is set if the first bytes must be hashed before they are dropped; prefixHash
-	// is that hash.
+	// is their hash.
 	needsHash  bool
 	prefixHash quarantine.Hash
 	readCount  int64
@@ -134,7 +134,7 @@
 
 // isLarge reports whether the body is large or of unknown length.
 func (u *upload) isLarge() bool {
-	return u != nil && (u.declaredLength < 0 || u.declaredLength >= largeBodyBytes)
+	return u != nil && (u.declaredLength < 0 || u.declaredLength >= minLargeBodyBytes)
 }
 
 // isReplayable reports whether the body can be read from its start. It returns false while
@@ -184,23 +184,23 @@
 
 // readArrived reads and discards a short body that has arrived already, before a refusal.
 func (u *upload) readArrived() {
-	if u == nil || u.awaitsContinue || u.declaredLength < 0 || u.declaredLength > arrivedBodyBytes || !u.mutex.TryLock() {
+	if u == nil || u.awaitsContinue || u.declaredLength < 0 || u.declaredLength > maxArrivedBodyBytes || !u.mutex.TryLock() {
 		return
 	}
 	defer u.mutex.Unlock()
-	u.discard(arrivedBodyWait)
+	u.discard(maxArrivedBodyWait)
 }
 
-// discard reads at most discardBytes within the given time and drops them and the kept
+// discard reads at most maxDiscardBytes within the given time and drops them and the kept
 // bytes. The lock is held.
 func (u *upload) discard(wait time.Duration) {
 	if u.readErr != nil {
 		return
 	}
 	_ = u.control.SetReadDeadline(time.Now().Add(wait))
-	_, err := io.CopyN(io.Discard, u.source, discardBytes)
+	_, err := io.CopyN(io.Discard, u.source, maxDiscardBytes)
 	u.overflow = true
-	u.kept = nil
+	u.keptBytes = nil
 	u.readErr = err
 	if err == io.EOF {
 		_ = u.control.SetReadDeadline(time.Time{})
@@ -208,7 +208,7 @@
 }
 
 // finish must be called at the end of the handler. It flushes the answer, limits further
-// reading to discardWait, also by an attempt, and discards a limited part of the rest of the
+// reading to maxDiscardWait, also by an attempt, and discards a limited part of the rest of the
 // body. It aborts the connection if no answer was begun.
 func (u *upload) finish() {
 	if u == nil || u.isFullyRead() {
@@ -219,11 +219,11 @@
 		panic(http.ErrAbortHandler)
 	}
 	_ = u.control.Flush()
-	_ = u.control.SetReadDeadline(time.Now().Add(discardWait))
+	_ = u.control.SetReadDeadline(time.Now().Add(maxDiscardWait))
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	if !u.awaitsContinue || u.readCount > 0 {
-		u.discard(discardWait)
+		u.discard(maxDiscardWait)
 	}
 }
 
@@ -244,8 +244,8 @@
 	if r.upload.overflow && int64(r.offset) != r.upload.readCount {
 		return 0, errBodyNotReplayable
 	}
-	if !r.upload.overflow && r.offset < len(r.upload.kept) {
-		copied := copy(bytes, r.upload.kept[r.offset:])
+	if !r.upload.overflow && r.offset < len(r.upload.keptBytes) {
+		copied := copy(bytes, r.upload.keptBytes[r.offset:])
 		r.offset += copied
 		return copied, nil
 	}
--- a/internal/proxy/uploadsignature.go
+++ b/internal/proxy/uploadsignature.go
@@ -13,15 +13,15 @@
 	if u.overflow {
 		return
 	}
-	if len(u.kept)+len(bytes) > u.keepLimit {
+	if len(u.keptBytes)+len(bytes) > u.keepLimit {
 		u.overflow = true
 		if u.needsHash {
-			u.prefixHash = quarantine.SumBody(append(u.kept, bytes...)[:u.signatureBytes()])
+			u.prefixHash = quarantine.SumBody(append(u.keptBytes, bytes...)[:u.signatureBytes()])
 		}
-		u.kept = nil
+		u.keptBytes = nil
 		return
 	}
-	u.kept = append(u.kept, bytes...)
+	u.keptBytes = append(u.keptBytes, bytes...)
 }
 
 // requireHash makes keepBytes hash the first bytes of a body that is too long to be kept.
@@ -47,7 +47,7 @@
 	if u.overflow {
 		return u.prefixHash, u.prefixHash != quarantine.Hash{}
 	}
-	return quarantine.SumBody(u.kept), u.readErr == io.EOF || len(u.kept) == u.signatureBytes()
+	return quarantine.SumBody(u.keptBytes), u.readErr == io.EOF || len(u.keptBytes) == u.signatureBytes()
 }
 
 // signatureBytes returns how many bytes of the body count for the signature, at most those
@@ -63,7 +63,7 @@
 	defer u.mutex.Unlock()
 	u.needsHash = true
 	buffer := make([]byte, signatureReadBytes)
-	for u.readErr == nil && !u.overflow && ctx.Err() == nil && len(u.kept) < u.signatureBytes() {
-		_, _ = u.read(buffer[:min(len(buffer), u.signatureBytes()-len(u.kept))]) // stores the bytes and the error
+	for u.readErr == nil && !u.overflow && ctx.Err() == nil && len(u.keptBytes) < u.signatureBytes() {
+		_, _ = u.read(buffer[:min(len(buffer), u.signatureBytes()-len(u.keptBytes))]) // stores the bytes and the error
 	}
 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// continueWait is how long a large body waits for the gate's status 100 (Continue). The
+	// maxContinueWait is how long a large body waits for the gate's status 100 (Continue). The
 	// deadline of the call ends the wait earlier.
-	continueWait = time.Hour
+	maxContinueWait = time.Hour
 	// maxSpareAge is how long a spare connection may wait for its first call. It is reduced to
 	// half of Limits.HeaderTimeout if that is shorter, since the other side closes connections
 	// on which no request arrives.
@@ -28,14 +28,14 @@
 // upstream manages the connections to one address, that of a gate or of the back end.
 type upstream struct {
 	address string
-	// cancelLinger is how long a cancelled call may take to end; see guardedConn.
+	// cancelLinger is the value of guardedConn.linger for the connections.
 	cancelLinger time.Duration
 	// tlsConfig is nil for unencrypted connections.
 	tlsConfig *tls.Config
 	transport *http.Transport
 	dialer    net.Dialer
-	// roundTrip returns how long peers take to answer, which extends the time to connect up
-	// to dialLimit; it may be nil.
+	// roundTrip is Config.RoundTrip; it extends the time to connect up to dialLimit. It may be
+	// nil.
 	roundTrip   func() time.Duration
 	dialLimit   time.Duration
 	spares      chan spare
@@ -83,7 +83,7 @@
 		MaxConnsPerHost:        limits.UpstreamConnections,
 		MaxIdleConnsPerHost:    limits.UpstreamConnections,
 		IdleConnTimeout:        idle,
-		ExpectContinueTimeout:  continueWait,
+		ExpectContinueTimeout:  maxContinueWait,
 		MaxResponseHeaderBytes: int64(limits.HeaderBytes),
 	}
 	return created
@@ -125,7 +125,7 @@
 	return u.openConns.reserve(bounded, u.transport.CloseIdleConnections)
 }
 
-// newGuarded wraps an open connection in a guardedConn and counts it.
+// newGuarded wraps an open connection in a guardedConn and adds it to openConns.
 func (u *upstream) newGuarded(conn net.Conn) *guardedConn {
 	guarded := newGuardedConn(conn, u.cancelLinger)
 	u.openConns.add(guarded)
@@ -165,7 +165,8 @@
 	return min(max(u.roundTrip(), u.dialer.Timeout), u.dialLimit)
 }
 
-// openSpares opens spare connections in the background, up to maxSpares.
+// openSpares opens the given number of spare connections in the background, but no more than
+// maxSpares in all.
 func (u *upstream) openSpares(count int) {
 	for range count {
 		if u.noSpares || u.openConns.isLimited() || u.context.Err() != nil || int(u.openingSpares.Load())+len(u.spares) >= maxSpares {
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -16,10 +16,10 @@
 // whole.
 type view struct {
 	// snapshot is nil until the first configuration is in force.
-	snapshot *snapshot.Snapshot
-	routes   *routing.Table
-	mesh     MeshState
-	services map[resource.ServiceRef]*service
+	snapshot  *snapshot.Snapshot
+	routes    *routing.Table
+	meshState MeshState
+	services  map[resource.ServiceRef]*service
 	// upstreams holds the connections by gate address.
 	upstreams map[string]*upstream
 }
@@ -58,7 +58,7 @@
 	next := &view{
 		snapshot:  snap,
 		routes:    previous.routes,
-		mesh:      state,
+		meshState: state,
 		services:  map[resource.ServiceRef]*service{},
 		upstreams: map[string]*upstream{},
 	}
@@ -139,8 +139,8 @@
 	return backends
 }
 
-// assignUpstreams sets the upstream of every endpoint of a set in the next view: the one of
-// the previous view or, for a new address, a new one.
+// assignUpstreams sets the upstream of every endpoint of a set in the next view: that of the
+// previous view or, for a new address, a new upstream.
 func (p *Proxy) assignUpstreams(previous, next *view, set *endpoint.Set) {
 	for _, candidate := range set.All {
 		if candidate.Address == "" || next.upstreams[candidate.Address] != nil {
