--- a/internal/pipeline/ahead.go
+++ b/internal/pipeline/ahead.go
@@ -34,7 +34,7 @@
 func (c *Conn) awaitRoom() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for len(c.unread) >= c.config.InputBytes && !c.deadlinePassed && c.readErr == nil {
+	for len(c.unreadBytes) >= c.config.InputBytes && !c.deadlinePassed && c.readErr == nil {
 		c.changed.Wait()
 	}
 	if c.readErr != nil {
@@ -52,7 +52,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if len(text) > 0 {
-		c.unread = append(c.unread, text...)
+		c.unreadBytes = append(c.unreadBytes, text...)
 		c.unreadAt = time.Now()
 	}
 	if err != nil && !isTimeout(err) {
@@ -71,12 +71,12 @@
 	if c.readErr == nil {
 		c.readErr = err
 	}
-	for _, call := range append(c.queue, c.pendingCall, c.servingCall) {
+	for _, call := range append(c.queuedCalls, c.pendingCall, c.servingCall) {
 		if call != nil {
 			call.drop()
 		}
 	}
-	c.queue, c.queuedBytes, c.unread = nil, 0, nil
+	c.queuedCalls, c.queuedBytes, c.unreadBytes = nil, 0, nil
 	c.changed.Broadcast()
 }
 
@@ -85,8 +85,8 @@
 func (c *Conn) startCalls() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for c.readErr == nil && !c.blocked && len(c.queue) < c.config.Calls {
-		text := c.unread[c.queuedBytes:]
+	for c.readErr == nil && !c.blocked && len(c.queuedCalls) < c.config.Calls {
+		text := c.unreadBytes[c.queuedBytes:]
 		size := headLength(text)
 		if size < 0 {
 			return
@@ -96,10 +96,10 @@
 			c.blocked = true
 			return
 		}
-		c.queue = append(c.queue, call)
+		c.queuedCalls = append(c.queuedCalls, call)
 		c.queuedBytes += size
 		if c.config.OnStart != nil {
-			c.config.OnStart(len(c.queue))
+			c.config.OnStart(len(c.queuedCalls))
 		}
 		go call.run(c.config.Handler)
 	}
--- a/internal/pipeline/call.go
+++ b/internal/pipeline/call.go
@@ -39,8 +39,8 @@
 		maps.EqualFunc(request.Header, c.request.Header, slices.Equal)
 }
 
-// run runs the handler. As in the server, a handler that panics breaks off its own
-// answer and affects nothing else.
+// run runs the handler. As in the server, a handler that panics breaks off only its own
+// answer.
 func (c *Call) run(handler http.Handler) {
 	defer c.cancel()
 	complete := false
@@ -74,22 +74,22 @@
 
 // ByteBudget limits the bytes that all connections together buffer for answers.
 type ByteBudget struct {
-	limit int64
-	used  atomic.Int64
+	limit     int64
+	usedBytes atomic.Int64
 }
 
 // NewByteBudget returns a budget with a limit in bytes.
 func NewByteBudget(limit int64) *ByteBudget { return &ByteBudget{limit: limit} }
 
 // Used returns how many bytes are buffered now.
-func (b *ByteBudget) Used() int64 { return b.used.Load() }
+func (b *ByteBudget) Used() int64 { return b.usedBytes.Load() }
 
 func (b *ByteBudget) tryReserve(count int) bool {
-	if b.used.Add(int64(count)) <= b.limit {
+	if b.usedBytes.Add(int64(count)) <= b.limit {
 		return true
 	}
-	b.used.Add(-int64(count))
+	b.usedBytes.Add(-int64(count))
 	return false
 }
 
-func (b *ByteBudget) release(count int) { b.used.Add(-int64(count)) }
+func (b *ByteBudget) release(count int) { b.usedBytes.Add(-int64(count)) }
--- a/internal/pipeline/conn.go
+++ b/internal/pipeline/conn.go
@@ -62,16 +62,16 @@
 	partialHead []byte
 	// bodyRemaining is how many bytes of the current body the server has not read yet.
 	bodyRemaining int
-	// unread holds bytes from the socket that the server has not read yet. It begins with
-	// the heads of the calls in queue, queuedBytes in all. firstHeadRead is how many bytes
-	// of the first head the server has read already; these are no longer in unread.
-	unread        []byte
-	queue         []*Call
+	// unreadBytes holds bytes from the socket that the server has not read yet. It begins
+	// with the heads of queuedCalls, queuedBytes in all. firstHeadRead is how many bytes of
+	// the first head the server has read already; these are no longer in unreadBytes.
+	unreadBytes   []byte
+	queuedCalls   []*Call
 	queuedBytes   int
 	firstHeadRead int
-	// blocked is set if the request after those in queue must wait for its turn.
+	// blocked is set if the request after queuedCalls must wait for its turn.
 	blocked bool
-	// unreadAt is when the last bytes of unread were received. arrivedAt is when the
+	// unreadAt is when the last bytes of unreadBytes were received. arrivedAt is when the
 	// current request was received; it is zero if the server was waiting for the request.
 	unreadAt  time.Time
 	arrivedAt time.Time
@@ -137,7 +137,7 @@
 func (c *Conn) HasPendingAnswers() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return len(c.queue) > 0 || c.pendingCall != nil
+	return len(c.queuedCalls) > 0 || c.pendingCall != nil
 }
 
 // Read implements net.Conn for the server.
@@ -179,7 +179,7 @@
 	c.arrivedAt = time.Time{}
 	used := c.advance(buffer[:count])
 	if used < count {
-		c.unread = append(c.unread, buffer[used:count]...)
+		c.unreadBytes = append(c.unreadBytes, buffer[used:count]...)
 		c.unreadAt = time.Now()
 		err = nil // the next read returns it again
 	}
@@ -194,15 +194,15 @@
 	if c.readErr != nil {
 		return 0, true, c.readErr
 	}
-	if len(c.unread) == 0 {
-		c.unread = nil
+	if len(c.unreadBytes) == 0 {
+		c.unreadBytes = nil
 		return 0, false, nil
 	}
 	c.arrivedAt = c.unreadAt
-	text := c.unread[:min(len(buffer), len(c.unread))]
+	text := c.unreadBytes[:min(len(buffer), len(c.unreadBytes))]
 	used := c.advance(text)
 	copy(buffer, text[:used])
-	c.unread = c.unread[used:]
+	c.unreadBytes = c.unreadBytes[used:]
 	c.changed.Broadcast()
 	return used, true, nil
 }
@@ -220,7 +220,7 @@
 			c.markComplete()
 		}
 		return used
-	case len(c.queue) > 0:
+	case len(c.queuedCalls) > 0:
 		return c.advanceQueued(text)
 	}
 	return c.advanceHead(text)
@@ -228,14 +228,14 @@
 
 // advanceQueued is advance for the head of the first call in the queue.
 func (c *Conn) advanceQueued(text []byte) int {
-	first := c.queue[0]
+	first := c.queuedCalls[0]
 	used := min(len(text), first.headSize-c.firstHeadRead)
 	c.firstHeadRead += used
 	c.queuedBytes -= used
 	if c.firstHeadRead == first.headSize {
 		c.firstHeadRead = 0
 		c.pendingCall = first
-		c.queue = c.queue[1:]
+		c.queuedCalls = c.queuedCalls[1:]
 		c.arrivedAt = first.arrivedAt
 		c.handlerReturned = false
 		c.markComplete()
--- a/internal/proxy/abandon.go
+++ b/internal/proxy/abandon.go
@@ -66,7 +66,7 @@
 // recordAbandoned counts an abandoned attempt and logs it with the state of its endpoint.
 func (c *callerCall) recordAbandoned(abandoned *attempt, reason AbandonReason) {
 	p := c.proxy
-	p.counters.abandoned[reason].Add(1)
+	p.counters.abandonedAttempts[reason].Add(1)
 	p.trace("attempt_abandoned", func() []EventField {
 		now := p.config.Clock()
 		fields := append(c.identityFields(),
--- a/internal/proxy/ahead.go
+++ b/internal/proxy/ahead.go
@@ -19,7 +19,7 @@
 		Calls:       p.limits.AheadCalls,
 		InputBytes:  p.limits.AheadInputBytes,
 		AnswerBytes: p.limits.AheadAnswerBytes,
-		Held:        p.heldAnswers,
+		Held:        p.answerBudget,
 		Handler:     http.HandlerFunc(p.serveCaller),
 		MayRunAhead: p.mayRunAhead,
 		OnStart:     p.recordRunAhead,
@@ -45,10 +45,10 @@
 // recordRunAhead counts a request that runs ahead of its turn. depth is the number of such
 // requests on its connection.
 func (p *Proxy) recordRunAhead(depth int) {
-	p.counters.ranAhead.Add(1)
+	p.counters.callsAhead.Add(1)
 	for {
-		previousMax := p.counters.aheadDepth.Load()
-		if int64(depth) <= previousMax || p.counters.aheadDepth.CompareAndSwap(previousMax, int64(depth)) {
+		previousMax := p.counters.maxAheadDepth.Load()
+		if int64(depth) <= previousMax || p.counters.maxAheadDepth.CompareAndSwap(previousMax, int64(depth)) {
 			return
 		}
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -156,7 +156,7 @@
 // detachAsHedged makes an attempt the call's hedged attempt: its exchange continues in the
 // background, at most until the call's context ends.
 func (c *callerCall) detachAsHedged(thisAttempt *attempt, candidates *endpoint.Set, pending *pendingExchange) {
-	c.hedgedAttempt = &hedgedAttempt{chosen: thisAttempt.endpoint, sentAt: thisAttempt.sentAt, set: candidates, pending: pending}
+	c.hedgedAttempt = &hedgedAttempt{chosen: thisAttempt.endpoint, sentAt: thisAttempt.sentAt, set: candidates, pendingExchange: pending}
 	thisAttempt.cancel = nil
 	thisAttempt.exchange = newPlaceholderExchange()
 }
--- a/internal/proxy/backendlimits.go
+++ b/internal/proxy/backendlimits.go
@@ -13,8 +13,8 @@
 )
 
 // reservedConnections is the number of connections to a back end that calls don't use: one for
-// its probe, one for the check whether it has ended (see refusesConnections), one that is
-// closing.
+// its probe, one for the check whether it has ended (see refusesConnections), and one that is being
+// closed.
 const reservedConnections = 3
 
 // backendLimits holds the values that limit the calls running at the back end.
@@ -103,8 +103,8 @@
 }
 
 // SetReportedCalls sets the number of running and queued calls that the back end reported in a
-// probe answer, including the probe. Before the daemon sends calls, all others are orphaned
-// calls.
+// probe answer, including the probe. Before the daemon sends calls, all these calls but
+// the probe are orphaned calls.
 func (p *Proxy) SetReportedCalls(count int) {
 	p.backendLimits.reportedCalls.Store(max(int64(count), 1))
 }
--- a/internal/proxy/bodyqueue.go
+++ b/internal/proxy/bodyqueue.go
@@ -40,10 +40,10 @@
 // turns. A sender waits with the body until it gets the status 100 (Continue), which the gate
 // sends when the body's turn begins.
 type bodyQueue struct {
-	// turns holds an element for each turn in use; waiting is how many bodies wait for a
+	// turns holds an element for each turn in use; waitingBodies is how many bodies wait for a
 	// turn.
-	turns   chan struct{}
-	waiting atomic.Int64
+	turns         chan struct{}
+	waitingBodies atomic.Int64
 	// meanNanos is the moving mean of the time that it takes to receive a body, in
 	// nanoseconds.
 	meanNanos atomic.Int64
@@ -80,15 +80,15 @@
 // without other traffic on the link.
 func (t *bodyQueue) queueWait() time.Duration {
 	meanNanos := t.meanNanos.Load()
-	wait := t.waiting.Load() * meanNanos / transferLimit
+	wait := t.waitingBodies.Load() * meanNanos / transferLimit
 	if len(t.turns) == transferLimit {
 		wait += meanNanos / (transferLimit + 1) // the expected time until one of the turns ends
 	}
 	return time.Duration(wait)
 }
 
-// recordWait updates the excess with how long a body has waited for its turn. The expected
-// wait is the one that queueWait returned before.
+// recordWait updates the excess with how long a body has waited for its turn. The argument
+// expected is what queueWait returned when the body arrived.
 func (t *bodyQueue) recordWait(now, expected, waited time.Duration) {
 	if expected <= 0 || expected < t.meanTime()/transferLimit {
 		return // too short for a meaningful ratio
@@ -103,7 +103,7 @@
 // wait for a slot as long as its body would wait for a turn. The gate adds it to the
 // queue length that it reports.
 func (t *bodyQueue) equivalentQueueLength(now time.Duration, slots int, serviceTime time.Duration) int {
-	waiting := int(t.waiting.Load())
+	waiting := int(t.waitingBodies.Load())
 	if serviceTime <= 0 {
 		return waiting
 	}
@@ -112,8 +112,8 @@
 
 // acquireTurn waits for a turn; it returns false if ctx ends first.
 func (t *bodyQueue) acquireTurn(ctx context.Context) bool {
-	t.waiting.Add(1)
-	defer t.waiting.Add(-1)
+	t.waitingBodies.Add(1)
+	defer t.waitingBodies.Add(-1)
 	select {
 	case t.turns <- struct{}{}:
 		return true
--- a/internal/proxy/bodyqueue_test.go
+++ b/internal/proxy/bodyqueue_test.go
@@ -37,7 +37,7 @@
 	for range 3 {
 		go func() { results <- mesh.call(t, "POST", "/", large) }()
 	}
-	for queue.waiting.Load() < 3 {
+	for queue.waitingBodies.Load() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	check.Equal(mesh.call(t, "POST", "/", "small").body, "small")
@@ -145,7 +145,7 @@
 		check.True(queue.acquireTurn(t.Context()))
 	}
 	check.Equal(queue.expectedWait(0), 30*time.Millisecond) // until the first turn ends
-	queue.waiting.Add(4)
+	queue.waitingBodies.Add(4)
 	check.Equal(queue.expectedWait(0), 210*time.Millisecond)
 	for range 100 {
 		queue.recordWait(0, 200*time.Millisecond, 300*time.Millisecond)
@@ -182,7 +182,7 @@
 	check := is.New(t)
 	queue := newBodyQueue()
 	queue.meanNanos.Store(int64(90 * time.Millisecond))
-	queue.waiting.Add(4)
+	queue.waitingBodies.Add(4)
 	queue.recordWait(time.Second, 200*time.Millisecond, time.Minute)
 	check.True(queue.expectedWait(time.Second+excessLifetime) > queue.queueWait())
 	check.Equal(queue.expectedWait(time.Second+excessLifetime+1), queue.queueWait())
@@ -204,7 +204,7 @@
 	var runs atomic.Int64
 	mesh := startMesh(t, meshOptions{changeRoute: changeRoute}, countingBackend(&runs))
 	queue := mesh.gates[0].bodyQueue
-	queue.waiting.Add(4)
+	queue.waitingBodies.Add(4)
 	queue.meanNanos.Store(int64(time.Minute))
 	if changeRoute != nil {
 		queue.meanNanos.Store(int64(800 * time.Millisecond)) // within maxBodyWaitShare of the deadline
--- a/internal/proxy/caller.go
+++ b/internal/proxy/caller.go
@@ -287,7 +287,7 @@
 	c.traceAnswer(answered, err)
 	answered.end(c.proxy)
 	if err != nil {
-		c.proxy.counters.aborted.Add(1)
+		c.proxy.counters.abortedAnswers.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -183,7 +183,7 @@
 	// HungWait is the time after the deadline of a hung call at which the gate releases its slot.
 	// The slot is kept so that a back end with hung calls
 	// gets fewer calls for a while, and is released earlier only if another start of the back
-	// end replaces this one.
+	// end replaces the start that runs the call.
 	HungWait time.Duration
 	// StartWait is the time after the daemon's start during which calls that can't be sent yet
 	// wait; 0 lets none wait.
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -13,7 +13,7 @@
 	// CallerCalls and GateCalls count the calls received by the callers' side and by the gate.
 	CallerCalls uint64
 	GateCalls   uint64
-	// Attempts counts the attempts sent to gates, Retries the decisions to make another one.
+	// Attempts counts the attempts sent to gates, Retries the decisions to make another attempt.
 	Attempts uint64
 	Retries  uint64
 	// Aborted counts the answers that could not be sent completely.
@@ -57,27 +57,27 @@
 
 // counterSet holds the counters that Counters copies.
 type counterSet struct {
-	callerCalls atomic.Uint64
-	gateCalls   atomic.Uint64
-	attempts    atomic.Uint64
-	retries     atomic.Uint64
-	aborted     atomic.Uint64
-	startWaits  atomic.Uint64
-	// ranAhead counts the calls that ran before their turn; aheadDepth is the maximum number
+	callerCalls    atomic.Uint64
+	gateCalls      atomic.Uint64
+	attempts       atomic.Uint64
+	retries        atomic.Uint64
+	abortedAnswers atomic.Uint64
+	startWaits     atomic.Uint64
+	// callsAhead counts the calls that ran before their turn; maxAheadDepth is the maximum number
 	// of such calls at a time on one connection.
-	ranAhead   atomic.Uint64
-	aheadDepth atomic.Int64
-	// succeeded counts the calls that the back end answered without a server error.
-	succeeded atomic.Uint64
-	refusals  [codeCount]atomic.Uint64
+	callsAhead    atomic.Uint64
+	maxAheadDepth atomic.Int64
+	// succeededCalls counts the calls that the back end answered without a server error.
+	succeededCalls atomic.Uint64
+	refusals       [codeCount]atomic.Uint64
 	// backendEnds counts the ends of the back end during calls.
 	backendEnds atomic.Uint64
 	// isolatedCalls counts the calls that ran alone because their request was suspected.
 	isolatedCalls atomic.Uint64
 	// hungCalls counts the calls found to hang at the back end.
 	hungCalls atomic.Uint64
-	// abandoned counts the attempts that were abandoned before their answer.
-	abandoned abandonedCounts
+	// abandonedAttempts counts the attempts that were abandoned before their answer.
+	abandonedAttempts abandonedCounts
 }
 
 func (c *counterSet) recordRefusal(code result.Code) {
@@ -93,26 +93,26 @@
 		GateCalls:     p.counters.gateCalls.Load(),
 		Attempts:      p.counters.attempts.Load(),
 		Retries:       p.counters.retries.Load(),
-		Aborted:       p.counters.aborted.Load(),
+		Aborted:       p.counters.abortedAnswers.Load(),
 		StartWaits:    p.counters.startWaits.Load(),
-		Ahead:         p.counters.ranAhead.Load(),
-		AheadDepth:    int(p.counters.aheadDepth.Load()),
-		AheadBytes:    p.heldAnswers.Used(),
+		Ahead:         p.counters.callsAhead.Load(),
+		AheadDepth:    int(p.counters.maxAheadDepth.Load()),
+		AheadBytes:    p.answerBudget.Used(),
 		CallerRunning: int(p.runningCallerCalls.Load()),
 		Refusals:      map[result.Code]uint64{},
-		Abandoned:     p.counters.abandoned.snapshot(),
+		Abandoned:     p.counters.abandonedAttempts.snapshot(),
 
 		BackendEnds:     p.counters.backendEnds.Load(),
 		IsolatedCalls:   p.counters.isolatedCalls.Load(),
 		HungCalls:       p.counters.hungCalls.Load(),
-		HarmfulRequests: p.harmful.view.Load().Count(p.config.Clock()),
+		HarmfulRequests: p.harmfulRequests.view.Load().Count(p.config.Clock()),
 	}
 	if p.gate != nil {
 		load := p.gate.Load()
 		counters.GateRunning = load.Running
 		counters.Cold = p.gate.IsColdLimited(p.config.Clock())
 		counters.GateQueued = load.Queued
-		counters.BodiesWaiting = int(p.bodyQueue.waiting.Load())
+		counters.BodiesWaiting = int(p.bodyQueue.waitingBodies.Load())
 		counters.GateService = p.gate.MeanServiceTime()
 		counters.BackendOpen = p.backend.openConns.count()
 	}
--- a/internal/proxy/division.go
+++ b/internal/proxy/division.go
@@ -10,7 +10,7 @@
 )
 
 // VersionSplit divides the calls to one service between the back ends of the target software
-// version and the others, which are stable, by the stage of a roll-out.
+// version and those of the other versions, which are stable, by the stage of a roll-out.
 type VersionSplit struct {
 	Target string
 	Stage  rollout.Stage
@@ -85,8 +85,8 @@
 	}
 }
 
-// choose returns a canary for the canary share of the calls, and nil for the others. Both draw and
-// random must be uniform random numbers.
+// choose returns a canary for the canary share of the calls, and nil for the other calls. Both draw
+// and random must be uniform random numbers.
 func (c canary) choose(now time.Duration, draw, random uint64) *endpoint.Endpoint {
 	if c.fullLoad == nil || c.fullLoad.UsableCount() == 0 {
 		return nil
--- a/internal/proxy/drain.go
+++ b/internal/proxy/drain.go
@@ -99,7 +99,7 @@
 		case <-p.drain.lastCallEnded:
 		case <-deadlineTimer.C:
 			p.logEvent("drain_bound")
-			p.connections.cancelAll(errDrainBound)
+			p.connContexts.cancelAll(errDrainBound)
 			return
 		case <-p.closed:
 			return
--- a/internal/proxy/drain_test.go
+++ b/internal/proxy/drain_test.go
@@ -39,7 +39,7 @@
 	mesh.gates[0].StartDrain()
 	runsBefore := runs.Load()
 	for range 20 {
-		check.Equal(mesh.call(t, "POST", "/", "x").body, "x") // sent to the other gate, though the members still show this one as ready
+		check.Equal(mesh.call(t, "POST", "/", "x").body, "x") // sent to the other gate, though the member records still show this gate as ready
 	}
 	check.Equal(runs.Load()-runsBefore, int64(20))
 	select {
--- a/internal/proxy/ended.go
+++ b/internal/proxy/ended.go
@@ -37,7 +37,7 @@
 	mutex sync.Mutex
 	// newestEnd is the last backendEnd; nil if there is none or its instance had not ended.
 	newestEnd *backendEnd
-	// succeededBeforeVersion is the value of counterSet.succeeded when the current software
+	// succeededBeforeVersion is the value of counterSet.succeededCalls when the current software
 	// version of the back end was first reported.
 	succeededBeforeVersion atomic.Uint64
 }
@@ -119,7 +119,7 @@
 
 // attributeEnd records an end for the requests of the interrupted calls. quarantine.Table infers
 // from all ends which of them is harmful. A software version that has not answered any call here
-// may fail whatever it runs, so its ends are recorded for no request.
+// may end under every request, so its ends are not recorded for requests.
 func (p *Proxy) attributeEnd(end *backendEnd) {
 	end.suspectedRequests = map[quarantine.Signature]bool{}
 	if !p.hasVersionAnswered() {
@@ -136,15 +136,15 @@
 		hasUnidentified = hasUnidentified || !signed
 	}
 	if hasUnidentified {
-		p.harmful.recordUnidentified(end.start.String())
+		p.harmfulRequests.recordUnidentified(end.start.String())
 	}
-	p.harmful.recordEndInTrials(trials, end.start.String(), lo.Keys(end.suspectedRequests)...)
+	p.harmfulRequests.recordEndInTrials(trials, end.start.String(), lo.Keys(end.suspectedRequests)...)
 }
 
 // hasVersionAnswered reports whether the software version that runs, or ran last, has answered a
 // call without a server error at this gate.
 func (p *Proxy) hasVersionAnswered() bool {
-	return p.counters.succeeded.Load() > p.backendEnds.succeededBeforeVersion.Load()
+	return p.counters.succeededCalls.Load() > p.backendEnds.succeededBeforeVersion.Load()
 }
 
 // refusesConnections reports whether connections are refused because no process listens, which
--- a/internal/proxy/ended_test.go
+++ b/internal/proxy/ended_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	proxy := New(Config{Clock: testClock, NodeID: "gate"})
 	t.Cleanup(proxy.Close)
-	proxy.counters.succeeded.Store(1)
+	proxy.counters.succeededCalls.Store(1)
 	return proxy
 }
 
@@ -77,9 +77,9 @@
 func TestEndsOfVersionWithoutAnswersSuspectNoRequest(t *testing.T) {
 	check := is.New(t)
 	proxy := newProxyWithAnswers(t)
-	proxy.backendEnds.succeededBeforeVersion.Store(proxy.counters.succeeded.Load())
+	proxy.backendEnds.succeededBeforeVersion.Store(proxy.counters.succeededCalls.Load())
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "1", "/a"), "/a"), "trusted")
-	proxy.counters.succeeded.Add(1)
+	proxy.counters.succeededCalls.Add(1)
 	check.Equal(statesAfterEnd(proxy, newBackendEnd(proxy, "2", "/a"), "/a"), "suspected")
 }
 
@@ -101,7 +101,7 @@
 	gate := newProxyWithAnswers(t)
 	peer := New(Config{Clock: testClock, NodeID: "other", OnHarmful: func(urgent bool) { notified <- urgent }})
 	t.Cleanup(peer.Close)
-	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
+	peer.harmfulRequests.recordAnswered(signatureOf(peer, "/often"))
 	gate.attributeEnd(newBackendEnd(gate, "i", "/often"))
 	check.Equal(peer.MergeHarmful(gate.UntoldHarmful(), false), 0)
 	check.Equal(<-notified, false)
@@ -111,7 +111,7 @@
 	check.Equal(len(peer.UntoldHarmful()), 0) // each record is returned once
 	gate.MergeHarmful(records, false)
 	check.Equal(gate.HarmfulSum(), peer.HarmfulSum())
-	peer.harmful.recordAnswered(signatureOf(peer, "/often"))
+	peer.harmfulRequests.recordAnswered(signatureOf(peer, "/often"))
 	check.Equal(<-notified, true)
 	gate.MergeHarmful(peer.UntoldHarmful(), false)
 	check.Equal(gate.HarmfulBelief(signatureOf(gate, "/often")), quarantine.Trusted)
@@ -160,7 +160,7 @@
 	case <-time.After(20 * time.Millisecond):
 	}
 	for _, instance := range []string{"2", "3"} {
-		proxy.harmful.recordEnd(instance, signatureOf(proxy, "/b")) // after these ends the request is held
+		proxy.harmfulRequests.recordEnd(instance, signatureOf(proxy, "/b")) // after these ends the request is held
 	}
 	first.releaseSuspectTurn()
 	check.True(!<-started)
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -241,7 +241,7 @@
 	}
 	forwarding.writeHead()
 	if err := forwarding.streamBody(); err != nil {
-		c.proxy.counters.aborted.Add(1)
+		c.proxy.counters.abortedAnswers.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/proxy/gateoutcome.go
+++ b/internal/proxy/gateoutcome.go
@@ -89,9 +89,9 @@
 	}
 	switch {
 	case !failed && !refused:
-		c.proxy.counters.succeeded.Add(1)
+		c.proxy.counters.succeededCalls.Add(1)
 	case failed && c.proxy.config.OnBackendFailed != nil && !c.isHung():
-		c.proxy.config.OnBackendFailed(c.start, c.proxy.counters.succeeded.Load())
+		c.proxy.config.OnBackendFailed(c.start, c.proxy.counters.succeededCalls.Load())
 	}
 }
 
--- a/internal/proxy/guard.go
+++ b/internal/proxy/guard.go
@@ -14,8 +14,8 @@
 const errNotOwned = errors.ConstError("the attempt has been written elsewhere or given up")
 
 // guardedConn is a connection to an endpoint that checks each write against the guard of the
-// attempt that it carries. The guard thus knows whether any byte of the attempt can have left this
-// process, whatever the HTTP library does.
+// attempt that it carries. The guard thus records whether any byte of the attempt can have left
+// this process, independently of the HTTP library.
 type guardedConn struct {
 	net.Conn
 	owner atomic.Pointer[attemptGuard]
--- a/internal/proxy/hangs.go
+++ b/internal/proxy/hangs.go
@@ -34,7 +34,7 @@
 	isHung atomic.Bool
 }
 
-// hangDetector watches the calls at the back end for ones that are never answered. It costs a call
+// hangDetector finds calls at the back end that will probably never be answered. It costs a call
 // two atomic writes.
 type hangDetector struct {
 	recentAnswers hang.RecentAnswers
@@ -66,7 +66,7 @@
 	return noCell
 }
 
-// unwatch ends the watching of a dispatch, in the cell that watch returned for it.
+// unwatch ends the watching of a dispatch. cell is the result of watch for it.
 func (h *hangDetector) unwatch(cell int) {
 	h.callCount.Add(-1)
 	if cell != noCell {
@@ -197,7 +197,7 @@
 	if p.config.OnBackendFailed != nil {
 		// Reporting the failure now ejects a back end that leaves many calls unanswered before
 		// their deadlines pass.
-		p.config.OnBackendFailed(hung.start, p.counters.succeeded.Load())
+		p.config.OnBackendFailed(hung.start, p.counters.succeededCalls.Load())
 	}
 	if mayHedge {
 		go hung.call.relay.reportHang()
--- a/internal/proxy/hangs_test.go
+++ b/internal/proxy/hangs_test.go
@@ -34,7 +34,7 @@
 		changeCaller: func(config *Config) { config.OnSilent = func(protocol.NodeID) {} },
 	}
 	hangingMesh := startMesh(t, options, spec, spec)
-	for range 100 { // so that the gates know the usual service time
+	for range 100 { // so that the gates have measured the usual service time
 		hangingMesh.call(t, http.MethodGet, "/", "")
 	}
 	return hangingMesh
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -25,7 +25,8 @@
 	headerRan         = "Springstack-Ran"
 	headerLoad        = "Springstack-Load"
 	// headerEnded carries, on an attempt, the number of instances that ended under earlier attempts
-	// of its call and, on a gate's refusal, the instance that ended under this one.
+	// of its call and, on a gate's refusal, the instance that ended under the refused
+	// attempt.
 	headerEnded = "Springstack-Ended"
 	// headerRegions lists, on a gate's refusal, the regions that the gate's configuration version
 	// allows.
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// maxProbeFailures is how many consecutive probes must fail before a back end counts as down.
+	// maxProbeFailures is how many consecutive probes must fail before a back end is considered
+	// down.
 	maxProbeFailures = 3
 	// maxProbeAnswerBytes bounds how much is read of the answer to a probe.
 	maxProbeAnswerBytes = 4 << 10
@@ -224,8 +225,8 @@
 	return h.client.Do(request)
 }
 
-// applyProbe applies the result of a probe. Down needs several failures in a row, so that one lost
-// probe moves no calls; every other state applies at once.
+// applyProbe applies the result of a probe. Down requires several failures in a row, so that one
+// lost probe does not divert calls; every other state applies at once.
 func (h *health) applyProbe(state protocol.EndpointState) {
 	if state == protocol.EndpointDown {
 		h.consecutiveFailures++
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -81,8 +81,8 @@
 	chosen *endpoint.Endpoint
 	sentAt time.Duration
 	// set is the endpoint set that the endpoint was chosen from.
-	set     *endpoint.Set
-	pending *pendingExchange
+	set             *endpoint.Set
+	pendingExchange *pendingExchange
 }
 
 // hedgedDone returns a channel that is closed when the hedged attempt has ended, or nil if there is
@@ -91,7 +91,7 @@
 	if c.hedgedAttempt == nil {
 		return nil
 	}
-	return c.hedgedAttempt.pending.done
+	return c.hedgedAttempt.pendingExchange.done
 }
 
 // takeHedgedAnswer removes the hedged attempt, which must have ended, from the call. It returns the
@@ -100,7 +100,7 @@
 func (c *callerCall) takeHedgedAnswer() *attempt {
 	hedged := c.hedgedAttempt
 	c.hedgedAttempt = nil
-	ended := hedged.pending.take()
+	ended := hedged.pendingExchange.take()
 	if ended.answer == nil && !ended.unsent {
 		ended.close()
 		return nil
@@ -175,7 +175,7 @@
 	}
 	abandoned := c.hedgedAttempt
 	c.hedgedAttempt = nil
-	abandoned.pending.drop()
+	abandoned.pendingExchange.drop()
 	reason, ended := c.endReason()
 	switch {
 	case ended:
--- a/internal/proxy/mesh_test.go
+++ b/internal/proxy/mesh_test.go
@@ -39,7 +39,7 @@
 }
 
 // mesh is a caller's daemon with a gate and a back end for each backendSpec, all over loopback TCP.
-// Its address is the one on which the daemon accepts callers.
+// Its address is that on which the daemon accepts callers.
 type mesh struct {
 	caller   *Proxy
 	gates    []*Proxy
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,29 +43,29 @@
 	// rolloutAnswers counts the back end's answers during a roll-out of its service.
 	rolloutAnswers rollout.Tally
 
-	// harmful holds the requests under which back ends may end; backendEnds detects ends of the
-	// daemon's own back end. suspectTurn is held by the one suspected call that the gate runs at a
-	// time.
-	harmful     *harmfulRequests
-	backendEnds backendEnds
-	suspectTurn chan struct{}
+	// harmfulRequests holds the requests under which back ends may end; backendEnds detects ends of
+	// the daemon's own back end. suspectTurn is held by the one suspected call that the gate runs
+	// at a time.
+	harmfulRequests *harmfulRequests
+	backendEnds     backendEnds
+	suspectTurn     chan struct{}
 
 	// startedAt is when the proxy was created, by Config.Clock.
 	startedAt time.Duration
 	starting  startWaiters
 
 	incarnations       ownIncarnations
-	reported           reportedBackend
+	reportedBackend    reportedBackend
 	requestLimits      atomic.Pointer[RequestLimits]
 	counters           counterSet
 	runningCallerCalls atomic.Int64
 	runningGateCalls   atomic.Int64
 	drain              drain
-	connections        connectionContexts
-	// heldAnswers bounds the buffered answers of pipelined calls that ran ahead of their turn.
-	heldAnswers *pipeline.ByteBudget
-	closed      chan struct{}
-	closeOnce   sync.Once
+	connContexts       connectionContexts
+	// answerBudget bounds the buffered answers of pipelined calls that ran ahead of their turn.
+	answerBudget *pipeline.ByteBudget
+	closed       chan struct{}
+	closeOnce    sync.Once
 
 	requestIDPrefix string
 	requestCount    atomic.Uint64
@@ -88,8 +88,8 @@
 
 		hashSeed: rand.Uint64(),
 	}
-	proxy.harmful = newHarmfulRequests(config, proxy.logEvent)
-	proxy.heldAnswers = pipeline.NewByteBudget(proxy.limits.AheadHeldBytes)
+	proxy.harmfulRequests = newHarmfulRequests(config, proxy.logEvent)
+	proxy.answerBudget = pipeline.NewByteBudget(proxy.limits.AheadHeldBytes)
 	proxy.incarnations.add(config.Incarnation)
 	incarnation := strconv.FormatUint(uint64(config.Incarnation), 36)
 	proxy.requestIDPrefix = string(config.NodeID) + "-" + incarnation + "-"
@@ -186,7 +186,7 @@
 func (p *Proxy) Close() {
 	p.closeOnce.Do(func() {
 		close(p.closed)
-		p.connections.cancelAll(errClosed)
+		p.connContexts.cancelAll(errClosed)
 		if p.health != nil {
 			p.health.stop()
 		}
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -20,7 +20,7 @@
 	maxAnsweredRequests = 1 << 14
 )
 
-// harmfulRequests is what the daemon knows of requests that may end the back ends that run them.
+// harmfulRequests holds the daemon's records of requests that may end the back ends that run them.
 // Calls read it through an atomic pointer, at the cost of two loads if there are no records.
 type harmfulRequests struct {
 	clock func() time.Duration
@@ -37,19 +37,20 @@
 
 	mutex sync.Mutex
 	table *quarantine.Table
-	// unpublished are the requests with records that have not been sent to other daemons yet.
-	unpublished map[quarantine.Signature]bool
+	// unpublishedRequests are the requests with records that have not been sent to other daemons
+	// yet.
+	unpublishedRequests map[quarantine.Signature]bool
 }
 
 func newHarmfulRequests(config Config, log func(string, ...EventField)) *harmfulRequests {
 	return &harmfulRequests{
-		clock:            config.Clock,
-		onChanged:        config.OnHarmful,
-		onHeld:           config.OnHeld,
-		log:              log,
-		table:            quarantine.NewTable(quarantine.DefaultRules()),
-		answeredRequests: admission.NewFingerprintSet(config.Clock(), answeredRetention, maxAnsweredRequests),
-		unpublished:      map[quarantine.Signature]bool{},
+		clock:               config.Clock,
+		onChanged:           config.OnHarmful,
+		onHeld:              config.OnHeld,
+		log:                 log,
+		table:               quarantine.NewTable(quarantine.DefaultRules()),
+		answeredRequests:    admission.NewFingerprintSet(config.Clock(), answeredRetention, maxAnsweredRequests),
+		unpublishedRequests: map[quarantine.Signature]bool{},
 	}
 }
 
@@ -59,7 +60,7 @@
 	now := h.clock()
 	changed := lo.Filter(signatures, func(signature quarantine.Signature, _ int) bool { return change(now, signature) })
 	for _, signature := range changed {
-		h.unpublished[signature] = true
+		h.unpublishedRequests[signature] = true
 	}
 	if len(changed) > 0 {
 		h.publishView()
@@ -159,7 +160,7 @@
 // own back end answered the request before without a server error; the sent record then states
 // this.
 func (p *Proxy) MergeHarmful(records []quarantine.Record, pass bool) (refused int) {
-	h := p.harmful
+	h := p.harmfulRequests
 	h.mutex.Lock()
 	now := h.clock()
 	changed, notify := false, false
@@ -171,7 +172,7 @@
 		markedFamiliar := isNew && !record.Familiar && h.answeredRequests.Contains(fingerprintOf(record.Signature)) && h.table.MarkFamiliar(now, record.Signature)
 		changed = changed || isNew
 		if markedFamiliar || (isNew && pass) {
-			h.unpublished[record.Signature] = true
+			h.unpublishedRequests[record.Signature] = true
 			notify = true
 		}
 	}
@@ -187,42 +188,42 @@
 
 // HarmfulBelief returns the quarantine state of a request.
 func (p *Proxy) HarmfulBelief(signature quarantine.Signature) quarantine.State {
-	state, _ := p.harmful.view.Load().State(p.harmful.clock(), signature)
+	state, _ := p.harmfulRequests.view.Load().State(p.harmfulRequests.clock(), signature)
 	return state
 }
 
 // ReleaseHarmful has all daemons trust a request again, until further back ends end under it.
 func (p *Proxy) ReleaseHarmful(signature quarantine.Signature) {
-	p.harmful.clear(signature)
+	p.harmfulRequests.clear(signature)
 }
 
 // HarmfulRecords returns all records of requests that may be harmful.
 func (p *Proxy) HarmfulRecords() []quarantine.Record {
-	p.harmful.mutex.Lock()
-	defer p.harmful.mutex.Unlock()
-	return p.harmful.table.Records(p.harmful.clock())
+	p.harmfulRequests.mutex.Lock()
+	defer p.harmfulRequests.mutex.Unlock()
+	return p.harmfulRequests.table.Records(p.harmfulRequests.clock())
 }
 
 // UntoldHarmful returns the records that have not been sent to other daemons, and marks them as
 // sent.
 func (p *Proxy) UntoldHarmful() []quarantine.Record {
-	h := p.harmful
+	h := p.harmfulRequests
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var records []quarantine.Record
-	for signature := range h.unpublished {
+	for signature := range h.unpublishedRequests {
 		if record, found := h.table.Lookup(h.clock(), signature); found {
 			records = append(records, record)
 		}
 	}
-	clear(h.unpublished)
+	clear(h.unpublishedRequests)
 	return records
 }
 
 // HarmfulSum returns a checksum that is equal on daemons with equal records of harmful requests; 0
 // for no records.
 func (p *Proxy) HarmfulSum() uint64 {
-	h := p.harmful
+	h := p.harmfulRequests
 	if h.view.Load().Empty() {
 		return 0
 	}
--- a/internal/proxy/regions.go
+++ b/internal/proxy/regions.go
@@ -14,8 +14,8 @@
 
 // restrictedPool holds the endpoints for calls that are restricted to some regions.
 type restrictedPool struct {
-	allowed region.Set
-	pool    *pool
+	allowedRegions region.Set
+	pool           *pool
 }
 
 // inRegions returns the part of a pool in the allowed regions. The stage of a roll-out applies
@@ -39,13 +39,13 @@
 	var pools []restrictedPool
 	for _, allowed := range lists {
 		reachable := backendRegions.Intersect(allowed)
-		shared, found := lo.Find(pools, func(candidate restrictedPool) bool { return candidate.allowed.Equal(reachable) })
+		shared, found := lo.Find(pools, func(candidate restrictedPool) bool { return candidate.allowedRegions.Equal(reachable) })
 		if !found {
 			part := s.inRegions(reachable)
-			shared = restrictedPool{allowed: reachable, pool: &part}
+			shared = restrictedPool{allowedRegions: reachable, pool: &part}
 			pools = append(pools, shared)
 		}
-		s.restricted = append(s.restricted, restrictedPool{allowed: allowed, pool: shared.pool})
+		s.restricted = append(s.restricted, restrictedPool{allowedRegions: allowed, pool: shared.pool})
 	}
 }
 
@@ -57,7 +57,7 @@
 		return &s.pool
 	}
 	for index := range s.restricted {
-		if s.restricted[index].allowed.Equal(allowed) {
+		if s.restricted[index].allowedRegions.Equal(allowed) {
 			return s.restricted[index].pool
 		}
 	}
--- a/internal/proxy/regions_test.go
+++ b/internal/proxy/regions_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Back ends outside the allowed region get no call, whatever its request key.
+// Back ends outside the allowed region must get no calls, with any request key.
 func TestCallRunsInAllowedRegion(t *testing.T) {
 	for _, headers := range [][]string{nil, {"X-Key", "k"}} {
 		check := is.New(t)
@@ -270,8 +270,8 @@
 	}
 }
 
-// No method of choosing an endpoint leaves the allowed regions, whatever was tried or ejected
-// before.
+// No method of choosing an endpoint may leave the allowed regions, whichever endpoints were tried
+// or ejected before.
 func TestEveryChoiceStaysInAllowedRegions(t *testing.T) {
 	check := is.New(t)
 	testedService := &service{allEndpoints: newRegionalSet()}
--- a/internal/proxy/renewal_test.go
+++ b/internal/proxy/renewal_test.go
@@ -9,8 +9,8 @@
 	"github.com/springstack/springstack/internal/core/snapshot"
 )
 
-// A running call is answered by its back end whatever view is put in force meanwhile, before or
-// after the start of a drain.
+// A running call must be answered by its back end even if another view is put in force in the
+// meantime, before or after the start of a drain.
 func TestNewViewDoesNotEndRunningCall(t *testing.T) {
 	changes := []struct {
 		name  string
--- a/internal/proxy/reported.go
+++ b/internal/proxy/reported.go
@@ -44,7 +44,7 @@
 // replacedChannel returns a channel that is closed when the given start of the back end no longer
 // gets calls. It is nil if the back end does not report, because no start is replaced then.
 func (p *Proxy) replacedChannel(start protocol.BackendStart) <-chan struct{} {
-	replaced := p.reported.replaced.Load()
+	replaced := p.reportedBackend.replaced.Load()
 	if p.backendStart() != start {
 		return closedChannel
 	}
@@ -66,7 +66,7 @@
 	if !p.config.Reported {
 		return p.config.Backend
 	}
-	if report := p.reported.currentReport.Load(); report != nil {
+	if report := p.reportedBackend.currentReport.Load(); report != nil {
 		return report.Start.Instance
 	}
 	return ""
@@ -77,7 +77,7 @@
 	if !p.config.Reported {
 		return protocol.BackendStart{Instance: p.config.Backend}
 	}
-	if report := p.reported.currentReport.Load(); report != nil {
+	if report := p.reportedBackend.currentReport.Load(); report != nil {
 		return report.Start
 	}
 	return protocol.BackendStart{}
@@ -92,7 +92,7 @@
 // calls, then on return no new call is sent to it and the queued calls have been refused.
 // ReportBackend must not be called concurrently.
 func (p *Proxy) ReportBackend(report BackendReport) {
-	previous := p.reported.currentReport.Load()
+	previous := p.reportedBackend.currentReport.Load()
 	if previous != nil && previous.Start != report.Start {
 		// Connections to an earlier start can't be used again.
 		p.backend.retire()
@@ -105,7 +105,7 @@
 		p.endCrashedCalls(report.Start)
 	}
 	if previous == nil || previous.Software != report.Software {
-		p.backendEnds.succeededBeforeVersion.Store(p.counters.succeeded.Load())
+		p.backendEnds.succeededBeforeVersion.Store(p.counters.succeededCalls.Load())
 	}
 	acceptsCalls := report.State.AcceptsCalls()
 	switch {
@@ -114,7 +114,7 @@
 	case !acceptsCalls:
 		p.gate.Drain()
 	}
-	p.reported.set(&report)
+	p.reportedBackend.set(&report)
 	if report.Slots > 0 {
 		p.backendLimits.slots.Store(int64(report.Slots))
 		p.updateCallLimit()
@@ -132,6 +132,6 @@
 
 // isWarming reports whether the back end reports that it is still slow after its start.
 func (p *Proxy) isWarming() bool {
-	report := p.reported.currentReport.Load()
+	report := p.reportedBackend.currentReport.Load()
 	return report != nil && report.State == protocol.EndpointWarming
 }
--- a/internal/proxy/reportedgate_test.go
+++ b/internal/proxy/reportedgate_test.go
@@ -125,7 +125,7 @@
 	return call
 }
 
-// await waits until a condition holds; one that never holds hangs the test.
+// await waits, without a time limit, until a condition holds.
 func (g *reportedGate) await(condition func() bool) {
 	for !condition() {
 		runtime.Gosched()
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -109,7 +109,7 @@
 	contexts := &connectionContexts{}
 	side, isSide := handler.(*sideHandler)
 	if isSide {
-		contexts = &side.proxy.connections
+		contexts = &side.proxy.connContexts
 	}
 	httpServer.ConnContext = contexts.addConn
 	httpServer.ConnState = func(conn net.Conn, state http.ConnState) {
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -9,8 +9,8 @@
 )
 
 // The stages of a listener that stops. A server can't close an idle HTTP/1.1 connection
-// without the risk that the caller is sending a call on it, and the caller could not tell
-// whether that call has run. So the server first waits for one more call on each
+// without the risk that the caller is sending a call on it, and the caller could not
+// determine whether that call has run. So the server first waits for one more call on each
 // connection, which it refuses as not run. It then announces the close on connections
 // that are still idle, and only then closes them.
 const (
@@ -151,7 +151,7 @@
 }
 
 // retire announces the close of a connection without a running call. The caller may be
-// sending a call at this moment and could not tell from a bare close whether it has run.
+// sending a call at this moment and could not determine from a mere close whether it has run.
 // So retire sends an answer which states that nothing since the last answer has run; this
 // remains true for calls that are still in transit. A caller that is idle interprets the
 // status 408 as the close of its connection (RFC 9110, 15.5.9).
--- a/internal/proxy/silence.go
+++ b/internal/proxy/silence.go
@@ -28,7 +28,7 @@
 	return max(minSilence, time.Duration(float64(target)*silenceTargetShare))
 }
 
-// silenceMonitor detects that a gate answers nothing. The connections alone don't show
+// silenceMonitor detects that a gate answers no calls. The connections alone don't show
 // whether such a gate is busy or whether it is disconnected, paused or without power.
 type silenceMonitor struct {
 	// answeredAt is when the gate last answered a call, checkedAt when a check of its daemon
@@ -37,9 +37,9 @@
 	checkedAt  atomic.Int64
 
 	mutex sync.Mutex
-	// hedgeable holds the waiting attempts that may be hedged, each with the function that
+	// hedgeableAttempts holds the waiting attempts that may be hedged, each with the function that
 	// hedges it.
-	hedgeable map[*attempt]func()
+	hedgeableAttempts map[*attempt]func()
 }
 
 // watchSilence requests a check of an endpoint's daemon if its gate is silent for longer
@@ -89,32 +89,32 @@
 func (s *silenceMonitor) addHedgeable(waiting *attempt, hedge func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.hedgeable == nil {
-		s.hedgeable = map[*attempt]func(){}
+	if s.hedgeableAttempts == nil {
+		s.hedgeableAttempts = map[*attempt]func(){}
 	}
-	s.hedgeable[waiting] = hedge
+	s.hedgeableAttempts[waiting] = hedge
 }
 
 func (s *silenceMonitor) removeHedgeable(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.hedgeable, waiting)
+	delete(s.hedgeableAttempts, waiting)
 }
 
-// hedge hedges one attempt if it is in hedgeable.
+// hedge hedges one attempt if it is in hedgeableAttempts.
 func (s *silenceMonitor) hedge(waiting *attempt) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if startHedge := s.hedgeable[waiting]; startHedge != nil {
+	if startHedge := s.hedgeableAttempts[waiting]; startHedge != nil {
 		startHedge()
 	}
 }
 
-// hedgeAll hedges all attempts in hedgeable.
+// hedgeAll hedges all attempts in hedgeableAttempts.
 func (s *silenceMonitor) hedgeAll() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, startHedge := range s.hedgeable {
+	for _, startHedge := range s.hedgeableAttempts {
 		startHedge()
 	}
 }
--- a/internal/proxy/starting.go
+++ b/internal/proxy/starting.go
@@ -78,7 +78,7 @@
 }
 
 // totalTimeout returns the time that a call may take, including the time that it has waited
-// for the start. A nil call is one that was refused.
+// for the start. A nil call means that the call was refused.
 func (p *Proxy) totalTimeout(request *http.Request, call *callerCall, waited time.Duration) time.Duration {
 	if call != nil {
 		return call.timeout + waited
--- a/internal/proxy/starting_test.go
+++ b/internal/proxy/starting_test.go
@@ -138,8 +138,8 @@
 }
 
 // TestViewPublishedDuringAcceptIsNotMissed: the first view may be published while acceptCall
-// refuses a call. The earlier view is then the one that is found incomplete, so that
-// acceptCall is called again with the new view.
+// refuses a call. In this case the earlier view is found incomplete, so that acceptCall
+// is called again with the new view.
 func TestViewPublishedDuringAcceptIsNotMissed(t *testing.T) {
 	check := is.New(t)
 	running := startMesh(t, meshOptions{})
--- a/internal/proxy/suspect.go
+++ b/internal/proxy/suspect.go
@@ -45,7 +45,7 @@
 // It refuses a call whose request has been held since awaitSuspectTurn, and a call that must
 // run alone but can't because other calls keep the back end busy.
 func (c *gateCall) isolate() (Refusal, bool) {
-	view := c.proxy.harmful.view.Load()
+	view := c.proxy.harmfulRequests.view.Load()
 	if view.Empty() || !view.HasHead(c.headHash()) {
 		c.trial = 1
 		return Refusal{}, true
@@ -114,7 +114,7 @@
 	if c.request.Header.Get(headerEnded) != "" {
 		minState = quarantine.Suspected
 	}
-	view := c.proxy.harmful.view.Load()
+	view := c.proxy.harmfulRequests.view.Load()
 	if view.Empty() || !view.HasHead(c.headHash()) {
 		return minState, Refusal{}
 	}
@@ -139,7 +139,7 @@
 		return
 	}
 	if signature, known := c.signature(); known {
-		c.proxy.harmful.recordAnswered(signature)
+		c.proxy.harmfulRequests.recordAnswered(signature)
 	}
 }
 
@@ -169,7 +169,7 @@
 // sharedQuarantineState returns the quarantine state of the call's request by the records
 // that daemons share. The body is not read unless there is a record with the same head.
 func (c *callerCall) sharedQuarantineState() (quarantine.State, Refusal) {
-	view := c.proxy.harmful.view.Load()
+	view := c.proxy.harmfulRequests.view.Load()
 	if view.Empty() {
 		return quarantine.Trusted, Refusal{}
 	}
--- a/internal/proxy/trace.go
+++ b/internal/proxy/trace.go
@@ -207,7 +207,7 @@
 }
 
 // traceAnswer logs the end of an answered call if it failed, took several attempts or is
-// sampled. The error is the one that cut the answer short, or nil.
+// sampled. The error is that by which the answer was truncated, or nil.
 func (c *callerCall) traceAnswer(tried *attempt, err error) {
 	status := tried.exchange.answer.StatusCode
 	failed := err != nil || status >= http.StatusInternalServerError || len(c.triedEndpoints) > 1
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -132,7 +132,7 @@
 	return guarded
 }
 
-// retire closes the idle connections, and the others once their calls have ended.
+// retire closes the idle connections, and the other connections once their calls have ended.
 func (u *upstream) retire() {
 	u.openConns.retire()
 	u.closeIdle()
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -36,7 +36,7 @@
 	retryBudget *retry.Budget
 }
 
-// MeshState is what a daemon knows about the mesh besides the configuration.
+// MeshState is the state of the mesh as the daemon has received it, apart from the configuration.
 type MeshState struct {
 	Members []protocol.Member
 	// Splits are the divisions of services' back ends by software version during roll-outs.
--- a/internal/proxy/warmth.go
+++ b/internal/proxy/warmth.go
@@ -13,7 +13,7 @@
 	}
 	warmUp := snap.Services[p.config.Service].WarmUp
 	// The gate of a back end that reports itself is closed until the first report.
-	opened := !p.config.Reported || p.reported.currentReport.Load() != nil
+	opened := !p.config.Reported || p.reportedBackend.currentReport.Load() != nil
 	p.gate.SetColdLimit(p.config.Clock(), p.config.WarmUp.Limit(warmUp.PerSecond), opened)
 }
 
